--- a/cmd/pathtally-dev/main.go
+++ b/cmd/pathtally-dev/main.go
@@ -12,8 +12,8 @@
 	"os"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/devrun"
-	"github.com/pathtally/pathtally/internal/process"
+	"github.com/pathtally/pathtally/internal/standalone/devrun"
+	"github.com/pathtally/pathtally/internal/standalone/process"
 )
 
 const defaultSpan = 20 * time.Second
--- a/cmd/pathtally-standin/main.go
+++ b/cmd/pathtally-standin/main.go
@@ -5,7 +5,7 @@
 import (
 	"os"
 
-	"github.com/pathtally/pathtally/internal/standincommand"
+	"github.com/pathtally/pathtally/internal/standalone/standincommand"
 )
 
 func main() { os.Exit(standincommand.Run(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -12,8 +12,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/valyala/fasthttp"
 
-	"github.com/pathtally/pathtally/internal/engine"
-	"github.com/pathtally/pathtally/internal/loadgen"
+	"github.com/pathtally/pathtally/internal/standalone/engine"
+	"github.com/pathtally/pathtally/internal/standalone/loadgen"
 )
 
 const (
--- a/internal/bench/rolloutreport.go
+++ b/internal/bench/rolloutreport.go
@@ -17,7 +17,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"github.com/pathtally/pathtally/internal/sim"
+	"github.com/pathtally/pathtally/internal/standalone/sim"
 )
 
 // spread is the mean of a figure over the seeds, with its least and greatest.
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -8,7 +8,7 @@
 	"io"
 	"log/slog"
 
-	"github.com/pathtally/pathtally/internal/process"
+	"github.com/pathtally/pathtally/internal/standalone/process"
 )
 
 const (
--- a/internal/bench/simulate.go
+++ b/internal/bench/simulate.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/sim"
+	"github.com/pathtally/pathtally/internal/standalone/sim"
 )
 
 const progressPeriod = 5 * time.Second
--- a/internal/dispatch/answer.go
+++ b/internal/callers/dispatch/answer.go
@@ -6,8 +6,8 @@
 	"io"
 	"net/http"
 
-	"github.com/pathtally/pathtally/internal/exchange"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/callers/exchange"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 // Answer is a replica's answer with its verdict.
--- a/internal/dispatch/call.go
+++ b/internal/callers/dispatch/call.go
@@ -4,7 +4,7 @@
 	"net/http"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/exchange"
+	"github.com/pathtally/pathtally/internal/callers/exchange"
 )
 
 // Call is a request on its way to replicas.
--- a/internal/dispatch/dispatcher.go
+++ b/internal/callers/dispatch/dispatcher.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/exchange"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/callers/exchange"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 // Dispatcher sends calls to replicas. It is safe for use by many goroutines.
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/callers/dispatch/dispatcher_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/pathtally/pathtally/internal/exchange"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/callers/exchange"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 // A zone may be evacuated between the pick and the send.
--- a/internal/dispatch/errors.go
+++ b/internal/callers/dispatch/errors.go
@@ -7,8 +7,8 @@
 
 	"github.com/ansel1/merry/v2"
 
-	"github.com/pathtally/pathtally/internal/exchange"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/callers/exchange"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 // ErrForeignAnswer means that an answer belongs to another request.
--- a/internal/dispatch/guard.go
+++ b/internal/callers/dispatch/guard.go
@@ -5,8 +5,8 @@
 	"errors"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/exchange"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/callers/exchange"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 // Guard learns how the runs of requests end, and keeps those from replicas that end them.
--- a/internal/dispatch/metrics.go
+++ b/internal/callers/dispatch/metrics.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 // Metrics count what was not sent to replicas.
--- a/internal/forward/attempt.go
+++ b/internal/callers/forward/attempt.go
@@ -6,9 +6,9 @@
 	"io"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/dispatch"
-	"github.com/pathtally/pathtally/internal/exchange"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
+	"github.com/pathtally/pathtally/internal/callers/exchange"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 const (
--- a/internal/forward/evacuation_test.go
+++ b/internal/callers/forward/evacuation_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/directory"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 // evacuate has the zone of some backends evacuated; the others stand elsewhere.
--- a/internal/forward/forward_test.go
+++ b/internal/callers/forward/forward_test.go
@@ -14,9 +14,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/dispatch"
-	"github.com/pathtally/pathtally/internal/exchange"
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
+	"github.com/pathtally/pathtally/internal/callers/exchange"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 const headerID = "X-Id"
--- a/internal/forward/forwarder.go
+++ b/internal/callers/forward/forwarder.go
@@ -10,9 +10,9 @@
 	"golang.org/x/time/rate"
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/dispatch"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 const (
--- a/internal/forward/homes.go
+++ b/internal/callers/forward/homes.go
@@ -5,8 +5,8 @@
 
 	"github.com/ansel1/merry/v2"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/dispatch"
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 // ErrNoHome means that no replica of a route is in a region in which the request may
--- a/internal/forward/homes_test.go
+++ b/internal/callers/forward/homes_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/dispatch"
-	"github.com/pathtally/pathtally/internal/tenancy"
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
+	"github.com/pathtally/pathtally/internal/callers/tenancy"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 // oneEach returns a forwarder before a replica in the north and one in the south.
--- a/internal/forward/quarantine_test.go
+++ b/internal/callers/forward/quarantine_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/dispatch"
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 const quarantineLeft = 7 * time.Minute
--- a/internal/forward/refusal.go
+++ b/internal/callers/forward/refusal.go
@@ -4,8 +4,8 @@
 	"errors"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/dispatch"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 // evacuatedWait is when a caller is told to come back whose replicas are all in
--- a/internal/forward/run.go
+++ b/internal/callers/forward/run.go
@@ -5,8 +5,8 @@
 	"net/http"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/dispatch"
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 // maxRefusals bounds how often, in attempts, one request is turned away by
--- a/internal/forward/splitter.go
+++ b/internal/callers/forward/splitter.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"github.com/pathtally/pathtally/internal/directory"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 // splitter shares the requests of routes among their targets by weight, each
--- a/internal/forward/stream.go
+++ b/internal/callers/forward/stream.go
@@ -7,10 +7,10 @@
 	"net/http"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/dispatch"
-	"github.com/pathtally/pathtally/internal/eventstream"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
+	"github.com/pathtally/pathtally/internal/callers/eventstream"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 const (
--- a/internal/ingress/answer.go
+++ b/internal/callers/ingress/answer.go
@@ -6,9 +6,9 @@
 	"strconv"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/dispatch"
-	"github.com/pathtally/pathtally/internal/forward"
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
+	"github.com/pathtally/pathtally/internal/callers/forward"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 // roomWait is when to come back with a body that there was no room for.
--- a/internal/ingress/authenticate.go
+++ b/internal/callers/ingress/authenticate.go
@@ -7,8 +7,8 @@
 
 	"github.com/ansel1/merry/v2"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/tenancy"
+	"github.com/pathtally/pathtally/internal/callers/tenancy"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 const (
--- a/internal/ingress/authenticate_test.go
+++ b/internal/callers/ingress/authenticate_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/tenancy"
+	"github.com/pathtally/pathtally/internal/callers/tenancy"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 // keyHeader stands in for the platform's headers: it reads a key from one field.
--- a/internal/ingress/config.go
+++ b/internal/callers/ingress/config.go
@@ -5,8 +5,8 @@
 
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/forward"
+	"github.com/pathtally/pathtally/internal/callers/forward"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 // Config is what a Handler needs.
--- a/internal/ingress/handler.go
+++ b/internal/callers/ingress/handler.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/dispatch"
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 const (
--- a/internal/ingress/headers.go
+++ b/internal/callers/ingress/headers.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/tenancy"
+	"github.com/pathtally/pathtally/internal/callers/tenancy"
 )
 
 // Headers reads and writes the headers between callers and nodes.
--- a/internal/ingress/jobs.go
+++ b/internal/callers/ingress/jobs.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 
-	"github.com/pathtally/pathtally/internal/directory"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 // Jobs serves the calls about batch jobs.
--- a/internal/ingress/stream.go
+++ b/internal/callers/ingress/stream.go
@@ -5,9 +5,9 @@
 	"io"
 	"net/http"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/dispatch"
-	"github.com/pathtally/pathtally/internal/forward"
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
+	"github.com/pathtally/pathtally/internal/callers/forward"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 // streamSink writes a stream to a caller event by event.
--- a/internal/quarantine/admit.go
+++ b/internal/callers/quarantine/admit.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"github.com/pathtally/pathtally/internal/dispatch"
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
 )
 
 // Admit implements dispatch.Guard.
--- a/internal/quarantine/endcheck.go
+++ b/internal/callers/quarantine/endcheck.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/exchange"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/callers/exchange"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 const (
--- a/internal/quarantine/examine.go
+++ b/internal/callers/quarantine/examine.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/pathtally/pathtally/internal/dispatch"
-	"github.com/pathtally/pathtally/internal/exchange"
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
+	"github.com/pathtally/pathtally/internal/callers/exchange"
 )
 
 // soonAfterSent is for how long after it was sent the break of a run counts although it
--- a/internal/quarantine/fingerprint.go
+++ b/internal/callers/quarantine/fingerprint.go
@@ -5,7 +5,7 @@
 	"encoding/binary"
 	"encoding/hex"
 
-	"github.com/pathtally/pathtally/internal/dispatch"
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
 )
 
 // fingerprintBytes is the length of a fingerprint: too long for callers to find another
--- a/internal/quarantine/hold.go
+++ b/internal/callers/quarantine/hold.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 
-	"github.com/pathtally/pathtally/internal/dispatch"
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
 )
 
 // quarantine puts a request under which enough replicas have ended in quarantine, and
--- a/internal/quarantine/metrics.go
+++ b/internal/callers/quarantine/metrics.go
@@ -3,8 +3,8 @@
 import (
 	"github.com/prometheus/client_golang/prometheus"
 
+	"github.com/pathtally/pathtally/internal/callers/exchange"
 	"github.com/pathtally/pathtally/internal/clock"
-	"github.com/pathtally/pathtally/internal/exchange"
 )
 
 // metrics count what this node learns of broken runs, and what it keeps from replicas.
--- a/internal/quarantine/recorder.go
+++ b/internal/callers/quarantine/recorder.go
@@ -10,7 +10,7 @@
 	"k8s.io/klog/v2"
 
 	"github.com/pathtally/pathtally/internal/clock"
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 const (
--- a/internal/quarantine/service.go
+++ b/internal/callers/quarantine/service.go
@@ -9,10 +9,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"k8s.io/klog/v2"
 
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
 	"github.com/pathtally/pathtally/internal/clock"
-	"github.com/pathtally/pathtally/internal/dispatch"
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 // DefaultSpan is how long a request stays in quarantine where the settings (quarantine)
--- a/internal/quarantine/service_test.go
+++ b/internal/callers/quarantine/service_test.go
@@ -13,11 +13,11 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"k8s.io/klog/v2"
 
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
+	"github.com/pathtally/pathtally/internal/callers/exchange"
 	"github.com/pathtally/pathtally/internal/clock"
-	"github.com/pathtally/pathtally/internal/dispatch"
-	"github.com/pathtally/pathtally/internal/exchange"
-	"github.com/pathtally/pathtally/internal/objectstore"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/internal/wire"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
--- a/internal/quarantine/sink.go
+++ b/internal/callers/quarantine/sink.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 // Replace takes a whole listing of the kind, as package watchcache hands it on.
--- a/internal/peering/join.go
+++ b/internal/cluster/peering/join.go
@@ -6,7 +6,7 @@
 	"errors"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/peering/seeds.go
+++ b/internal/cluster/peering/seeds.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
+	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/objectstore"
-	"github.com/pathtally/pathtally/internal/rendezvous"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/peering/sink.go
+++ b/internal/cluster/peering/sink.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"fmt"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 // entry is what the metadata store holds of a node.
--- a/internal/peering/sink_test.go
+++ b/internal/cluster/peering/sink_test.go
@@ -4,7 +4,7 @@
 	"errors"
 	"testing"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 func TestUnreadableEntryNamesItsNode(t *testing.T) {
--- a/internal/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/loop"
+	"github.com/pathtally/pathtally/internal/standalone/loop"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/command/await.go
+++ b/internal/command/await.go
@@ -6,7 +6,7 @@
 	"time"
 
 	v1 "github.com/pathtally/pathtally/api/v1"
-	"github.com/pathtally/pathtally/internal/process"
+	"github.com/pathtally/pathtally/internal/standalone/process"
 )
 
 // NotInForceError means that a generation was written but has not reached
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -8,7 +8,7 @@
 	"github.com/ansel1/merry/v2"
 	"github.com/sebdah/goldie/v2"
 
-	"github.com/pathtally/pathtally/internal/configwriter"
+	"github.com/pathtally/pathtally/internal/standalone/configwriter"
 )
 
 func run(args ...string) (ExitCode, string, string) {
--- a/internal/command/exit.go
+++ b/internal/command/exit.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 
-	"github.com/pathtally/pathtally/internal/configwriter"
+	"github.com/pathtally/pathtally/internal/standalone/configwriter"
 )
 
 // ExitCode is how a command ended.
--- a/internal/command/get.go
+++ b/internal/command/get.go
@@ -11,7 +11,7 @@
 	"sigs.k8s.io/yaml"
 
 	v1 "github.com/pathtally/pathtally/api/v1"
-	"github.com/pathtally/pathtally/internal/configwriter"
+	"github.com/pathtally/pathtally/internal/standalone/configwriter"
 )
 
 // Output forms of get and status.
--- a/internal/command/node.go
+++ b/internal/command/node.go
@@ -7,8 +7,8 @@
 	"os/signal"
 	"syscall"
 
-	"github.com/pathtally/pathtally/internal/process"
 	"github.com/pathtally/pathtally/internal/settings"
+	"github.com/pathtally/pathtally/internal/standalone/process"
 )
 
 // runNode runs a node until a signal: SIGTERM and SIGINT begin the planned
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -11,8 +11,8 @@
 	"github.com/valyala/fasthttp"
 
 	v1 "github.com/pathtally/pathtally/api/v1"
-	"github.com/pathtally/pathtally/internal/configwriter"
-	"github.com/pathtally/pathtally/internal/process"
+	"github.com/pathtally/pathtally/internal/standalone/configwriter"
+	"github.com/pathtally/pathtally/internal/standalone/process"
 )
 
 const statusTimeout = 2 * time.Second
--- a/internal/autoscale/decide_test.go
+++ b/internal/duties/autoscale/decide_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"github.com/pathtally/pathtally/internal/directory"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 // fleet is a service of 12 replicas with 8 slots each in three zones.
--- a/internal/autoscale/plan.go
+++ b/internal/duties/autoscale/plan.go
@@ -4,7 +4,7 @@
 	"maps"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 // plan is what this node knows of the replicas of one service.
--- a/internal/autoscale/service_test.go
+++ b/internal/duties/autoscale/service_test.go
@@ -13,8 +13,8 @@
 	"k8s.io/klog/v2"
 
 	"github.com/pathtally/pathtally/internal/clock"
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/duty"
+	"github.com/pathtally/pathtally/internal/duties/duty"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
--- a/internal/autoscale/view.go
+++ b/internal/duties/autoscale/view.go
@@ -1,6 +1,6 @@
 package autoscale
 
-import "github.com/pathtally/pathtally/internal/directory"
+import "github.com/pathtally/pathtally/internal/replicas/directory"
 
 // View is what is known of a service when its replicas are decided on.
 type View struct {
--- a/internal/duty/acquire.go
+++ b/internal/duties/duty/acquire.go
@@ -5,7 +5,7 @@
 	"errors"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 // Acquire writes the lease for this node. It returns how long to wait first,
--- a/internal/duty/lease.go
+++ b/internal/duties/duty/lease.go
@@ -7,7 +7,7 @@
 	"github.com/ansel1/merry/v2"
 
 	"github.com/pathtally/pathtally/internal/clock"
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 const (
--- a/internal/duty/turn.go
+++ b/internal/duties/duty/turn.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/rendezvous"
+	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
 )
 
 const (
--- a/internal/duty/write.go
+++ b/internal/duties/duty/write.go
@@ -9,7 +9,7 @@
 	"github.com/ansel1/merry/v2"
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 // leaseSpec is the stored lease.
--- a/internal/usage/pusher.go
+++ b/internal/duties/usage/pusher.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/usage/report.go
+++ b/internal/duties/usage/report.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/duty"
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/duties/duty"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/usage/service_test.go
+++ b/internal/duties/usage/service_test.go
@@ -15,7 +15,7 @@
 	"k8s.io/klog/v2"
 
 	"github.com/pathtally/pathtally/internal/clock"
-	"github.com/pathtally/pathtally/internal/duty"
+	"github.com/pathtally/pathtally/internal/duties/duty"
 	"github.com/pathtally/pathtally/internal/wire"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
--- a/internal/weightorders/candidates.go
+++ b/internal/duties/weightorders/candidates.go
@@ -4,8 +4,8 @@
 	"cmp"
 	"slices"
 
-	"github.com/pathtally/pathtally/internal/rendezvous"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 // leastCandidates is how many replicas the items of a model are placed among at least,
--- a/internal/weightorders/candidates_test.go
+++ b/internal/duties/weightorders/candidates_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 // planOfIDs is a plan whose endpoints have the ids of a coordinator's replicas.
--- a/internal/weightorders/coordinator.go
+++ b/internal/duties/weightorders/coordinator.go
@@ -9,8 +9,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/duty"
+	"github.com/pathtally/pathtally/internal/duties/duty"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/weightorders/homeplan.go
+++ b/internal/duties/weightorders/homeplan.go
@@ -4,8 +4,8 @@
 	"maps"
 	"slices"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 // homePlan keeps the homes of a service's models until something that they depend on
--- a/internal/weightorders/homes.go
+++ b/internal/duties/weightorders/homes.go
@@ -5,8 +5,8 @@
 	"math"
 	"slices"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/rendezvous"
+	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 // homeShare is how many replicas keep up with one model, as a multiple of its
--- a/internal/weightorders/homes_test.go
+++ b/internal/duties/weightorders/homes_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"testing"
 
-	"github.com/pathtally/pathtally/internal/directory"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 // leastSharedOneByOne picks the replicas as they were picked before: each anew
--- a/internal/weightorders/knowledge.go
+++ b/internal/duties/weightorders/knowledge.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/directory"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/weightorders/plan.go
+++ b/internal/duties/weightorders/plan.go
@@ -1,8 +1,8 @@
 package weightorders
 
 import (
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 // task is a replica that is to get a model's version.
--- a/internal/weightorders/plan_test.go
+++ b/internal/duties/weightorders/plan_test.go
@@ -7,8 +7,8 @@
 
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 func replicas(count int) []*directory.Replica {
--- a/internal/weightorders/scale_test.go
+++ b/internal/duties/weightorders/scale_test.go
@@ -6,7 +6,7 @@
 
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/directory"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 // coordinatorOf returns a coordinator before some replicas of two models, whose versions
--- a/internal/instance/adapter.go
+++ b/internal/instance/adapter.go
@@ -3,15 +3,15 @@
 import (
 	"net/http"
 
-	"github.com/pathtally/pathtally/internal/autoscale"
-	"github.com/pathtally/pathtally/internal/batch"
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/dispatch"
-	"github.com/pathtally/pathtally/internal/exchange"
-	"github.com/pathtally/pathtally/internal/ingress"
-	"github.com/pathtally/pathtally/internal/objectstore"
-	"github.com/pathtally/pathtally/internal/usage"
-	"github.com/pathtally/pathtally/internal/weightorders"
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
+	"github.com/pathtally/pathtally/internal/callers/exchange"
+	"github.com/pathtally/pathtally/internal/callers/ingress"
+	"github.com/pathtally/pathtally/internal/duties/autoscale"
+	"github.com/pathtally/pathtally/internal/duties/usage"
+	"github.com/pathtally/pathtally/internal/duties/weightorders"
+	"github.com/pathtally/pathtally/internal/jobs/batch"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 // Kinds are the names under which the platform keeps what a node watches.
--- a/internal/instance/connections.go
+++ b/internal/instance/connections.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/exchange"
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/callers/exchange"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 const (
--- a/internal/instance/connections_test.go
+++ b/internal/instance/connections_test.go
@@ -11,9 +11,9 @@
 
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/exchange"
-	"github.com/pathtally/pathtally/internal/peering"
+	"github.com/pathtally/pathtally/internal/callers/exchange"
+	"github.com/pathtally/pathtally/internal/cluster/peering"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 // A service's bound on connections used to be read and not kept to.
--- a/internal/instance/duties.go
+++ b/internal/instance/duties.go
@@ -3,10 +3,10 @@
 import (
 	"context"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/peering"
-	"github.com/pathtally/pathtally/internal/quarantine"
-	"github.com/pathtally/pathtally/internal/watchcache"
+	"github.com/pathtally/pathtally/internal/callers/quarantine"
+	"github.com/pathtally/pathtally/internal/cluster/peering"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
+	"github.com/pathtally/pathtally/internal/store/watchcache"
 )
 
 // runDuties starts what works beside the requests.
--- a/internal/instance/helpers.go
+++ b/internal/instance/helpers.go
@@ -4,8 +4,8 @@
 	"cmp"
 	"slices"
 
-	"github.com/pathtally/pathtally/internal/peering"
-	"github.com/pathtally/pathtally/internal/rendezvous"
+	"github.com/pathtally/pathtally/internal/cluster/peering"
+	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
 )
 
 // helpersListed bounds the nodes that large calls to the store are offered to.
--- a/internal/instance/peers.go
+++ b/internal/instance/peers.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/duty"
-	"github.com/pathtally/pathtally/internal/watchcache"
+	"github.com/pathtally/pathtally/internal/duties/duty"
+	"github.com/pathtally/pathtally/internal/store/watchcache"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/instance/quarantine.go
+++ b/internal/instance/quarantine.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"github.com/pathtally/pathtally/internal/quarantine"
+	"github.com/pathtally/pathtally/internal/callers/quarantine"
 )
 
 // newQuarantine returns what keeps requests that end replicas from further ones.
--- a/internal/instance/retirements.go
+++ b/internal/instance/retirements.go
@@ -11,8 +11,8 @@
 
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
-	"github.com/pathtally/pathtally/internal/rendezvous"
+	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 // retirementTurn is what each further node waits for those before it to
--- a/internal/instance/slowstart.go
+++ b/internal/instance/slowstart.go
@@ -7,9 +7,9 @@
 
 	"github.com/ansel1/merry/v2"
 
-	"github.com/pathtally/pathtally/internal/duty"
+	"github.com/pathtally/pathtally/internal/duties/duty"
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/slowstart"
+	"github.com/pathtally/pathtally/internal/replicas/slowstart"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/instance/usage.go
+++ b/internal/instance/usage.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/pathtally/pathtally/internal/batch"
-	"github.com/pathtally/pathtally/internal/usage"
+	"github.com/pathtally/pathtally/internal/duties/usage"
+	"github.com/pathtally/pathtally/internal/jobs/batch"
 )
 
 const (
--- a/internal/batch/attempt.go
+++ b/internal/jobs/batch/attempt.go
@@ -8,10 +8,10 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/dispatch"
-	"github.com/pathtally/pathtally/internal/eventstream"
-	"github.com/pathtally/pathtally/internal/exchange"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
+	"github.com/pathtally/pathtally/internal/callers/eventstream"
+	"github.com/pathtally/pathtally/internal/callers/exchange"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 // attemptTime is the time that a replica is given for one run.
--- a/internal/batch/candidates.go
+++ b/internal/jobs/batch/candidates.go
@@ -1,8 +1,8 @@
 package batch
 
 import (
-	"github.com/pathtally/pathtally/internal/routing"
-	"github.com/pathtally/pathtally/internal/weightorders"
+	"github.com/pathtally/pathtally/internal/duties/weightorders"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 // candidateKey names the items that are placed among the same replicas of a plan.
--- a/internal/batch/demand.go
+++ b/internal/jobs/batch/demand.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/weightorders"
+	"github.com/pathtally/pathtally/internal/duties/weightorders"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/batch/errors.go
+++ b/internal/jobs/batch/errors.go
@@ -5,7 +5,7 @@
 
 	"github.com/ansel1/merry/v2"
 
-	"github.com/pathtally/pathtally/internal/placement"
+	"github.com/pathtally/pathtally/internal/jobs/placement"
 )
 
 var (
--- a/internal/batch/final_test.go
+++ b/internal/jobs/batch/final_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
--- a/internal/batch/front.go
+++ b/internal/jobs/batch/front.go
@@ -7,8 +7,8 @@
 	"strconv"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/forward"
-	"github.com/pathtally/pathtally/internal/ingress"
+	"github.com/pathtally/pathtally/internal/callers/forward"
+	"github.com/pathtally/pathtally/internal/callers/ingress"
 )
 
 const (
--- a/internal/batch/homes.go
+++ b/internal/jobs/batch/homes.go
@@ -4,9 +4,9 @@
 	"context"
 	"slices"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/forward"
-	"github.com/pathtally/pathtally/internal/homes"
+	"github.com/pathtally/pathtally/internal/callers/forward"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
+	"github.com/pathtally/pathtally/internal/replicas/homes"
 )
 
 // origin is what decides where the bodies of a batch job may be. The homes themselves
--- a/internal/batch/homes_test.go
+++ b/internal/jobs/batch/homes_test.go
@@ -10,9 +10,9 @@
 
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/forward"
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/callers/forward"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/internal/wire"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
--- a/internal/batch/job.go
+++ b/internal/jobs/batch/job.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/placement"
+	"github.com/pathtally/pathtally/internal/jobs/placement"
 )
 
 // job is a batch job that this node runs. The service's mutex guards it.
--- a/internal/batch/journal.go
+++ b/internal/jobs/batch/journal.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 // Kinds of objects that batch jobs are kept as.
--- a/internal/batch/late_create_test.go
+++ b/internal/jobs/batch/late_create_test.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"testing"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
--- a/internal/batch/lateness.go
+++ b/internal/jobs/batch/lateness.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/pathtally/pathtally/internal/placement"
+	"github.com/pathtally/pathtally/internal/jobs/placement"
 )
 
 // logLateness logs why a job was late that ends now, where it was. The mutex must be
--- a/internal/batch/lengths.go
+++ b/internal/jobs/batch/lengths.go
@@ -4,7 +4,7 @@
 	"maps"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/placement"
+	"github.com/pathtally/pathtally/internal/jobs/placement"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/batch/locate.go
+++ b/internal/jobs/batch/locate.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
+	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/rendezvous"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/batch/outcome.go
+++ b/internal/jobs/batch/outcome.go
@@ -5,8 +5,8 @@
 	"net/http"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/dispatch"
-	"github.com/pathtally/pathtally/internal/placement"
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
+	"github.com/pathtally/pathtally/internal/jobs/placement"
 )
 
 const (
--- a/internal/batch/pace.go
+++ b/internal/jobs/batch/pace.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/pathtally/pathtally/internal/placement"
+	"github.com/pathtally/pathtally/internal/jobs/placement"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/batch/pace_test.go
+++ b/internal/jobs/batch/pace_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/placement"
+	"github.com/pathtally/pathtally/internal/jobs/placement"
 )
 
 // paced returns a service that has seen replicas at the given intervals, in
--- a/internal/batch/pool.go
+++ b/internal/jobs/batch/pool.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/homes"
-	"github.com/pathtally/pathtally/internal/placement"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/jobs/placement"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
+	"github.com/pathtally/pathtally/internal/replicas/homes"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 // poolKey names the items that may go to the same replicas.
--- a/internal/batch/publish.go
+++ b/internal/jobs/batch/publish.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 // publish appends the finished results of a job, and the texts of long items on
--- a/internal/batch/publish_test.go
+++ b/internal/jobs/batch/publish_test.go
@@ -11,7 +11,7 @@
 	"k8s.io/klog/v2"
 
 	"github.com/pathtally/pathtally/internal/clock"
-	"github.com/pathtally/pathtally/internal/directory"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
--- a/internal/batch/queue.go
+++ b/internal/jobs/batch/queue.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/placement"
+	"github.com/pathtally/pathtally/internal/jobs/placement"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 // queued is an item that waits, with its view.
--- a/internal/batch/recover.go
+++ b/internal/jobs/batch/recover.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 const (
--- a/internal/batch/remotejob.go
+++ b/internal/jobs/batch/remotejob.go
@@ -4,7 +4,7 @@
 	"strconv"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/directory"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 // remoteJob is a batch job that another node runs.
--- a/internal/batch/replicas.go
+++ b/internal/jobs/batch/replicas.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/placement"
+	"github.com/pathtally/pathtally/internal/jobs/placement"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/batch/replicas_test.go
+++ b/internal/jobs/batch/replicas_test.go
@@ -11,9 +11,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/placement"
-	"github.com/pathtally/pathtally/internal/slowstart"
+	"github.com/pathtally/pathtally/internal/jobs/placement"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
+	"github.com/pathtally/pathtally/internal/replicas/slowstart"
 )
 
 // A replica that was down or full used to be tried again every 80 ms, with as
--- a/internal/batch/reward.go
+++ b/internal/jobs/batch/reward.go
@@ -6,12 +6,12 @@
 	"net/http"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/admission"
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/dispatch"
-	"github.com/pathtally/pathtally/internal/exchange"
-	"github.com/pathtally/pathtally/internal/forward"
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/callers/admission"
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
+	"github.com/pathtally/pathtally/internal/callers/exchange"
+	"github.com/pathtally/pathtally/internal/callers/forward"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 const (
--- a/internal/batch/runner.go
+++ b/internal/jobs/batch/runner.go
@@ -7,8 +7,8 @@
 
 	"github.com/ansel1/merry/v2"
 
+	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/rendezvous"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/batch/scheduler.go
+++ b/internal/jobs/batch/scheduler.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/placement"
+	"github.com/pathtally/pathtally/internal/jobs/placement"
 )
 
 const (
--- a/internal/batch/seal.go
+++ b/internal/jobs/batch/seal.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/homes"
+	"github.com/pathtally/pathtally/internal/replicas/homes"
 )
 
 const (
--- a/internal/batch/service.go
+++ b/internal/jobs/batch/service.go
@@ -9,14 +9,14 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/admission"
+	"github.com/pathtally/pathtally/internal/callers/admission"
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
+	"github.com/pathtally/pathtally/internal/callers/forward"
 	"github.com/pathtally/pathtally/internal/clock"
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/dispatch"
+	"github.com/pathtally/pathtally/internal/cluster/peering"
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/forward"
-	"github.com/pathtally/pathtally/internal/peering"
-	"github.com/pathtally/pathtally/internal/placement"
+	"github.com/pathtally/pathtally/internal/jobs/placement"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 // Config is what a Service needs.
--- a/internal/batch/service_test.go
+++ b/internal/jobs/batch/service_test.go
@@ -10,8 +10,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/directory"
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
--- a/internal/batch/start.go
+++ b/internal/jobs/batch/start.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/placement"
+	"github.com/pathtally/pathtally/internal/jobs/placement"
 )
 
 // giveUpMargin is added to the time after which items may be given up, since the
--- a/internal/batch/takeover.go
+++ b/internal/jobs/batch/takeover.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 // takeOverPause is the time between tries to take a job over.
--- a/internal/batch/watchers_test.go
+++ b/internal/jobs/batch/watchers_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/peering"
+	"github.com/pathtally/pathtally/internal/cluster/peering"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
--- a/internal/directory/configuration.go
+++ b/internal/replicas/directory/configuration.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/tenancy"
+	"github.com/pathtally/pathtally/internal/callers/tenancy"
 )
 
 // RouteKind tells what may be repeated on a route.
--- a/internal/directory/evacuation.go
+++ b/internal/replicas/directory/evacuation.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 // endedMemory is for how long the end of an evacuation is remembered: replicas warm
--- a/internal/directory/evacuation_test.go
+++ b/internal/replicas/directory/evacuation_test.go
@@ -8,7 +8,7 @@
 
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/slowstart"
+	"github.com/pathtally/pathtally/internal/replicas/slowstart"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
--- a/internal/directory/homes.go
+++ b/internal/replicas/directory/homes.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"github.com/pathtally/pathtally/internal/homes"
+	"github.com/pathtally/pathtally/internal/replicas/homes"
 )
 
 // DeclaresHomes tells whether the requests of some route or tenant may be served in
--- a/internal/directory/homes_test.go
+++ b/internal/replicas/directory/homes_test.go
@@ -5,7 +5,7 @@
 
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/tenancy"
+	"github.com/pathtally/pathtally/internal/callers/tenancy"
 )
 
 // errorCount is a log that counts its errors.
--- a/internal/directory/plans.go
+++ b/internal/replicas/directory/plans.go
@@ -3,7 +3,7 @@
 import (
 	"maps"
 
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 // publishReplicas publishes a view whose listing was made anew. What has not changed
--- a/internal/directory/restarts_test.go
+++ b/internal/replicas/directory/restarts_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
--- a/internal/directory/sink_evacuation.go
+++ b/internal/replicas/directory/sink_evacuation.go
@@ -1,6 +1,6 @@
 package directory
 
-import "github.com/pathtally/pathtally/internal/objectstore"
+import "github.com/pathtally/pathtally/internal/store/objectstore"
 
 // EvacuationSink takes the evacuations of zones. Each is an object with the name of
 // its zone; there is nothing else in it to read.
--- a/internal/directory/sinks.go
+++ b/internal/replicas/directory/sinks.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 // takeAll hands every listed object on.
--- a/internal/directory/slowstart.go
+++ b/internal/replicas/directory/slowstart.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/pathtally/pathtally/internal/slowstart"
+	"github.com/pathtally/pathtally/internal/replicas/slowstart"
 )
 
 // SlowStart bounds what replicas get while they warm up.
--- a/internal/directory/table.go
+++ b/internal/replicas/directory/table.go
@@ -9,7 +9,7 @@
 	"k8s.io/klog/v2"
 
 	"github.com/pathtally/pathtally/internal/clock"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 // Decoder reads the platform's objects.
--- a/internal/directory/table_test.go
+++ b/internal/replicas/directory/table_test.go
@@ -10,8 +10,8 @@
 
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
-	"github.com/pathtally/pathtally/internal/watchcache"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
+	"github.com/pathtally/pathtally/internal/store/watchcache"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
--- a/internal/directory/unreadable.go
+++ b/internal/replicas/directory/unreadable.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 // mostUnreadable bounds the entries remembered as unreadable; beyond it all are told anew.
--- a/internal/directory/view.go
+++ b/internal/replicas/directory/view.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 // View is the directory at one moment. It is immutable.
--- a/internal/directory/warmups_test.go
+++ b/internal/replicas/directory/warmups_test.go
@@ -7,7 +7,7 @@
 
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/slowstart"
+	"github.com/pathtally/pathtally/internal/replicas/slowstart"
 )
 
 const testWarmUp = 3 * time.Second
--- a/internal/routing/endpoint.go
+++ b/internal/replicas/routing/endpoint.go
@@ -3,9 +3,9 @@
 import (
 	"sync/atomic"
 
-	"github.com/pathtally/pathtally/internal/admission"
-	"github.com/pathtally/pathtally/internal/rendezvous"
-	"github.com/pathtally/pathtally/internal/slowstart"
+	"github.com/pathtally/pathtally/internal/callers/admission"
+	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
+	"github.com/pathtally/pathtally/internal/replicas/slowstart"
 )
 
 // targetRetryPercent is the share of an engine's successes that may be spent
--- a/internal/routing/filter.go
+++ b/internal/replicas/routing/filter.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/homes"
+	"github.com/pathtally/pathtally/internal/replicas/homes"
 )
 
 // Query is what a pick has to know of a request.
--- a/internal/routing/plan.go
+++ b/internal/replicas/routing/plan.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/ansel1/merry/v2"
 
-	"github.com/pathtally/pathtally/internal/rendezvous"
+	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
 )
 
 // Errors of Pick.
--- a/internal/routing/plan_test.go
+++ b/internal/replicas/routing/plan_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"testing"
 
-	"github.com/pathtally/pathtally/internal/rendezvous"
+	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
 )
 
 func testPlan(count int) *Plan {
--- a/internal/routing/slowstart_test.go
+++ b/internal/replicas/routing/slowstart_test.go
@@ -8,7 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/slowstart"
+	"github.com/pathtally/pathtally/internal/replicas/slowstart"
 )
 
 // TestLiveRequestsGoToWarmReplicasFirst has nobody who allots.
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -6,7 +6,7 @@
 	"regexp"
 
 	v1 "github.com/pathtally/pathtally/api/v1"
-	"github.com/pathtally/pathtally/internal/autoscale"
+	"github.com/pathtally/pathtally/internal/duties/autoscale"
 )
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,62}[a-z0-9])?$`)
--- a/internal/configwriter/blocking.go
+++ b/internal/standalone/configwriter/blocking.go
@@ -5,8 +5,8 @@
 	"time"
 
 	v1 "github.com/pathtally/pathtally/api/v1"
-	"github.com/pathtally/pathtally/internal/loop"
-	"github.com/pathtally/pathtally/internal/objectapi"
+	"github.com/pathtally/pathtally/internal/standalone/loop"
+	"github.com/pathtally/pathtally/internal/standalone/objectapi"
 )
 
 // Blocking is a Writer over the wall clock and HTTP for commands, each call of
--- a/internal/configwriter/writer.go
+++ b/internal/standalone/configwriter/writer.go
@@ -12,7 +12,7 @@
 
 	v1 "github.com/pathtally/pathtally/api/v1"
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/reader"
+	"github.com/pathtally/pathtally/internal/standalone/reader"
 )
 
 const (
--- a/internal/devcluster/cluster.go
+++ b/internal/standalone/devcluster/cluster.go
@@ -12,15 +12,15 @@
 	"time"
 
 	v1 "github.com/pathtally/pathtally/api/v1"
-	"github.com/pathtally/pathtally/internal/configwriter"
-	"github.com/pathtally/pathtally/internal/enginemodel"
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/process"
-	"github.com/pathtally/pathtally/internal/rollout"
 	"github.com/pathtally/pathtally/internal/settings"
-	standengine "github.com/pathtally/pathtally/standin/engine"
-	"github.com/pathtally/pathtally/standin/platform"
-	"github.com/pathtally/pathtally/standin/scorer"
+	"github.com/pathtally/pathtally/internal/standalone/configwriter"
+	"github.com/pathtally/pathtally/internal/standalone/enginemodel"
+	"github.com/pathtally/pathtally/internal/standalone/process"
+	"github.com/pathtally/pathtally/internal/standalone/rollout"
+	standengine "github.com/pathtally/pathtally/internal/standalone/standin/engine"
+	"github.com/pathtally/pathtally/internal/standalone/standin/platform"
+	"github.com/pathtally/pathtally/internal/standalone/standin/scorer"
 )
 
 const (
--- a/internal/devrun/configwatch.go
+++ b/internal/standalone/devrun/configwatch.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/process"
+	"github.com/pathtally/pathtally/internal/standalone/process"
 )
 
 const configLook = 20 * time.Millisecond
--- a/internal/devrun/run.go
+++ b/internal/standalone/devrun/run.go
@@ -8,12 +8,12 @@
 	"time"
 
 	v1 "github.com/pathtally/pathtally/api/v1"
-	"github.com/pathtally/pathtally/internal/configwriter"
-	"github.com/pathtally/pathtally/internal/devcluster"
-	"github.com/pathtally/pathtally/internal/enginemodel"
-	"github.com/pathtally/pathtally/internal/loadgen"
-	"github.com/pathtally/pathtally/internal/process"
-	"github.com/pathtally/pathtally/standin/trainer"
+	"github.com/pathtally/pathtally/internal/standalone/configwriter"
+	"github.com/pathtally/pathtally/internal/standalone/devcluster"
+	"github.com/pathtally/pathtally/internal/standalone/enginemodel"
+	"github.com/pathtally/pathtally/internal/standalone/loadgen"
+	"github.com/pathtally/pathtally/internal/standalone/process"
+	"github.com/pathtally/pathtally/internal/standalone/standin/trainer"
 )
 
 const (
--- a/internal/devrun/summary.go
+++ b/internal/standalone/devrun/summary.go
@@ -6,7 +6,7 @@
 import (
 	"fmt"
 
-	"github.com/pathtally/pathtally/internal/loadgen"
+	"github.com/pathtally/pathtally/internal/standalone/loadgen"
 )
 
 // Summary is the last line that the development command prints.
--- a/internal/gateway/answer.go
+++ b/internal/standalone/gateway/answer.go
@@ -8,10 +8,10 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/pathtally/pathtally/internal/engine"
-	"github.com/pathtally/pathtally/internal/enginemodel"
-	"github.com/pathtally/pathtally/internal/request"
-	"github.com/pathtally/pathtally/internal/stream"
+	"github.com/pathtally/pathtally/internal/standalone/engine"
+	"github.com/pathtally/pathtally/internal/standalone/enginemodel"
+	"github.com/pathtally/pathtally/internal/standalone/request"
+	"github.com/pathtally/pathtally/internal/standalone/stream"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/gateway/badinput_test.go
+++ b/internal/standalone/gateway/badinput_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/pathtally/pathtally/internal/devcluster"
-	"github.com/pathtally/pathtally/internal/enginemodel"
+	"github.com/pathtally/pathtally/internal/standalone/devcluster"
+	"github.com/pathtally/pathtally/internal/standalone/enginemodel"
 )
 
 type answer struct {
@@ -24,7 +24,7 @@
 // TestBadInputGetsATypedError sends what callers get wrong and checks status,
 // code and outcome, and that the node goes on serving.
 func TestBadInputGetsATypedError(t *testing.T) {
-	cluster, err := devcluster.Start(devcluster.Config{Folder: "../../examples/kotuku", Parameters: enginemodel.DefaultParameters(), Lengths: devcluster.DefaultLengths()})
+	cluster, err := devcluster.Start(devcluster.Config{Folder: "../../../examples/kotuku", Parameters: enginemodel.DefaultParameters(), Lengths: devcluster.DefaultLengths()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/bodies.go
+++ b/internal/standalone/gateway/bodies.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"strings"
 
-	"github.com/pathtally/pathtally/internal/stream"
+	"github.com/pathtally/pathtally/internal/standalone/stream"
 )
 
 // promptText is a prompt given as a text or as a list of one text.
--- a/internal/gateway/call.go
+++ b/internal/standalone/gateway/call.go
@@ -7,11 +7,11 @@
 	"github.com/ansel1/merry/v2"
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/pathtally/pathtally/internal/admission"
-	"github.com/pathtally/pathtally/internal/engine"
-	"github.com/pathtally/pathtally/internal/quorum"
-	"github.com/pathtally/pathtally/internal/request"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/callers/admission"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
+	"github.com/pathtally/pathtally/internal/standalone/engine"
+	"github.com/pathtally/pathtally/internal/standalone/quorum"
+	"github.com/pathtally/pathtally/internal/standalone/request"
 )
 
 // eventBuffer is how many events of an engine may wait for the worker.
--- a/internal/gateway/completion.go
+++ b/internal/standalone/gateway/completion.go
@@ -12,12 +12,12 @@
 	"github.com/valyala/fasthttp"
 
 	v1 "github.com/pathtally/pathtally/api/v1"
-	"github.com/pathtally/pathtally/internal/engine"
-	"github.com/pathtally/pathtally/internal/enginemodel"
-	"github.com/pathtally/pathtally/internal/node"
-	"github.com/pathtally/pathtally/internal/quorum"
-	"github.com/pathtally/pathtally/internal/request"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
+	"github.com/pathtally/pathtally/internal/standalone/engine"
+	"github.com/pathtally/pathtally/internal/standalone/enginemodel"
+	"github.com/pathtally/pathtally/internal/standalone/node"
+	"github.com/pathtally/pathtally/internal/standalone/quorum"
+	"github.com/pathtally/pathtally/internal/standalone/request"
 )
 
 const (
--- a/internal/gateway/errors.go
+++ b/internal/standalone/gateway/errors.go
@@ -8,12 +8,12 @@
 	"github.com/ansel1/merry/v2"
 	"github.com/valyala/fasthttp"
 
-	"github.com/pathtally/pathtally/internal/admission"
-	"github.com/pathtally/pathtally/internal/node"
-	"github.com/pathtally/pathtally/internal/quorum"
-	"github.com/pathtally/pathtally/internal/request"
-	"github.com/pathtally/pathtally/internal/rollout"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/callers/admission"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
+	"github.com/pathtally/pathtally/internal/standalone/node"
+	"github.com/pathtally/pathtally/internal/standalone/quorum"
+	"github.com/pathtally/pathtally/internal/standalone/request"
+	"github.com/pathtally/pathtally/internal/standalone/rollout"
 )
 
 var errPromptList = merry.Sentinel("a list of prompts must have exactly one entry")
--- a/internal/gateway/groups.go
+++ b/internal/standalone/gateway/groups.go
@@ -4,8 +4,8 @@
 	"sync"
 	"sync/atomic"
 
-	"github.com/pathtally/pathtally/internal/admission"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/callers/admission"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 // groupState is what this node counts for one traffic group. It outlives
--- a/internal/gateway/server.go
+++ b/internal/standalone/gateway/server.go
@@ -13,10 +13,10 @@
 	"github.com/prometheus/common/expfmt"
 	"github.com/valyala/fasthttp"
 
-	"github.com/pathtally/pathtally/internal/engine"
-	"github.com/pathtally/pathtally/internal/quorum"
-	"github.com/pathtally/pathtally/internal/rollout"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
+	"github.com/pathtally/pathtally/internal/standalone/engine"
+	"github.com/pathtally/pathtally/internal/standalone/quorum"
+	"github.com/pathtally/pathtally/internal/standalone/rollout"
 )
 
 const (
--- a/internal/gateway/trainers.go
+++ b/internal/standalone/gateway/trainers.go
@@ -9,8 +9,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/pathtally/pathtally/internal/node"
-	"github.com/pathtally/pathtally/internal/rollout"
+	"github.com/pathtally/pathtally/internal/standalone/node"
+	"github.com/pathtally/pathtally/internal/standalone/rollout"
 )
 
 const (
--- a/internal/lease/manager_test.go
+++ b/internal/standalone/lease/manager_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/lease"
-	"github.com/pathtally/pathtally/internal/sim"
+	"github.com/pathtally/pathtally/internal/standalone/lease"
+	"github.com/pathtally/pathtally/internal/standalone/sim"
 )
 
 const testTerm = 10 * time.Second
--- a/internal/loadgen/request.go
+++ b/internal/standalone/loadgen/request.go
@@ -12,7 +12,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/pathtally/pathtally/internal/enginemodel"
+	"github.com/pathtally/pathtally/internal/standalone/enginemodel"
 )
 
 // Request is one request of a caller.
--- a/internal/loop/loop.go
+++ b/internal/standalone/loop/loop.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/workqueue"
+	"github.com/pathtally/pathtally/internal/standalone/workqueue"
 )
 
 // Loop is a queue of calls and the goroutine that runs them in order. It
--- a/internal/membership/merge.go
+++ b/internal/standalone/membership/merge.go
@@ -5,7 +5,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/pathtally/pathtally/internal/rendezvous"
+	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/membership/probe.go
+++ b/internal/standalone/membership/probe.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/rendezvous"
+	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/membership/table.go
+++ b/internal/standalone/membership/table.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
+	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/rendezvous"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/node/config.go
+++ b/internal/standalone/node/config.go
@@ -4,11 +4,11 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/engine"
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/quorum"
-	"github.com/pathtally/pathtally/internal/rollout"
-	"github.com/pathtally/pathtally/internal/samplestore"
+	"github.com/pathtally/pathtally/internal/standalone/engine"
+	"github.com/pathtally/pathtally/internal/standalone/quorum"
+	"github.com/pathtally/pathtally/internal/standalone/rollout"
+	"github.com/pathtally/pathtally/internal/standalone/samplestore"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/node/duties.go
+++ b/internal/standalone/node/duties.go
@@ -6,12 +6,12 @@
 	"strings"
 
 	v1 "github.com/pathtally/pathtally/api/v1"
-	"github.com/pathtally/pathtally/internal/lease"
-	"github.com/pathtally/pathtally/internal/quorum"
-	"github.com/pathtally/pathtally/internal/rendezvous"
-	"github.com/pathtally/pathtally/internal/rollout"
-	"github.com/pathtally/pathtally/internal/routing"
-	"github.com/pathtally/pathtally/internal/weights"
+	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
+	"github.com/pathtally/pathtally/internal/standalone/lease"
+	"github.com/pathtally/pathtally/internal/standalone/quorum"
+	"github.com/pathtally/pathtally/internal/standalone/rollout"
+	"github.com/pathtally/pathtally/internal/standalone/weights"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/node/engines.go
+++ b/internal/standalone/node/engines.go
@@ -6,10 +6,10 @@
 	"time"
 
 	v1 "github.com/pathtally/pathtally/api/v1"
-	"github.com/pathtally/pathtally/internal/engine"
-	"github.com/pathtally/pathtally/internal/poller"
-	"github.com/pathtally/pathtally/internal/routing"
-	"github.com/pathtally/pathtally/internal/weights"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
+	"github.com/pathtally/pathtally/internal/standalone/engine"
+	"github.com/pathtally/pathtally/internal/standalone/poller"
+	"github.com/pathtally/pathtally/internal/standalone/weights"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/node/stores.go
+++ b/internal/standalone/node/stores.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"github.com/pathtally/pathtally/internal/membership"
+	"github.com/pathtally/pathtally/internal/standalone/membership"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/node/trainers.go
+++ b/internal/standalone/node/trainers.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/ansel1/merry/v2"
 
-	"github.com/pathtally/pathtally/internal/rollout"
+	"github.com/pathtally/pathtally/internal/standalone/rollout"
 )
 
 // scheduler finds the scheduler of a trainer here, or tells who has it.
--- a/internal/poller/poller.go
+++ b/internal/standalone/poller/poller.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/engine"
+	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/rendezvous"
+	"github.com/pathtally/pathtally/internal/standalone/engine"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/process/bridges.go
+++ b/internal/standalone/process/bridges.go
@@ -1,8 +1,8 @@
 package process
 
 import (
-	"github.com/pathtally/pathtally/internal/quorum"
-	"github.com/pathtally/pathtally/internal/rollout"
+	"github.com/pathtally/pathtally/internal/standalone/quorum"
+	"github.com/pathtally/pathtally/internal/standalone/rollout"
 )
 
 // loopClaims lets the request workers use the quorum client on the loop.
--- a/internal/process/status.go
+++ b/internal/standalone/process/status.go
@@ -4,8 +4,8 @@
 	"syscall"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/gateway"
-	"github.com/pathtally/pathtally/internal/node"
+	"github.com/pathtally/pathtally/internal/standalone/gateway"
+	"github.com/pathtally/pathtally/internal/standalone/node"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/quorum/choose.go
+++ b/internal/standalone/quorum/choose.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"github.com/pathtally/pathtally/internal/rendezvous"
+	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/quorum/grant_test.go
+++ b/internal/standalone/quorum/grant_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/recordlog"
+	"github.com/pathtally/pathtally/internal/standalone/recordlog"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/quorum/journal.go
+++ b/internal/standalone/quorum/journal.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"strings"
 
-	"github.com/pathtally/pathtally/internal/recordlog"
+	"github.com/pathtally/pathtally/internal/standalone/recordlog"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/reader/reader.go
+++ b/internal/standalone/reader/reader.go
@@ -16,7 +16,7 @@
 	"k8s.io/klog/v2"
 
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/relay"
+	"github.com/pathtally/pathtally/internal/standalone/relay"
 )
 
 const (
--- a/internal/recordlog/filelog.go
+++ b/internal/standalone/recordlog/filelog.go
@@ -12,7 +12,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/pathtally/pathtally/internal/workqueue"
+	"github.com/pathtally/pathtally/internal/standalone/workqueue"
 )
 
 const (
--- a/internal/request/actions.go
+++ b/internal/standalone/request/actions.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"github.com/pathtally/pathtally/internal/engine"
-	"github.com/pathtally/pathtally/internal/quorum"
-	"github.com/pathtally/pathtally/internal/stream"
+	"github.com/pathtally/pathtally/internal/standalone/engine"
+	"github.com/pathtally/pathtally/internal/standalone/quorum"
+	"github.com/pathtally/pathtally/internal/standalone/stream"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/request/events.go
+++ b/internal/standalone/request/events.go
@@ -1,6 +1,6 @@
 package request
 
-import "github.com/pathtally/pathtally/internal/quorum"
+import "github.com/pathtally/pathtally/internal/standalone/quorum"
 
 // Event is what the driver tells the machine; besides the types here it is an
 // engine.Chunk, engine.End, engine.Moved or *engine.Error.
--- a/internal/request/machine.go
+++ b/internal/standalone/request/machine.go
@@ -6,9 +6,9 @@
 
 	"github.com/ansel1/merry/v2"
 
-	"github.com/pathtally/pathtally/internal/engine"
-	"github.com/pathtally/pathtally/internal/quorum"
-	"github.com/pathtally/pathtally/internal/stream"
+	"github.com/pathtally/pathtally/internal/standalone/engine"
+	"github.com/pathtally/pathtally/internal/standalone/quorum"
+	"github.com/pathtally/pathtally/internal/standalone/stream"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/request/machine_test.go
+++ b/internal/standalone/request/machine_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/pathtally/pathtally/internal/engine"
-	"github.com/pathtally/pathtally/internal/quorum"
+	"github.com/pathtally/pathtally/internal/standalone/engine"
+	"github.com/pathtally/pathtally/internal/standalone/quorum"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/rollout/attempt.go
+++ b/internal/standalone/rollout/attempt.go
@@ -6,9 +6,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/pathtally/pathtally/internal/engine"
-	"github.com/pathtally/pathtally/internal/request"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
+	"github.com/pathtally/pathtally/internal/standalone/engine"
+	"github.com/pathtally/pathtally/internal/standalone/request"
 )
 
 // attempt is one run at filling a slot. Attempts of a slot may race; the
--- a/internal/rollout/config.go
+++ b/internal/standalone/rollout/config.go
@@ -4,9 +4,9 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/engine"
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
+	"github.com/pathtally/pathtally/internal/standalone/engine"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/rollout/finish.go
+++ b/internal/standalone/rollout/finish.go
@@ -4,8 +4,8 @@
 	"encoding/json"
 	"slices"
 
-	"github.com/pathtally/pathtally/internal/request"
-	"github.com/pathtally/pathtally/internal/stream"
+	"github.com/pathtally/pathtally/internal/standalone/request"
+	"github.com/pathtally/pathtally/internal/standalone/stream"
 )
 
 // checkAge gives up a sample whose first tokens are already too old for the
--- a/internal/rollout/keep.go
+++ b/internal/standalone/rollout/keep.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/rendezvous"
-	"github.com/pathtally/pathtally/internal/stream"
+	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
+	"github.com/pathtally/pathtally/internal/standalone/stream"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/rollout/recover.go
+++ b/internal/standalone/rollout/recover.go
@@ -8,8 +8,8 @@
 
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/quorum"
-	"github.com/pathtally/pathtally/internal/stream"
+	"github.com/pathtally/pathtally/internal/standalone/quorum"
+	"github.com/pathtally/pathtally/internal/standalone/stream"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/rollout/scheduler.go
+++ b/internal/standalone/rollout/scheduler.go
@@ -7,7 +7,7 @@
 	"github.com/ansel1/merry/v2"
 
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/rollout/seal.go
+++ b/internal/standalone/rollout/seal.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/quorum"
+	"github.com/pathtally/pathtally/internal/standalone/quorum"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/rollout/step.go
+++ b/internal/standalone/rollout/step.go
@@ -6,7 +6,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/pathtally/pathtally/internal/stream"
+	"github.com/pathtally/pathtally/internal/standalone/stream"
 )
 
 // StepRequest is what a trainer submits.
--- a/internal/rollout/tail.go
+++ b/internal/standalone/rollout/tail.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/routing"
+	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
 // watchTails moves or races the last samples of the oldest open step.
--- a/internal/samplestore/store.go
+++ b/internal/standalone/samplestore/store.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"github.com/pathtally/pathtally/internal/recordlog"
+	"github.com/pathtally/pathtally/internal/standalone/recordlog"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/samplestore/store_test.go
+++ b/internal/standalone/samplestore/store_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"github.com/pathtally/pathtally/internal/recordlog"
+	"github.com/pathtally/pathtally/internal/standalone/recordlog"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/sim/callers.go
+++ b/internal/standalone/sim/callers.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/enginemodel"
+	"github.com/pathtally/pathtally/internal/standalone/enginemodel"
 	"github.com/pathtally/pathtally/internal/wire"
 
 	"github.com/cespare/xxhash/v2"
--- a/internal/sim/check.go
+++ b/internal/standalone/sim/check.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/stream"
+	"github.com/pathtally/pathtally/internal/standalone/stream"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/sim/check_test.go
+++ b/internal/standalone/sim/check_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/rollout"
-	"github.com/pathtally/pathtally/internal/stream"
+	"github.com/pathtally/pathtally/internal/standalone/rollout"
+	"github.com/pathtally/pathtally/internal/standalone/stream"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/sim/declared.go
+++ b/internal/standalone/sim/declared.go
@@ -6,8 +6,8 @@
 	"slices"
 
 	v1 "github.com/pathtally/pathtally/api/v1"
-	"github.com/pathtally/pathtally/internal/reader"
-	"github.com/pathtally/pathtally/standin/objects"
+	"github.com/pathtally/pathtally/internal/standalone/reader"
+	"github.com/pathtally/pathtally/internal/standalone/standin/objects"
 )
 
 // declared is the configuration of the world.
--- a/internal/sim/disk.go
+++ b/internal/standalone/sim/disk.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/recordlog"
+	"github.com/pathtally/pathtally/internal/standalone/recordlog"
 )
 
 const syncTime = 3 * time.Millisecond
--- a/internal/sim/engine.go
+++ b/internal/standalone/sim/engine.go
@@ -8,8 +8,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/pathtally/pathtally/internal/engine"
-	"github.com/pathtally/pathtally/internal/enginemodel"
+	"github.com/pathtally/pathtally/internal/standalone/engine"
+	"github.com/pathtally/pathtally/internal/standalone/enginemodel"
 )
 
 const (
--- a/internal/sim/engineclient.go
+++ b/internal/standalone/sim/engineclient.go
@@ -1,7 +1,7 @@
 package sim
 
 import (
-	"github.com/pathtally/pathtally/internal/engine"
+	"github.com/pathtally/pathtally/internal/standalone/engine"
 )
 
 // engineClient implements engine.Client for one host.
--- a/internal/sim/experiment.go
+++ b/internal/standalone/sim/experiment.go
@@ -5,9 +5,9 @@
 	"time"
 
 	v1 "github.com/pathtally/pathtally/api/v1"
-	"github.com/pathtally/pathtally/internal/enginemodel"
-	"github.com/pathtally/pathtally/internal/rollout"
-	"github.com/pathtally/pathtally/internal/stream"
+	"github.com/pathtally/pathtally/internal/standalone/enginemodel"
+	"github.com/pathtally/pathtally/internal/standalone/rollout"
+	"github.com/pathtally/pathtally/internal/standalone/stream"
 )
 
 // Experiment is a run of one policy on seeded work.
--- a/internal/sim/fleetops.go
+++ b/internal/standalone/sim/fleetops.go
@@ -6,7 +6,7 @@
 	"time"
 
 	v1 "github.com/pathtally/pathtally/api/v1"
-	"github.com/pathtally/pathtally/internal/quorum"
+	"github.com/pathtally/pathtally/internal/standalone/quorum"
 )
 
 // The functions here are what the scale run does to a large world.
--- a/internal/sim/history.go
+++ b/internal/standalone/sim/history.go
@@ -7,9 +7,9 @@
 	"time"
 
 	v1 "github.com/pathtally/pathtally/api/v1"
-	"github.com/pathtally/pathtally/internal/engine"
-	"github.com/pathtally/pathtally/internal/enginemodel"
-	"github.com/pathtally/pathtally/internal/rollout"
+	"github.com/pathtally/pathtally/internal/standalone/engine"
+	"github.com/pathtally/pathtally/internal/standalone/enginemodel"
+	"github.com/pathtally/pathtally/internal/standalone/rollout"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/sim/node.go
+++ b/internal/standalone/sim/node.go
@@ -4,10 +4,10 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/node"
-	"github.com/pathtally/pathtally/internal/quorum"
-	"github.com/pathtally/pathtally/internal/rendezvous"
-	"github.com/pathtally/pathtally/internal/samplestore"
+	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
+	"github.com/pathtally/pathtally/internal/standalone/node"
+	"github.com/pathtally/pathtally/internal/standalone/quorum"
+	"github.com/pathtally/pathtally/internal/standalone/samplestore"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/sim/objects.go
+++ b/internal/standalone/sim/objects.go
@@ -6,7 +6,7 @@
 	"github.com/ansel1/merry/v2"
 
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/standin/objects"
+	"github.com/pathtally/pathtally/internal/standalone/standin/objects"
 )
 
 const (
--- a/internal/sim/operators.go
+++ b/internal/standalone/sim/operators.go
@@ -7,7 +7,7 @@
 	"time"
 
 	v1 "github.com/pathtally/pathtally/api/v1"
-	"github.com/pathtally/pathtally/internal/configwriter"
+	"github.com/pathtally/pathtally/internal/standalone/configwriter"
 )
 
 const markLabel = "mark"
--- a/internal/sim/trainer.go
+++ b/internal/standalone/sim/trainer.go
@@ -8,11 +8,11 @@
 
 	"github.com/ansel1/merry/v2"
 
-	"github.com/pathtally/pathtally/internal/configwriter"
-	"github.com/pathtally/pathtally/internal/devcluster"
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/node"
-	"github.com/pathtally/pathtally/internal/rollout"
+	"github.com/pathtally/pathtally/internal/standalone/configwriter"
+	"github.com/pathtally/pathtally/internal/standalone/devcluster"
+	"github.com/pathtally/pathtally/internal/standalone/node"
+	"github.com/pathtally/pathtally/internal/standalone/rollout"
 )
 
 const (
--- a/internal/sim/world.go
+++ b/internal/standalone/sim/world.go
@@ -8,10 +8,10 @@
 	"github.com/cespare/xxhash/v2"
 
 	v1 "github.com/pathtally/pathtally/api/v1"
-	"github.com/pathtally/pathtally/internal/enginemodel"
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/reader"
-	"github.com/pathtally/pathtally/internal/rollout"
+	"github.com/pathtally/pathtally/internal/standalone/enginemodel"
+	"github.com/pathtally/pathtally/internal/standalone/reader"
+	"github.com/pathtally/pathtally/internal/standalone/rollout"
 )
 
 // Names of what a World declares.
--- a/standin/engine/complete.go
+++ b/internal/standalone/standin/engine/complete.go
@@ -10,8 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/valyala/fasthttp"
 
-	protocol "github.com/pathtally/pathtally/internal/engine"
-	"github.com/pathtally/pathtally/internal/enginemodel"
+	protocol "github.com/pathtally/pathtally/internal/standalone/engine"
+	"github.com/pathtally/pathtally/internal/standalone/enginemodel"
 )
 
 // complete admits a request and streams its answer.
--- a/standin/engine/export.go
+++ b/internal/standalone/standin/engine/export.go
@@ -6,8 +6,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	protocol "github.com/pathtally/pathtally/internal/engine"
-	"github.com/pathtally/pathtally/standin/answer"
+	protocol "github.com/pathtally/pathtally/internal/standalone/engine"
+	"github.com/pathtally/pathtally/internal/standalone/standin/answer"
 )
 
 // Drain refuses new work and, after the grace, hands every stream over.
--- a/standin/engine/handover_test.go
+++ b/internal/standalone/standin/engine/handover_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	v1 "github.com/pathtally/pathtally/api/v1"
-	protocol "github.com/pathtally/pathtally/internal/engine"
-	"github.com/pathtally/pathtally/internal/enginemodel"
+	protocol "github.com/pathtally/pathtally/internal/standalone/engine"
+	"github.com/pathtally/pathtally/internal/standalone/enginemodel"
 )
 
 // slowEngine is an engine that takes seconds to the first token of a prompt, so
--- a/standin/engine/orders.go
+++ b/internal/standalone/standin/engine/orders.go
@@ -7,8 +7,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	protocol "github.com/pathtally/pathtally/internal/engine"
-	"github.com/pathtally/pathtally/standin/answer"
+	protocol "github.com/pathtally/pathtally/internal/standalone/engine"
+	"github.com/pathtally/pathtally/internal/standalone/standin/answer"
 )
 
 const weightTimeout = 30 * time.Second
--- a/standin/engine/server.go
+++ b/internal/standalone/standin/engine/server.go
@@ -9,9 +9,9 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/valyala/fasthttp"
 
-	protocol "github.com/pathtally/pathtally/internal/engine"
-	"github.com/pathtally/pathtally/internal/enginemodel"
-	"github.com/pathtally/pathtally/standin/answer"
+	protocol "github.com/pathtally/pathtally/internal/standalone/engine"
+	"github.com/pathtally/pathtally/internal/standalone/enginemodel"
+	"github.com/pathtally/pathtally/internal/standalone/standin/answer"
 )
 
 // Paths besides those of the engine protocol.
--- a/standin/engine/stream.go
+++ b/internal/standalone/standin/engine/stream.go
@@ -7,8 +7,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	protocol "github.com/pathtally/pathtally/internal/engine"
-	"github.com/pathtally/pathtally/internal/enginemodel"
+	protocol "github.com/pathtally/pathtally/internal/standalone/engine"
+	"github.com/pathtally/pathtally/internal/standalone/enginemodel"
 )
 
 // Finish reasons of a stream.
--- a/standin/platform/objects.go
+++ b/internal/standalone/standin/platform/objects.go
@@ -8,9 +8,9 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/pathtally/pathtally/internal/objectapi"
-	"github.com/pathtally/pathtally/standin/answer"
-	"github.com/pathtally/pathtally/standin/objects"
+	"github.com/pathtally/pathtally/internal/standalone/objectapi"
+	"github.com/pathtally/pathtally/internal/standalone/standin/answer"
+	"github.com/pathtally/pathtally/internal/standalone/standin/objects"
 )
 
 func (s *Server) get(ctx *fasthttp.RequestCtx, name string) {
--- a/standin/platform/server.go
+++ b/internal/standalone/standin/platform/server.go
@@ -12,9 +12,9 @@
 	"golang.org/x/time/rate"
 
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/objectapi"
-	"github.com/pathtally/pathtally/standin/answer"
-	"github.com/pathtally/pathtally/standin/objects"
+	"github.com/pathtally/pathtally/internal/standalone/objectapi"
+	"github.com/pathtally/pathtally/internal/standalone/standin/answer"
+	"github.com/pathtally/pathtally/internal/standalone/standin/objects"
 )
 
 // Paths besides those of the object API.
--- a/standin/scorer/server.go
+++ b/internal/standalone/standin/scorer/server.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/valyala/fasthttp"
 
-	protocol "github.com/pathtally/pathtally/internal/scorer"
+	protocol "github.com/pathtally/pathtally/internal/standalone/scorer"
 )
 
 // scoreSteps is how many different scores there are.
--- a/standin/trainer/trainer.go
+++ b/internal/standalone/standin/trainer/trainer.go
@@ -11,9 +11,9 @@
 	"github.com/ansel1/merry/v2"
 	"github.com/valyala/fasthttp"
 
-	"github.com/pathtally/pathtally/internal/enginemodel"
-	"github.com/pathtally/pathtally/internal/rollout"
-	"github.com/pathtally/pathtally/internal/stream"
+	"github.com/pathtally/pathtally/internal/standalone/enginemodel"
+	"github.com/pathtally/pathtally/internal/standalone/rollout"
+	"github.com/pathtally/pathtally/internal/standalone/stream"
 )
 
 const (
--- a/internal/standincommand/run.go
+++ b/internal/standalone/standincommand/run.go
@@ -12,13 +12,13 @@
 	"syscall"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/configwriter"
-	"github.com/pathtally/pathtally/internal/devcluster"
-	"github.com/pathtally/pathtally/internal/enginemodel"
-	"github.com/pathtally/pathtally/standin/engine"
-	"github.com/pathtally/pathtally/standin/platform"
-	"github.com/pathtally/pathtally/standin/scorer"
-	"github.com/pathtally/pathtally/standin/trainer"
+	"github.com/pathtally/pathtally/internal/standalone/configwriter"
+	"github.com/pathtally/pathtally/internal/standalone/devcluster"
+	"github.com/pathtally/pathtally/internal/standalone/enginemodel"
+	"github.com/pathtally/pathtally/internal/standalone/standin/engine"
+	"github.com/pathtally/pathtally/internal/standalone/standin/platform"
+	"github.com/pathtally/pathtally/internal/standalone/standin/scorer"
+	"github.com/pathtally/pathtally/internal/standalone/standin/trainer"
 )
 
 const (
--- a/internal/stream/assembler.go
+++ b/internal/standalone/stream/assembler.go
@@ -8,7 +8,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/pathtally/pathtally/internal/engine"
+	"github.com/pathtally/pathtally/internal/standalone/engine"
 )
 
 // Segment is a run of tokens that one weight version produced.
--- a/internal/weights/coordinator.go
+++ b/internal/standalone/weights/coordinator.go
@@ -6,8 +6,8 @@
 	"time"
 
 	v1 "github.com/pathtally/pathtally/api/v1"
-	"github.com/pathtally/pathtally/internal/engine"
 	"github.com/pathtally/pathtally/internal/environment"
+	"github.com/pathtally/pathtally/internal/standalone/engine"
 )
 
 const (
--- a/internal/objectstore/metered_test.go
+++ b/internal/store/objectstore/metered_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
--- a/internal/objectwire/compress.go
+++ b/internal/store/objectwire/compress.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"io"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/objectwire/compress_test.go
+++ b/internal/store/objectwire/compress_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 func replicaEntries(count int) []objectstore.Object {
--- a/internal/objectwire/objectwire.go
+++ b/internal/store/objectwire/objectwire.go
@@ -3,7 +3,7 @@
 package objectwire
 
 import (
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/storerelay/answer.go
+++ b/internal/store/storerelay/answer.go
@@ -4,8 +4,8 @@
 	"context"
 	"errors"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
-	"github.com/pathtally/pathtally/internal/objectwire"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectwire"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/storerelay/choose_helper.go
+++ b/internal/store/storerelay/choose_helper.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/homes"
+	"github.com/pathtally/pathtally/internal/replicas/homes"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/storerelay/homes_test.go
+++ b/internal/store/storerelay/homes_test.go
@@ -6,8 +6,8 @@
 	"errors"
 	"testing"
 
-	"github.com/pathtally/pathtally/internal/homes"
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/replicas/homes"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 func TestBodiesPassThroughNoThirdRegion(t *testing.T) {
--- a/internal/storerelay/relay.go
+++ b/internal/store/storerelay/relay.go
@@ -12,8 +12,8 @@
 	"k8s.io/klog/v2"
 
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/objectstore"
-	"github.com/pathtally/pathtally/internal/objectwire"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectwire"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/storerelay/relay_test.go
+++ b/internal/store/storerelay/relay_test.go
@@ -11,7 +11,7 @@
 	"k8s.io/klog/v2"
 
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/internal/wire"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
--- a/internal/watchcache/answer.go
+++ b/internal/store/watchcache/answer.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/objectwire"
+	"github.com/pathtally/pathtally/internal/store/objectwire"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/watchcache/cache.go
+++ b/internal/store/watchcache/cache.go
@@ -8,8 +8,8 @@
 
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
-	"github.com/pathtally/pathtally/internal/objectwire"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectwire"
 )
 
 // historyLength is how many changes of one kind a cache keeps for followers at least, and
--- a/internal/watchcache/config.go
+++ b/internal/store/watchcache/config.go
@@ -6,7 +6,7 @@
 
 	"github.com/pathtally/pathtally/internal/clock"
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 // Node is one that may be followed.
--- a/internal/watchcache/follow.go
+++ b/internal/store/watchcache/follow.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/objectstore"
-	"github.com/pathtally/pathtally/internal/objectwire"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectwire"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
--- a/internal/watchcache/harness_test.go
+++ b/internal/store/watchcache/harness_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/pathtally/pathtally/internal/clock"
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/internal/wire"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
--- a/internal/watchcache/help.go
+++ b/internal/store/watchcache/help.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
-	"github.com/pathtally/pathtally/internal/rendezvous"
+	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 const (
--- a/internal/watchcache/sink.go
+++ b/internal/store/watchcache/sink.go
@@ -1,6 +1,6 @@
 package watchcache
 
-import "github.com/pathtally/pathtally/internal/objectstore"
+import "github.com/pathtally/pathtally/internal/store/objectstore"
 
 // Sink takes what is learnt of one kind, in the store's order.
 type Sink interface {
--- a/internal/watchcache/source.go
+++ b/internal/store/watchcache/source.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 const (
--- a/internal/watchcache/stay.go
+++ b/internal/store/watchcache/stay.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 const (
--- a/internal/watchcache/tree.go
+++ b/internal/store/watchcache/tree.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"github.com/pathtally/pathtally/internal/rendezvous"
+	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
 )
 
 const (
--- a/standin/metastore/server.go
+++ b/standin/metastore/server.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 // pathObjects is where the store's calls begin.
--- a/standin/metastore/store.go
+++ b/standin/metastore/store.go
@@ -13,7 +13,7 @@
 
 	"github.com/ansel1/merry/v2"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
 // ErrFault is the cause of failures that a test has asked for.
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/pathtally/pathtally/internal/loadgen"
+	"github.com/pathtally/pathtally/internal/standalone/loadgen"
 )
 
 func TestKilledNodeKeepsPromises(t *testing.T) {
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/pathtally/pathtally/internal/loadgen"
+	"github.com/pathtally/pathtally/internal/standalone/loadgen"
 )
 
 const (
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/pathtally/pathtally/internal/loadgen"
-	"github.com/pathtally/pathtally/standin/trainer"
+	"github.com/pathtally/pathtally/internal/standalone/loadgen"
+	"github.com/pathtally/pathtally/internal/standalone/standin/trainer"
 )
 
 func (d *deployment) train(steps string) trainer.Counts {
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/objectstore"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/standin/metastore"
 	"github.com/pathtally/pathtally/standin/replica"
 )
--- a/test/soak_callers_test.go
+++ b/test/soak_callers_test.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/batch"
+	"github.com/pathtally/pathtally/internal/jobs/batch"
 	"github.com/pathtally/pathtally/standin/replica"
 )
 
--- a/test/soak_crashes_test.go
+++ b/test/soak_crashes_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/forward"
+	"github.com/pathtally/pathtally/internal/callers/forward"
 )
 
 // crashingRequest is a request that ends each replica that begins to run it.
--- a/test/soak_faults_test.go
+++ b/test/soak_faults_test.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/batch"
+	"github.com/pathtally/pathtally/internal/jobs/batch"
 	"github.com/pathtally/pathtally/standin/metastore"
 	"github.com/pathtally/pathtally/standin/replica"
 )
