--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -18,6 +18,7 @@
 	"github.com/pathtally/pathtally/internal/duties/duty"
 	"github.com/pathtally/pathtally/internal/duties/weightorders"
 	"github.com/pathtally/pathtally/internal/jobs/batch"
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/store/storerelay"
 	"github.com/pathtally/pathtally/internal/store/watchcache"
@@ -29,16 +30,16 @@
 
 // assemble joins the parts of the node. Each step needs those before it.
 func (i *Instance) assemble(ctx context.Context, peerListener net.Listener, duties Duties) {
-	self := batch.Owner{Node: i.settings.Node, Address: i.settings.AdvertisedPeer(), Incarnation: uint64(i.started.UnixNano())}
+	self := journal.Owner{Node: i.settings.Node, Address: i.settings.AdvertisedPeer(), Incarnation: uint64(i.started.UnixNano())}
 	dispatcher := i.assembleForwarding()
 	i.assemblePeers(ctx, peerListener, self)
 	i.assembleStore(self)
 	i.quarantine = i.newQuarantine(ctx)
 	dispatcher.SetGuard(i.quarantine)
-	journal := batch.NewJournal(i.store)
-	journal.ReadApart(func() bool { return i.directory.View().Configuration.DeclaresHomes() })
+	jobJournal := journal.New(i.store)
+	jobJournal.ReadApart(func() bool { return i.directory.View().Configuration.DeclaresHomes() })
 	i.jobs = batch.NewService(ctx, batch.Config{
-		Self: self, Journal: journal, Codec: i.adapter.Jobs, Directory: i.directory, Dispatcher: dispatcher,
+		Self: self, Journal: jobJournal, Codec: i.adapter.Jobs, Directory: i.directory, Dispatcher: dispatcher,
 		Forwarder: i.forwarder, Peers: i.transport, Table: i.peers, Region: i.settings.Region, Clock: i.clock, Logger: i.logger, Registry: i.registry,
 	})
 	i.assembleDuties(self, duties)
@@ -65,7 +66,7 @@
 }
 
 // assemblePeers makes the list of the other nodes and listens to them.
-func (i *Instance) assemblePeers(ctx context.Context, listener net.Listener, self batch.Owner) {
+func (i *Instance) assemblePeers(ctx context.Context, listener net.Listener, self journal.Owner) {
 	i.transport = transport.Listen(listener, transport.Config{
 		Hello: wire.Hello{Protocol: wire.ProtocolVersion, Node: self.Node, Address: self.Address, Incarnation: self.Incarnation},
 		Post:  func(call func()) { go call() },
@@ -84,7 +85,7 @@
 }
 
 // assembleStore makes the copies of the metadata store and the way to it.
-func (i *Instance) assembleStore(self batch.Owner) {
+func (i *Instance) assembleStore(self journal.Owner) {
 	i.source = watchcache.NewSource(watchcache.Config{
 		Self: watchcache.Node{Name: self.Node, Address: self.Address, Zone: i.settings.Zone, Capacity: i.settings.Capacity()}, Regions: i.settings.Regions, Store: i.adapter.Store, Peers: i.transport,
 		Nodes: i.followable, Joined: i.peers.Settled, ProbeKind: peering.Kind, ProbeName: self.Node, Clock: i.clock, Logger: i.logger, Registry: i.registry,
@@ -95,7 +96,7 @@
 }
 
 // assembleDuties makes the lease and what is done under it.
-func (i *Instance) assembleDuties(self batch.Owner, duties Duties) {
+func (i *Instance) assembleDuties(self journal.Owner, duties Duties) {
 	i.lease = duty.NewLease(self.Node, strconv.FormatUint(self.Incarnation, nonceBase), i.settings.DutyLease.Std(), i.store, i.clock)
 	i.duty = duty.NewKeeper(duty.Config{
 		Node: self.Node, Lease: i.lease, Clock: i.clock, Logger: i.logger, Nodes: i.peers.Nodes, Silence: i.silence, Tell: i.peers.Tell,
--- a/internal/instance/usage.go
+++ b/internal/instance/usage.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/duties/usage"
-	"github.com/pathtally/pathtally/internal/jobs/batch"
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 )
 
 const (
@@ -15,7 +15,7 @@
 )
 
 // newUsage returns the service that counts and reports usage.
-func (i *Instance) newUsage(self batch.Owner, platform usage.Platform) *usage.Service {
+func (i *Instance) newUsage(self journal.Owner, platform usage.Platform) *usage.Service {
 	return usage.NewService(usage.Config{
 		Node: self.Node, Incarnation: self.Incarnation,
 		Window: spanOr(i.settings.UsageWindow.Std(), defaultUsageWindow), Late: spanOr(i.settings.UsageLate.Std(), defaultUsageLate),
--- a/internal/jobs/batch/accept.go
+++ b/internal/jobs/batch/accept.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"time"
 )
 
@@ -34,8 +35,8 @@
 		return nil
 	}
 	err := s.submitHere(ctx, arrival)
-	if _, notTaken := err.(*NotTakenError); notTaken && runnerErr != nil {
-		return &UncertainError{Cause: runnerErr}
+	if _, notTaken := err.(*journal.NotTakenError); notTaken && runnerErr != nil {
+		return &journal.UncertainError{Cause: runnerErr}
 	}
 	return err
 }
@@ -60,7 +61,7 @@
 	case <-pending.done:
 		return pending.err
 	case <-ctx.Done():
-		return &UncertainError{Cause: ctx.Err()}
+		return &journal.UncertainError{Cause: ctx.Err()}
 	}
 }
 
@@ -95,7 +96,7 @@
 		err = ErrOtherTenant
 	}
 	pending.err = err
-	if _, uncertain := err.(*UncertainError); uncertain {
+	if _, uncertain := err.(*journal.UncertainError); uncertain {
 		s.config.Logger.Info("batch job outcome unknown, retrying", "request", id, "error", err.Error())
 		close(pending.done)
 		longer, cancelLonger := context.WithTimeout(s.base, backgroundTime)
@@ -108,7 +109,7 @@
 	delete(s.accepting, id)
 	own := err == nil && standing.Owner == s.config.Self
 	if err == nil && !own {
-		s.noteStanding(Standing{ID: id, Record: standing})
+		s.noteStanding(journal.StoredJob{ID: id, Record: standing})
 	}
 	s.mutex.Unlock()
 	if err != nil {
@@ -119,7 +120,7 @@
 		"bytes", len(arrival.Payload), "tenant", standing.Tenant)
 	switch {
 	case own && made && time.Since(began) < promptAnswer:
-		s.start(id, arrival.Submission, standing, listing{}, began)
+		s.start(id, arrival.Submission, standing, journal.Listing{}, began)
 	case own:
 		// An earlier try made it, it was run here and forgotten, or it may have been
 		// taken over while the answer was on its way.
@@ -128,8 +129,8 @@
 }
 
 // recordOf is the record of a job that this node accepts.
-func (s *Service) recordOf(arrival *Arrival) Record {
-	return Record{
+func (s *Service) recordOf(arrival *Arrival) journal.Record {
+	return journal.Record{
 		Owner: s.config.Self, Epoch: 1, Route: arrival.Route, Host: arrival.Host, Tenant: arrival.Tenant, Entry: arrival.Entry,
 		Scorers: s.scorersOf(arrival.Submission), Items: len(arrival.Submission.Items), AcceptedMs: time.Now().UnixMilli(),
 	}
@@ -142,7 +143,7 @@
 // takeUpAgain goes on with a job of this node's that is not held, unless it has
 // ended.
 func (s *Service) takeUpAgain(id string) {
-	standing, err := s.config.Journal.Look(s.base, id)
+	standing, err := s.config.Journal.Read(s.base, id)
 	if err != nil {
 		// It is taken over like any job whose owner is silent.
 		s.mutex.Lock()
--- a/internal/jobs/batch/authorize.go
+++ b/internal/jobs/batch/authorize.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 )
 
 // Authorize tells whether a tenant may read and end a batch job: its own, and
@@ -20,7 +21,7 @@
 		holder, known = s.tenantOf(id)
 	}
 	if !known {
-		standing, err := s.config.Journal.Look(ctx, id)
+		standing, err := s.config.Journal.Read(ctx, id)
 		if err != nil {
 			return err
 		}
@@ -31,7 +32,7 @@
 	}
 	if holder != "" && holder != tenant {
 		s.config.Logger.Info("batch job asked for by another tenant", "request", id, "holder", holder, "tenant", tenant)
-		return ErrNoSuchJob
+		return journal.ErrNoSuchJob
 	}
 	return nil
 }
@@ -41,10 +42,10 @@
 func (s *Service) authorizeArrival(ctx context.Context, arrival *Arrival) error {
 	err := s.Authorize(ctx, arrival.ID, arrival.Tenant)
 	switch {
-	case errors.Is(err, ErrNoSuchJob):
+	case errors.Is(err, journal.ErrNoSuchJob):
 		return ErrOtherTenant
 	case err != nil:
-		return &UncertainError{Cause: err}
+		return &journal.UncertainError{Cause: err}
 	}
 	return nil
 }
@@ -63,7 +64,7 @@
 }
 
 // noteStanding records a batch job as the store has it. The mutex must be held.
-func (s *Service) noteStanding(standing Standing) *remoteJob {
+func (s *Service) noteStanding(standing journal.StoredJob) *remoteJob {
 	noted := s.noteRemote(standing.ID, standing.Record.Owner, standing.Record.Epoch, standing.Ended)
 	noted.tenant, noted.tenantKnown = standing.Record.Tenant, true
 	noted.noteOrigin(originOf(standing.Record))
--- a/internal/jobs/batch/beat.go
+++ b/internal/jobs/batch/beat.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/internal/wire"
 )
@@ -69,7 +70,7 @@
 // node's that it may own instead. The mutex must be held.
 func (s *Service) takeRunning(beat *wire.NodeBeat) []*job {
 	var contested []*job
-	owner := Owner{Node: beat.Node, Address: beat.Address, Incarnation: beat.Incarnation}
+	owner := journal.Owner{Node: beat.Node, Address: beat.Address, Incarnation: beat.Incarnation}
 	epochs := epochsOf(beat)
 	for _, id := range beat.Jobs {
 		if held := s.jobs[id]; held != nil {
--- a/internal/jobs/batch/end.go
+++ b/internal/jobs/batch/end.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/environment"
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
@@ -99,13 +100,13 @@
 }
 
 // recordEnd has the store keep the end of a job, and returns the job as it stands.
-func (s *Service) recordEnd(ctx context.Context, id string) (Standing, error) {
+func (s *Service) recordEnd(ctx context.Context, id string) (journal.StoredJob, error) {
 	began := time.Now()
 	standing, err := s.config.Journal.End(ctx, id)
 	took := time.Since(began).Milliseconds()
 	if err != nil {
 		s.config.Logger.Info("end of batch job not recorded", "request", id, "tookMs", took, "error", err.Error())
-		return Standing{}, err
+		return journal.StoredJob{}, err
 	}
 	s.config.Logger.Info("end of batch job recorded", "request", id, "owner", standing.Record.Owner.Node, "tookMs", took)
 	return standing, nil
--- a/internal/jobs/batch/errors.go
+++ b/internal/jobs/batch/errors.go
@@ -16,14 +16,10 @@
 	ErrCredentials = merry.Sentinel("an item must not carry credentials: it runs for the tenant that hands the batch job in")
 	// ErrOutside means that a node may not have the bodies of a batch job.
 	ErrOutside = merry.Sentinel("the node is outside the allowed regions")
-	// ErrNoSuchJob means that the store has no such batch job.
-	ErrNoSuchJob = merry.Sentinel("no such batch job")
 	// ErrNoSuchItem means that a batch job has no such item.
 	ErrNoSuchItem = merry.Sentinel("no such item")
 	// ErrDisplaced means that another node runs the batch job now.
 	ErrDisplaced = merry.Sentinel("another node runs the batch job")
-	// ErrTruncated means that a stored batch job lacks a part.
-	ErrTruncated = merry.Sentinel("stored batch job lacks a part")
 	// ErrUnframed means that only the end of a connection ended a stream.
 	ErrUnframed = merry.Sentinel("stream ended without a frame")
 	// ErrStalled means that a run was cut because nothing came.
@@ -49,24 +45,6 @@
 // Unwrap returns the cause.
 func (e *CutError) Unwrap() error { return e.Cause }
 
-// UncertainError is a batch job that may or may not be taken later.
-type UncertainError struct{ Cause error }
-
-// Error gives the cause.
-func (e *UncertainError) Error() string { return fmt.Sprintf("batch job may be taken: %v", e.Cause) }
-
-// Unwrap returns the cause.
-func (e *UncertainError) Unwrap() error { return e.Cause }
-
-// NotTakenError is a batch job of which nothing will run.
-type NotTakenError struct{ Cause error }
-
-// Error gives the cause.
-func (e *NotTakenError) Error() string { return fmt.Sprintf("batch job not taken: %v", e.Cause) }
-
-// Unwrap returns the cause.
-func (e *NotTakenError) Unwrap() error { return e.Cause }
-
 // ItemStatusError is a replica's answer that is no stream of an item.
 type ItemStatusError struct{ Status int }
 
--- a/internal/jobs/batch/front.go
+++ b/internal/jobs/batch/front.go
@@ -9,6 +9,7 @@
 
 	"github.com/pathtally/pathtally/internal/callers/forward"
 	"github.com/pathtally/pathtally/internal/callers/ingress"
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 )
 
 const (
@@ -62,7 +63,7 @@
 		ID: id, Route: route.Name, Host: route.Host, Tenant: submitted.Tenant, Entry: f.Service.config.Region, Payload: submitted.Body,
 		Submission: submission,
 	})
-	var notTaken *NotTakenError
+	var notTaken *journal.NotTakenError
 	switch {
 	case err == nil:
 		f.Headers.Refuse(writer.Header(), id, 0)
@@ -137,7 +138,7 @@
 const pageBytes = 900 << 10
 
 // pageLength is how many results fit into one page, one at least.
-func pageLength(results []Result) int {
+func pageLength(results []journal.Result) int {
 	size := 0
 	for i, result := range results {
 		size += len(result.Text) + resultOverhead
@@ -181,7 +182,7 @@
 // fail answers a call that could not be served: 404 only when that is certain.
 func (f *Front) fail(writer http.ResponseWriter, call Call, err error) {
 	status, after := http.StatusServiceUnavailable, comeBack
-	if errors.Is(err, ErrNoSuchJob) || errors.Is(err, ErrNoSuchItem) {
+	if errors.Is(err, journal.ErrNoSuchJob) || errors.Is(err, ErrNoSuchItem) {
 		status, after = http.StatusNotFound, 0
 	}
 	f.refuse(writer, call.Job, status, err, after)
--- a/internal/jobs/batch/homes.go
+++ b/internal/jobs/batch/homes.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"github.com/pathtally/pathtally/internal/callers/forward"
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/replicas/homes"
 )
@@ -19,7 +20,7 @@
 	entry string
 }
 
-func originOf(record Record) origin {
+func originOf(record journal.Record) origin {
 	return origin{routes: append([]string{record.Route}, record.Scorers...), tenant: record.Tenant, entry: record.Entry}
 }
 
@@ -75,7 +76,7 @@
 }
 
 // within returns a context for the store's calls that carry bodies of a job.
-func (s *Service) within(ctx context.Context, record Record) context.Context {
+func (s *Service) within(ctx context.Context, record journal.Record) context.Context {
 	return homes.WithBounds(ctx, s.boundsOf(originOf(record)))
 }
 
@@ -153,7 +154,7 @@
 		route := view.Configuration.Named(name)
 		if route != nil && !view.HasReplica(route, view.Configuration.HomesOf(route, from.tenant)) {
 			s.metrics.withoutHome.Inc()
-			return &NotTakenError{Cause: forward.ErrNoHome}
+			return &journal.NotTakenError{Cause: forward.ErrNoHome}
 		}
 	}
 	return nil
@@ -164,7 +165,7 @@
 func (s *Service) checkOffered(arrival *Arrival) error {
 	from := originOf(s.recordOf(arrival))
 	if !s.boundsOf(from).AllowsNode(s.config.Region) {
-		return &NotTakenError{Cause: ErrOutside}
+		return &journal.NotTakenError{Cause: ErrOutside}
 	}
 	return s.checkHomes(from)
 }
--- a/internal/jobs/batch/kept_ends_test.go
+++ b/internal/jobs/batch/kept_ends_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/wire"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
@@ -45,7 +46,7 @@
 	cluster.store.SetFault(nil)
 	cluster.setCut("node-0", false)
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		standing, err := NewJournal(cluster.store).Look(context.Background(), "job")
+		standing, err := journal.New(cluster.store).Read(context.Background(), "job")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,7 +75,7 @@
 	}
 	owner.TakeBeat(&wire.NodeBeat{Node: "former", Address: "former", Incarnation: 1, Ended: []string{"job"}})
 	for end := time.Now().Add(3 * confirmPeriod); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		standing, err := NewJournal(cluster.store).Look(context.Background(), "job")
+		standing, err := journal.New(cluster.store).Read(context.Background(), "job")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/jobs/batch/locate.go
+++ b/internal/jobs/batch/locate.go
@@ -6,6 +6,7 @@
 
 	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
 	"github.com/pathtally/pathtally/internal/environment"
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
@@ -34,7 +35,7 @@
 
 // ownerOf tells which other node runs a job, as this node or one that hears of the job
 // knows. False leaves the question to the store.
-func (s *Service) ownerOf(ctx context.Context, id string) (Owner, bool) {
+func (s *Service) ownerOf(ctx context.Context, id string) (journal.Owner, bool) {
 	if owner, known := s.knownOwner(id); known {
 		return owner, true
 	}
@@ -42,20 +43,20 @@
 }
 
 // knownOwner tells which other node runs a job, if this node knows.
-func (s *Service) knownOwner(id string) (Owner, bool) {
+func (s *Service) knownOwner(id string) (journal.Owner, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	standing := s.known[id]
 	if standing == nil {
-		return Owner{}, false
+		return journal.Owner{}, false
 	}
 	return standing.owner, true
 }
 
 // locate asks the nodes that hear of a job who runs it, where not all nodes do.
-func (s *Service) locate(ctx context.Context, id string) (Owner, bool) {
+func (s *Service) locate(ctx context.Context, id string) (journal.Owner, bool) {
 	if s.config.Table.TellsAll() {
-		return Owner{}, false
+		return journal.Owner{}, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, locateTime)
 	defer cancel()
@@ -74,7 +75,7 @@
 			return s.noteFound(id, found), true
 		}
 	}
-	return Owner{}, false
+	return journal.Owner{}, false
 }
 
 // askLocator asks one node who runs a job; nil if it does not answer.
@@ -88,8 +89,8 @@
 }
 
 // noteFound records what another node knows of a job, and returns its owner.
-func (s *Service) noteFound(id string, found *wire.JobFound) Owner {
-	owner := Owner{Node: found.Owner.Node, Address: found.Owner.Address, Incarnation: found.Owner.Incarnation}
+func (s *Service) noteFound(id string, found *wire.JobFound) journal.Owner {
+	owner := journal.Owner{Node: found.Owner.Node, Address: found.Owner.Address, Incarnation: found.Owner.Incarnation}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.jobs[id] != nil {
@@ -123,6 +124,6 @@
 }
 
 // addressOf is an owner as messages name it.
-func addressOf(owner Owner) wire.PeerAddress {
+func addressOf(owner journal.Owner) wire.PeerAddress {
 	return wire.PeerAddress{Node: owner.Node, Address: owner.Address, Incarnation: owner.Incarnation}
 }
--- a/internal/jobs/batch/locate_test.go
+++ b/internal/jobs/batch/locate_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
@@ -83,7 +84,7 @@
 // A job that nobody knows is looked for in the store, whose word is certain.
 func TestAJobThatNoNodeKnowsIsLookedForInTheStore(t *testing.T) {
 	large := newLargeCluster(t, 2*locators, startEngine(t, 3))
-	if _, err := large.nodes[3].Read(context.Background(), "none", 0, 0); !errors.Is(err, ErrNoSuchJob) {
+	if _, err := large.nodes[3].Read(context.Background(), "none", 0, 0); !errors.Is(err, journal.ErrNoSuchJob) {
 		t.Errorf("read of a job that was never handed in: %v", err)
 	}
 }
--- a/internal/jobs/batch/outcome.go
+++ b/internal/jobs/batch/outcome.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/callers/dispatch"
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/jobs/placement"
 )
 
@@ -73,7 +74,7 @@
 // abandon ends an item without its text. The mutex must be held.
 func (s *Service) abandon(work *item, reason string) {
 	s.config.Logger.Info("item given up", "request", work.ID, "job", work.job.id, "reason", reason, "failures", work.failures)
-	s.finish(work, Result{ID: work.ID, State: Abandoned})
+	s.finish(work, journal.Result{ID: work.ID, State: journal.Abandoned})
 }
 
 // itemAttempts is how many failures end an item.
@@ -90,7 +91,7 @@
 const defaultAttempts = 3
 
 // finish takes an item's result. The mutex must be held.
-func (s *Service) finish(work *item, result Result) {
+func (s *Service) finish(work *item, result journal.Result) {
 	if work.done || work.job.ended || work.job.displaced {
 		return
 	}
--- a/internal/jobs/batch/ownerwatch.go
+++ b/internal/jobs/batch/ownerwatch.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 	"time"
 
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
@@ -78,13 +79,13 @@
 
 // orphans returns the open jobs that it is this node's turn to take over, with
 // the owners that are gone.
-func (s *Service) orphans() map[string]Owner {
+func (s *Service) orphans() map[string]journal.Owner {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.leaving {
 		return nil
 	}
-	orphans := map[string]Owner{}
+	orphans := map[string]journal.Owner{}
 	for id, standing := range s.known {
 		if s.jobs[id] != nil {
 			// It runs here: the note is from a reader that looked it up just
--- a/internal/jobs/batch/publish.go
+++ b/internal/jobs/batch/publish.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"time"
 
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
@@ -112,18 +113,18 @@
 
 // nextChunk is what is to be written of a job now, and at which place; false if that is
 // nothing.
-func (s *Service) nextChunk(published *job) (written chunk, index int, due bool) {
+func (s *Service) nextChunk(published *job) (written journal.Chunk, index int, due bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if published.ended || published.displaced {
-		return chunk{}, 0, false
+		return journal.Chunk{}, 0, false
 	}
 	results := boundedPart(published.finished)
 	published.flushSoon = false
 	published.serial++
-	written = chunk{Writer: s.writerName(), Serial: published.serial, Results: results, Texts: published.unsavedTexts(len(results) > 0)}
+	written = journal.Chunk{Writer: s.writerName(), Serial: published.serial, Results: results, Texts: published.unsavedTexts(len(results) > 0)}
 	if len(results) == 0 && len(written.Texts) == 0 {
-		return chunk{}, 0, false
+		return journal.Chunk{}, 0, false
 	}
 	if len(written.Texts) > 0 {
 		published.textsSaved, published.saving = time.Now(), true
@@ -158,7 +159,7 @@
 }
 
 // takeChunk adds what the store now holds, in its order.
-func (s *Service) takeChunk(published *job, standing chunk, own bool) {
+func (s *Service) takeChunk(published *job, standing journal.Chunk, own bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if own {
@@ -183,11 +184,11 @@
 }
 
 // boundedPart returns the first results that fit into one object.
-func boundedPart(results []Result) []Result {
+func boundedPart(results []journal.Result) []journal.Result {
 	size := 0
 	for i, result := range results {
 		size += len(result.Text) + resultOverhead
-		if size > chunkBytes && i > 0 {
+		if size > journal.MaxChunkBytes && i > 0 {
 			return results[:i:i]
 		}
 	}
@@ -203,7 +204,7 @@
 	ctx, cancel := context.WithTimeout(s.base, confirmTime)
 	defer cancel()
 	began := time.Now()
-	standing, err := s.config.Journal.Look(ctx, held.id)
+	standing, err := s.config.Journal.Read(ctx, held.id)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if err == nil {
@@ -213,7 +214,7 @@
 
 // takeRecord takes what the store said of a held job's record to a call that began at
 // an instant. The mutex must be held.
-func (s *Service) takeRecord(held *job, standing Standing, began time.Time) {
+func (s *Service) takeRecord(held *job, standing journal.StoredJob, began time.Time) {
 	if s.jobs[held.id] != held {
 		return
 	}
@@ -237,4 +238,4 @@
 // confirmTime bounds a look at who owns a job.
 const confirmTime = 2 * time.Second
 
-func encodeResults(results []Result) ([]byte, error) { return json.Marshal(results) }
+func encodeResults(results []journal.Result) ([]byte, error) { return json.Marshal(results) }
--- a/internal/jobs/batch/publish_test.go
+++ b/internal/jobs/batch/publish_test.go
@@ -11,6 +11,7 @@
 	"k8s.io/klog/v2"
 
 	"github.com/pathtally/pathtally/internal/clock"
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
@@ -53,7 +54,7 @@
 		store := metastore.New()
 		service := NewService(ctx, Config{
 			Clock:   clock.Steady,
-			Journal: NewJournal(store), Directory: directory.NewTable("node", "zone", nil, klog.Background()), Logger: klog.Background(), Registry: prometheus.NewRegistry(),
+			Journal: journal.New(store), Directory: directory.NewTable("node", "zone", nil, klog.Background()), Logger: klog.Background(), Registry: prometheus.NewRegistry(),
 		})
 		held := &job{
 			id: "job", submission: &Submission{Desired: 2}, items: map[string]*item{}, groups: map[string]*group{},
@@ -73,7 +74,7 @@
 		finish := func(id string) {
 			service.mutex.Lock()
 			defer service.mutex.Unlock()
-			service.finish(held.items[id], Result{ID: id, State: Succeeded})
+			service.finish(held.items[id], journal.Result{ID: id, State: journal.Succeeded})
 		}
 		go service.publish(held)
 		for number := range 40 {
--- a/internal/jobs/batch/read.go
+++ b/internal/jobs/batch/read.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/environment"
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
@@ -23,7 +24,7 @@
 // Page is a part of a job's results.
 type Page struct {
 	Total   int
-	Results []Result
+	Results []journal.Result
 }
 
 // Read returns the results after a position, waiting for one at most as long
@@ -42,7 +43,7 @@
 			return page, nil
 		}
 	}
-	standing, err := s.config.Journal.Look(ctx, id)
+	standing, err := s.config.Journal.Read(ctx, id)
 	if err != nil {
 		return Page{}, err
 	}
@@ -108,7 +109,7 @@
 // readBehind returns what the store has from a chunk on, but for some results: it may
 // have done an append that this node has no answer to, and shown its results to
 // others.
-func (s *Service) readBehind(ctx context.Context, id string, chunks, after int) ([]Result, error) {
+func (s *Service) readBehind(ctx context.Context, id string, chunks, after int) ([]journal.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, behindTime)
 	defer cancel()
 	behind, err := s.config.Journal.Results(s.withinHeld(ctx, id), id, chunks)
@@ -116,7 +117,7 @@
 		s.config.Logger.Info("nothing read behind an append on its way", "request", id, "chunk", chunks, "error", err.Error())
 		return nil, err
 	}
-	return pageAfter(behind.results, after, 0).Results, nil
+	return pageAfter(behind.Results, after, 0).Results, nil
 }
 
 // pageAfter is the page of the listed results behind a position. The mutex must be
@@ -126,7 +127,7 @@
 }
 
 // readFrom reads a job from the node that runs it.
-func (s *Service) readFrom(ctx context.Context, owner Owner, id string, after int, patience time.Duration) (Page, error) {
+func (s *Service) readFrom(ctx context.Context, owner journal.Owner, id string, after int, patience time.Duration) (Page, error) {
 	question := &wire.JobRead{Job: id, After: uint32(after), WaitMs: uint32(patience.Milliseconds())}
 	message, err := environment.Ask(ctx, s.config.Peers, owner.Address, question, patience+peerMargin)
 	if err != nil {
@@ -157,7 +158,7 @@
 			return body.Body, nil
 		}
 	}
-	standing, err := s.config.Journal.Look(ctx, id)
+	standing, err := s.config.Journal.Read(ctx, id)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/jobs/batch/recover.go
+++ b/internal/jobs/batch/recover.go
@@ -31,7 +31,7 @@
 		freshness = objectstore.MayBeStale
 	}
 	for ctx.Err() == nil {
-		all, err := s.config.Journal.All(ctx, freshness)
+		all, err := s.config.Journal.ReadAll(ctx, freshness)
 		if err == nil {
 			s.mutex.Lock()
 			for _, standing := range all {
--- a/internal/jobs/batch/remotejob.go
+++ b/internal/jobs/batch/remotejob.go
@@ -4,12 +4,13 @@
 	"strconv"
 	"time"
 
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 // remoteJob is a batch job that another node runs.
 type remoteJob struct {
-	owner Owner
+	owner journal.Owner
 	// epoch is the owner's place among the job's owners, 0 for unknown.
 	epoch int
 	// heard is when the owner was heard to run it.
@@ -35,7 +36,7 @@
 	notBefore time.Time
 	// results are those read from the store, for answers while the owner is
 	// silent, and chunks their number of objects.
-	results []Result
+	results []journal.Result
 	chunks  int
 	// total is how many items the job has, 0 while unknown.
 	total int
@@ -48,7 +49,7 @@
 // noteRemote records who runs a job in an epoch, 0 for unknown. An earlier epoch than
 // the one known changes nothing: a former owner says so until it has looked the record
 // up. The mutex must be held.
-func (s *Service) noteRemote(id string, owner Owner, epoch int, ended bool) *remoteJob {
+func (s *Service) noteRemote(id string, owner journal.Owner, epoch int, ended bool) *remoteJob {
 	standing := s.known[id]
 	if standing == nil {
 		standing = &remoteJob{}
--- a/internal/jobs/batch/reward.go
+++ b/internal/jobs/batch/reward.go
@@ -10,6 +10,7 @@
 	"github.com/pathtally/pathtally/internal/callers/dispatch"
 	"github.com/pathtally/pathtally/internal/callers/exchange"
 	"github.com/pathtally/pathtally/internal/callers/forward"
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
@@ -27,7 +28,7 @@
 func (s *Service) score(ran *attempt, attempts func() int) {
 	work := ran.item
 	whole := time.Now()
-	result := Result{ID: work.ID, State: Succeeded, Text: work.progress.text(), Versions: work.progress.madeBy()}
+	result := journal.Result{ID: work.ID, State: journal.Succeeded, Text: work.progress.text(), Versions: work.progress.madeBy()}
 	if work.Reward != nil {
 		score, failed, scored := s.callReward(work, attempts)
 		if !scored && !failed {
@@ -35,7 +36,7 @@
 		}
 		result.Score = score
 		if failed {
-			result = Result{ID: work.ID, State: Abandoned}
+			result = journal.Result{ID: work.ID, State: journal.Abandoned}
 			s.config.Logger.Info("item given up", "request", work.ID, "job", work.job.id, "reason", "its scorer failed", "reward", work.Reward.ID)
 		}
 	}
--- a/internal/jobs/batch/runner.go
+++ b/internal/jobs/batch/runner.go
@@ -9,6 +9,7 @@
 
 	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
 	"github.com/pathtally/pathtally/internal/environment"
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
@@ -158,7 +159,7 @@
 		return
 	}
 	err = s.submitHere(ctx, arrival)
-	var notTaken *NotTakenError
+	var notTaken *journal.NotTakenError
 	switch {
 	case err == nil:
 		reply(&wire.JobSubmitted{Outcome: wire.OutcomeDone})
--- a/internal/jobs/batch/scheduler.go
+++ b/internal/jobs/batch/scheduler.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/jobs/placement"
 )
 
@@ -80,7 +81,7 @@
 		return false
 	}
 	s.config.Logger.Info("item given up", "request", waiting.ID, "job", waiting.job.id, "reason", "its time has run out", "breaks", waiting.breaks)
-	s.finish(waiting, Result{ID: waiting.ID, State: Abandoned})
+	s.finish(waiting, journal.Result{ID: waiting.ID, State: journal.Abandoned})
 	return true
 }
 
--- a/internal/jobs/batch/seal.go
+++ b/internal/jobs/batch/seal.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/replicas/homes"
 )
 
@@ -25,19 +26,19 @@
 		return
 	}
 	known.sealAfter = time.Now().Add(sealTime + sealPause)
-	go s.seal(id, known, listing{chunks: known.chunks})
+	go s.seal(id, known, journal.Listing{Chunks: known.chunks})
 }
 
 // seal writes an empty chunk behind a number of chunks and all that came since, and
 // takes what stands then for all there is.
-func (s *Service) seal(id string, known *remoteJob, behind listing) {
-	from := behind.chunks
+func (s *Service) seal(id string, known *remoteJob, behind journal.Listing) {
+	from := behind.Chunks
 	ctx, cancel := context.WithTimeout(s.base, sealTime)
 	defer cancel()
 	s.mutex.Lock()
 	bounds := s.boundsOf(*known.origin)
 	s.mutex.Unlock()
-	behind, err := s.appendBehind(homes.WithBounds(ctx, bounds), id, behind, chunk{Writer: s.writerName(), Seal: true})
+	behind, err := s.config.Journal.Seal(homes.WithBounds(ctx, bounds), id, behind, s.writerName())
 	if err != nil {
 		s.config.Logger.Info("ended batch job not sealed", "request", id, "error", err.Error())
 		return
@@ -45,8 +46,8 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if known.chunks == from {
-		known.results = append(known.results[:len(known.results):len(known.results)], behind.results...)
-		known.chunks = behind.chunks
+		known.results = append(known.results[:len(known.results):len(known.results)], behind.Results...)
+		known.chunks = behind.Chunks
 		known.final = true
 	}
 }
--- a/internal/jobs/batch/service.go
+++ b/internal/jobs/batch/service.go
@@ -15,14 +15,15 @@
 	"github.com/pathtally/pathtally/internal/clock"
 	"github.com/pathtally/pathtally/internal/cluster/peering"
 	"github.com/pathtally/pathtally/internal/environment"
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/jobs/placement"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 // Config is what a Service needs.
 type Config struct {
-	Self       Owner
-	Journal    *Journal
+	Self       journal.Owner
+	Journal    *journal.Journal
 	Codec      Codec
 	Directory  *directory.Table
 	Dispatcher *dispatch.Dispatcher
@@ -132,7 +133,7 @@
 
 // priorityOf is the rank of a job's items, 0 the most urgent: that of its tenant,
 // else that of its route.
-func priorityOf(configuration *directory.Configuration, record Record) int {
+func priorityOf(configuration *directory.Configuration, record journal.Record) int {
 	if configuration == nil {
 		return 0
 	}
--- a/internal/jobs/batch/service_test.go
+++ b/internal/jobs/batch/service_test.go
@@ -10,6 +10,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"k8s.io/klog/v2"
 
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/standin/metastore"
@@ -36,7 +37,7 @@
 	if err != nil || string(body) != "body of job.3" {
 		t.Errorf("body of an item: %q, %v", body, err)
 	}
-	if _, err := cluster.nodes[1].Read(context.Background(), "other", 0, 0); !errors.Is(err, ErrNoSuchJob) {
+	if _, err := cluster.nodes[1].Read(context.Background(), "other", 0, 0); !errors.Is(err, journal.ErrNoSuchJob) {
 		t.Errorf("a job that nobody submitted: %v", err)
 	}
 }
@@ -59,7 +60,7 @@
 }
 
 func TestItemThatFailsIsAbandonedAfterItsAttempts(t *testing.T) {
-	for failures, want := range map[int]State{2: Succeeded, 3: Abandoned} {
+	for failures, want := range map[int]journal.State{2: journal.Succeeded, 3: journal.Abandoned} {
 		engine := startEngine(t, 2)
 		engine.fail["job.0"] = failures
 		cluster := newCluster(t, 1, engine)
@@ -67,7 +68,7 @@
 			t.Fatal(err)
 		}
 		for _, result := range cluster.readAll(cluster.nodes[0], "job", 2) {
-			wanted := Succeeded
+			wanted := journal.Succeeded
 			if result.ID == "job.0" {
 				wanted = want
 			}
@@ -81,7 +82,7 @@
 // A replica that fails all items is to blame for it, and they are given up later
 // than they would be for failures of their own, but not never.
 func TestItemsOfAFailingReplicaAreGivenMoreAttempts(t *testing.T) {
-	for failures, want := range map[int]State{4: Succeeded, failedAnswers * 3: Abandoned} {
+	for failures, want := range map[int]journal.State{4: journal.Succeeded, failedAnswers * 3: journal.Abandoned} {
 		engine := startEngine(t, 2)
 		for number := range 4 {
 			engine.fail[fmt.Sprint("job.", number)] = failures
@@ -92,11 +93,11 @@
 		}
 		abandoned := 0
 		for _, result := range cluster.readAll(cluster.nodes[0], "job", 4) {
-			if result.State == Abandoned {
+			if result.State == journal.Abandoned {
 				abandoned++
 			}
 		}
-		if (want == Abandoned) != (abandoned == 4) || (want == Succeeded && abandoned > 0) {
+		if (want == journal.Abandoned) != (abandoned == 4) || (want == journal.Succeeded && abandoned > 0) {
 			t.Errorf("after %d failures each %d of 4 items are given up, want %s", failures, abandoned, want)
 		}
 	}
@@ -127,13 +128,13 @@
 	defer cancel()
 	made, payload := submission("job", 2)
 	err := cluster.nodes[0].Submit(ctx, &Arrival{ID: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Submission: made})
-	var notTaken *NotTakenError
-	var uncertain *UncertainError
+	var notTaken *journal.NotTakenError
+	var uncertain *journal.UncertainError
 	if !errors.As(err, &notTaken) && !errors.As(err, &uncertain) {
 		t.Fatalf("submission without a store: %v", err)
 	}
 	cluster.store.SetFault(nil)
-	if _, err := cluster.store.Get(context.Background(), KindJobs, "job", objectstore.Linearizable); !errors.Is(err, objectstore.ErrNotFound) {
+	if _, err := cluster.store.Get(context.Background(), journal.KindJobs, "job", objectstore.Linearizable); !errors.Is(err, objectstore.ErrNotFound) {
 		t.Errorf("the job is in the store: %v", err)
 	}
 }
@@ -143,7 +144,7 @@
 func TestUncertainSubmissionIsPursued(t *testing.T) {
 	cluster := newCluster(t, 1, startEngine(t, 2))
 	cluster.store.SetFault(func(call metastore.Call) metastore.Fault {
-		if call.Kind == KindJobs && call.Verb == "create" {
+		if call.Kind == journal.KindJobs && call.Verb == "create" {
 			return metastore.Late
 		}
 		return metastore.Sound
@@ -152,7 +153,7 @@
 	defer cancel()
 	made, payload := submission("job", 2)
 	err := cluster.nodes[0].Submit(ctx, &Arrival{ID: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Submission: made})
-	var uncertain *UncertainError
+	var uncertain *journal.UncertainError
 	if !errors.As(err, &uncertain) {
 		t.Fatalf("submission without an answer: %v", err)
 	}
--- a/internal/jobs/batch/start.go
+++ b/internal/jobs/batch/start.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/jobs/placement"
 )
 
@@ -13,7 +14,7 @@
 
 // start takes up a job whose record named this node as its owner at an instant. The
 // mutex must not be held.
-func (s *Service) start(id string, submission *Submission, record Record, stands listing, confirmed time.Time) {
+func (s *Service) start(id string, submission *Submission, record journal.Record, stands journal.Listing, confirmed time.Time) {
 	s.mutex.Lock()
 	if standing := s.jobs[id]; standing != nil && !standing.displaced {
 		s.mutex.Unlock()
@@ -21,7 +22,7 @@
 	}
 	if s.ends.has(id) {
 		// It was ended while this node read it or waited for the store's word.
-		s.noteStanding(Standing{ID: id, Record: record, Ended: true})
+		s.noteStanding(journal.StoredJob{ID: id, Record: record, Ended: true})
 		s.mutex.Unlock()
 		s.config.Logger.Info("batch job not started: it has ended", "request", id, "epoch", record.Epoch)
 		go s.pursueEnd(id)
@@ -29,7 +30,7 @@
 	}
 	started := s.newJob(id, submission, record, stands)
 	started.confirmedAt = confirmed
-	restored := started.restore(joinPieces(stands.pieces))
+	restored := started.restore(joinPieces(stands.Pieces))
 	for _, itemID := range started.order {
 		if pending := started.items[itemID]; !pending.done {
 			s.queue = append(s.queue, pending)
@@ -41,7 +42,7 @@
 	s.jobs[id] = started
 	delete(s.known, id)
 	s.mutex.Unlock()
-	s.config.Logger.Info("batch job started", "request", id, "epoch", record.Epoch, "items", len(started.items), "listed", len(stands.results), "texts", restored,
+	s.config.Logger.Info("batch job started", "request", id, "epoch", record.Epoch, "items", len(started.items), "listed", len(stands.Results), "texts", restored,
 		"step", submission.Step, "model", submission.Model, "minVersion", submission.MinVersion, "desired", submission.Desired)
 	go s.publish(started)
 	s.nudge()
@@ -52,12 +53,12 @@
 
 // newJob returns a job whose items have their ranks; those that are listed are
 // settled. The mutex must be held.
-func (s *Service) newJob(id string, submission *Submission, record Record, stands listing) *job {
+func (s *Service) newJob(id string, submission *Submission, record journal.Record, stands journal.Listing) *job {
 	appends, cancelAppends := context.WithCancel(s.base)
 	ctx, cancel := context.WithCancel(appends)
 	made := &job{
 		id: id, submission: submission, record: record, takenUp: time.Now(), items: map[string]*item{},
-		listed: stands.results, chunks: stands.chunks, groups: map[string]*group{}, flush: make(chan struct{}, 1), changed: make(chan struct{}),
+		listed: stands.Results, chunks: stands.Chunks, groups: map[string]*group{}, flush: make(chan struct{}, 1), changed: make(chan struct{}),
 		ctx: ctx, cancel: cancel, appends: appends, cancelAppends: cancelAppends,
 	}
 	if retention := s.retention(record); retention > 0 {
@@ -79,7 +80,7 @@
 			Item: submitted, job: made, group: standing, rank: ranks[submitted.ID], expected: s.expectedEvents(submitted.ID),
 		}
 	}
-	for _, result := range stands.results {
+	for _, result := range stands.Results {
 		made.settle(result.ID)
 	}
 	return made
@@ -110,7 +111,7 @@
 
 // dueOf is when a job is to be whole and how long after its acceptance that is; zero for
 // a route that names no time.
-func (s *Service) dueOf(record Record) (time.Time, time.Duration) {
+func (s *Service) dueOf(record journal.Record) (time.Time, time.Duration) {
 	configuration := s.config.Directory.View().Configuration
 	if configuration == nil {
 		return time.Time{}, 0
@@ -123,7 +124,7 @@
 }
 
 // retention is after how long items of a job may be given up, 0 for never.
-func (s *Service) retention(record Record) time.Duration {
+func (s *Service) retention(record journal.Record) time.Duration {
 	configuration := s.config.Directory.View().Configuration
 	if configuration == nil {
 		return 0
--- a/internal/jobs/batch/stored.go
+++ b/internal/jobs/batch/stored.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"time"
 )
 
@@ -14,7 +15,7 @@
 // set once done is closed.
 type storedLoad struct {
 	done    chan struct{}
-	results []Result
+	results []journal.Result
 	total   int
 	err     error
 }
@@ -24,7 +25,7 @@
 // give up: with a bound as short as a caller's patience a large job on a slow link
 // was never read to its end, however often it was asked for. An open job is read
 // anew for each, since what a reading under way has missed may have been seen.
-func (s *Service) readStored(ctx context.Context, standing Standing, after int) (Page, error) {
+func (s *Service) readStored(ctx context.Context, standing journal.StoredJob, after int) (Page, error) {
 	if !standing.Ended {
 		results, total, err := s.loadStored(ctx, standing)
 		return pageAfter(results, after, total), err
@@ -42,7 +43,7 @@
 }
 
 // joinLoad returns the reading of a job that is under way, or begins one.
-func (s *Service) joinLoad(standing Standing) *storedLoad {
+func (s *Service) joinLoad(standing journal.StoredJob) *storedLoad {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if load := s.storedLoads[standing.ID]; load != nil {
@@ -64,7 +65,7 @@
 
 // loadStored reads what is not known yet of a job from the store, and returns all
 // its results and how many items it has.
-func (s *Service) loadStored(ctx context.Context, standing Standing) (results []Result, total int, err error) {
+func (s *Service) loadStored(ctx context.Context, standing journal.StoredJob) (results []journal.Result, total int, err error) {
 	s.mutex.Lock()
 	known := s.noteStanding(standing)
 	from := known.chunks
@@ -80,32 +81,32 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	results = append(results[:len(results):len(results)], added.results...)
+	results = append(results[:len(results):len(results)], added.Results...)
 	s.mutex.Lock()
 	if known.total = total; !s.isOutsider(known) {
 		s.keepStored(standing, known, results, added)
 	}
 	s.mutex.Unlock()
 	s.config.Logger.Info("batch job read from the store", "request", standing.ID, "ended", standing.Ended, "owner", standing.Record.Owner.Node,
-		"results", len(results), "chunks", added.chunks, "final", added.sealed)
+		"results", len(results), "chunks", added.Chunks, "final", added.Sealed)
 	return results, total, nil
 }
 
 // keepStored keeps what was read of a job, so that the next reading goes on behind it.
 // A node that may not have the job's bodies keeps nothing: it has shown them to a
 // caller of its own, and reads them anew for the next. The mutex must be held.
-func (s *Service) keepStored(standing Standing, known *remoteJob, results []Result, added listing) {
-	if added.chunks > known.chunks {
-		known.results, known.chunks = results, added.chunks
+func (s *Service) keepStored(standing journal.StoredJob, known *remoteJob, results []journal.Result, added journal.Listing) {
+	if added.Chunks > known.chunks {
+		known.results, known.chunks = results, added.Chunks
 	}
-	known.final = known.final || added.sealed
+	known.final = known.final || added.Sealed
 	if standing.Ended {
 		s.sealLater(standing.ID, known)
 	}
 }
 
 // readTotal reads how many items a job has.
-func (s *Service) readTotal(ctx context.Context, standing Standing) (int, error) {
+func (s *Service) readTotal(ctx context.Context, standing journal.StoredJob) (int, error) {
 	payload, err := s.config.Journal.Payload(ctx, standing.ID, standing.Record.Parts)
 	if err != nil {
 		return 0, err
@@ -129,7 +130,7 @@
 }
 
 // pageAfter is the page of the results behind a position.
-func pageAfter(results []Result, after, total int) Page {
+func pageAfter(results []journal.Result, after, total int) Page {
 	page := Page{Total: total}
 	if after < len(results) {
 		page.Results = results[after:]
@@ -143,7 +144,7 @@
 	if page, final := s.readFinal(id, after); final {
 		return page, true
 	}
-	standing, err := s.config.Journal.Look(ctx, id)
+	standing, err := s.config.Journal.Read(ctx, id)
 	if err != nil || !standing.Ended || standing.Record.Owner.Node != s.config.Self.Node {
 		return Page{}, false
 	}
--- a/internal/jobs/batch/stored_test.go
+++ b/internal/jobs/batch/stored_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/pathtally/pathtally/standin/metastore"
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 )
 
 // endedCluster is a cluster whose first node ran a job to its end and was then
@@ -67,13 +67,13 @@
 		t.Fatal(err)
 	}
 	cluster.awaitSeal(cluster.nodes[0])
-	journal := NewJournal(cluster.store)
-	stands, err := journal.Results(context.Background(), "job", 0)
-	if err != nil || !stands.sealed {
-		t.Fatalf("the results are sealed: %v, error %v", stands.sealed, err)
+	jobJournal := journal.New(cluster.store)
+	stands, err := jobJournal.Results(context.Background(), "job", 0)
+	if err != nil || !stands.Sealed {
+		t.Fatalf("the results are sealed: %v, error %v", stands.Sealed, err)
 	}
-	late := chunk{Writer: "late", Results: []Result{{ID: "late", State: Abandoned}}}
-	standing, own, err := journal.Append(context.Background(), "job", stands.chunks-1, late)
+	late := journal.Chunk{Writer: "late", Results: []journal.Result{{ID: "late", State: journal.Abandoned}}}
+	standing, own, err := jobJournal.Append(context.Background(), "job", stands.Chunks-1, late)
 	if err != nil || own || !standing.Seal {
 		t.Errorf("a late append is done: %v, seal %v, error %v", own, standing.Seal, err)
 	}
@@ -116,8 +116,8 @@
 	node.mutex.Lock()
 	held := node.jobs["job"]
 	held.confirmedAt = looked
-	node.finish(held.items["job.0"], Result{ID: "job.0", State: Abandoned})
-	node.finish(held.items["job.1"], Result{ID: "job.1", State: Abandoned})
+	node.finish(held.items["job.0"], journal.Result{ID: "job.0", State: journal.Abandoned})
+	node.finish(held.items["job.1"], journal.Result{ID: "job.1", State: journal.Abandoned})
 	node.mutex.Unlock()
 	eventually(t, "the results are appended", func() bool {
 		node.mutex.Lock()
@@ -136,7 +136,7 @@
 // s, and the next began anew.
 func TestAStoredJobIsReadOnAfterItsReaderGaveUp(t *testing.T) {
 	cluster := endedCluster(t)
-	gate := cluster.setGate("list", KindResults)
+	gate := cluster.setGate("list", journal.KindResults)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	if _, err := cluster.nodes[0].Read(ctx, "job", 0, 0); err == nil {
@@ -154,7 +154,7 @@
 // Readers that ask at the same time share one reading.
 func TestReadersShareOneReadingOfTheStore(t *testing.T) {
 	cluster := endedCluster(t)
-	gate := cluster.setGate("list", KindResults)
+	gate := cluster.setGate("list", journal.KindResults)
 	node := cluster.nodes[0]
 	lists := cluster.store.Calls("list")
 	results := make(chan error, 20)
@@ -162,7 +162,7 @@
 		go func() {
 			page, err := node.Read(context.Background(), "job", 0, 0)
 			if err == nil && len(page.Results) != 4 {
-				err = ErrTruncated
+				err = journal.ErrTruncated
 			}
 			results <- err
 		}()
@@ -186,7 +186,7 @@
 // What a node knows of an ended job may be forgotten while the job is read.
 func TestAJobForgottenWhileItIsReadIsReadWhole(t *testing.T) {
 	cluster := endedCluster(t)
-	gate := cluster.setGate("list", KindResults)
+	gate := cluster.setGate("list", journal.KindResults)
 	node := cluster.nodes[0]
 	type answer struct {
 		page Page
@@ -210,31 +210,3 @@
 		t.Errorf("%d results of %d, error %v", len(got.page.Results), got.page.Total, got.err)
 	}
 }
-
-// Symptom: a job is never taken over while another one has results whose id begins
-// with that of the first and a hyphen.
-//
-// Cause: the results of a job are listed by the beginning of their names, and those of
-// the other job were taken for chunks out of order.
-func TestResultsOfAJobWhoseIdBeginsAnothersAreRead(t *testing.T) {
-	journal := NewJournal(metastore.New())
-	for _, id := range []string{"run", "run-a", "run-", "run-000000"} {
-		for index := range 2 {
-			written := chunk{Writer: id, Results: []Result{{ID: id, State: Abandoned}}}
-			if _, _, err := journal.Append(context.Background(), id, index, written); err != nil {
-				t.Fatal(err)
-			}
-		}
-	}
-	for _, id := range []string{"run", "run-a", "run-", "run-000000"} {
-		stands, err := journal.Results(context.Background(), id, 0)
-		if err != nil || stands.chunks != 2 {
-			t.Fatalf("job %s: %d chunks, error %v", id, stands.chunks, err)
-		}
-		for _, result := range stands.results {
-			if result.ID != id {
-				t.Errorf("job %s shows a result of %s", id, result.ID)
-			}
-		}
-	}
-}
--- a/internal/jobs/batch/submission.go
+++ b/internal/jobs/batch/submission.go
@@ -1,6 +1,9 @@
 package batch
 
-import "net/http"
+import (
+	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"net/http"
+)
 
 // Submission is a batch job as a caller hands it in.
 type Submission struct {
@@ -40,32 +43,12 @@
 	Body   []byte
 }
 
-// State is how an item ended.
-type State string
-
-// The states of a result.
-const (
-	// Succeeded results hold the whole text of their item.
-	Succeeded State = "succeeded"
-	// Abandoned results say that the item was given up.
-	Abandoned State = "abandoned"
-)
-
-// Result is a listed item. Its position in the list never changes.
-type Result struct {
-	ID       string  `json:"id"`
-	State    State   `json:"state"`
-	Text     string  `json:"text,omitempty"`
-	Versions []int64 `json:"versions,omitempty"`
-	Score    string  `json:"score,omitempty"`
-}
-
 // Codec reads and writes the platform's form of batch jobs.
 type Codec interface {
 	// Submission reads a batch job with the id of a request.
 	Submission(body []byte) (*Submission, error)
 	// Page writes a part of a job's results.
-	Page(total, next int, results []Result) ([]byte, error)
+	Page(total, next int, results []journal.Result) ([]byte, error)
 	// Call reads what a request about a batch job asks; false if it is none. The
 	// error is that of a request that cannot be understood.
 	Call(request *http.Request) (call Call, isCall bool, err error)
--- a/internal/jobs/batch/takeover.go
+++ b/internal/jobs/batch/takeover.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
@@ -12,7 +13,7 @@
 
 // takeOver makes this node the owner of a job whose owner is gone, unless
 // another has become that meanwhile or the job has ended.
-func (s *Service) takeOver(ctx context.Context, id string, gone Owner) {
+func (s *Service) takeOver(ctx context.Context, id string, gone journal.Owner) {
 	defer func() {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
@@ -28,7 +29,7 @@
 		s.mutex.Unlock()
 		return
 	}
-	standing, err := s.config.Journal.Look(ctx, id)
+	standing, err := s.config.Journal.Read(ctx, id)
 	if err != nil {
 		s.config.Logger.Info("batch job not taken over", "request", id, "error", err.Error())
 		return
@@ -51,7 +52,7 @@
 
 // loadJob reads a job that this node owns from the store and takes it up, unless it
 // has ended meanwhile or is another node's.
-func (s *Service) loadJob(ctx context.Context, standing Standing) {
+func (s *Service) loadJob(ctx context.Context, standing journal.StoredJob) {
 	for ctx.Err() == nil {
 		submission, stands, err := s.readJob(ctx, standing)
 		if err == nil {
@@ -66,10 +67,10 @@
 // startConfirmed looks at a job's record once more and starts the job if it is open
 // and this node's: the reading took a second or more from a slow store, and items of
 // a job that was ended meanwhile ran for three seconds.
-func (s *Service) startConfirmed(ctx context.Context, read Standing, submission *Submission, stands listing) {
+func (s *Service) startConfirmed(ctx context.Context, read journal.StoredJob, submission *Submission, stands journal.Listing) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		standing, err := s.config.Journal.Look(ctx, read.ID)
+		standing, err := s.config.Journal.Read(ctx, read.ID)
 		switch {
 		case err != nil:
 			s.config.Logger.Info("record of batch job not read before its start", "request", read.ID, "error", err.Error())
@@ -89,46 +90,23 @@
 
 // readJob reads a job's submission and what stands of its results, behind which
 // it sets a fence.
-func (s *Service) readJob(ctx context.Context, standing Standing) (*Submission, listing, error) {
+func (s *Service) readJob(ctx context.Context, standing journal.StoredJob) (*Submission, journal.Listing, error) {
 	ctx = s.within(ctx, standing.Record)
 	payload, err := s.config.Journal.Payload(ctx, standing.ID, standing.Record.Parts)
 	if err != nil {
-		return nil, listing{}, err
+		return nil, journal.Listing{}, err
 	}
 	stands, err := s.config.Journal.Results(ctx, standing.ID, 0)
 	if err != nil {
-		return nil, listing{}, err
+		return nil, journal.Listing{}, err
 	}
 	submission, err := s.config.Codec.Submission(payload)
 	if err != nil {
-		return nil, listing{}, err
+		return nil, journal.Listing{}, err
 	}
-	stands, err = s.fence(ctx, standing.ID, stands)
+	stands, err = s.config.Journal.Fence(ctx, standing.ID, stands, s.writerName())
 	return submission, stands, err
 }
 
-// fence writes an empty chunk behind the results that stand. The former owner
-// may still append until it learns of its successor; from here on its appends
-// fail, and everything before is known.
-func (s *Service) fence(ctx context.Context, id string, stands listing) (listing, error) {
-	return s.appendBehind(ctx, id, stands, chunk{Writer: s.writerName()})
-}
-
-// appendBehind writes a chunk without results behind all that stands, and returns
-// what stands then. Where a seal stands, nothing is written.
-func (s *Service) appendBehind(ctx context.Context, id string, stands listing, empty chunk) (listing, error) {
-	for !stands.sealed {
-		standing, own, err := s.config.Journal.Append(ctx, id, stands.chunks, empty)
-		if err != nil {
-			return stands, err
-		}
-		stands.add(standing)
-		if own {
-			break
-		}
-	}
-	return stands, nil
-}
-
 // readPause is the time between tries to read a job back.
 const readPause = 150 * time.Millisecond
--- a/internal/jobs/batch/takeover_test.go
+++ b/internal/jobs/batch/takeover_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
@@ -93,7 +94,7 @@
 	// The former owner reaches the store, and only that, and finishes first.
 	former.mutex.Lock()
 	held := former.jobs["job"]
-	former.finish(held.items["job.0"], Result{ID: "job.0", State: Abandoned})
+	former.finish(held.items["job.0"], journal.Result{ID: "job.0", State: journal.Abandoned})
 	former.mutex.Unlock()
 	eventually(t, "the former owner learns of its successor", func() bool {
 		former.mutex.Lock()
@@ -104,12 +105,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stored, err := NewJournal(cluster.store).Results(context.Background(), "job", 0)
+	stored, err := journal.New(cluster.store).Results(context.Background(), "job", 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(stored.results) != len(known.Results) {
-		t.Errorf("the store lists %d results, the successor knows %d", len(stored.results), len(known.Results))
+	if len(stored.Results) != len(known.Results) {
+		t.Errorf("the store lists %d results, the successor knows %d", len(stored.Results), len(known.Results))
 	}
 	engine.release()
 	checkWhole(t, "job", cluster.readAll(successor, "job", 6), 6, 3)
@@ -169,14 +170,14 @@
 		defer cluster.nodes[0].mutex.Unlock()
 		return len(cluster.nodes[0].attempts) == 0 && len(cluster.nodes[0].queue) == 0
 	})
-	standing, err := NewJournal(cluster.store).Look(context.Background(), "job")
+	standing, err := journal.New(cluster.store).Read(context.Background(), "job")
 	if err != nil || !standing.Ended {
 		t.Errorf("the store has the end: %v, %v", standing.Ended, err)
 	}
 	if err := cluster.nodes[0].End(context.Background(), "job"); err != nil {
 		t.Errorf("a repeated end: %v", err)
 	}
-	if err := cluster.nodes[0].End(context.Background(), "other"); !errors.Is(err, ErrNoSuchJob) {
+	if err := cluster.nodes[0].End(context.Background(), "other"); !errors.Is(err, journal.ErrNoSuchJob) {
 		t.Errorf("the end of a job that nobody submitted: %v", err)
 	}
 }
@@ -250,14 +251,14 @@
 	peer, _ := node.table.Get("node-1")
 	for _, test := range []struct {
 		name  string
-		owner Owner
+		owner journal.Owner
 		least time.Duration
 		most  time.Duration
 	}{
-		{"this node's former process", Owner{Node: "node-0", Incarnation: 1}, 0, 0},
-		{"a peer's former process", Owner{Node: "node-1", Incarnation: 1}, rankDelay, 2 * rankDelay},
-		{"a peer's process", Owner{Node: "node-1", Incarnation: peer.Incarnation}, ownerSilence, ownerSilence + rankDelay},
-		{"a node never heard", Owner{Node: "node-9", Incarnation: 1}, ownerSilence, ownerSilence + 2*rankDelay},
+		{"this node's former process", journal.Owner{Node: "node-0", Incarnation: 1}, 0, 0},
+		{"a peer's former process", journal.Owner{Node: "node-1", Incarnation: 1}, rankDelay, 2 * rankDelay},
+		{"a peer's process", journal.Owner{Node: "node-1", Incarnation: peer.Incarnation}, ownerSilence, ownerSilence + rankDelay},
+		{"a node never heard", journal.Owner{Node: "node-9", Incarnation: 1}, ownerSilence, ownerSilence + 2*rankDelay},
 	} {
 		node.mutex.Lock()
 		patience := node.patience("job", &remoteJob{owner: test.owner})
--- a/internal/jobs/batch/text.go
+++ b/internal/jobs/batch/text.go
@@ -1,6 +1,7 @@
 package batch
 
 import (
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"slices"
 	"strings"
 	"time"
@@ -34,18 +35,6 @@
 	return slices.Compact(slices.Sorted(slices.Values(p.versions)))
 }
 
-// piece is a part of the text of an item that is still running, kept so that a
-// later owner of the job goes on behind it.
-type piece struct {
-	Item string `json:"item"`
-	// From is the number of events before the piece.
-	From     int      `json:"from"`
-	Events   []string `json:"events"`
-	Versions []int64  `json:"versions"`
-	// text tells which of the item's texts it is a part of, for its writer.
-	text int
-}
-
 const (
 	// textPeriod is the time between two savings of the texts of running items, and
 	// besideResultsPeriod that where results are written anyway: the call costs the
@@ -64,7 +53,7 @@
 // unsavedTexts are the parts of the texts of running items that the store lacks,
 // as far as one object holds them; none before it is time, which is sooner where
 // results are written with them. The mutex must be held.
-func (j *job) unsavedTexts(besideResults bool) []piece {
+func (j *job) unsavedTexts(besideResults bool) []journal.TextPiece {
 	period := textPeriod
 	if besideResults {
 		period = besideResultsPeriod
@@ -72,16 +61,16 @@
 	if time.Since(j.textsSaved) < period {
 		return nil
 	}
-	var pieces []piece
+	var pieces []journal.TextPiece
 	size := 0
 	for _, id := range j.order {
 		running := j.items[id]
 		made := len(running.progress.events)
-		if running.done || made < leastText || made-running.saved < leastPiece || size > chunkBytes {
+		if running.done || made < leastText || made-running.saved < leastPiece || size > journal.MaxChunkBytes {
 			continue
 		}
-		part := piece{
-			Item: id, From: running.saved, text: running.texts,
+		part := journal.TextPiece{
+			Item: id, From: running.saved, TextNumber: running.texts,
 			Events: running.progress.events[running.saved:made:made], Versions: running.progress.versions[running.saved:made:made],
 		}
 		for _, event := range part.Events {
@@ -93,10 +82,10 @@
 }
 
 // noteSaved records which texts the store now has. The mutex must be held.
-func (j *job) noteSaved(pieces []piece) {
+func (j *job) noteSaved(pieces []journal.TextPiece) {
 	for _, part := range pieces {
 		// The item may have begun another text while this one was on its way.
-		if saved := j.items[part.Item]; saved != nil && saved.saved == part.From && saved.texts == part.text {
+		if saved := j.items[part.Item]; saved != nil && saved.saved == part.From && saved.texts == part.TextNumber {
 			saved.saved += len(part.Events)
 		}
 	}
@@ -105,7 +94,7 @@
 // joinPieces puts texts together from their pieces in the order in which they
 // were written. A piece that begins within what stands replaces the rest, since
 // its writer began there anew; one that begins behind it is of no use.
-func joinPieces(pieces []piece) map[string]progress {
+func joinPieces(pieces []journal.TextPiece) map[string]progress {
 	texts := map[string]progress{}
 	for _, part := range pieces {
 		standing := texts[part.Item]
--- a/internal/jobs/batch/watchers.go
+++ b/internal/jobs/batch/watchers.go
@@ -6,6 +6,7 @@
 
 	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
 	"github.com/pathtally/pathtally/internal/environment"
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
@@ -61,7 +62,7 @@
 
 // ownerAnswers asks the owner of a job that this node does not watch whether it
 // still runs it.
-func (s *Service) ownerAnswers(ctx context.Context, id string, owner Owner) bool {
+func (s *Service) ownerAnswers(ctx context.Context, id string, owner journal.Owner) bool {
 	question := &wire.JobItem{Job: id}
 	reply, err := environment.Ask(ctx, s.config.Peers, owner.Address, question, probeTime)
 	if err != nil {
