--- a/internal/callers/forward/attempt.go
+++ b/internal/callers/forward/answer.go
@@ -12,16 +12,28 @@
 )
 
 const (
-	// bodyChunk is the least step in which bodies are read, in bytes.
-	bodyChunk = 4 << 10
-	// longestAnswer bounds the body of one answer, in bytes.
-	longestAnswer = 64 << 20
-	// exactBody is up to which named length, in bytes, a buffer is made at once.
-	exactBody = 1 << 20
+	// initialBodyBytes is the buffer for a body of unknown or great length.
+	initialBodyBytes = 4 << 10
+	// maxAnswerBytes bounds the body of one answer.
+	maxAnswerBytes = 64 << 20
+	// maxPreallocatedBytes is the announced length up to which the buffer is
+	// made in one piece.
+	maxPreallocatedBytes = 1 << 20
 )
 
+// BufferedAnswer is a replica's answer, read to its end.
+type BufferedAnswer struct {
+	Answer *dispatch.Answer
+	Body   []byte
+	// Failures counts the answers of status 500 to this request, this one
+	// included.
+	Failures int
+	// Refusals counts the attempts at replicas that did not run the request.
+	Refusals int
+}
+
 // attempt sends a call to a replica and reads its whole answer.
-func (f *Forwarder) attempt(ctx context.Context, endpoint *routing.Endpoint, call *dispatch.Call) (*Whole, error) {
+func (f *Forwarder) attempt(ctx context.Context, endpoint *routing.Endpoint, call *dispatch.Call) (*BufferedAnswer, error) {
 	began := time.Now()
 	answer, err := f.config.Dispatcher.Send(ctx, endpoint, call)
 	if err != nil {
@@ -30,7 +42,7 @@
 		}
 		return nil, err
 	}
-	body, err := readWhole(answer)
+	body, err := readBody(answer)
 	if err != nil {
 		if ctx.Err() == nil {
 			endpoint.State.Failures.Add(1)
@@ -41,13 +53,14 @@
 	answer.Close()
 	endpoint.State.Latency.Observe(time.Since(began))
 	endpoint.State.Failures.Store(0)
-	return &Whole{Answer: answer, Body: body}, nil
+	return &BufferedAnswer{Answer: answer, Body: body}, nil
 }
 
-// readWhole reads a body to its end.
-func readWhole(answer *dispatch.Answer) ([]byte, error) {
-	size := bodyChunk
-	if answer.Length >= 0 && answer.Length < exactBody {
+// readBody reads a body to its end. The error for a body over maxAnswerBytes is an
+// *exchange.BrokenError.
+func readBody(answer *dispatch.Answer) ([]byte, error) {
+	size := initialBodyBytes
+	if answer.Length >= 0 && answer.Length < maxPreallocatedBytes {
 		size = int(answer.Length) + 1
 	}
 	body := make([]byte, 0, size)
@@ -63,7 +76,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if len(body) > longestAnswer {
+		if len(body) > maxAnswerBytes {
 			return nil, &exchange.BrokenError{Address: answer.Endpoint.Address, Cause: ErrAnswerTooLong}
 		}
 	}
--- a/internal/callers/forward/meter_test.go
+++ b/internal/callers/forward/attempts_test.go
@@ -22,14 +22,14 @@
 		{"turned away, then taken there", []string{"a", "a"}, []end{{"a", true, false}}, "a"},
 		{"never sent", nil, nil, ""},
 	} {
-		var sent sendings
+		var sent attemptLog
 		for _, replica := range test.sent {
-			sent.add(replica)
+			sent.recordSent(replica)
 		}
 		for _, ended := range test.ends {
-			sent.ended(ended.replica, ended.ran, ended.notRun)
+			sent.recordEnd(ended.replica, ended.ran, ended.notRun)
 		}
-		at, began := sent.began()
+		at, began := sent.startedAt()
 		if began != (test.began != "") {
 			t.Errorf("%s: began %v", test.name, began)
 			continue
--- a/internal/callers/forward/evacuation_test.go
+++ b/internal/callers/forward/evacuation_test.go
@@ -38,10 +38,10 @@
 			_, err = forwarder.Do(context.Background(), route(kind), call(time.Second))
 		}
 		var refused *RefusedError
-		if !errors.As(err, &refused) || refused.Reason != ReasonEvacuated || refused.RetryAfter != evacuatedWait {
+		if !errors.As(err, &refused) || refused.Reason != ReasonEvacuated || refused.RetryAfter != evacuatedRetryAfter {
 			t.Errorf("%s ended with %v", kind, err)
 		}
-		if took := time.Since(began); took > fullPause {
+		if took := time.Since(began); took > roomRetryDelay {
 			t.Errorf("%s was refused after %v", kind, took)
 		}
 	}
--- a/internal/callers/forward/forward_test.go
+++ b/internal/callers/forward/forward_test.go
@@ -214,7 +214,7 @@
 }
 
 func TestSplitFollowsTheWeights(t *testing.T) {
-	split := splitter{}
+	split := targetSplitter{}
 	shared := &directory.Route{Name: "r", Targets: []directory.Target{{Service: "a", Weight: 7}, {Service: "b", Weight: 3}, {Service: "c", Weight: 0}}}
 	counts := make([]int, 3)
 	for range 100 {
--- a/internal/callers/forward/homes_test.go
+++ b/internal/callers/forward/homes_test.go
@@ -68,7 +68,7 @@
 		streamErr := forwarder.Stream(t.Context(), asked, made, nullSink{})
 		for _, err := range []error{err, streamErr} {
 			var refused *RefusedError
-			if !errors.As(err, &refused) || refused.Reason != ReasonOutsideHome || refused.RetryAfter != homesWait {
+			if !errors.As(err, &refused) || refused.Reason != ReasonOutsideHome || refused.RetryAfter != outsideHomeRetryAfter {
 				t.Errorf("%s: %v", name, err)
 			}
 		}
@@ -91,7 +91,7 @@
 		writer.WriteHeader(http.StatusInternalServerError)
 	})
 	before, after := bound(directory.RouteSafe, "south"), bound(directory.RouteSafe, "north")
-	done := make(chan *Whole)
+	done := make(chan *BufferedAnswer)
 	go func() {
 		whole, err := forwarder.Do(t.Context(), before, call(10*time.Second))
 		if err != nil {
--- a/internal/callers/forward/metrics.go
+++ b/internal/callers/forward/metrics.go
@@ -7,12 +7,12 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics count how live requests end.
+// Metrics count how live requests and streams end.
 type Metrics struct {
-	requests    *prometheus.CounterVec
-	latency     prometheus.Histogram
-	untold      prometheus.Counter
-	withoutHome prometheus.Counter
+	requests     *prometheus.CounterVec
+	latency      prometheus.Histogram
+	omittedLines prometheus.Counter
+	withoutHome  prometheus.Counter
 }
 
 // latencyBuckets are the bounds of the latency histogram, in seconds.
@@ -24,11 +24,11 @@
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "pathtally_forwarded_requests_total", Help: "Live requests by how they ended."}, []string{"outcome"}),
 		latency:  prometheus.NewHistogram(prometheus.HistogramOpts{Name: "pathtally_forward_seconds", Help: "Time from a whole live request to its whole answer.", Buckets: latencyBuckets}),
 	}
-	metrics.untold = prometheus.NewCounter(prometheus.CounterOpts{Name: "pathtally_log_lines_left_out_total", Help: "Log lines of requests served at once that were left out."})
+	metrics.omittedLines = prometheus.NewCounter(prometheus.CounterOpts{Name: "pathtally_log_lines_left_out_total", Help: "Log lines of requests served at once that were left out."})
 	metrics.withoutHome = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "pathtally_requests_without_home_total", Help: "Live requests refused because no replica is in the allowed regions.",
 	})
-	registry.MustRegister(metrics.requests, metrics.latency, metrics.untold, metrics.withoutHome)
+	registry.MustRegister(metrics.requests, metrics.latency, metrics.omittedLines, metrics.withoutHome)
 	return metrics
 }
 
--- a/internal/callers/forward/refusal.go
+++ b/internal/callers/forward/refusal.go
@@ -8,45 +8,64 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// evacuatedWait is when a caller is told to come back whose replicas are all in
-// evacuated zones. Nobody knows when an evacuation ends; this is about the time from
-// its end until every node has heard of it, so that coming back sooner finds nothing
-// new.
-const evacuatedWait = time.Second
-
-// refusal is a request that has not run and never will. Where a filter refused all
-// replicas and not only those that are left, unpicked tells so, and its reason goes
-// before the general one; nil where some would do.
-func refusal(reason string, cause, unpicked error) *RefusedError {
-	refused := &RefusedError{Reason: reason, RetryAfter: comeBack, Cause: cause}
+const (
+	// defaultRetryAfter is the Retry-After of refusals that a free slot ends.
+	defaultRetryAfter = 120 * time.Millisecond
+	// evacuatedRetryAfter and outsideHomeRetryAfter cover the time in which every node
+	// learns of the end of an evacuation, or of a new replica or configuration.
+	evacuatedRetryAfter   = time.Second
+	outsideHomeRetryAfter = 2 * time.Second
+)
+
+// refusalReasons are what callers are told where one filter refused all replicas. The
+// filters that are missing here leave the general reason.
+var refusalReasons = map[routing.Reason]string{
+	routing.ReasonEvacuated:   ReasonEvacuated,
+	routing.ReasonOutsideHome: ReasonOutsideHome,
+	routing.ReasonSlowStart:   ReasonWarmingUp,
+}
+
+// newRefusal returns the refusal of a request that has not run: its reason and its
+// Retry-After. The cause is the last error. A quarantine goes first; then excludedAll,
+// the error of a pick that left no replica out as tried, nil if there was none; then the
+// general reason.
+func newRefusal(general string, cause, excludedAll error) *RefusedError {
 	var quarantined *dispatch.QuarantinedError
 	if errors.As(cause, &quarantined) {
-		refused.Reason, refused.RetryAfter = ReasonQuarantined, quarantined.Left
-		return refused
+		return &RefusedError{Reason: ReasonQuarantined, RetryAfter: quarantined.Left, Cause: cause}
 	}
-	if unpicked == nil {
-		return refused
-	}
-	refused.Cause = unpicked
-	switch filterReason(unpicked) {
-	case routing.ReasonEvacuated:
-		refused.Reason, refused.RetryAfter = ReasonEvacuated, evacuatedWait
-	case routing.ReasonOutsideHome:
-		refused.Reason, refused.RetryAfter = ReasonOutsideHome, homesWait
-	case routing.ReasonSlowStart:
-		refused.Reason = ReasonWarmingUp
+	refused := &RefusedError{Reason: general, Cause: cause}
+	if excludedAll != nil {
+		refused.Cause = excludedAll
+		if specific, known := refusalReasons[filterReason(excludedAll)]; known {
+			refused.Reason = specific
+		}
 	}
+	refused.RetryAfter = retryAfter(refused.Reason)
 	return refused
 }
 
-// isQuarantined tells whether an attempt failed since replicas end under the request: no
-// further one will do.
+// retryAfter returns the Retry-After of a reason but ReasonQuarantined, whose time is
+// that of the quarantine.
+func retryAfter(reason string) time.Duration {
+	switch reason {
+	case ReasonEvacuated:
+		return evacuatedRetryAfter
+	case ReasonOutsideHome:
+		return outsideHomeRetryAfter
+	}
+	return defaultRetryAfter
+}
+
+// isQuarantined returns whether the guard refused the request, so that no replica will
+// do.
 func isQuarantined(err error) bool {
 	var quarantined *dispatch.QuarantinedError
 	return errors.As(err, &quarantined)
 }
 
-// filterReason is that of the filter that left no replica, "" if an error does not tell.
+// filterReason returns the reason of the filter that left no replica, empty if the
+// error is of another kind.
 func filterReason(err error) routing.Reason {
 	var nobody *routing.LeftNobodyError
 	if errors.As(err, &nobody) {
--- a/internal/callers/forward/report.go
+++ b/internal/callers/forward/report.go
@@ -1,24 +1,45 @@
 package forward
 
-import "time"
+import (
+	"time"
 
-// report counts and logs how a request ended. Every one that was not served at
-// once is told; of the ordinary ones as many as the log has room for.
-func (r *run) report(whole *Whole, err error) {
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
+)
+
+// report counts and logs how a request ended. Each one that was not served promptly
+// gets a log line, the others as many as promptLines allows.
+func (r *request) report(answer *BufferedAnswer, err error) {
 	took := time.Since(r.started)
 	config := r.forwarder.config
 	config.Metrics.observe(outcomeOf(err), took)
 	view := config.Directory.View()
-	known := []any{"request", r.call.ID, "route", r.route.Name, "attempts", r.counted, "refusals", r.refusals, "tookMs", took.Milliseconds(),
+	known := []any{"request", r.call.ID, "route", r.route.Name, "attempts", r.mayHaveRunCount, "refusals", r.refusals, "tookMs", took.Milliseconds(),
 		"configuration", view.Configuration.Version, "viewAgeMs", time.Since(view.Changed).Milliseconds()}
 	switch {
 	case err != nil:
 		config.Logger.Info("request not served", append(known, "error", err.Error())...)
-	case r.counted > 1 || r.refusals > 0 || took > r.objective:
-		config.Logger.Info("request served late or after retries", append(known, "replica", whole.Answer.Endpoint.Name)...)
-	case r.forwarder.ordinary.Allow():
-		config.Logger.Info("request served", append(known, "replica", whole.Answer.Endpoint.Name)...)
+	case r.mayHaveRunCount > 1 || r.refusals > 0 || took > r.objective:
+		config.Logger.Info("request served late or after retries", append(known, "replica", answer.Answer.Endpoint.Name)...)
+	case r.forwarder.promptLines.Allow():
+		config.Logger.Info("request served", append(known, "replica", answer.Answer.Endpoint.Name)...)
 	default:
-		config.Metrics.untold.Inc()
+		config.Metrics.omittedLines.Inc()
+	}
+}
+
+// report counts how a stream ended, and logs one that is not whole.
+func (r *streamRequest) report(err error) {
+	took := time.Since(r.started)
+	r.forwarder.config.Metrics.observe(outcomeOf(err), took)
+	if err != nil {
+		r.forwarder.config.Logger.Info("stream not whole", "request", r.call.ID, "route", r.route.Name, "attempts", r.failedAttempts,
+			"refusals", r.refusals, "events", r.events, "tookMs", took.Milliseconds(), "error", err.Error())
+	}
+}
+
+// logDecision logs a decision about a call at verbosity 1.
+func (f *Forwarder) logDecision(call *dispatch.Call, event event, decided decision) {
+	if logger := f.config.Logger.V(1); logger.Enabled() {
+		logger.Info("request decision", "request", call.ID, "event", event, "step", decided.step, "reason", decided.reason)
 	}
 }
--- /dev/null
+++ b/internal/callers/forward/request.go
@@ -0,0 +1,187 @@
+package forward
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/pathtally/pathtally/internal/callers/dispatch"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
+)
+
+// defaultObjective is the objective of a route that names none.
+const defaultObjective = time.Second
+
+// result is how one attempt ended.
+type result struct {
+	replica string
+	answer  *BufferedAnswer
+	err     error
+}
+
+// request is one live request in progress. It belongs to one goroutine; attempts
+// report through the channel.
+type request struct {
+	forwarder *Forwarder
+	route     *directory.Route
+	call      *dispatch.Call
+	// repeatable is set if the request may run more than once.
+	repeatable bool
+	objective  time.Duration
+	started    time.Time
+	// firstTarget is the index of the route's target that is tried first.
+	firstTarget int
+
+	results chan result
+	// tried are the replicas that are left out at the next pick.
+	tried []string
+	// attempts are all that were sent, those that did not run included.
+	attempts attemptLog
+	// mayHaveRunCount is the number of attempts that run or may have run, and
+	// refusals that of attempts that certainly did not.
+	mayHaveRunCount int
+	refusals        int
+	// inProgress is the number of attempts that have not ended.
+	inProgress int
+	// mayHaveRun is set once an attempt ended that may have run.
+	mayHaveRun bool
+	// lastErr is the error of the newest attempt that failed, or of the first
+	// pick if nothing was sent.
+	lastErr error
+	// excludedAll is the error of the last pick if it found no replica though none
+	// was left out as tried; nil if the pick found one or left some out.
+	excludedAll error
+	// answer is the newest whole answer, and failures the number of those with
+	// status 500.
+	answer   *BufferedAnswer
+	failures int
+}
+
+func (f *Forwarder) newRequest(route *directory.Route, call *dispatch.Call) *request {
+	objective := route.Objective
+	if objective <= 0 {
+		objective = defaultObjective
+	}
+	return &request{
+		forwarder: f, route: route, call: call, repeatable: route.Kind == directory.RouteSafe, objective: objective,
+		started: time.Now(), firstTarget: f.split.next(route), results: make(chan result, route.Attempts+maxRefusals),
+	}
+}
+
+// run carries out decisions until one ends the request. The error is a *RefusedError
+// or a *LostError.
+func (r *request) run(ctx context.Context) (*BufferedAnswer, error) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	next := r.send(ctx)
+	hedge := time.NewTimer(hedgeDelay(r.objective))
+	defer hedge.Stop()
+	for {
+		switch next.step {
+		case stepSend:
+			next = r.send(ctx)
+		case stepAwait:
+			next = r.await(ctx, hedge.C)
+		case stepWaitForRoom:
+			next = r.waitForRoom(ctx)
+		case stepAnswer:
+			return r.answer, nil
+		case stepRefuse:
+			return nil, newRefusal(next.refusal, r.lastErr, r.excludedAll)
+		case stepExpire:
+			return nil, &LostError{Expired: true, Cause: ctx.Err()}
+		default:
+			return nil, &LostError{Cause: r.lastErr}
+		}
+	}
+}
+
+// decide returns what follows an event.
+func (r *request) decide(ctx context.Context, event event) decision {
+	decided := situation{
+		event: event, repeatable: r.repeatable, attemptLimit: r.route.Attempts, attempts: r.mayHaveRunCount, refusals: r.refusals,
+		inProgress: r.inProgress, tried: len(r.tried), mayHaveRun: r.mayHaveRun, quarantined: isQuarantined(r.lastErr),
+		hasAnswer: r.answer != nil, contextEnded: ctx.Err() != nil, elapsed: time.Since(r.started), objective: r.objective,
+	}.next()
+	r.forwarder.logDecision(r.call, event, decided)
+	return decided
+}
+
+// send starts an attempt at a replica that is not tried yet, if there is one.
+func (r *request) send(ctx context.Context) decision {
+	endpoint, err := r.forwarder.pick(r.route, r.firstTarget, r.tried, r.call)
+	if err != nil {
+		if r.lastErr == nil {
+			r.lastErr = err
+		}
+		if len(r.tried) == 0 {
+			r.excludedAll = err
+		}
+		return r.decide(ctx, eventNoReplica)
+	}
+	r.excludedAll = nil
+	r.mayHaveRunCount++
+	r.inProgress++
+	call := *r.call
+	call.Once = !r.repeatable
+	r.tried = append(r.tried, endpoint.Name)
+	r.attempts.recordSent(endpoint.Name)
+	go func() {
+		answer, err := r.forwarder.attempt(ctx, endpoint, &call)
+		r.results <- result{replica: endpoint.Name, answer: answer, err: err}
+	}()
+	return decision{step: stepAwait, reason: reasonInProgress}
+}
+
+// await waits for the next event of the attempts in progress.
+func (r *request) await(ctx context.Context, hedge <-chan time.Time) decision {
+	select {
+	case <-ctx.Done():
+		return r.decide(ctx, eventContextEnded)
+	case <-hedge:
+		return r.decide(ctx, eventHedgeDue)
+	case ended := <-r.results:
+		r.inProgress--
+		return r.decide(ctx, r.recordEnd(ended))
+	}
+}
+
+// waitForRoom lets replicas that turned the request away have it again after a delay.
+func (r *request) waitForRoom(ctx context.Context) decision {
+	if !sleep(ctx, roomRetryDelay) {
+		return r.decide(ctx, eventContextEnded)
+	}
+	r.tried = nil
+	return r.send(ctx)
+}
+
+// recordEnd records how an attempt ended and returns the event.
+func (r *request) recordEnd(ended result) event {
+	if ended.err != nil {
+		r.recordError(ended)
+		return eventAttemptFailed
+	}
+	r.attempts.recordEnd(ended.replica, true, false)
+	status := ended.answer.Answer.Status
+	if status == http.StatusInternalServerError {
+		r.failures++
+	}
+	ended.answer.Failures, ended.answer.Refusals = r.failures, r.refusals
+	r.answer, r.mayHaveRun = ended.answer, true
+	if status >= http.StatusInternalServerError {
+		return eventErrorStatus
+	}
+	return eventAnswered
+}
+
+func (r *request) recordError(ended result) {
+	r.lastErr = ended.err
+	if dispatch.MayHaveRun(ended.err) {
+		r.mayHaveRun = true
+	} else {
+		r.mayHaveRunCount--
+		r.refusals++
+		r.attempts.recordEnd(ended.replica, false, true)
+	}
+	r.forwarder.config.Logger.V(1).Info("attempt failed", "request", r.call.ID, "replica", ended.replica, "error", ended.err.Error())
+}
--- a/internal/callers/forward/splitter.go
+++ b/internal/callers/forward/split.go
@@ -6,29 +6,22 @@
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
-// splitter shares the requests of routes among their targets by weight, each
-// as evenly over time as the weights allow. It is safe for use by many
-// goroutines.
-type splitter struct {
-	mutex   sync.Mutex
+// targetSplitter shares the requests of routes among their targets by smooth weighted
+// round robin. It is safe for use by many goroutines.
+type targetSplitter struct {
+	mutex sync.Mutex
+	// credits are kept by route and service.
 	credits map[string]map[string]int
 }
 
-// next returns the index of the target whose turn it is.
-func (s *splitter) next(route *directory.Route) int {
+// next returns the index of the target that a request tries first.
+func (s *targetSplitter) next(route *directory.Route) int {
 	if len(route.Targets) == 1 {
 		return 0
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.credits == nil {
-		s.credits = map[string]map[string]int{}
-	}
-	credits := s.credits[route.Name]
-	if credits == nil {
-		credits = map[string]int{}
-		s.credits[route.Name] = credits
-	}
+	credits := s.creditsOf(route.Name)
 	best, total := -1, 0
 	for i, target := range route.Targets {
 		if target.Weight <= 0 {
@@ -46,3 +39,14 @@
 	credits[route.Targets[best].Service] -= total
 	return best
 }
+
+// creditsOf returns the credits of a route's targets. The mutex must be held.
+func (s *targetSplitter) creditsOf(route string) map[string]int {
+	if s.credits == nil {
+		s.credits = map[string]map[string]int{}
+	}
+	if s.credits[route] == nil {
+		s.credits[route] = map[string]int{}
+	}
+	return s.credits[route]
+}
--- a/internal/callers/ingress/answer.go
+++ b/internal/callers/ingress/answer.go
@@ -45,7 +45,7 @@
 }
 
 // pass writes a replica's answer unchanged.
-func (h *Handler) pass(writer http.ResponseWriter, whole *forward.Whole) {
+func (h *Handler) pass(writer http.ResponseWriter, whole *forward.BufferedAnswer) {
 	header := writer.Header()
 	passHead(header, whole.Answer.Header)
 	header.Set("Content-Length", strconv.Itoa(len(whole.Body)))
--- a/internal/jobs/batch/reward.go
+++ b/internal/jobs/batch/reward.go
@@ -78,7 +78,7 @@
 }
 
 // callScorer makes one call of a scorer once the bound of its route has room.
-func (s *Service) callScorer(ctx context.Context, route *directory.Route, call *dispatch.Call) (*forward.Whole, error) {
+func (s *Service) callScorer(ctx context.Context, route *directory.Route, call *dispatch.Call) (*forward.BufferedAnswer, error) {
 	bound := s.rewardBound(route)
 	if err := bound.Enter(ctx); err != nil {
 		return nil, err
