--- a/internal/callers/forward/stream.go
+++ b/internal/callers/forward/stream.go
@@ -95,7 +95,7 @@
 	}
 	r.tried = append(r.tried, endpoint.Name)
 	err = r.attempt(ctx, endpoint)
-	if err != nil && ctx.Err() == nil {
+	if err != nil {
 		r.recordFailure(err)
 	}
 	return eventAttemptFailed, err
