--- a/internal/callers/ingress/authenticate.go
+++ b/internal/callers/ingress/authenticate.go
@@ -11,24 +11,29 @@
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
-const (
-	// doubtfulAge is from which age on of its configuration a node does not say
-	// that a key is unknown: the key may have been declared since. A node that is
-	// up to date hears so every 0.75 s at the latest (package watchcache), and
-	// reads the store itself after 1.2 s without news.
-	doubtfulAge = 2 * time.Second
-	// doubtfulWait is when to come back with such a key; other nodes may know it
-	// at once.
-	doubtfulWait = 100 * time.Millisecond
-)
+// unknownKeyTrustAge is the age of the configuration up to which a node says that a key
+// is unknown: an older one may lack a key that has been declared since.
+const unknownKeyTrustAge = 2 * time.Second
+
+// errUnprovenKey means that the configuration is too old to accept or deny a key.
+var errUnprovenKey = merry.Sentinel("the configuration is too old to tell whose key it is")
+
+// unauthenticatedError is a request whose caller is not known.
+type unauthenticatedError struct {
+	// cause is errUnprovenKey or an error of package tenancy.
+	cause error
+}
 
-// errUnproven means that the node cannot tell whether a key still holds: it has
-// not known for too long whether its configuration is the newest.
-var errUnproven = merry.Sentinel("the configuration is too old to tell whose key it is")
+// Error gives the cause.
+func (e *unauthenticatedError) Error() string { return e.cause.Error() }
 
-// authenticate tells whose request it is by its key, and takes the key out of the
-// headers: nothing behind this point sees it. No tenant is named on public routes.
-// Where no tenants are declared, headers are left as they came.
+// Unwrap returns the cause.
+func (e *unauthenticatedError) Unwrap() error { return e.cause }
+
+// authenticate returns the tenant of a request by its key, and removes the key from the
+// headers, so that it goes to no replica. The tenant is empty on public routes, and
+// where no tenants are declared; then the headers are left as they came. The error is an
+// *unauthenticatedError.
 func (h *Handler) authenticate(configuration *directory.Configuration, header http.Header, public bool) (tenant string, err error) {
 	if configuration.Tenants == nil {
 		return "", nil
@@ -39,40 +44,29 @@
 	}
 	key, err := h.config.Headers.Key(header)
 	if err != nil {
-		return "", err
+		return "", &unauthenticatedError{err}
 	}
 	age := h.config.ConfigurationAge()
 	if bound := h.config.KeyBound(); bound > 0 && age > bound {
-		return "", errUnproven
+		return "", &unauthenticatedError{errUnprovenKey}
 	}
 	holder := configuration.Tenants.Lookup(key)
 	switch {
 	case holder != nil:
 		return holder.Name, nil
-	case age > doubtfulAge:
-		return "", errUnproven
-	}
-	return "", tenancy.ErrUnknownKey
-}
-
-// refuseCaller answers a request whose caller is not known. Nothing of it has
-// been sent on.
-func (h *Handler) refuseCaller(writer http.ResponseWriter, id string, err error) {
-	h.config.Metrics.refusedKeys.WithLabelValues(keyReason(err)).Inc()
-	if errors.Is(err, errUnproven) {
-		h.refuse(writer, id, http.StatusServiceUnavailable, err.Error(), doubtfulWait)
-		return
+	case age > unknownKeyTrustAge:
+		return "", &unauthenticatedError{errUnprovenKey}
 	}
-	h.refuse(writer, id, http.StatusUnauthorized, err.Error(), 0)
+	return "", &unauthenticatedError{tenancy.ErrUnknownKey}
 }
 
-// keyReasons name the reasons in the metrics.
+// keyReasons are the values of the metrics' reason label.
 var keyReasons = []struct {
 	err  error
 	name string
 }{
 	{tenancy.ErrNoKey, "none"}, {tenancy.ErrSeveralKeys, "several"}, {tenancy.ErrOtherScheme, "scheme"}, {tenancy.ErrMalformedKey, "malformed"},
-	{tenancy.ErrUnknownKey, "unknown"}, {errUnproven, "unproven"},
+	{tenancy.ErrUnknownKey, "unknown"}, {errUnprovenKey, "unproven"},
 }
 
 func keyReason(err error) string {
--- a/internal/callers/ingress/authenticate_test.go
+++ b/internal/callers/ingress/authenticate_test.go
@@ -43,9 +43,9 @@
 		{"public", declared, "strange", true, 0, 0, "", nil, ""},
 		{"no tenants declared", &directory.Configuration{}, "strange", false, 0, 0, "", nil, "strange"},
 		{"known, long without news", declared, "known", false, time.Hour, 0, "one", nil, ""},
-		{"unknown, long without news", declared, "strange", false, time.Hour, 0, "", errUnproven, ""},
+		{"unknown, long without news", declared, "strange", false, time.Hour, 0, "", errUnprovenKey, ""},
 		{"known, within the bound", declared, "known", false, time.Second, 5 * time.Second, "one", nil, ""},
-		{"known, beyond the bound", declared, "known", false, 6 * time.Second, 5 * time.Second, "", errUnproven, ""},
+		{"known, beyond the bound", declared, "known", false, 6 * time.Second, 5 * time.Second, "", errUnprovenKey, ""},
 	} {
 		handler := NewHandler(Config{
 			Headers: keyHeader{}, ConfigurationAge: func() time.Duration { return test.age }, KeyBound: func() time.Duration { return test.bound },
--- a/internal/callers/ingress/body_test.go
+++ b/internal/callers/ingress/body_test.go
@@ -68,7 +68,7 @@
 		release()
 	}()
 	feed.Write([]byte("x"))
-	if used := reader.budget.used.Load(); used > firstBytes {
+	if used := reader.budget.used.Load(); used > minBodyStepBytes {
 		t.Errorf("%d bytes are set aside for one byte", used)
 	}
 	feed.CloseWithError(io.ErrUnexpectedEOF)
--- a/internal/callers/ingress/budget.go
+++ b/internal/callers/ingress/budget.go
@@ -9,8 +9,8 @@
 	used  atomic.Int64
 }
 
-// take sets bytes aside, or tells that there is no room for them.
-func (b *budget) take(count int64) bool {
+// reserve sets bytes aside, and returns false if there is no room for them.
+func (b *budget) reserve(count int64) bool {
 	if b.limit <= 0 {
 		return true
 	}
@@ -21,8 +21,8 @@
 	return true
 }
 
-// give returns bytes.
-func (b *budget) give(count int64) {
+// release gives bytes back.
+func (b *budget) release(count int64) {
 	if b.limit > 0 {
 		b.used.Add(-count)
 	}
--- a/internal/callers/ingress/config.go
+++ b/internal/callers/ingress/config.go
@@ -17,10 +17,11 @@
 	Headers   Headers
 	Metrics   *Metrics
 	Logger    klog.Logger
-	// ConfigurationAge is for how long the configuration has not been known to
-	// be the newest.
+	// ConfigurationAge returns the time since the configuration was last known to be
+	// the newest.
 	ConfigurationAge func() time.Duration
-	// KeyBound is from which such age on no key is trusted; 0 for never.
+	// KeyBound returns the configuration age beyond which no key is accepted; 0 for no
+	// bound.
 	KeyBound func() time.Duration
 	// BodyBytes bounds the bodies of all requests in progress together; 0 for
 	// no bound.
--- a/internal/callers/ingress/handler.go
+++ b/internal/callers/ingress/handler.go
@@ -14,11 +14,9 @@
 	// than one in marginDivisor of that time.
 	deadlineMargin = 15 * time.Millisecond
 	marginDivisor  = 2
-	// unboundedTime is the deadline where neither the caller nor the route
-	// names one.
-	unboundedTime = 30 * time.Second
-	// unconfiguredWait is when to come back to a node without a configuration.
-	unconfiguredWait = 250 * time.Millisecond
+	// defaultTimeout bounds a request where neither the caller nor the route
+	// names a time.
+	defaultTimeout = 30 * time.Second
 )
 
 // Handler answers callers.
@@ -26,9 +24,9 @@
 	config Config
 	// Active counts requests in progress.
 	Active atomic.Int64
-	// lastRequest is when the newest request came, as a span since started.
+	// lastRequest is when the newest request came, in nanoseconds since started.
 	lastRequest atomic.Int64
-	// Closing has every answer end its connection.
+	// Closing, once set, makes every answer close its connection.
 	Closing atomic.Bool
 	bodies  bodyReader
 	started time.Time
@@ -39,7 +37,7 @@
 	return &Handler{config: config, bodies: bodyReader{budget: budget{limit: config.BodyBytes}}, started: time.Now()}
 }
 
-// Quiet is how long no request has come.
+// Quiet returns the time since the newest request came.
 func (h *Handler) Quiet() time.Duration {
 	return time.Since(h.started) - time.Duration(h.lastRequest.Load())
 }
@@ -55,7 +53,7 @@
 	id := h.config.Headers.RequestID(request.Header)
 	configuration := h.config.Directory.View().Configuration
 	if configuration == nil {
-		h.refuse(writer, id, http.StatusServiceUnavailable, "no configuration is known yet", unconfiguredWait)
+		h.refuse(writer, id, errNoConfiguration)
 		return
 	}
 	if h.config.Jobs.IsCall(request) {
@@ -79,7 +77,7 @@
 func (h *Handler) serveRequest(writer http.ResponseWriter, request *http.Request, configuration *directory.Configuration, id string) {
 	route := configuration.Lookup(request.Host, request.URL.EscapedPath())
 	if route == nil {
-		h.refuse(writer, id, http.StatusNotFound, "no route for the host and path", 0)
+		h.refuse(writer, id, errNoRoute)
 		return
 	}
 	tenant, err := h.authenticate(configuration, request.Header, route.Public)
@@ -88,37 +86,43 @@
 		return
 	}
 	if id == "" {
-		h.refuse(writer, id, http.StatusBadRequest, "the request has no id", 0)
+		h.refuse(writer, id, errNoRequestID)
 		return
 	}
 	received := time.Now()
 	body, release, err := h.bodies.read(request, configuration.Limits.BodyBytes)
 	defer release()
 	if err != nil {
-		h.refuseBody(writer, id, route, err)
+		h.refuseBody(writer, id, route.Name, err)
 		return
 	}
 	if route.Kind == directory.RouteBatch {
 		h.config.Jobs.Submit(writer, request, Submitted{Route: route, ID: id, Tenant: tenant, Body: body})
 		return
 	}
-	call := &dispatch.Call{
+	call := h.newCall(request, route, id, tenant, body, received)
+	if route.Kind == directory.RouteStream {
+		call.AfterEvent = h.config.Headers.AfterEvent(request.Header)
+		call.Rank = dispatch.RankOf(configuration.Tenants.PriorityOf(tenant, route.Priority))
+		h.forwardStream(writer, request, route, call)
+		return
+	}
+	h.forwardRequest(writer, request, route, call)
+}
+
+// newCall returns the call for a request that was received at a time.
+func (h *Handler) newCall(request *http.Request, route *directory.Route, id, tenant string, body []byte, received time.Time) *dispatch.Call {
+	return &dispatch.Call{
 		ID: id, Method: request.Method, Target: request.RequestURI, Host: request.Host,
 		Header: withoutConnectionHeaders(request.Header), Body: body, Deadline: h.deadline(request.Header, route, received),
 		Tenant: tenant, Metered: true,
 	}
-	if route.Kind == directory.RouteStream {
-		call.AfterEvent, call.Rank = h.config.Headers.AfterEvent(request.Header), dispatch.RankOf(configuration.Tenants.PriorityOf(tenant, route.Priority))
-		h.stream(writer, request, route, call)
-		return
-	}
-	h.forward(writer, request, route, call)
 }
 
-// deadline is when a request must have its answer here: by the caller's time
-// and the route's bound.
+// deadline returns when this node must have the answer: the earlier of the caller's
+// deadline, less a margin, and the route's timeout.
 func (h *Handler) deadline(header http.Header, route *directory.Route, received time.Time) time.Time {
-	deadline := received.Add(unboundedTime)
+	deadline := received.Add(defaultTimeout)
 	if wait, named := h.config.Headers.Deadline(header); named {
 		deadline = received.Add(max(wait-deadlineMargin, wait/marginDivisor))
 	}
@@ -128,12 +132,12 @@
 	return deadline
 }
 
-// forward sends a live request on and writes what became of it.
-func (h *Handler) forward(writer http.ResponseWriter, request *http.Request, route *directory.Route, call *dispatch.Call) {
-	whole, err := h.config.Forwarder.Do(request.Context(), route, call)
-	if err == nil {
-		h.pass(writer, whole)
+// forwardRequest forwards a request with one answer and writes the answer.
+func (h *Handler) forwardRequest(writer http.ResponseWriter, request *http.Request, route *directory.Route, call *dispatch.Call) {
+	answer, err := h.config.Forwarder.Do(request.Context(), route, call)
+	if err != nil {
+		h.refuseUnserved(writer, request, call.ID, err)
 		return
 	}
-	h.fail(writer, request, call, err)
+	h.writeAnswer(writer, answer)
 }
--- a/internal/callers/ingress/headers.go
+++ b/internal/callers/ingress/headers.go
@@ -10,21 +10,21 @@
 
 // Headers reads and writes the headers between callers and nodes.
 type Headers interface {
-	// RequestID is the caller's id of a request, empty if it gives none.
+	// RequestID returns the caller's id of a request, empty if it gives none.
 	RequestID(header http.Header) string
-	// Key is the API key that a request carries. Its error is one of package
-	// tenancy's that say why there is none.
+	// Key returns the API key of a request, or an error of package tenancy that says
+	// why there is none.
 	Key(header http.Header) (tenancy.Key, error)
 	// WithholdKey removes the key from the headers that are passed on.
 	WithholdKey(header http.Header)
-	// Deadline is how long the caller will wait.
+	// Deadline returns how long the caller waits; false if it names no time.
 	Deadline(header http.Header) (time.Duration, bool)
-	// AfterEvent is the event after which a stream is to be continued, 0 for
-	// its beginning.
+	// AfterEvent returns the id of the event after which a stream is to be continued,
+	// 0 for its beginning.
 	AfterEvent(header http.Header) int
-	// Wait is how long a reading call may be held.
+	// Wait returns how long a read of results may be held open.
 	Wait(header http.Header) time.Duration
-	// Refuse adds the request's id and when to come back, 0 for no time.
+	// Refuse adds the request's id and the Retry-After, 0 for none.
 	Refuse(header http.Header, id string, after time.Duration)
 }
 
--- a/internal/callers/ingress/jobs.go
+++ b/internal/callers/ingress/jobs.go
@@ -8,11 +8,11 @@
 
 // Jobs serves the calls about batch jobs.
 type Jobs interface {
-	// IsCall tells whether a request is a call about a batch job.
+	// IsCall returns whether a request is a call about a batch job.
 	IsCall(request *http.Request) bool
-	// ServeCall answers such a call of a tenant's, empty for anybody.
+	// ServeCall answers such a call of a tenant, empty for any.
 	ServeCall(writer http.ResponseWriter, request *http.Request, tenant string)
-	// Submit answers a new batch job of a tenant's.
+	// Submit takes a new batch job and answers its caller.
 	Submit(writer http.ResponseWriter, request *http.Request, submitted Submitted)
 }
 
@@ -21,7 +21,7 @@
 	Route *directory.Route
 	// ID is the caller's id of the job.
 	ID string
-	// Tenant is whose job it is, empty where no tenants are declared.
+	// Tenant owns the job; empty where no tenants are declared.
 	Tenant string
 	Body   []byte
 }
--- a/internal/callers/ingress/stream.go
+++ b/internal/callers/ingress/stream.go
@@ -17,7 +17,7 @@
 
 // Begin implements forward.StreamSink.
 func (s streamSink) Begin(answer *dispatch.Answer) {
-	passHead(s.writer.Header(), answer.Header)
+	copyAnswerHeaders(s.writer.Header(), answer.Header)
 	s.writer.WriteHeader(answer.Status)
 	http.NewResponseController(s.writer).Flush()
 }
@@ -30,9 +30,9 @@
 	return http.NewResponseController(s.writer).Flush()
 }
 
-// stream sends a request on whose answer is a series of events. One that
-// breaks off must not look complete, so its connection is cut.
-func (h *Handler) stream(writer http.ResponseWriter, request *http.Request, route *directory.Route, call *dispatch.Call) {
+// forwardStream forwards a request whose answer is a series of events. The connection
+// of a stream that breaks off is cut, so that it does not look complete.
+func (h *Handler) forwardStream(writer http.ResponseWriter, request *http.Request, route *directory.Route, call *dispatch.Call) {
 	err := h.config.Forwarder.Stream(request.Context(), route, call, streamSink{writer})
 	var broken *forward.BrokenStreamError
 	switch {
@@ -40,6 +40,6 @@
 	case errors.As(err, &broken):
 		panic(http.ErrAbortHandler)
 	default:
-		h.fail(writer, request, call, err)
+		h.refuseUnserved(writer, request, call.ID, err)
 	}
 }
