--- a/internal/wire/union.go
+++ b/internal/wire/attach.go
@@ -7,10 +7,6 @@
 	"github.com/pathtally/pathtally/internal/wire/schema"
 )
 
-// Package pogs maps the fields of a message by name on each call. It is given
-// the message alone and not the frame around it, whose union of all messages
-// would have to be mapped too: that took two thirds of the codec's time.
-
 // insert fills the struct of a message.
 func insert(typeID uint64, body capnp.Struct, err error, message any) error {
 	if err == nil {
@@ -22,18 +18,6 @@
 	return nil
 }
 
-// extract reads a message from its struct.
-func extract[M any](typeID uint64, body capnp.Struct, err error) (*M, error) {
-	message := new(M)
-	if err == nil {
-		err = pogs.Extract(message, typeID, body)
-	}
-	if err != nil {
-		return nil, &FrameError{Detail: "extract", Cause: err}
-	}
-	return message, nil
-}
-
 func (m *Hello) attach(root schema.Frame) error {
 	body, err := root.NewHello()
 	return insert(schema.Hello_TypeID, capnp.Struct(body), err, m)
@@ -235,131 +219,3 @@
 	root.SetDone()
 	return nil
 }
-
-// payload reads the message of a frame.
-func payload(root schema.Frame) (Message, error) {
-	switch root.Which() {
-	case schema.Frame_Which_hello:
-		body, err := root.Hello()
-		return extract[Hello](schema.Hello_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_failure:
-		body, err := root.Failure()
-		return extract[Failure](schema.Failure_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_ping:
-		body, err := root.Ping()
-		return extract[Ping](schema.Ping_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_ack:
-		body, err := root.Ack()
-		return extract[Ack](schema.Ack_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_sync:
-		body, err := root.Sync()
-		return extract[Sync](schema.Sync_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_records:
-		body, err := root.Records()
-		return extract[Records](schema.Records_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_documentPull:
-		body, err := root.DocumentPull()
-		return extract[DocumentPull](schema.DocumentPull_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_documentReply:
-		body, err := root.DocumentReply()
-		return extract[DocumentReply](schema.DocumentReply_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_claimRequest:
-		body, err := root.ClaimRequest()
-		return extract[ClaimRequest](schema.ClaimRequest_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_claimReply:
-		body, err := root.ClaimReply()
-		return extract[ClaimReply](schema.ClaimReply_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_claimSeal:
-		body, err := root.ClaimSeal()
-		return extract[ClaimSeal](schema.ClaimSeal_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_claimSnapshot:
-		body, err := root.ClaimSnapshot()
-		return extract[ClaimSnapshot](schema.ClaimSnapshot_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_samplePut:
-		body, err := root.SamplePut()
-		return extract[SamplePut](schema.SamplePut_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_sampleList:
-		body, err := root.SampleList()
-		return extract[SampleList](schema.SampleList_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_sampleGet:
-		body, err := root.SampleGet()
-		return extract[SampleGet](schema.SampleGet_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_samples:
-		body, err := root.Samples()
-		return extract[Samples](schema.Samples_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_registerPrepare:
-		body, err := root.RegisterPrepare()
-		return extract[RegisterPrepare](schema.RegisterPrepare_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_registerAccept:
-		body, err := root.RegisterAccept()
-		return extract[RegisterAccept](schema.RegisterAccept_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_registerReply:
-		body, err := root.RegisterReply()
-		return extract[RegisterReply](schema.RegisterReply_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_nodeBeat:
-		body, err := root.NodeBeat()
-		return extract[NodeBeat](schema.NodeBeat_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_jobRead:
-		body, err := root.JobRead()
-		return extract[JobRead](schema.JobRead_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_jobPage:
-		body, err := root.JobPage()
-		return extract[JobPage](schema.JobPage_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_jobItem:
-		body, err := root.JobItem()
-		return extract[JobItem](schema.JobItem_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_jobItemBody:
-		body, err := root.JobItemBody()
-		return extract[JobItemBody](schema.JobItemBody_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_jobEnd:
-		body, err := root.JobEnd()
-		return extract[JobEnd](schema.JobEnd_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_jobOffer:
-		body, err := root.JobOffer()
-		return extract[JobOffer](schema.JobOffer_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_jobSubmit:
-		body, err := root.JobSubmit()
-		return extract[JobSubmit](schema.JobSubmit_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_jobSubmitted:
-		body, err := root.JobSubmitted()
-		return extract[JobSubmitted](schema.JobSubmitted_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_usagePush:
-		body, err := root.UsagePush()
-		return extract[UsagePush](schema.UsagePush_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_usageTaken:
-		body, err := root.UsageTaken()
-		return extract[UsageTaken](schema.UsageTaken_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_permitAsk:
-		body, err := root.PermitAsk()
-		return extract[PermitAsk](schema.PermitAsk_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_permitGrant:
-		body, err := root.PermitGrant()
-		return extract[PermitGrant](schema.PermitGrant_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_jobFind:
-		body, err := root.JobFind()
-		return extract[JobFind](schema.JobFind_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_jobFound:
-		body, err := root.JobFound()
-		return extract[JobFound](schema.JobFound_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_crashReport:
-		body, err := root.CrashReport()
-		return extract[CrashReport](schema.CrashReport_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_watchPoll:
-		body, err := root.WatchPoll()
-		return extract[WatchPoll](schema.WatchPoll_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_watchNews:
-		body, err := root.WatchNews()
-		return extract[WatchNews](schema.WatchNews_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_storeCall:
-		body, err := root.StoreCall()
-		return extract[StoreCall](schema.StoreCall_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_storeReply:
-		body, err := root.StoreReply()
-		return extract[StoreReply](schema.StoreReply_TypeID, capnp.Struct(body), err)
-	case schema.Frame_Which_loadReport:
-		return decodeLoadReport(root)
-	case schema.Frame_Which_done:
-		return &Done{}, nil
-	}
-	return nil, &FrameError{Detail: "no message of this protocol version"}
-}
--- a/internal/wire/loadcodec.go
+++ b/internal/wire/loadcodec.go
@@ -31,7 +31,7 @@
 	return nil
 }
 
-func decodeLoadReport(root schema.Frame) (*LoadReport, error) {
+func decodeLoadReport(root schema.Frame) (Message, error) {
 	body, err := root.LoadReport()
 	if err != nil {
 		return nil, &FrameError{Detail: "load report", Cause: err}
--- a/internal/wire/permit.go
+++ b/internal/wire/permit.go
@@ -16,7 +16,7 @@
 // PermitGrant answers a PermitAsk.
 type PermitGrant struct {
 	Granted []ReplicaCount
-	// SpanMs is for how long after it sent its question the asker may use the
-	// permits, in milliseconds.
+	// SpanMs is how long the permits may be used, counted from the sending of the
+	// PermitAsk, in milliseconds.
 	SpanMs uint32
 }
--- a/internal/wire/watch.go
+++ b/internal/wire/watch.go
@@ -69,7 +69,7 @@
 	// Through is the address of the node through which the sender is current,
 	// empty where the store answers the sender itself.
 	Through string
-	// AgeMs is for how long the copies may have been behind: the time since a node
-	// that reads the store said that they are current. 0 where the sender is one.
+	// AgeMs is how old the copies may be, in milliseconds: the time since a node
+	// that reads the store said that they are current. 0 if the sender is one.
 	AgeMs uint32
 }
