--- a/internal/cluster/peering/heartbeat.go
+++ b/internal/cluster/peering/heartbeat.go
@@ -22,12 +22,12 @@
 
 // isActive tells whether the sender of a heartbeat runs batch jobs or gives
 // orders to replicas, so that it has to hear of others that do.
-func isActive(beat *wire.NodeBeat) bool { return len(beat.Jobs) > 0 || beat.Lease > 0 }
+func isActive(heartbeat *wire.NodeBeat) bool { return len(heartbeat.Jobs) > 0 || heartbeat.Lease > 0 }
 
-func (t *Table) beat() *wire.NodeBeat {
-	beat := &wire.NodeBeat{Node: t.config.Node, Address: t.config.Address, Zone: t.config.Zone, Incarnation: t.config.Incarnation, Capacity: t.config.Capacity}
-	t.config.Beat(beat)
-	return beat
+func (t *Table) newHeartbeat() *wire.NodeBeat {
+	heartbeat := &wire.NodeBeat{Node: t.config.Node, Address: t.config.Address, Zone: t.config.Zone, Incarnation: t.config.Incarnation, Capacity: t.config.Capacity}
+	t.config.FillHeartbeat(heartbeat)
+	return heartbeat
 }
 
 // Broadcast sends this node's heartbeat to all peers.
@@ -35,19 +35,19 @@
 	t.send(t.addresses(func(*Peer) bool { return true }))
 }
 
-// TellsAll tells whether the nodes are few enough for all of them to hear of rare
-// changes. Where they are more, a start or an end of a job told to all is thousands of
-// messages a second.
-func (t *Table) TellsAll() bool {
+// AnnouncesToAll reports whether Announce reaches every peer. In larger deployments,
+// sending each start and end of a job to every node would cost thousands of messages a
+// second.
+func (t *Table) AnnouncesToAll() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return len(t.peers) <= t.config.MostTold
 }
 
-// Tell sends this node's heartbeat because of a rare change: to all peers where they are
-// few, else to those that hear every heartbeat and to some more that the change concerns.
-func (t *Table) Tell(concerned []string) {
-	if t.TellsAll() {
+// Announce sends this node's heartbeat because of a rare change: to all peers if
+// AnnouncesToAll, else to those that get every heartbeat and to the concerned nodes.
+func (t *Table) Announce(concerned []string) {
+	if t.AnnouncesToAll() {
 		t.Broadcast()
 		return
 	}
@@ -70,12 +70,12 @@
 			hearing[watcher] = true
 		}
 	}
-	t.send(t.addresses(func(peer *Peer) bool { return hearing[peer.Node] || time.Since(peer.ActiveAt) < activeTime }))
+	t.send(t.addresses(func(peer *Peer) bool { return hearing[peer.Node] || time.Since(peer.LastActive) < activeTime }))
 }
 
-// Changed sends a heartbeat because something that it tells has changed: at
-// once, or a little later where one has just been sent.
-func (t *Table) Changed() {
+// HeartbeatSoon sends a heartbeat because its content has changed: at once, or up to
+// heartbeatGap later if one has just been sent.
+func (t *Table) HeartbeatSoon() {
 	t.mutex.Lock()
 	if t.heartbeatDue {
 		t.mutex.Unlock()
@@ -101,7 +101,7 @@
 	t.lastHeartbeat = time.Now()
 	t.mutex.Unlock()
 	if len(addresses) > 0 {
-		t.config.Peers.Broadcast(addresses, t.beat())
+		t.config.Peers.Broadcast(addresses, t.newHeartbeat())
 	}
 }
 
--- a/internal/cluster/peering/join.go
+++ b/internal/cluster/peering/join.go
@@ -94,12 +94,12 @@
 
 // greet tells a node of this one and learns whom it knows.
 func (t *Table) greet(ctx context.Context, address string, round int) {
-	t.config.Peers.Call(address, t.beat(), greetTime, func(reply wire.Message, err error) {
+	t.config.Peers.Call(address, t.newHeartbeat(), greetTime, func(reply wire.Message, err error) {
 		if ctx.Err() != nil {
 			return
 		}
-		if beat, ok := reply.(*wire.NodeBeat); ok && err == nil {
-			t.Take(ctx, beat)
+		if heartbeat, ok := reply.(*wire.NodeBeat); ok && err == nil {
+			t.Receive(ctx, heartbeat)
 			return
 		}
 		if round+1 < greetRounds && !t.Joined() {
@@ -108,17 +108,17 @@
 	})
 }
 
-// Greeted answers another node's greeting: a beat with everybody this node
-// knows, or those of the other's zone where they are many.
-func (t *Table) Greeted(ctx context.Context, beat *wire.NodeBeat) *wire.NodeBeat {
-	t.Take(ctx, beat)
-	answer := t.beat()
+// AnswerGreeting answers another node's greeting with a heartbeat that lists all known
+// peers, or only those in the greeting node's zone if there are more than wholeList.
+func (t *Table) AnswerGreeting(ctx context.Context, heartbeat *wire.NodeBeat) *wire.NodeBeat {
+	t.Receive(ctx, heartbeat)
+	answer := t.newHeartbeat()
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	answer.PeersKnown = t.joined
 	all := len(t.peers) <= wholeList
 	for _, peer := range t.peers {
-		if all || peer.Zone == beat.Zone {
+		if all || peer.Zone == heartbeat.Zone {
 			answer.Peers = append(answer.Peers, peer.address())
 		}
 	}
--- a/internal/cluster/peering/peer.go
+++ b/internal/cluster/peering/peer.go
@@ -16,11 +16,11 @@
 	Incarnation uint64
 	// Capacity is how many thousandths of a core it has, 0 for unknown.
 	Capacity uint32
-	// Heard is when something came from it last.
-	Heard time.Time
-	// ActiveAt is when it last told that it runs batch jobs or gives orders to
-	// replicas.
-	ActiveAt time.Time
+	// LastHeartbeat is when its last heartbeat was received; zero for never.
+	LastHeartbeat time.Time
+	// LastActive is when it last reported that it runs batch jobs or holds the duty
+	// lease; zero for never.
+	LastActive time.Time
 }
 
 // address is what greetings tell of a peer.
--- a/internal/cluster/peering/seeds.go
+++ b/internal/cluster/peering/seeds.go
@@ -87,7 +87,7 @@
 			return false, nil
 		case answer := <-answers:
 			if answer.beat != nil {
-				t.Take(ctx, answer.beat)
+				t.Receive(ctx, answer.beat)
 				return answer.beat.PeersKnown, seeds[answer.place:]
 			}
 			silent++
@@ -101,10 +101,10 @@
 
 // askSeed asks one seed for the list of nodes.
 func (t *Table) askSeed(ctx context.Context, seed string, place int, answers chan<- seedAnswer) {
-	reply, err := environment.Ask(ctx, t.config.Peers, seed, t.beat(), seedTime)
-	beat, isBeat := reply.(*wire.NodeBeat)
+	reply, err := environment.Ask(ctx, t.config.Peers, seed, t.newHeartbeat(), seedTime)
+	heartbeat, isBeat := reply.(*wire.NodeBeat)
 	if err != nil || !isBeat {
-		beat = nil
+		heartbeat = nil
 	}
-	answers <- seedAnswer{place: place, beat: beat}
+	answers <- seedAnswer{place: place, beat: heartbeat}
 }
--- a/internal/cluster/peering/start_test.go
+++ b/internal/cluster/peering/start_test.go
@@ -32,7 +32,7 @@
 		done(nil, environment.ErrPeerUnreachable)
 		return
 	}
-	answer := table.Greeted(context.Background(), message.(*wire.NodeBeat))
+	answer := table.AnswerGreeting(context.Background(), message.(*wire.NodeBeat))
 	n.mutex.Lock()
 	n.answers++
 	n.peers += len(answer.Peers)
--- a/internal/cluster/peering/table.go
+++ b/internal/cluster/peering/table.go
@@ -26,10 +26,10 @@
 	Store    objectstore.Store
 	Peers    environment.Peers
 	Logger   klog.Logger
-	// Beat fills in what this node has to tell.
-	Beat func(beat *wire.NodeBeat)
-	// OnBeat takes what another node has told.
-	OnBeat func(beat *wire.NodeBeat)
+	// FillHeartbeat fills in the state that this node reports to its peers.
+	FillHeartbeat func(heartbeat *wire.NodeBeat)
+	// OnHeartbeat is called with each heartbeat received from another node.
+	OnHeartbeat func(heartbeat *wire.NodeBeat)
 	// Watchers names the nodes that hear every heartbeat of this node, besides
 	// the active peers; nil for none.
 	Watchers func() []string
@@ -98,24 +98,24 @@
 	}
 }
 
-// Take takes a beat of another node.
-func (t *Table) Take(_ context.Context, beat *wire.NodeBeat) {
-	if beat.Node == t.config.Node {
+// Receive applies a heartbeat of another node.
+func (t *Table) Receive(_ context.Context, heartbeat *wire.NodeBeat) {
+	if heartbeat.Node == t.config.Node {
 		return
 	}
-	t.add(Peer{Node: beat.Node, Address: beat.Address, Zone: beat.Zone, Incarnation: beat.Incarnation, Capacity: beat.Capacity})
+	t.add(Peer{Node: heartbeat.Node, Address: heartbeat.Address, Zone: heartbeat.Zone, Incarnation: heartbeat.Incarnation, Capacity: heartbeat.Capacity})
 	t.mutex.Lock()
-	if standing := t.peers[beat.Node]; standing != nil && standing.Incarnation == beat.Incarnation {
-		standing.Heard = time.Now()
-		if isActive(beat) {
-			standing.ActiveAt = standing.Heard
+	if standing := t.peers[heartbeat.Node]; standing != nil && standing.Incarnation == heartbeat.Incarnation {
+		standing.LastHeartbeat = time.Now()
+		if isActive(heartbeat) {
+			standing.LastActive = standing.LastHeartbeat
 		}
 	}
 	t.mutex.Unlock()
-	for _, other := range beat.Peers {
+	for _, other := range heartbeat.Peers {
 		t.add(Peer{Node: other.Node, Address: other.Address, Zone: other.Zone, Capacity: other.Capacity, Incarnation: other.Incarnation})
 	}
-	t.config.OnBeat(beat)
+	t.config.OnHeartbeat(heartbeat)
 }
 
 // Get returns a peer by its node's name.
@@ -199,9 +199,9 @@
 	return t.joined
 }
 
-// Settled tells whether this node has joined, or has tried to in vain: it then knows
-// whomever it has greeted.
-func (t *Table) Settled() bool {
+// JoinAttempted reports whether this node has joined or has at least once failed to. After
+// a failure it knows only the nodes that it has greeted.
+func (t *Table) JoinAttempted() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.joined || t.tried
--- a/internal/cluster/peering/table_test.go
+++ b/internal/cluster/peering/table_test.go
@@ -60,13 +60,13 @@
 func newTestTable(node string, store objectstore.Store, peers environment.Peers, watchers ...string) *Table {
 	return NewTable(Config{
 		Node: node, Address: "address-of-" + node, Zone: "zone", Incarnation: 1, Store: store, Peers: peers, Logger: klog.Background(),
-		Beat: func(*wire.NodeBeat) {}, OnBeat: func(*wire.NodeBeat) {}, Watchers: func() []string { return watchers },
+		FillHeartbeat: func(*wire.NodeBeat) {}, OnHeartbeat: func(*wire.NodeBeat) {}, Watchers: func() []string { return watchers },
 	})
 }
 
 // hear has a table take the heartbeat of a peer.
 func hear(table *Table, node string, jobs ...string) {
-	table.Take(context.Background(), &wire.NodeBeat{Node: node, Address: "address-of-" + node, Zone: "zone", Incarnation: 1, Jobs: jobs})
+	table.Receive(context.Background(), &wire.NodeBeat{Node: node, Address: "address-of-" + node, Zone: "zone", Incarnation: 1, Jobs: jobs})
 }
 
 // With hundreds of nodes a heartbeat to everybody from each owner of jobs was
@@ -92,7 +92,7 @@
 	network := &recorder{}
 	table := newTestTable("self", metastore.New(), network)
 	hear(table, "owner", "job")
-	table.peers["owner"].ActiveAt = time.Now().Add(-activeTime)
+	table.peers["owner"].LastActive = time.Now().Add(-activeTime)
 	table.Heartbeat()
 	if got := network.count(); got != 0 {
 		t.Errorf("%d heartbeats sent to %v", got, network.last())
@@ -104,7 +104,7 @@
 	table := newTestTable("self", metastore.New(), network, "watcher")
 	hear(table, "watcher")
 	for range 1000 {
-		table.Changed()
+		table.HeartbeatSoon()
 	}
 	first := network.count()
 	if first == 0 {
@@ -159,9 +159,9 @@
 func TestAGreetedNodeTellsWhomItKnows(t *testing.T) {
 	table := newTestTable("seed", metastore.New(), &recorder{})
 	hear(table, "other")
-	answer := table.Greeted(context.Background(), &wire.NodeBeat{Node: "new", Address: "address-of-new", Zone: "zone", Incarnation: 1})
+	answer := table.AnswerGreeting(context.Background(), &wire.NodeBeat{Node: "new", Address: "address-of-new", Zone: "zone", Incarnation: 1})
 	learner := newTestTable("new", metastore.New(), &recorder{})
-	learner.Take(context.Background(), answer)
+	learner.Receive(context.Background(), answer)
 	if got, want := learner.Nodes(), []string{"new", "other", "seed"}; !slices.Equal(got, want) {
 		t.Errorf("knows %v, want %v", got, want)
 	}
@@ -209,7 +209,7 @@
 		t.Error("a new address counts as a new member")
 	}
 	hear(table, "a") // an older process's heartbeat that was late
-	if peer, _ := table.Get("a"); peer.Address != "a2" || !peer.Heard.IsZero() {
+	if peer, _ := table.Get("a"); peer.Address != "a2" || !peer.LastHeartbeat.IsZero() {
 		t.Errorf("after an old heartbeat: %+v", peer)
 	}
 	table.Apply([]objectstore.Change{{Gone: true, Object: object("a", ``)}}, false)
--- a/internal/duties/usage/report.go
+++ b/internal/duties/usage/report.go
@@ -176,11 +176,11 @@
 	return sum
 }
 
-// FillBeat adds to a heartbeat what has been reported.
-func (s *Service) FillBeat(beat *wire.NodeBeat) { beat.UsageDone = s.Done() }
+// FillHeartbeat adds to a heartbeat what has been reported.
+func (s *Service) FillHeartbeat(beat *wire.NodeBeat) { beat.UsageDone = s.Done() }
 
-// TakeBeat takes another node's word of that, and forgets old windows.
-func (s *Service) TakeBeat(beat *wire.NodeBeat) {
+// ReceiveHeartbeat learns from a heartbeat which windows have been reported, and drops old windows.
+func (s *Service) ReceiveHeartbeat(beat *wire.NodeBeat) {
 	if beat.UsageDone <= s.Done() {
 		return
 	}
--- a/internal/duties/usage/service_test.go
+++ b/internal/duties/usage/service_test.go
@@ -114,14 +114,14 @@
 // tell is a heartbeat of a node to all.
 func (n *testNode) tell() {
 	beat := &wire.NodeBeat{}
-	n.service.FillBeat(beat)
+	n.service.FillHeartbeat(beat)
 	seen := n.keeper.Seen()
 	for name := range n.net.copies() {
 		if other := n.net.get(name); other != nil && other != n {
 			go func() {
 				other.heard.Store(n.name, time.Now())
 				other.keeper.Observe(seen)
-				other.service.TakeBeat(beat)
+				other.service.ReceiveHeartbeat(beat)
 			}()
 		}
 	}
--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -78,7 +78,7 @@
 	})
 	i.peers = peering.NewTable(peering.Config{
 		Node: self.Node, Address: self.Address, Zone: i.settings.Zone, Incarnation: self.Incarnation, Capacity: i.settings.Capacity(), Seeds: i.settings.Seeds,
-		Store: i.adapter.Store, Peers: i.transport, Logger: i.logger, Beat: i.fillBeat, OnBeat: i.takeBeat,
+		Store: i.adapter.Store, Peers: i.transport, Logger: i.logger, FillHeartbeat: i.fillHeartbeat, OnHeartbeat: i.receiveHeartbeat,
 		Watchers: i.watchers,
 	})
 }
@@ -87,7 +87,7 @@
 func (i *Instance) assembleStore(self batch.Owner) {
 	i.source = watchcache.NewSource(watchcache.Config{
 		Self: watchcache.Node{Name: self.Node, Address: self.Address, Zone: i.settings.Zone, Capacity: i.settings.Capacity()}, Regions: i.settings.Regions, Store: i.adapter.Store, Peers: i.transport,
-		Nodes: i.followable, Joined: i.peers.Settled, ProbeKind: peering.Kind, ProbeName: self.Node, Clock: i.clock, Logger: i.logger, Registry: i.registry,
+		Nodes: i.followable, Joined: i.peers.JoinAttempted, ProbeKind: peering.Kind, ProbeName: self.Node, Clock: i.clock, Logger: i.logger, Registry: i.registry,
 	})
 	i.store = storerelay.New(storerelay.Config{
 		Own: i.adapter.Store, Peers: i.transport, Through: i.source.CurrentPeer, Others: i.helpers, Region: i.regionAt, Logger: i.logger, Registry: i.registry,
@@ -98,11 +98,11 @@
 func (i *Instance) assembleDuties(self batch.Owner, duties Duties) {
 	i.lease = duty.NewLease(self.Node, strconv.FormatUint(self.Incarnation, nonceBase), i.settings.DutyLease.Std(), i.store, i.clock)
 	i.duty = duty.NewKeeper(duty.Config{
-		Node: self.Node, Lease: i.lease, Clock: i.clock, Logger: i.logger, Nodes: i.peers.Nodes, Silence: i.silence, Tell: i.peers.Tell,
+		Node: self.Node, Lease: i.lease, Clock: i.clock, Logger: i.logger, Nodes: i.peers.Nodes, Silence: i.silence, Tell: i.peers.Announce,
 	})
 	i.weights = weightorders.NewCoordinator(weightorders.Config{
 		Keeper: i.duty, Directory: i.directory, Replicas: i.adapter.Orders(i.pool), Logger: i.logger, Registry: i.registry,
-		Load: i.jobs.Load, Tolerance: i.jobs.Tolerance, Demand: i.jobs.Demand, OnChange: i.jobs.NoteVersion, Changed: i.peers.Changed,
+		Load: i.jobs.Load, Tolerance: i.jobs.Tolerance, Demand: i.jobs.Demand, OnChange: i.jobs.NoteVersion, Changed: i.peers.HeartbeatSoon,
 	})
 	if duties.Usage != nil {
 		i.usage = i.newUsage(self, duties.Usage)
--- a/internal/instance/peers.go
+++ b/internal/instance/peers.go
@@ -12,7 +12,7 @@
 // handle answers a message of another node.
 func (i *Instance) handle(ctx context.Context, message wire.Message, reply func(wire.Message)) {
 	if beat, isBeat := message.(*wire.NodeBeat); isBeat {
-		reply(i.peers.Greeted(ctx, beat))
+		reply(i.peers.AnswerGreeting(ctx, beat))
 		return
 	}
 	if poll, isPoll := message.(*wire.WatchPoll); isPoll {
@@ -40,29 +40,29 @@
 	}
 }
 
-// fillBeat adds what this node has to tell to its heartbeat.
-func (i *Instance) fillBeat(beat *wire.NodeBeat) {
-	i.jobs.FillBeat(beat)
+// fillHeartbeat adds this node's state to its heartbeat.
+func (i *Instance) fillHeartbeat(beat *wire.NodeBeat) {
+	i.jobs.FillHeartbeat(beat)
 	beat.Versions = i.weights.Versions()
 	if i.usage != nil {
-		i.usage.FillBeat(beat)
+		i.usage.FillHeartbeat(beat)
 	}
 	beat.Lease = i.duty.Tenure()
 	seen := i.duty.Seen()
 	beat.LeaseHolder, beat.LeaseSeen, beat.LeaseReleased = seen.Holder, seen.Revision, seen.Released
 }
 
-// takeBeat takes another node's heartbeat.
-func (i *Instance) takeBeat(beat *wire.NodeBeat) {
+// receiveHeartbeat applies another node's heartbeat.
+func (i *Instance) receiveHeartbeat(beat *wire.NodeBeat) {
 	i.duty.Observe(duty.Sighting{Holder: beat.Node, Revision: beat.Lease})
 	i.duty.Observe(duty.Sighting{Holder: beat.LeaseHolder, Revision: beat.LeaseSeen, Released: beat.LeaseReleased})
 	for _, change := range beat.Versions {
 		i.weights.ObserveVersion(change)
 	}
 	if i.usage != nil {
-		i.usage.TakeBeat(beat)
+		i.usage.ReceiveHeartbeat(beat)
 	}
-	i.jobs.TakeBeat(beat)
+	i.jobs.ReceiveHeartbeat(beat)
 }
 
 // watchers names the nodes that hear every heartbeat of this node.
@@ -82,7 +82,7 @@
 // silence is for how long a node has not been heard.
 func (i *Instance) silence(node string) time.Duration {
 	peer, _ := i.peers.Get(node)
-	return time.Since(peer.Heard)
+	return time.Since(peer.LastHeartbeat)
 }
 
 // regionAt is the region of the node at an address, "" if it is not known.
--- a/internal/instance/usage.go
+++ b/internal/instance/usage.go
@@ -20,7 +20,7 @@
 		Node: self.Node, Incarnation: self.Incarnation,
 		Window: spanOr(i.settings.UsageWindow.Std(), defaultUsageWindow), Late: spanOr(i.settings.UsageLate.Std(), defaultUsageLate),
 		Keeper: i.duty, Store: i.store, Platform: platform, Peers: i.transport, Logger: i.logger, Registry: i.registry,
-		Nodes: i.peers.Nodes, Peer: i.peerProcess, Changed: i.peers.Changed,
+		Nodes: i.peers.Nodes, Peer: i.peerProcess, Changed: i.peers.HeartbeatSoon,
 	})
 }
 
--- a/internal/jobs/batch/beat.go
+++ b/internal/jobs/batch/beat.go
@@ -18,8 +18,8 @@
 	idleBeats = 3
 )
 
-// FillBeat adds what this node runs to its heartbeat.
-func (s *Service) FillBeat(beat *wire.NodeBeat) {
+// FillHeartbeat adds what this node runs to its heartbeat.
+func (s *Service) FillHeartbeat(beat *wire.NodeBeat) {
 	beat.Uses = s.Uses()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -40,8 +40,8 @@
 	beat.Ended = s.ends.toTell()
 }
 
-// TakeBeat takes another node's heartbeat.
-func (s *Service) TakeBeat(beat *wire.NodeBeat) {
+// ReceiveHeartbeat takes another node's heartbeat.
+func (s *Service) ReceiveHeartbeat(beat *wire.NodeBeat) {
 	s.mutex.Lock()
 	s.uses[beat.Node] = usesOf(beat)
 	s.toWatch.set()
--- a/internal/jobs/batch/ends_test.go
+++ b/internal/jobs/batch/ends_test.go
@@ -251,7 +251,7 @@
 	if _, _, err := node.config.Journal.Accept(context.Background(), "job", record, payload); err != nil {
 		t.Fatal(err)
 	}
-	node.TakeBeat(&wire.NodeBeat{Node: "node-9", Address: "node-9", Incarnation: 1, Ended: []string{"job"}})
+	node.ReceiveHeartbeat(&wire.NodeBeat{Node: "node-9", Address: "node-9", Incarnation: 1, Ended: []string{"job"}})
 	node.start("job", made, record, listing{}, time.Now())
 	if node.OpenJobs() != 0 || engine.runCount() != 0 {
 		t.Errorf("%d jobs and %d runs of a job that has ended", node.OpenJobs(), engine.runCount())
--- a/internal/jobs/batch/epoch_test.go
+++ b/internal/jobs/batch/epoch_test.go
@@ -44,7 +44,7 @@
 			before = heard()
 		}
 		time.Sleep(time.Millisecond)
-		node.TakeBeat(beat(test.from, test.epoch))
+		node.ReceiveHeartbeat(beat(test.from, test.epoch))
 		if owner, _ := node.knownOwner("job"); owner.Node != test.owner {
 			t.Errorf("after a heartbeat of %s in epoch %d the owner is %s, want %s", test.from, test.epoch, owner.Node, test.owner)
 		}
@@ -71,7 +71,7 @@
 		node.mutex.Lock()
 		held.doubtedAt = time.Time{}
 		node.mutex.Unlock()
-		node.TakeBeat(&wire.NodeBeat{
+		node.ReceiveHeartbeat(&wire.NodeBeat{
 			Node: "node-8", Address: "node-8", Incarnation: 1, Jobs: []string{"job"}, Work: []wire.JobWork{{Job: "job", Epoch: epoch}},
 		})
 		node.mutex.Lock()
--- a/internal/jobs/batch/evict.go
+++ b/internal/jobs/batch/evict.go
@@ -21,7 +21,7 @@
 	}
 	for id, standing := range s.known {
 		// A node that no owner tells of a job knows it from a question, and asks again.
-		untold := !s.config.Table.TellsAll() && s.cachedRank(id, standing) >= locators
+		untold := !s.config.Table.AnnouncesToAll() && s.cachedRank(id, standing) >= locators
 		if (standing.ended || untold) && time.Since(standing.heard) > endedMemory {
 			delete(s.known, id)
 		}
--- a/internal/jobs/batch/harness_test.go
+++ b/internal/jobs/batch/harness_test.go
@@ -206,7 +206,7 @@
 
 func (n *testNode) take(message wire.Message, reply func(wire.Message)) {
 	if beat, isBeat := message.(*wire.NodeBeat); isBeat {
-		reply(n.table.Greeted(n.ctx, beat))
+		reply(n.table.AnswerGreeting(n.ctx, beat))
 		return
 	}
 	n.Answer(message, reply)
@@ -329,7 +329,7 @@
 	self := Owner{Node: name, Address: name, Incarnation: uint64(time.Now().UnixNano())}
 	node.table = peering.NewTable(peering.Config{
 		Node: name, Address: name, Zone: c.places[name], Incarnation: self.Incarnation, Store: c.store, Peers: link{c.peers, name}, Logger: logger,
-		Beat: func(beat *wire.NodeBeat) { node.FillBeat(beat) }, OnBeat: func(beat *wire.NodeBeat) { node.TakeBeat(beat) },
+		FillHeartbeat: func(beat *wire.NodeBeat) { node.FillHeartbeat(beat) }, OnHeartbeat: func(beat *wire.NodeBeat) { node.ReceiveHeartbeat(beat) },
 		Watchers: func() []string { return node.Watchers() }, MostTold: c.mostTold,
 	})
 	node.Service = NewService(ctx, Config{
--- a/internal/jobs/batch/kept_ends_test.go
+++ b/internal/jobs/batch/kept_ends_test.go
@@ -72,7 +72,7 @@
 	if err := cluster.submit(owner, "job", 6); err != nil {
 		t.Fatal(err)
 	}
-	owner.TakeBeat(&wire.NodeBeat{Node: "former", Address: "former", Incarnation: 1, Ended: []string{"job"}})
+	owner.ReceiveHeartbeat(&wire.NodeBeat{Node: "former", Address: "former", Incarnation: 1, Ended: []string{"job"}})
 	for end := time.Now().Add(3 * confirmPeriod); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		standing, err := NewJournal(cluster.store).Look(context.Background(), "job")
 		if err != nil {
--- a/internal/jobs/batch/leave.go
+++ b/internal/jobs/batch/leave.go
@@ -20,7 +20,7 @@
 	s.leaving = true
 	s.logKept()
 	s.mutex.Unlock()
-	s.config.Table.Tell(s.concernedByLeave())
+	s.config.Table.Announce(s.concernedByLeave())
 }
 
 // concernedByLeave names the nodes that know of open jobs here. Those that would offer
--- a/internal/jobs/batch/locate.go
+++ b/internal/jobs/batch/locate.go
@@ -29,7 +29,7 @@
 
 // announce tells the nodes that a job concerns of its start or end, and some more.
 func (s *Service) announce(id string, more ...string) {
-	s.config.Table.Tell(append(s.locatorsOf(id), more...))
+	s.config.Table.Announce(append(s.locatorsOf(id), more...))
 }
 
 // ownerOf tells which other node runs a job, as this node or one that hears of the job
@@ -54,7 +54,7 @@
 
 // locate asks the nodes that hear of a job who runs it, where not all nodes do.
 func (s *Service) locate(ctx context.Context, id string) (Owner, bool) {
-	if s.config.Table.TellsAll() {
+	if s.config.Table.AnnouncesToAll() {
 		return Owner{}, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, locateTime)
--- a/test/virtual_test.go
+++ b/test/virtual_test.go
@@ -85,7 +85,7 @@
 	registry := prometheus.NewRegistry()
 	peers := peering.NewTable(peering.Config{
 		Node: "node", Address: "node", Store: day.store, Peers: alone{}, Logger: logger,
-		Beat: func(*wire.NodeBeat) {}, OnBeat: func(*wire.NodeBeat) {},
+		FillHeartbeat: func(*wire.NodeBeat) {}, OnHeartbeat: func(*wire.NodeBeat) {},
 	})
 	day.jobs = batch.NewService(ctx, batch.Config{
 		Clock: clock.Steady,
