--- a/internal/duties/autoscale/port.go
+++ b/internal/duties/autoscale/port.go
@@ -19,9 +19,9 @@
 
 // Platform takes orders.
 type Platform interface {
-	// Order sends one order. Its error is duty.ErrUnanswered where the platform may have
+	// Order sends one order. Its error is lease.ErrUnanswered where the platform may have
 	// taken it, ErrNoneToHave where the zone has no more replicas to give, or a
-	// *duty.RejectedError.
+	// *lease.RejectedError.
 	Order(ctx context.Context, order Order) error
 }
 
--- a/internal/duties/autoscale/service.go
+++ b/internal/duties/autoscale/service.go
@@ -9,7 +9,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/duties/duty"
+	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
@@ -28,7 +28,7 @@
 // Config is what a Service needs.
 type Config struct {
 	Policy    Policy
-	Keeper    *duty.Keeper
+	Keeper    *lease.Keeper
 	Store     objectstore.Store
 	Platform  Platform
 	Directory *directory.Table
@@ -177,13 +177,13 @@
 func (s *Service) order(ctx context.Context, service string, want Wanted) error {
 	permit, valid := s.config.Keeper.Begin()
 	if !valid {
-		return duty.ErrFenced
+		return lease.ErrFenced
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTime)
 	defer cancel()
 	err := s.config.Platform.Order(ctx, Order{
 		Service: service, Zone: want.Zone, Replicas: want.Replicas, Holder: permit.Holder, Token: permit.Token,
 	})
-	permit.Done(!errors.Is(err, duty.ErrUnanswered))
+	permit.Done(!errors.Is(err, lease.ErrUnanswered))
 	return err
 }
--- a/internal/duties/autoscale/service_test.go
+++ b/internal/duties/autoscale/service_test.go
@@ -13,7 +13,7 @@
 	"k8s.io/klog/v2"
 
 	"github.com/pathtally/pathtally/internal/clock"
-	"github.com/pathtally/pathtally/internal/duties/duty"
+	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
@@ -44,7 +44,7 @@
 	}
 	m.orders[order.Zone] = order.Replicas
 	if m.mute {
-		return duty.ErrUnanswered
+		return lease.ErrUnanswered
 	}
 	return nil
 }
@@ -101,8 +101,8 @@
 		})
 	}
 	table.SetReplicas(replicas, 0)
-	keeper := duty.NewKeeper(duty.Config{
-		Node: name, Lease: duty.NewLease(name, name, 0, w.store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
+	keeper := lease.NewKeeper(lease.Config{
+		Node: name, Lease: lease.NewLease(name, name, 0, w.store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
 		Nodes: func() []string { return []string{name} }, Tell: func([]string) {}, Silence: func(string) time.Duration { return time.Hour },
 	})
 	service := NewService(Config{
--- a/internal/duties/duty/doc.go
+++ b/internal/duties/lease/doc.go
@@ -1,4 +1,4 @@
-// Package duty lets one node at a time do what is to be done once for the whole
+// Package lease lets one node at a time do what is to be done once for the whole
 // deployment: order weights, report usage, allot requests to warming replicas. One
 // lease, an object in the metadata store, covers all duties, so that one write keeps
 // them all.
@@ -31,4 +31,4 @@
 // term and more, so that whoever held it before has sent nothing for as long; and
 // only when no call of its own is open or has ended without an answer of late, so
 // that none arrives after its successor's first.
-package duty
+package lease
--- a/internal/duties/duty/errors.go
+++ b/internal/duties/lease/errors.go
@@ -1,4 +1,4 @@
-package duty
+package lease
 
 import (
 	"fmt"
--- a/internal/duties/duty/permit.go
+++ b/internal/duties/lease/permit.go
@@ -1,4 +1,4 @@
-package duty
+package lease
 
 // Permit allows one call under the lease.
 type Permit struct {
--- a/internal/duties/duty/sighting.go
+++ b/internal/duties/lease/sighting.go
@@ -1,4 +1,4 @@
-package duty
+package lease
 
 // Sighting is the newest word of the lease.
 type Sighting struct {
--- a/internal/duties/usage/port.go
+++ b/internal/duties/usage/port.go
@@ -14,8 +14,8 @@
 
 // Platform takes reports.
 type Platform interface {
-	// Report sends one report. Its error is duty.ErrUnanswered where the platform may
-	// have taken it, duty.ErrFenced where it has seen a newer token, or a
-	// *duty.RejectedError.
+	// Report sends one report. Its error is lease.ErrUnanswered where the platform may
+	// have taken it, lease.ErrFenced where it has seen a newer token, or a
+	// *lease.RejectedError.
 	Report(ctx context.Context, report Report) error
 }
--- a/internal/duties/usage/report.go
+++ b/internal/duties/usage/report.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/duties/duty"
+	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/internal/wire"
 )
@@ -142,12 +142,12 @@
 func (s *Service) send(ctx context.Context, number int64, counts Counts) error {
 	permit, valid := s.config.Keeper.Begin()
 	if !valid {
-		return duty.ErrFenced
+		return lease.ErrFenced
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTime)
 	defer cancel()
 	err := s.config.Platform.Report(ctx, Report{Window: number, Holder: permit.Holder, Token: permit.Token, Counts: counts})
-	permit.Done(!errors.Is(err, duty.ErrUnanswered))
+	permit.Done(!errors.Is(err, lease.ErrUnanswered))
 	return err
 }
 
--- a/internal/duties/usage/service.go
+++ b/internal/duties/usage/service.go
@@ -9,7 +9,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/duties/duty"
+	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/environment"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/internal/wire"
@@ -23,7 +23,7 @@
 	// window's report is due.
 	Window   time.Duration
 	Late     time.Duration
-	Keeper   *duty.Keeper
+	Keeper   *lease.Keeper
 	Store    objectstore.Store
 	Platform Platform
 	Peers    environment.Peers
--- a/internal/duties/usage/service_test.go
+++ b/internal/duties/usage/service_test.go
@@ -15,7 +15,7 @@
 	"k8s.io/klog/v2"
 
 	"github.com/pathtally/pathtally/internal/clock"
-	"github.com/pathtally/pathtally/internal/duties/duty"
+	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/wire"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
@@ -57,7 +57,7 @@
 		b.reports[report.Window] = received{Report: report, late: late}
 	}
 	if time.Now().Before(b.away) {
-		return duty.ErrUnanswered
+		return lease.ErrUnanswered
 	}
 	return nil
 }
@@ -86,7 +86,7 @@
 	incarnation uint64
 	net         *net
 	service     *Service
-	keeper      *duty.Keeper
+	keeper      *lease.Keeper
 	heard       sync.Map
 	stop        context.CancelFunc
 }
@@ -137,8 +137,8 @@
 func (n *net) start(ctx context.Context, name string, incarnation uint64, names []string, store *metastore.Store, platform Platform) *testNode {
 	ctx, stop := context.WithCancel(ctx)
 	node := &testNode{name: name, incarnation: incarnation, net: n, stop: stop}
-	node.keeper = duty.NewKeeper(duty.Config{
-		Node: name, Lease: duty.NewLease(name, fmt.Sprint(incarnation), 0, store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
+	node.keeper = lease.NewKeeper(lease.Config{
+		Node: name, Lease: lease.NewLease(name, fmt.Sprint(incarnation), 0, store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
 		Nodes: func() []string { return names }, Tell: func([]string) { node.tell() },
 		Silence: func(other string) time.Duration {
 			at, _ := node.heard.Load(other)
--- a/internal/duties/weightorders/coordinator.go
+++ b/internal/duties/weightorders/coordinator.go
@@ -9,7 +9,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/duties/duty"
+	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/wire"
 )
@@ -41,7 +41,7 @@
 
 // Config is what a Coordinator needs.
 type Config struct {
-	Keeper    *duty.Keeper
+	Keeper    *lease.Keeper
 	Directory *directory.Table
 	Replicas  Replicas
 	Logger    klog.Logger
--- a/internal/duties/weightorders/coordinator_test.go
+++ b/internal/duties/weightorders/coordinator_test.go
@@ -13,7 +13,7 @@
 	"k8s.io/klog/v2"
 
 	"github.com/pathtally/pathtally/internal/clock"
-	"github.com/pathtally/pathtally/internal/duties/duty"
+	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/wire"
 	"github.com/pathtally/pathtally/standin/metastore"
@@ -70,9 +70,9 @@
 	ctx, f.stop = context.WithCancel(ctx)
 	var coordinators []*Coordinator
 	for _, node := range nodes {
-		var keeper *duty.Keeper
-		keeper = duty.NewKeeper(duty.Config{
-			Node: node, Lease: duty.NewLease(node, nonce, duty.DefaultTerm, f.store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
+		var keeper *lease.Keeper
+		keeper = lease.NewKeeper(lease.Config{
+			Node: node, Lease: lease.NewLease(node, nonce, lease.DefaultTerm, f.store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
 			Nodes: func() []string { return nodes }, Silence: func(string) time.Duration { return time.Hour }, Tell: func([]string) { f.tell(keeper) },
 		})
 		made := NewCoordinator(Config{
@@ -100,7 +100,7 @@
 }
 
 // tell is a heartbeat of one node to all.
-func (f *fleet) tell(from *duty.Keeper) {
+func (f *fleet) tell(from *lease.Keeper) {
 	seen := from.Seen()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -172,7 +172,7 @@
 		if after.Owner == before.Owner || after.Version != 3 || after.Token <= before.Token {
 			t.Errorf("the last order is %+v after %+v", after, before)
 		}
-		if last.Sub(began) < duty.SendWindow+duty.DefaultTerm {
+		if last.Sub(began) < lease.SendWindow+lease.DefaultTerm {
 			t.Errorf("a successor gave orders %s after its start", last.Sub(began))
 		}
 		f.stop()
--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -15,7 +15,7 @@
 	"github.com/pathtally/pathtally/internal/cluster/peering"
 	"github.com/pathtally/pathtally/internal/cluster/transport"
 	"github.com/pathtally/pathtally/internal/duties/autoscale"
-	"github.com/pathtally/pathtally/internal/duties/duty"
+	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/duties/weightorders"
 	"github.com/pathtally/pathtally/internal/jobs/batch"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
@@ -96,8 +96,8 @@
 
 // assembleDuties makes the lease and what is done under it.
 func (i *Instance) assembleDuties(self batch.Owner, duties Duties) {
-	i.lease = duty.NewLease(self.Node, strconv.FormatUint(self.Incarnation, nonceBase), i.settings.DutyLease.Std(), i.store, i.clock)
-	i.duty = duty.NewKeeper(duty.Config{
+	i.lease = lease.NewLease(self.Node, strconv.FormatUint(self.Incarnation, nonceBase), i.settings.DutyLease.Std(), i.store, i.clock)
+	i.duty = lease.NewKeeper(lease.Config{
 		Node: self.Node, Lease: i.lease, Clock: i.clock, Logger: i.logger, Nodes: i.peers.Nodes, Silence: i.silence, Tell: i.peers.Tell,
 	})
 	i.weights = weightorders.NewCoordinator(weightorders.Config{
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -18,7 +18,7 @@
 	"github.com/pathtally/pathtally/internal/cluster/peering"
 	"github.com/pathtally/pathtally/internal/cluster/transport"
 	"github.com/pathtally/pathtally/internal/duties/autoscale"
-	"github.com/pathtally/pathtally/internal/duties/duty"
+	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/duties/usage"
 	"github.com/pathtally/pathtally/internal/duties/weightorders"
 	"github.com/pathtally/pathtally/internal/jobs/batch"
@@ -53,8 +53,8 @@
 	transport  *transport.Transport
 	peers      *peering.Table
 	jobs       *batch.Service
-	lease      *duty.Lease
-	duty       *duty.Keeper
+	lease      *lease.Lease
+	duty       *lease.Keeper
 	weights    *weightorders.Coordinator
 	// usage is nil where the platform takes no reports of it.
 	usage *usage.Service
--- a/internal/instance/peers.go
+++ b/internal/instance/peers.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/duties/duty"
+	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/store/watchcache"
 	"github.com/pathtally/pathtally/internal/wire"
 )
@@ -54,8 +54,8 @@
 
 // takeBeat takes another node's heartbeat.
 func (i *Instance) takeBeat(beat *wire.NodeBeat) {
-	i.duty.Observe(duty.Sighting{Holder: beat.Node, Revision: beat.Lease})
-	i.duty.Observe(duty.Sighting{Holder: beat.LeaseHolder, Revision: beat.LeaseSeen, Released: beat.LeaseReleased})
+	i.duty.Observe(lease.Sighting{Holder: beat.Node, Revision: beat.Lease})
+	i.duty.Observe(lease.Sighting{Holder: beat.LeaseHolder, Revision: beat.LeaseSeen, Released: beat.LeaseReleased})
 	for _, change := range beat.Versions {
 		i.weights.ObserveVersion(change)
 	}
--- a/internal/instance/slowstart.go
+++ b/internal/instance/slowstart.go
@@ -7,7 +7,7 @@
 
 	"github.com/ansel1/merry/v2"
 
-	"github.com/pathtally/pathtally/internal/duties/duty"
+	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/environment"
 	"github.com/pathtally/pathtally/internal/replicas/slowstart"
 	"github.com/pathtally/pathtally/internal/wire"
@@ -41,8 +41,8 @@
 
 // allotterLease is the duty lease as the allotter sees it.
 type allotterLease struct {
-	*duty.Keeper
-	*duty.Lease
+	*lease.Keeper
+	*lease.Lease
 }
 
 func (i *Instance) newSlowStart() *slowStart {
--- a/test/virtual_test.go
+++ b/test/virtual_test.go
@@ -17,7 +17,7 @@
 	"github.com/pathtally/pathtally/internal/callers/forward"
 	"github.com/pathtally/pathtally/internal/clock"
 	"github.com/pathtally/pathtally/internal/cluster/peering"
-	"github.com/pathtally/pathtally/internal/duties/duty"
+	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/duties/weightorders"
 	"github.com/pathtally/pathtally/internal/jobs/batch"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
@@ -93,8 +93,8 @@
 		Directory: table, Dispatcher: dispatcher, Peers: alone{}, Table: peers, Logger: logger, Registry: registry,
 		Forwarder: forward.New(forward.Config{Directory: table, Dispatcher: dispatcher, Logger: logger, Metrics: forward.NewMetrics(registry)}),
 	})
-	keeper := duty.NewKeeper(duty.Config{
-		Node: "node", Lease: duty.NewLease("node", "1", 0, day.store, clock.Steady), Clock: clock.Steady, Logger: logger, Nodes: peers.Nodes,
+	keeper := lease.NewKeeper(lease.Config{
+		Node: "node", Lease: lease.NewLease("node", "1", 0, day.store, clock.Steady), Clock: clock.Steady, Logger: logger, Nodes: peers.Nodes,
 		Silence: func(string) time.Duration { return time.Hour }, Tell: func([]string) {},
 	})
 	coordinator := weightorders.NewCoordinator(weightorders.Config{
