--- a/internal/callers/forward/refusal.go
+++ b/internal/callers/forward/refusal.go
@@ -67,7 +67,7 @@
 // filterReason returns the reason of the filter that left no replica, empty if the
 // error is of another kind.
 func filterReason(err error) routing.Reason {
-	var nobody *routing.LeftNobodyError
+	var nobody *routing.NoneLeftError
 	if errors.As(err, &nobody) {
 		return nobody.Reason
 	}
--- a/internal/callers/forward/refusal_test.go
+++ b/internal/callers/forward/refusal_test.go
@@ -12,7 +12,7 @@
 
 func TestRefusalsByCause(t *testing.T) {
 	notRun, held := &dispatch.NotRunError{Replica: "r", Status: 503}, &dispatch.QuarantinedError{Fingerprint: "f", Left: quarantineLeft}
-	left := func(reason routing.Reason) error { return &routing.LeftNobodyError{Reason: reason} }
+	left := func(reason routing.Reason) error { return &routing.NoneLeftError{Reason: reason} }
 	for name, test := range map[string]struct {
 		general            string
 		cause, excludedAll error
--- a/internal/callers/ingress/handler.go
+++ b/internal/callers/ingress/handler.go
@@ -38,7 +38,7 @@
 }
 
 // Quiet returns the time since the newest request came.
-func (h *Handler) Quiet() time.Duration {
+func (h *Handler) IdleTime() time.Duration {
 	return time.Since(h.started) - time.Duration(h.lastRequest.Load())
 }
 
--- a/internal/instance/stop.go
+++ b/internal/instance/stop.go
@@ -57,7 +57,7 @@
 			i.jobs.Leave()
 			given = true
 		}
-		if given && time.Since(begun) > leaveTime && i.handler.Active.Load() == 0 && i.handler.Quiet() > quietTime {
+		if given && time.Since(begun) > leaveTime && i.handler.Active.Load() == 0 && i.handler.IdleTime() > quietTime {
 			break
 		}
 		time.Sleep(stopLook)
--- a/internal/replicas/routing/latency.go
+++ b/internal/replicas/routing/latency.go
@@ -38,13 +38,13 @@
 // ObserveAtLeast takes a time that was waited in vain; it never makes the
 // average shorter.
 func (l *LatencyAverage) ObserveAtLeast(waited time.Duration) {
-	if waited > l.Now() {
+	if waited > l.Estimate() {
 		l.Observe(waited)
 	}
 }
 
 // Now is the average, 0 if nothing is known.
-func (l *LatencyAverage) Now() time.Duration {
+func (l *LatencyAverage) Estimate() time.Duration {
 	standing := l.newest.Load()
 	if standing == nil {
 		return 0
--- a/internal/replicas/routing/latency_test.go
+++ b/internal/replicas/routing/latency_test.go
@@ -9,23 +9,23 @@
 func TestLatencyAverageFollowsAndFades(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		average := &LatencyAverage{}
-		if average.Now() != 0 {
+		if average.Estimate() != 0 {
 			t.Error("a latency is known before any answer")
 		}
 		for range 20 {
 			average.Observe(100 * time.Millisecond)
 		}
 		average.ObserveAtLeast(10 * time.Millisecond)
-		if average.Now() != 100*time.Millisecond {
-			t.Errorf("average %s of answers in 100ms", average.Now())
+		if average.Estimate() != 100*time.Millisecond {
+			t.Errorf("average %s of answers in 100ms", average.Estimate())
 		}
 		average.ObserveAtLeast(500 * time.Millisecond)
-		if average.Now() <= 200*time.Millisecond {
-			t.Errorf("average %s after 500ms were waited in vain", average.Now())
+		if average.Estimate() <= 200*time.Millisecond {
+			t.Errorf("average %s after 500ms were waited in vain", average.Estimate())
 		}
 		time.Sleep(latencyMemory * 2)
-		if average.Now() != 0 {
-			t.Errorf("average %s long after the last answer", average.Now())
+		if average.Estimate() != 0 {
+			t.Errorf("average %s long after the last answer", average.Estimate())
 		}
 	})
 }
--- a/internal/replicas/routing/plan.go
+++ b/internal/replicas/routing/plan.go
@@ -65,7 +65,7 @@
 	best := p.candidate(query)
 	if best == nil {
 		p.wantWarming()
-		return nil, &LeftNobodyError{Reason: p.filters.Explain(query, p.endpoints)}
+		return nil, &NoneLeftError{Reason: p.filters.Explain(query, p.endpoints)}
 	}
 	return best, nil
 }
--- a/internal/replicas/routing/reason.go
+++ b/internal/replicas/routing/reason.go
@@ -18,15 +18,15 @@
 
 // LeftNobodyError is a pick for which no replica was left. It is an
 // ErrNoEngineAvailable.
-type LeftNobodyError struct {
+type NoneLeftError struct {
 	// Reason is that of the filter that refused the last replicas that were left.
 	Reason Reason
 }
 
 // Error gives the reason.
-func (e *LeftNobodyError) Error() string {
+func (e *NoneLeftError) Error() string {
 	return fmt.Sprintf("%v: those left are %s", ErrNoEngineAvailable, e.Reason)
 }
 
 // Unwrap returns ErrNoEngineAvailable.
-func (e *LeftNobodyError) Unwrap() error { return ErrNoEngineAvailable }
+func (e *NoneLeftError) Unwrap() error { return ErrNoEngineAvailable }
--- a/internal/replicas/routing/score.go
+++ b/internal/replicas/routing/score.go
@@ -31,7 +31,7 @@
 	if query.Objective <= 0 {
 		return 0
 	}
-	took := float64(endpoint.State.Latency.Now()) / float64(query.Objective)
+	took := float64(endpoint.State.Latency.Estimate()) / float64(query.Objective)
 	return -latencyWeight * max(0, min(worstLatency, took)-easyLatency)
 }
 
--- a/internal/standalone/gateway/completion.go
+++ b/internal/standalone/gateway/completion.go
@@ -12,9 +12,9 @@
 	"github.com/valyala/fasthttp"
 
 	v1 "github.com/pathtally/pathtally/api/v1"
-	"github.com/pathtally/pathtally/internal/replicas/routing"
 	"github.com/pathtally/pathtally/internal/standalone/engine"
 	"github.com/pathtally/pathtally/internal/standalone/enginemodel"
+	"github.com/pathtally/pathtally/internal/standalone/engineplan"
 	"github.com/pathtally/pathtally/internal/standalone/node"
 	"github.com/pathtally/pathtally/internal/standalone/quorum"
 	"github.com/pathtally/pathtally/internal/standalone/request"
@@ -36,8 +36,8 @@
 	chat     bool
 	prompt   string
 	tokens   int
-	group    *routing.GroupPlan
-	snapshot *routing.Snapshot
+	group    *engineplan.GroupPlan
+	snapshot *engineplan.Snapshot
 	deadline time.Time
 	key      string
 	raw      uint64
--- a/internal/standalone/gateway/groups.go
+++ b/internal/standalone/gateway/groups.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 
 	"github.com/pathtally/pathtally/internal/callers/admission"
-	"github.com/pathtally/pathtally/internal/replicas/routing"
+	"github.com/pathtally/pathtally/internal/standalone/engineplan"
 )
 
 // groupState is what this node counts for one traffic group. It outlives
@@ -19,7 +19,7 @@
 // limits are applied once, when it is first seen.
 type groupStates struct {
 	current  atomic.Pointer[map[string]*groupState]
-	applied  atomic.Pointer[routing.Snapshot]
+	applied  atomic.Pointer[engineplan.Snapshot]
 	mutex    sync.Mutex
 	stopping bool
 }
@@ -30,14 +30,14 @@
 	return states
 }
 
-func (g *groupStates) get(snapshot *routing.Snapshot, name string) *groupState {
+func (g *groupStates) get(snapshot *engineplan.Snapshot, name string) *groupState {
 	if g.applied.Load() != snapshot {
 		g.apply(snapshot)
 	}
 	return (*g.current.Load())[name]
 }
 
-func (g *groupStates) apply(snapshot *routing.Snapshot) {
+func (g *groupStates) apply(snapshot *engineplan.Snapshot) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	standing := *g.current.Load()
--- a/internal/standalone/gateway/server.go
+++ b/internal/standalone/gateway/server.go
@@ -13,8 +13,8 @@
 	"github.com/prometheus/common/expfmt"
 	"github.com/valyala/fasthttp"
 
-	"github.com/pathtally/pathtally/internal/replicas/routing"
 	"github.com/pathtally/pathtally/internal/standalone/engine"
+	"github.com/pathtally/pathtally/internal/standalone/engineplan"
 	"github.com/pathtally/pathtally/internal/standalone/quorum"
 	"github.com/pathtally/pathtally/internal/standalone/rollout"
 )
@@ -52,7 +52,7 @@
 	Node        string
 	Zone        string
 	Incarnation uint64
-	Snapshot    func() *routing.Snapshot
+	Snapshot    func() *engineplan.Snapshot
 	Engines     engine.Client
 	Claims      Claims
 	Trainers    Trainers
--- a/internal/standalone/node/core.go
+++ b/internal/standalone/node/core.go
@@ -10,7 +10,7 @@
 
 	v1 "github.com/pathtally/pathtally/api/v1"
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/replicas/routing"
+	"github.com/pathtally/pathtally/internal/standalone/engineplan"
 	"github.com/pathtally/pathtally/internal/standalone/fleet"
 	"github.com/pathtally/pathtally/internal/standalone/lease"
 	"github.com/pathtally/pathtally/internal/standalone/membership"
@@ -49,7 +49,7 @@
 	reader  *reader.Reader
 	fleet   *fleet.Table
 	poller  *poller.Poller
-	builder *routing.Builder
+	builder *engineplan.Builder
 
 	member      *quorum.Member
 	quorum      *quorum.Client
@@ -62,7 +62,7 @@
 	generation uint64
 	// configuredSince is when the first configuration came into force.
 	configuredSince time.Time
-	snapshot        atomic.Pointer[routing.Snapshot]
+	snapshot        atomic.Pointer[engineplan.Snapshot]
 	followed        map[string]time.Duration
 	// wanted are the leases competed for, and prompted the tokens of those
 	// that were looked at because their holder was gone.
@@ -82,7 +82,7 @@
 	core := &Core{
 		config:     config,
 		fleet:      fleet.NewTable(config.Clock),
-		builder:    routing.NewBuilder(config.Self.Zone),
+		builder:    engineplan.NewBuilder(config.Self.Zone),
 		schedulers: map[string]*rollout.Scheduler{},
 		weights:    map[string]*weights.Coordinator{},
 		followed:   map[string]time.Duration{},
@@ -179,7 +179,7 @@
 
 // Snapshot returns what the request path reads, or nil before the first
 // configuration. Any goroutine may call it.
-func (c *Core) Snapshot() *routing.Snapshot { return c.snapshot.Load() }
+func (c *Core) Snapshot() *engineplan.Snapshot { return c.snapshot.Load() }
 
 // Generation is the configuration generation in force here, 0 for none.
 func (c *Core) Generation() uint64 { return c.generation }
--- a/internal/standalone/node/duties.go
+++ b/internal/standalone/node/duties.go
@@ -7,7 +7,7 @@
 
 	v1 "github.com/pathtally/pathtally/api/v1"
 	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
-	"github.com/pathtally/pathtally/internal/replicas/routing"
+	"github.com/pathtally/pathtally/internal/standalone/engineplan"
 	"github.com/pathtally/pathtally/internal/standalone/lease"
 	"github.com/pathtally/pathtally/internal/standalone/quorum"
 	"github.com/pathtally/pathtally/internal/standalone/rollout"
@@ -213,14 +213,14 @@
 		Stores:      storeDirectory{table: c.table},
 		Policy:      c.config.Policy,
 		ChunkTokens: c.config.ChunkTokens,
-		Plan:        func() *routing.TrainerPlan { return c.trainerPlan(trainer) },
+		Plan:        func() *engineplan.TrainerPlan { return c.trainerPlan(trainer) },
 	})
 	c.schedulers[name] = scheduler
 	c.rebuild()
 	scheduler.Start()
 }
 
-func (c *Core) trainerPlan(trainer string) *routing.TrainerPlan {
+func (c *Core) trainerPlan(trainer string) *engineplan.TrainerPlan {
 	snapshot := c.snapshot.Load()
 	if snapshot == nil {
 		return nil
--- a/internal/standalone/rollout/attempt.go
+++ b/internal/standalone/rollout/attempt.go
@@ -8,6 +8,7 @@
 
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 	"github.com/pathtally/pathtally/internal/standalone/engine"
+	"github.com/pathtally/pathtally/internal/standalone/engineplan"
 	"github.com/pathtally/pathtally/internal/standalone/request"
 )
 
@@ -53,7 +54,7 @@
 
 // pumpStep dispatches the waiting samples of one step; false means that no
 // engine has room.
-func (s *Scheduler) pumpStep(step *stepState, plan *routing.TrainerPlan, policy Policy, place int) bool {
+func (s *Scheduler) pumpStep(step *stepState, plan *engineplan.TrainerPlan, policy Policy, place int) bool {
 	now := s.config.Clock.Now()
 	if s.reorder {
 		s.orderPending(step)
--- a/internal/standalone/rollout/config.go
+++ b/internal/standalone/rollout/config.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/replicas/routing"
 	"github.com/pathtally/pathtally/internal/standalone/engine"
+	"github.com/pathtally/pathtally/internal/standalone/engineplan"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
@@ -67,7 +67,7 @@
 	Scorer    Scorer
 	Stores    Stores
 	// Plan returns the trainer and its engines as they are now, or nil.
-	Plan func() *routing.TrainerPlan
+	Plan func() *engineplan.TrainerPlan
 	// Policy overrides the one that suits the trainer.
 	Policy Policy
 	// OnSuperseded is told when another holder's ballot was seen.
--- a/internal/standalone/rollout/scheduler.go
+++ b/internal/standalone/rollout/scheduler.go
@@ -7,7 +7,7 @@
 	"github.com/ansel1/merry/v2"
 
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/replicas/routing"
+	"github.com/pathtally/pathtally/internal/standalone/engineplan"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
@@ -22,7 +22,7 @@
 	parked    []*attempt
 	// reorder is set when what is known of the waiting samples has changed.
 	reorder  bool
-	lastPlan *routing.TrainerPlan
+	lastPlan *engineplan.TrainerPlan
 	// standingStores are the stores at the last look, by copyName.
 	standingStores map[string]bool
 	timer          environment.Timer
@@ -167,7 +167,7 @@
 
 // plan returns the trainer and its engines; while the trainer is not declared
 // any more, those last known.
-func (s *Scheduler) plan() *routing.TrainerPlan {
+func (s *Scheduler) plan() *engineplan.TrainerPlan {
 	if current := s.config.Plan(); current != nil {
 		s.lastPlan = current
 	}
--- a/internal/standalone/sim/gateway.go
+++ b/internal/standalone/sim/gateway.go
@@ -9,6 +9,7 @@
 
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 	"github.com/pathtally/pathtally/internal/standalone/engine"
+	"github.com/pathtally/pathtally/internal/standalone/engineplan"
 	"github.com/pathtally/pathtally/internal/standalone/node"
 	"github.com/pathtally/pathtally/internal/standalone/quorum"
 	"github.com/pathtally/pathtally/internal/standalone/request"
@@ -53,7 +54,7 @@
 type gatewayCall struct {
 	gateway  *Gateway
 	id       string
-	group    *routing.GroupPlan
+	group    *engineplan.GroupPlan
 	machine  *request.Machine
 	asked    CallerRequest
 	endpoint *routing.Endpoint
