--- a/internal/duties/autoscale/service_test.go
+++ b/internal/duties/autoscale/service_test.go
@@ -103,7 +103,7 @@
 	table.SetReplicas(replicas, 0)
 	keeper := lease.NewKeeper(lease.Config{
 		Node: name, Lease: lease.NewLease(name, name, 0, w.store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
-		Nodes: func() []string { return []string{name} }, Tell: func([]string) {}, Silence: func(string) time.Duration { return time.Hour },
+		Nodes: func() []string { return []string{name} }, Announce: func([]string) {}, Silence: func(string) time.Duration { return time.Hour },
 	})
 	service := NewService(Config{
 		Policy: PolicyWork, Keeper: keeper, Store: w.store, Platform: w.market, Directory: table, Logger: klog.Background(),
--- a/internal/duties/lease/acquire.go
+++ b/internal/duties/lease/acquire.go
@@ -8,56 +8,43 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// Acquire writes the lease for this node. It returns how long to wait first,
-// if another node may still send calls.
+// Acquire takes or renews the lease. It returns how long to wait first, if another
+// node's calls may still be on their way. Its error is ErrStopped, or that of the store.
 func (l *Lease) Acquire(ctx context.Context) (time.Duration, error) {
-	next := l.plan()
-	if next.read {
+	next := l.decide(false)
+	if next.action == actionRead {
 		if err := l.read(ctx); err != nil {
 			return 0, err
 		}
-		next = l.plan()
+		next = l.decide(true)
 	}
-	switch {
-	case next.stopped:
+	switch next.action {
+	case actionNone:
 		return 0, ErrStopped
-	case next.wait > 0:
-		// Whatever has been written since only makes the wait longer.
+	case actionWait:
 		return next.wait, nil
 	}
-	return 0, l.write(ctx, next.revision, false)
+	return 0, l.write(ctx, next.replaces, false)
 }
 
-// step is what is to be done next to get the lease.
-type step struct {
-	stopped bool
-	wait    time.Duration
-	// read is set where the lease has to be read first.
-	read bool
-	// revision is what a write replaces. It belongs to the same moment as wait:
-	// what is learnt later may bring a holder that has to be waited for.
-	revision uint64
-}
-
-func (l *Lease) plan() step {
+func (l *Lease) decide(justRead bool) decision {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	wait := l.state.wait(l.clock())
-	return step{stopped: l.state.stopped, wait: wait, read: wait == 0 && l.state.mustRead(), revision: l.state.revision}
+	return l.state.decide(l.clock(), justRead)
 }
 
-// read reads the lease.
+// read reads the stored lease.
 func (l *Lease) read(ctx context.Context) error {
 	object, err := l.store.Get(ctx, leaseKind, leaseName, objectstore.Linearizable)
 	if err != nil && !errors.Is(err, objectstore.ErrNotFound) {
 		return err
 	}
-	var spec leaseSpec
+	var stored Observation
 	if err == nil {
-		spec = decodeLease(object)
+		stored = decodeLease(object)
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.state.wasRead(l.clock(), spec.Node, object.Revision, spec.Released)
+	l.state.recordRead(l.clock(), stored)
 	return nil
 }
--- a/internal/duties/lease/errors.go
+++ b/internal/duties/lease/errors.go
@@ -7,14 +7,16 @@
 )
 
 var (
-	// ErrUnanswered means that the receiver may have taken a call, or may yet.
+	// ErrStopped means that this node has given up its duties.
+	ErrStopped = merry.Sentinel("node takes no more duties")
+	// ErrUnanswered means that the receiver may have carried a call out, or may yet.
 	ErrUnanswered = merry.Sentinel("duty call not answered")
-	// ErrFenced means that a call was not taken, since its receiver has seen a newer
-	// token, or not sent, since this node does not hold the lease any more.
+	// ErrFenced means that a call was not carried out, since its receiver has seen a newer
+	// token, or not sent, since this node no longer holds the lease.
 	ErrFenced = merry.Sentinel("fencing token is outdated")
 )
 
-// RejectedError is the receiver's refusal of a call, which has not been taken.
+// RejectedError is the receiver's refusal of a call, which was not carried out.
 type RejectedError struct {
 	// Status is that of the answer, 0 if the call was never sent.
 	Status int
--- a/internal/duties/lease/lease.go
+++ b/internal/duties/lease/lease.go
@@ -4,22 +4,10 @@
 	"sync"
 	"time"
 
-	"github.com/ansel1/merry/v2"
-
 	"github.com/pathtally/pathtally/internal/clock"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-const (
-	leaseKind = "leases"
-	// leaseName is that of the first duty there was. It stays, so that nodes of
-	// an earlier version contend for the same object.
-	leaseName = "weight-orders"
-)
-
-// ErrStopped means that this node takes no more duties.
-var ErrStopped = merry.Sentinel("node takes no more duties")
-
 // Lease is this node's view of the lease, and the calls to the store that keep
 // it. It is safe for use by many goroutines.
 type Lease struct {
@@ -41,7 +29,7 @@
 	return lease
 }
 
-// SetTerm changes the wait of this node as a successor; 0 means the default.
+// SetTerm changes how long this node waits as a successor; 0 means the default.
 func (l *Lease) SetTerm(term time.Duration) {
 	if term <= 0 {
 		term = DefaultTerm
@@ -58,13 +46,13 @@
 	return l.state.valid(l.clock())
 }
 
-// Held returns since when no other node has held the lease, nor a former process of
-// this one; false unless calls may be sent now.
+// Held returns since when neither another node nor a previous process of this one has
+// held the lease, and whether calls may be sent now.
 func (l *Lease) Held() (since time.Time, valid bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	_, valid = l.state.valid(l.clock())
-	return l.state.alone, valid
+	return l.state.soleSince, valid
 }
 
 // Tenure returns the token of this node's last renewal while no other node is
@@ -78,14 +66,14 @@
 	return l.state.token
 }
 
-// Stopped tells whether this node takes no more duties.
+// Stopped reports whether this node has given up its duties.
 func (l *Lease) Stopped() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.state.stopped
 }
 
-// Remaining is for how long calls may be sent.
+// Remaining returns how long calls may still be sent, 0 if they may not.
 func (l *Lease) Remaining() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -95,7 +83,7 @@
 	return l.clock.Until(l.state.until)
 }
 
-// stop ends this node's tenure, and tells whether it may be released.
+// stop ends this node's tenure, and reports whether it may be released.
 func (l *Lease) stop() (mayRelease bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/duties/lease/lease_test.go
+++ b/internal/duties/lease/lease_test.go
@@ -156,10 +156,10 @@
 		if err := held.read(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		next := held.plan()
+		next := held.decide(true)
 		acquireNow(t, other)
-		held.Observe(other.Seen())
-		if err := held.write(context.Background(), next.revision, false); err == nil {
+		held.Observe(other.LastObserved())
+		if err := held.write(context.Background(), next.replaces, false); err == nil {
 			t.Error("the lease was taken from its holder")
 		}
 		if _, valid := held.Valid(); valid {
@@ -183,7 +183,7 @@
 		if since, valid := one.Held(); !valid || !since.Equal(began) {
 			t.Errorf("held since %s, %v; nobody else has held it since %s", since, valid, began)
 		}
-		two.Observe(one.Seen())
+		two.Observe(one.LastObserved())
 		time.Sleep(SendWindow + testTerm + takeoverMargin)
 		acquireNow(t, two)
 		if _, err := one.Acquire(t.Context()); err == nil {
--- a/internal/duties/lease/model_key_test.go
+++ b/internal/duties/lease/model_key_test.go
@@ -58,18 +58,18 @@
 	for i := range w.nodes {
 		node := w.nodes[i]
 		number(node.behind)
-		number(rank(node.state.revision), instant(node.state.seen), rank(node.state.token))
+		number(rank(node.state.revision), instant(node.state.firstSeen), rank(node.state.token))
 		if node.state.token != 0 {
-			number(instant(node.state.until), instant(node.state.since))
+			number(instant(node.state.until), instant(node.state.tenureStart))
 		}
-		number(instant(node.state.alone))
+		number(instant(node.state.soleSince))
 		if node.ready {
 			number(rank(node.replaces))
 		}
 		if node.done != nil {
 			number(rank(node.revision))
 		}
-		flags(node.state.released, node.state.unsure, node.state.stopped, node.ready)
+		flags(node.state.released, node.state.unconfirmed, node.state.stopped, node.ready)
 		text = append(text, node.state.holder...)
 		write(node.inFlight)
 		write(node.done)
--- a/internal/duties/lease/model_steps_test.go
+++ b/internal/duties/lease/model_steps_test.go
@@ -35,20 +35,11 @@
 // storeSteps are those of a node's calls to the store.
 func (w modelWorld) storeSteps(i int, fault planted, allowed disruption) (following []modelWorld) {
 	node := w.nodes[i]
-	now := w.clock(i)
-	wait := node.state.wait(now)
-	if fault.noWait {
-		wait = 0
-	}
-	if node.inFlight == nil && node.done == nil && !node.ready && !node.state.stopped && wait == 0 {
-		read := w
-		if node.state.mustRead() {
-			read.nodes[i].state.wasRead(now, w.holderName(), w.revision, w.released)
-		}
-		if read.nodes[i].state.wait(now) == 0 || fault.noWait {
-			read.nodes[i].ready, read.nodes[i].replaces = true, read.nodes[i].state.revision
+	if node.inFlight == nil && node.done == nil && !node.ready && !node.state.stopped {
+		next := w.decide(i, fault, false)
+		if next.action != actionWait {
+			following = append(following, w.prepareWrite(i, fault, next))
 		}
-		following = append(following, read)
 	}
 	if node.ready {
 		sent := w
@@ -67,7 +58,7 @@
 		if allowed.lost {
 			lost := w
 			lost.nodes[i].done = nil
-			lost.nodes[i].state.unanswered()
+			lost.nodes[i].state.recordNoAnswer()
 			following = append(following, lost)
 		}
 	}
@@ -80,6 +71,29 @@
 	return following
 }
 
+// decide has a node decide as the product does.
+func (w modelWorld) decide(i int, fault planted, justRead bool) decision {
+	known := w.nodes[i].state
+	if fault.noWait {
+		// A released lease is not waited for.
+		known.released = true
+	}
+	return known.decide(w.clock(i), justRead)
+}
+
+// prepareWrite has a node read the lease if it must, and be ready to write it where it
+// still need not wait.
+func (w modelWorld) prepareWrite(i int, fault planted, next decision) modelWorld {
+	if next.action == actionRead {
+		w.nodes[i].state.recordRead(w.clock(i), w.stored())
+		next = w.decide(i, fault, true)
+	}
+	if next.action == actionTake || next.action == actionRenew {
+		w.nodes[i].ready, w.nodes[i].replaces = true, next.replaces
+	}
+	return w
+}
+
 // unlessLost has a write that was sent done and answered at once, where nothing
 // is lost: that saves most of the steps.
 func (w modelWorld) unlessLost(i int, allowed disruption) modelWorld {
@@ -97,9 +111,9 @@
 func (w modelWorld) answer(i int) modelWorld {
 	node := &w.nodes[i]
 	if node.done.release {
-		node.state.observe(w.clock(i), modelNames[i], node.revision, true)
+		node.state.observe(w.clock(i), Observation{Holder: modelNames[i], Revision: node.revision, Released: true})
 	} else {
-		node.state.wrote(w.at(node.done.sent), node.revision)
+		node.state.recordWrite(w.at(node.done.sent), node.revision)
 	}
 	node.done = nil
 	return w
@@ -114,14 +128,14 @@
 	if revision := carried.apply(i, write); revision > 0 {
 		carried.nodes[i].done, carried.nodes[i].revision = write, revision
 	} else {
-		carried.nodes[i].state.conflicted(w.clock(i), w.holderName(), w.revision, w.released)
+		carried.nodes[i].state.recordConflict(w.clock(i), w.stored())
 	}
 	if !allowed.lost {
 		return []modelWorld{carried}
 	}
 	givenUp := w
 	givenUp.nodes[i].inFlight, givenUp.late[i] = nil, write
-	givenUp.nodes[i].state.unanswered()
+	givenUp.nodes[i].state.recordNoAnswer()
 	return []modelWorld{carried, givenUp}
 }
 
@@ -139,7 +153,7 @@
 	if allowed.told {
 		told := w
 		other := w.nodes[1-i].state
-		told.nodes[i].state.observe(w.clock(i), other.holder, other.revision, other.released)
+		told.nodes[i].state.observe(w.clock(i), Observation{Holder: other.holder, Revision: other.revision, Released: other.released})
 		following = append(following, told)
 	}
 	return following
@@ -193,5 +207,5 @@
 	if fault.everAlone {
 		return world.at(-modelAge)
 	}
-	return n.state.alone
+	return n.state.soleSince
 }
--- a/internal/duties/lease/model_world_test.go
+++ b/internal/duties/lease/model_world_test.go
@@ -71,6 +71,11 @@
 	return w.revision
 }
 
+// stored is the lease as the store has it.
+func (w *modelWorld) stored() Observation {
+	return Observation{Holder: w.holderName(), Revision: w.revision, Released: w.released}
+}
+
 // holderName is who the store names.
 func (w *modelWorld) holderName() string {
 	if w.holder < 0 {
--- a/internal/duties/lease/permit.go
+++ b/internal/duties/lease/permit.go
@@ -17,16 +17,16 @@
 	if !valid {
 		return Permit{}, false
 	}
-	k.open++
+	k.openCalls++
 	return Permit{Holder: k.config.Node, Token: token, keeper: k}, true
 }
 
-// Done tells that the call has ended, and whether it was answered: one that was
-// not may arrive yet.
+// Done records that the call has ended, and whether it was answered: one that was
+// not may still arrive.
 func (p Permit) Done(answered bool) {
 	p.keeper.mutex.Lock()
 	defer p.keeper.mutex.Unlock()
-	p.keeper.open--
+	p.keeper.openCalls--
 	if !answered {
 		p.keeper.unansweredAt = p.keeper.config.Clock()
 	}
--- a/internal/duties/lease/release.go
+++ b/internal/duties/lease/release.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	// unansweredMemory is for how long a call without an answer may yet arrive:
+	// lateCallPeriod is how long a call without an answer may still arrive:
 	// none is carried out later (docs/PLATFORM.md, "Who runs a job").
-	unansweredMemory = 8 * time.Second
-	// releaseTime bounds the giving up of the lease, and releaseLook is the time
-	// between looks at the calls still open.
-	releaseTime = 1200 * time.Millisecond
-	releaseLook = 10 * time.Millisecond
+	lateCallPeriod = 8 * time.Second
+	// releaseTimeout bounds the release of the lease.
+	releaseTimeout = 1200 * time.Millisecond
+	// releasePollInterval is the time between checks of the calls still open.
+	releasePollInterval = 10 * time.Millisecond
 )
 
 // Release ends this node's duties for a planned stop. The lease is given up if
 // that is safe, so that a successor need not wait; else it runs out.
 func (k *Keeper) Release(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, releaseTime)
+	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	k.acquiring.Lock()
 	defer k.acquiring.Unlock()
 	mayRelease := k.config.Lease.stop()
-	if !mayRelease || !k.callsEnded(ctx) {
+	if !mayRelease || !k.awaitCalls(ctx) {
 		return
 	}
 	if err := k.config.Lease.release(ctx); err != nil {
@@ -31,15 +31,13 @@
 		return
 	}
 	k.config.Logger.Info("duty lease released")
-	k.tell()
+	k.announce()
 }
 
-// callsEnded waits until no call is open, and tells whether none may arrive yet.
-func (k *Keeper) callsEnded(ctx context.Context) bool {
+// awaitCalls waits until no call is open, and reports whether none may still arrive.
+func (k *Keeper) awaitCalls(ctx context.Context) bool {
 	for {
-		k.mutex.Lock()
-		open, late := k.open, k.config.Clock.Since(k.unansweredAt) < unansweredMemory && !k.unansweredAt.IsZero()
-		k.mutex.Unlock()
+		open, late := k.pendingCalls()
 		if late {
 			return false
 		}
@@ -49,7 +47,16 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(releaseLook):
+		case <-time.After(releasePollInterval):
 		}
 	}
 }
+
+// pendingCalls returns how many calls are open, and whether one that ended without an
+// answer may still arrive.
+func (k *Keeper) pendingCalls() (open int, late bool) {
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
+	late = !k.unansweredAt.IsZero() && k.config.Clock.Since(k.unansweredAt) < lateCallPeriod
+	return k.openCalls, late
+}
--- a/internal/duties/usage/service_test.go
+++ b/internal/duties/usage/service_test.go
@@ -115,7 +115,7 @@
 func (n *testNode) tell() {
 	beat := &wire.NodeBeat{}
 	n.service.FillBeat(beat)
-	seen := n.keeper.Seen()
+	seen := n.keeper.LastObserved()
 	for name := range n.net.copies() {
 		if other := n.net.get(name); other != nil && other != n {
 			go func() {
@@ -139,7 +139,7 @@
 	node := &testNode{name: name, incarnation: incarnation, net: n, stop: stop}
 	node.keeper = lease.NewKeeper(lease.Config{
 		Node: name, Lease: lease.NewLease(name, fmt.Sprint(incarnation), 0, store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
-		Nodes: func() []string { return names }, Tell: func([]string) { node.tell() },
+		Nodes: func() []string { return names }, Announce: func([]string) { node.tell() },
 		Silence: func(other string) time.Duration {
 			at, _ := node.heard.Load(other)
 			heard, _ := at.(time.Time)
--- a/internal/duties/weightorders/coordinator.go
+++ b/internal/duties/weightorders/coordinator.go
@@ -98,7 +98,7 @@
 		pause := c.step(ctx)
 		if !c.config.Keeper.IsCandidate() {
 			// Whether there is work is for the candidates to see at once.
-			changed, pause = nil, max(pause, outsiderPause, c.config.Keeper.Patience()/2)
+			changed, pause = nil, max(pause, outsiderPause, c.config.Keeper.RankDelay()/2)
 		}
 		timer := time.NewTimer(pause)
 		select {
--- a/internal/duties/weightorders/coordinator_test.go
+++ b/internal/duties/weightorders/coordinator_test.go
@@ -73,7 +73,7 @@
 		var keeper *lease.Keeper
 		keeper = lease.NewKeeper(lease.Config{
 			Node: node, Lease: lease.NewLease(node, nonce, lease.DefaultTerm, f.store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
-			Nodes: func() []string { return nodes }, Silence: func(string) time.Duration { return time.Hour }, Tell: func([]string) { f.tell(keeper) },
+			Nodes: func() []string { return nodes }, Silence: func(string) time.Duration { return time.Hour }, Announce: func([]string) { f.tell(keeper) },
 		})
 		made := NewCoordinator(Config{
 			Keeper: keeper, Directory: f.table, Replicas: f.replicas, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
@@ -101,7 +101,7 @@
 
 // tell is a heartbeat of one node to all.
 func (f *fleet) tell(from *lease.Keeper) {
-	seen := from.Seen()
+	seen := from.LastObserved()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, other := range f.coordinators {
--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -98,7 +98,7 @@
 func (i *Instance) assembleDuties(self batch.Owner, duties Duties) {
 	i.lease = lease.NewLease(self.Node, strconv.FormatUint(self.Incarnation, nonceBase), i.settings.DutyLease.Std(), i.store, i.clock)
 	i.duty = lease.NewKeeper(lease.Config{
-		Node: self.Node, Lease: i.lease, Clock: i.clock, Logger: i.logger, Nodes: i.peers.Nodes, Silence: i.silence, Tell: i.peers.Tell,
+		Node: self.Node, Lease: i.lease, Clock: i.clock, Logger: i.logger, Nodes: i.peers.Nodes, Silence: i.silence, Announce: i.peers.Tell,
 	})
 	i.weights = weightorders.NewCoordinator(weightorders.Config{
 		Keeper: i.duty, Directory: i.directory, Replicas: i.adapter.Orders(i.pool), Logger: i.logger, Registry: i.registry,
--- a/internal/instance/peers.go
+++ b/internal/instance/peers.go
@@ -48,14 +48,14 @@
 		i.usage.FillBeat(beat)
 	}
 	beat.Lease = i.duty.Tenure()
-	seen := i.duty.Seen()
+	seen := i.duty.LastObserved()
 	beat.LeaseHolder, beat.LeaseSeen, beat.LeaseReleased = seen.Holder, seen.Revision, seen.Released
 }
 
 // takeBeat takes another node's heartbeat.
 func (i *Instance) takeBeat(beat *wire.NodeBeat) {
-	i.duty.Observe(lease.Sighting{Holder: beat.Node, Revision: beat.Lease})
-	i.duty.Observe(lease.Sighting{Holder: beat.LeaseHolder, Revision: beat.LeaseSeen, Released: beat.LeaseReleased})
+	i.duty.Observe(lease.Observation{Holder: beat.Node, Revision: beat.Lease})
+	i.duty.Observe(lease.Observation{Holder: beat.LeaseHolder, Revision: beat.LeaseSeen, Released: beat.LeaseReleased})
 	for _, change := range beat.Versions {
 		i.weights.ObserveVersion(change)
 	}
--- a/internal/instance/slowstart.go
+++ b/internal/instance/slowstart.go
@@ -106,7 +106,7 @@
 // allotters names the nodes that may allot, the likeliest first: the holder of the
 // duty lease unless it gave it up, then those that would follow it.
 func (s *slowStart) allotters() []string {
-	seen := s.instance.duty.Seen()
+	seen := s.instance.duty.LastObserved()
 	named := s.instance.duty.Informed(allotterFollowers)
 	if seen.Holder == "" {
 		return named
--- a/test/virtual_test.go
+++ b/test/virtual_test.go
@@ -95,7 +95,7 @@
 	})
 	keeper := lease.NewKeeper(lease.Config{
 		Node: "node", Lease: lease.NewLease("node", "1", 0, day.store, clock.Steady), Clock: clock.Steady, Logger: logger, Nodes: peers.Nodes,
-		Silence: func(string) time.Duration { return time.Hour }, Tell: func([]string) {},
+		Silence: func(string) time.Duration { return time.Hour }, Announce: func([]string) {},
 	})
 	coordinator := weightorders.NewCoordinator(weightorders.Config{
 		Keeper: keeper, Directory: table, Replicas: platform.NewOrders(pool), Logger: logger, Registry: registry,
