--- a/internal/replicas/directory/doc.go
+++ b/internal/replicas/directory/doc.go
@@ -1,8 +1,16 @@
-// Package directory is what a node believes of the world outside: the
-// configuration in force, the replicas that serve, and the weight versions
-// that trainers have named. Informers keep it current by listing and watching
-// the metadata store; readers take an immutable View from an atomic pointer.
+// Package directory is what a node knows of the world outside: the configuration in
+// force, the replicas, the weight versions that trainers have named, and the zones that
+// are evacuated. Table owns it. Sinks take it from the copy of the metadata store
+// (internal/store/watchcache), which lists and watches for them; everything else reads
+// an immutable View from an atomic pointer.
 //
-// Two things never go back within a process: the configuration's version, and
-// a replica once seen draining or gone under its id.
+// It guarantees within a process:
+//
+//   - The configuration's version and the named versions only rise.
+//   - A start of a replica that has said it leaves gets no more requests.
+//   - A replica of an evacuated zone is closed before the view that says so is
+//     published, and opened only after the view that ends it.
+//   - A replica that warms up is bounded before the view that lists it is published.
+//
+// usable.go decides which replicas are used.
 package directory
--- a/internal/replicas/directory/evacuation.go
+++ b/internal/replicas/directory/evacuation.go
@@ -8,17 +8,11 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// endedMemory is for how long the end of an evacuation is remembered: replicas warm
-// up within seconds, and operators look at a zone for some minutes after.
-const endedMemory = 10 * time.Minute
-
-// EvacuationChange is the beginning or the end of a zone's evacuation.
-type EvacuationChange struct {
-	Zone  string
-	Ended bool
-}
+// evacuationEndMemory is how long the end of an evacuation is remembered: replicas warm
+// up within seconds, and operators watch a zone for some minutes after.
+const evacuationEndMemory = 10 * time.Minute
 
-// AwaitEvacuations has every zone taken as evacuated until the evacuations have been
+// AwaitEvacuations counts every zone as evacuated until the evacuations have been
 // listed once. Call it before the first listing of replicas.
 func (t *Table) AwaitEvacuations() {
 	t.mutex.Lock()
@@ -32,9 +26,9 @@
 func (t *Table) SetEvacuations(zones []string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	standing := t.view.Load()
+	current := t.view.Load()
 	var changes []EvacuationChange
-	for zone := range standing.Evacuated {
+	for zone := range current.Evacuated {
 		if !slices.Contains(zones, zone) {
 			changes = append(changes, EvacuationChange{Zone: zone, Ended: true})
 		}
@@ -42,10 +36,10 @@
 	for _, zone := range zones {
 		changes = append(changes, EvacuationChange{Zone: zone})
 	}
-	if len(changes) == 0 && !standing.EvacuationsAwaited {
+	if len(changes) == 0 && !current.EvacuationsAwaited {
 		return
 	}
-	next := *standing
+	next := *current
 	next.EvacuationsAwaited = false
 	t.changeEvacuations(&next, changes)
 }
@@ -62,7 +56,7 @@
 func (t *Table) changeEvacuations(next *View, changes []EvacuationChange) {
 	next.Evacuated = cloneTimes(next.Evacuated)
 	next.EvacuationEnded = cloneTimes(next.EvacuationEnded)
-	maps.DeleteFunc(next.EvacuationEnded, func(_ string, at time.Time) bool { return t.clock.Since(at) > endedMemory })
+	maps.DeleteFunc(next.EvacuationEnded, func(_ string, at time.Time) bool { return t.clock.Since(at) > evacuationEndMemory })
 	for _, change := range changes {
 		if change.Ended {
 			t.endEvacuation(next, change.Zone)
@@ -100,17 +94,17 @@
 		"inFlight", next.InFlightIn(zone))
 }
 
-// publishEvacuations publishes a view after its endpoints have been told.
+// publishEvacuations publishes a view whose evacuations have changed.
 func (t *Table) publishEvacuations(next *View) {
-	all := allOf(next)
-	closeEvacuated(next, all)
+	all := allIDs(next)
+	closeEvacuatedZones(next, all)
 	t.publish(next, nil)
-	openOthers(next, all)
+	openOtherZones(next, all)
 }
 
-// closeEvacuated tells the endpoints of a view that are to get nothing, before it is
+// closeEvacuatedZones closes the endpoints in evacuated zones of a view, before it is
 // published.
-func closeEvacuated(view *View, touched map[string]bool) {
+func closeEvacuatedZones(view *View, touched map[string]bool) {
 	for id := range touched {
 		if endpoint := view.Endpoints[id]; endpoint != nil && view.IsEvacuated(endpoint.Zone) {
 			endpoint.State.SetEvacuated(true)
@@ -118,10 +112,9 @@
 	}
 }
 
-// openOthers tells the other endpoints of a view that they may be used. That comes after
-// its publication, which bounds what replicas get while they warm up: those of a zone
+// openOtherZones opens the other endpoints of a view. That comes after its publication, which bounds what replicas get while they warm up: those of a zone
 // whose evacuation ends may be cold.
-func openOthers(view *View, touched map[string]bool) {
+func openOtherZones(view *View, touched map[string]bool) {
 	for id := range touched {
 		if endpoint := view.Endpoints[id]; endpoint != nil && !view.IsEvacuated(endpoint.Zone) {
 			endpoint.State.SetEvacuated(false)
@@ -129,8 +122,8 @@
 	}
 }
 
-// allOf are the ids of all endpoints of a view.
-func allOf(view *View) map[string]bool {
+// allIDs returns the ids of all endpoints of a view.
+func allIDs(view *View) map[string]bool {
 	ids := make(map[string]bool, len(view.Endpoints))
 	for id := range view.Endpoints {
 		ids[id] = true
@@ -138,12 +131,6 @@
 	return ids
 }
 
-// IsEvacuated tells whether nothing is to be sent to the replicas of a zone.
-func (v *View) IsEvacuated(zone string) bool {
-	_, evacuated := v.Evacuated[zone]
-	return evacuated || v.EvacuationsAwaited
-}
-
 // EndpointsIn lists the current replicas of a zone, in no order.
 func (v *View) EndpointsIn(zone string) []*routing.Endpoint {
 	var found []*routing.Endpoint
--- /dev/null
+++ b/internal/replicas/directory/evacuation_change.go
@@ -0,0 +1,7 @@
+package directory
+
+// EvacuationChange is the beginning or the end of a zone's evacuation.
+type EvacuationChange struct {
+	Zone  string
+	Ended bool
+}
--- a/internal/replicas/directory/homes.go
+++ b/internal/replicas/directory/homes.go
@@ -7,11 +7,11 @@
 	"github.com/pathtally/pathtally/internal/replicas/homes"
 )
 
-// DeclaresHomes tells whether the requests of some route or tenant may be served in
+// DeclaresHomes reports whether the requests of some route or tenant may be served in
 // some regions only.
 func (c *Configuration) DeclaresHomes() bool { return c != nil && c.declaresHomes }
 
-// HomesOf are the regions in which a tenant's requests on a route may be served now.
+// HomesOf returns the regions in which a tenant's requests on a route may be served now.
 // The route may be that of an earlier configuration, whose homes hold where this one
 // does not declare it.
 func (c *Configuration) HomesOf(route *Route, tenant string) homes.Set {
@@ -19,8 +19,8 @@
 		return homes.Of(route.Homes, nil)
 	}
 	if c.declaresHomes || len(route.Homes) > 0 {
-		if standing := c.Named(route.Name); standing != nil {
-			route = standing
+		if current := c.Named(route.Name); current != nil {
+			route = current
 		}
 	}
 	return homes.Of(route.Homes, c.Tenants.HomesOf(tenant))
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// HasReplica tells whether a service of a route has a replica in some regions, ready
-// or not. Where the replicas are not known yet it may have.
+// HasReplica reports whether a service of a route has a replica in some regions, or may
+// have one since the replicas are not known yet.
 func (v *View) HasReplica(route *Route, allowed homes.Set) bool {
 	if !allowed.Bound() || !v.ReplicasKnown {
 		return true
@@ -56,7 +56,7 @@
 	return false
 }
 
-// RegionOf is the region of a zone, "" if it is not known.
+// RegionOf returns the region of a zone, "" if it is not known.
 func (t *Table) RegionOf(zone string) string { return t.regions[zone] }
 
 // logUnknownHomes logs the homes of a configuration that name no region of the
--- a/internal/replicas/directory/listing.go
+++ b/internal/replicas/directory/listing.go
@@ -5,30 +5,24 @@
 	"time"
 )
 
-// ReplicaChange is a replica that is new or changed, or one whose entry has
-// vanished or cannot be read if Replica is nil.
-type ReplicaChange struct {
-	// Name is what the replica is listed under.
-	Name    string
-	Replica *Replica
-	// Unreadable tells that there is an entry that names no replica.
-	Unreadable bool
-}
+// leftMemory is how long a replica that leaves is remembered after it was listed
+// last. Ids are never used again; no change older than that arrives.
+const leftMemory = 10 * time.Minute
 
 // SetReplicas replaces the whole listing. Replicas that are not in it are kept
-// for a while longer, none when keepMissing is 0.
+// for keepMissing longer.
 func (t *Table) SetReplicas(replicas []*Replica, keepMissing time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	next := *t.view.Load()
-	standing := next.Replicas
+	current := next.Replicas
 	next.Replicas = map[string]*Replica{}
 	for _, replica := range replicas {
-		t.admit(next.Replicas, replica)
+		t.takeEntry(next.Replicas, replica)
 	}
-	for id, replica := range standing {
-		if next.Replicas[id] == nil && !t.isDraining(id) && !t.isSuperseded(replica) {
-			t.miss(next.Replicas, replica, keepMissing)
+	for id, replica := range current {
+		if next.Replicas[id] == nil {
+			t.takeMissing(next.Replicas, replica, keepMissing)
 		}
 	}
 	next.ReplicasKnown = true
@@ -36,8 +30,7 @@
 }
 
 // ApplyReplicas takes changes that came together, oldest first, and makes one
-// view of them. Replicas whose entries have vanished are kept for a while
-// longer, none when keepMissing is 0.
+// view of them. Replicas whose entries have vanished are kept for keepMissing longer.
 func (t *Table) ApplyReplicas(changes []ReplicaChange, keepMissing time.Duration) {
 	if len(changes) == 0 {
 		return
@@ -48,97 +41,115 @@
 	next.Replicas = maps.Clone(next.Replicas)
 	touched := map[string]bool{}
 	for _, change := range changes {
-		id := t.startOf(change.Name)
-		touched[id] = true
-		standing := next.Replicas[id]
-		switch {
-		case change.Replica != nil:
-			t.admit(next.Replicas, change.Replica)
-		case change.Unreadable:
-			// Whoever wrote it, the replica may have moved or left since: nothing is known
-			// of it until it writes again.
-			delete(next.Replicas, id)
-			t.stopKeeping(id)
-		case standing != nil:
-			delete(next.Replicas, id)
-			t.miss(next.Replicas, standing, keepMissing)
-		}
+		touched[t.startOf(change.Name)] = true
+		t.applyChange(next.Replicas, change, keepMissing)
 		touched[t.startOf(change.Name)] = true
 	}
 	t.publishTouched(&next, touched)
 }
 
-// admit puts a replica into a listing unless it is leaving, in place of an earlier start
-// of the same name.
-func (t *Table) admit(listing map[string]*Replica, replica *Replica) {
-	if !t.noteStart(listing, replica) {
+// applyChange applies a change to a listing.
+func (t *Table) applyChange(listing map[string]*Replica, change ReplicaChange, keepMissing time.Duration) {
+	id := t.startOf(change.Name)
+	current := listing[id]
+	switch {
+	case change.Replica != nil:
+		t.takeEntry(listing, change.Replica)
+	case change.Unreadable:
+		// The replica may have moved or left since: nothing is known of it until it
+		// writes again.
+		delete(listing, id)
+		t.stopKeeping(id)
+	case current != nil:
+		delete(listing, id)
+		t.takeMissing(listing, current, keepMissing)
+	}
+}
+
+// takeEntry takes a replica's entry into a listing, in place of an earlier start of the
+// same name, unless it is late or the replica leaves.
+func (t *Table) takeEntry(listing map[string]*Replica, replica *Replica) {
+	known := t.entryFacts(replica)
+	outcome := disposeEntry(known)
+	if outcome == dispositionLate {
+		t.delayLateEntry(replica)
 		t.keepNewest(listing, replica.InstanceName())
 		return
 	}
+	t.recordStart(listing, replica)
 	t.stopKeeping(replica.ID)
 	delete(t.unreadable, replica.InstanceName())
-	known := t.isDraining(replica.ID)
-	if replica.State != ReplicaReady && !known {
-		t.logger.Info("replica draining", "replica", replica.ID, "state", replica.State)
-	}
-	if replica.State != ReplicaReady || known {
-		t.draining[replica.ID] = time.Now()
-		delete(listing, replica.ID)
+	if outcome == dispositionUse {
+		listing[replica.ID] = replica
 		return
 	}
-	listing[replica.ID] = replica
-}
-
-// stopKeeping ends the time that a vanished replica is kept for.
-func (t *Table) stopKeeping(id string) {
-	if timer := t.missing[id]; timer != nil {
-		timer.Stop()
-		delete(t.missing, id)
+	if !known.hasLeft {
+		t.logger.Info("replica draining", "replica", replica.ID, "state", replica.State)
 	}
+	t.left[replica.ID] = time.Now()
+	delete(listing, replica.ID)
 }
 
-// isDraining tells whether a replica has said that it leaves.
-func (t *Table) isDraining(id string) bool {
-	_, known := t.draining[id]
+// entryFacts is what is known of a replica whose entry was read.
+func (t *Table) entryFacts(replica *Replica) entryFacts {
+	known := entryFacts{state: replica.State, hasLeft: t.hasLeft(replica.ID)}
+	if newest := t.starts[replica.InstanceName()]; newest != nil && replica.Born < newest.born {
+		known.isEarlierStart = true
+		known.sinceLaterStart = t.clock.Since(newest.seen)
+	}
 	return known
 }
 
-// drainMemory is for how long a replica that leaves is remembered after it was
-// listed last. Ids are never used again; news older than that does not arrive.
-const drainMemory = 10 * time.Minute
-
-// forgetDrained drops the replicas that have left long ago.
-func (t *Table) forgetDrained() {
-	t.forgetUnreadable()
-	t.forgetStarts()
-	maps.DeleteFunc(t.draining, func(_ string, listed time.Time) bool { return time.Since(listed) > drainMemory })
-}
-
-// miss keeps a vanished replica in a listing for a while, or drops it.
-func (t *Table) miss(listing map[string]*Replica, replica *Replica, keep time.Duration) {
+// takeMissing keeps a replica without an entry in a listing for a while, or leaves it out.
+func (t *Table) takeMissing(listing map[string]*Replica, replica *Replica, keepFor time.Duration) {
 	id := replica.ID
-	if t.missing[id] != nil {
-		listing[id] = replica
+	known := missingFacts{hasLeft: t.hasLeft(id), isSuperseded: t.isSuperseded(replica), isKept: t.kept[id] != nil, keepFor: keepFor}
+	if known.hasLeft || known.isSuperseded {
 		return
 	}
-	t.logger.Info("replica entry vanished", "replica", id, "keptMs", keep.Milliseconds())
-	if keep <= 0 {
+	if !known.isKept {
+		t.logger.Info("replica entry vanished", "replica", id, "keptMs", keepFor.Milliseconds())
+	}
+	if disposeMissing(known) == dispositionDrop {
 		return
 	}
 	listing[id] = replica
-	t.missing[id] = time.AfterFunc(keep, func() { t.drop(id) })
+	if !known.isKept {
+		t.kept[id] = time.AfterFunc(keepFor, func() { t.endKeeping(id) })
+	}
 }
 
-// drop ends the time that a vanished replica was kept for.
-func (t *Table) drop(id string) {
+// endKeeping drops a replica that was kept without an entry.
+func (t *Table) endKeeping(id string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.missing[id] == nil {
+	if t.kept[id] == nil {
 		return
 	}
-	delete(t.missing, id)
+	delete(t.kept, id)
 	next := *t.view.Load()
 	next.Replicas = maps.Clone(next.Replicas)
 	delete(next.Replicas, id)
 	t.publishTouched(&next, map[string]bool{id: true})
 }
+
+// stopKeeping ends the time that a replica is kept without an entry.
+func (t *Table) stopKeeping(id string) {
+	if timer := t.kept[id]; timer != nil {
+		timer.Stop()
+		delete(t.kept, id)
+	}
+}
+
+// hasLeft reports whether a replica has said that it leaves.
+func (t *Table) hasLeft(id string) bool {
+	_, known := t.left[id]
+	return known
+}
+
+// forgetOld drops what is known of replicas that left long ago.
+func (t *Table) forgetOld() {
+	t.forgetUnreadable()
+	t.forgetStarts()
+	maps.DeleteFunc(t.left, func(_ string, listed time.Time) bool { return time.Since(listed) > leftMemory })
+}
--- a/internal/replicas/directory/plans.go
+++ b/internal/replicas/directory/plans.go
@@ -10,30 +10,30 @@
 // of it stays: most changes concern weights only, which no plan depends on,
 // and there may be thousands of replicas.
 func (t *Table) publishReplicas(next *View) {
-	standing := t.view.Load()
+	current := t.view.Load()
 	touched := make(map[string]bool, len(next.Replicas))
 	for id := range next.Replicas {
 		touched[id] = true
 	}
-	for id := range standing.Endpoints {
+	for id := range current.Endpoints {
 		touched[id] = true
 	}
 	t.publishTouched(next, touched)
 }
 
-// publishTouched publishes a view in which some replicas may have changed, come or gone:
-// it costs what these are, and a copy of the listing.
+// publishTouched publishes a view in which some replicas may have changed, come or gone.
+// Its cost is that of these and of a copy of the listing.
 func (t *Table) publishTouched(next *View, touched map[string]bool) {
-	t.forgetDrained()
-	standing := t.view.Load()
-	next.Endpoints = maps.Clone(standing.Endpoints)
+	t.forgetOld()
+	current := t.view.Load()
+	next.Endpoints = maps.Clone(current.Endpoints)
 	if next.Endpoints == nil {
 		next.Endpoints = map[string]*routing.Endpoint{}
 	}
 	revisions := planRevisions{}
 	var added []*Replica
 	for id := range touched {
-		endpoint, replica := standing.Endpoints[id], next.Replicas[id]
+		endpoint, replica := current.Endpoints[id], next.Replicas[id]
 		switch {
 		case replica == nil && endpoint == nil:
 		case replica == nil:
@@ -51,29 +51,29 @@
 		}
 	}
 	t.logAdded(added)
-	next.Plans = revisions.apply(t.place, standing.Plans)
-	closeEvacuated(next, touched)
+	next.Plans = revisions.apply(t.place, current.Plans)
+	closeEvacuatedZones(next, touched)
 	t.publish(next, touched)
-	openOthers(next, touched)
+	openOtherZones(next, touched)
 }
 
-// mostNamed is how many replicas that came together the log names. Where thousands start,
-// a line for each of them on each of hundreds of nodes costs more than what it tells of.
-const mostNamed = 3
+// maxNamedReplicas is how many replicas that came together the log names: where thousands
+// start, a line for each of them on each of hundreds of nodes is not worth its cost.
+const maxNamedReplicas = 3
 
-// logAdded tells in one line of replicas that came together.
+// logAdded logs replicas that came together in one line.
 func (t *Table) logAdded(added []*Replica) {
 	if len(added) == 0 {
 		return
 	}
-	named := make([]string, 0, mostNamed)
-	for _, replica := range added[:min(mostNamed, len(added))] {
+	named := make([]string, 0, maxNamedReplicas)
+	for _, replica := range added[:min(maxNamedReplicas, len(added))] {
 		named = append(named, replica.ID+" "+replica.Service+" "+replica.Address+" "+replica.Zone)
 	}
 	t.logger.Info("replicas added", "replicas", len(added), "first", named)
 }
 
-// sameEndpoint tells whether a replica is as the router knows it.
+// sameEndpoint reports whether a replica is as the router knows it.
 func sameEndpoint(endpoint *routing.Endpoint, replica *Replica) bool {
 	return endpoint.Address == replica.Address && endpoint.Zone == replica.Zone && endpoint.Model == replica.Service &&
 		endpoint.Slots == max(1, replica.Slots)
@@ -117,14 +117,14 @@
 }
 
 // apply returns the plans of all services; those of services that have not
-// changed are the standing ones.
-func (r planRevisions) apply(place routing.Place, standing map[string]*routing.Plan) map[string]*routing.Plan {
+// changed are the current ones.
+func (r planRevisions) apply(place routing.Place, current map[string]*routing.Plan) map[string]*routing.Plan {
 	if len(r) == 0 {
-		return standing
+		return current
 	}
-	plans := maps.Clone(standing)
+	plans := maps.Clone(current)
 	for service, revision := range r {
-		if next := revision.apply(place, standing[service]); next != nil {
+		if next := revision.apply(place, current[service]); next != nil {
 			plans[service] = next
 		} else {
 			delete(plans, service)
@@ -134,11 +134,11 @@
 }
 
 // apply returns a plan with the revision, nil where no endpoint is left.
-func (r *planRevision) apply(place routing.Place, standing *routing.Plan) *routing.Plan {
-	if standing == nil {
-		standing = routing.NewRankedPlan(place, nil)
+func (r *planRevision) apply(place routing.Place, current *routing.Plan) *routing.Plan {
+	if current == nil {
+		current = routing.NewRankedPlan(place, nil)
 	}
-	revised := standing.Revised(place, r.gone, r.added)
+	revised := current.Revised(place, r.gone, r.added)
 	if len(revised.Endpoints()) == 0 {
 		return nil
 	}
--- a/internal/replicas/directory/replica.go
+++ b/internal/replicas/directory/replica.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ReplicaState is what a replica says of itself.
+// ReplicaState is the state that a replica's entry names.
 type ReplicaState string
 
 // The states of a replica.
@@ -14,10 +14,10 @@
 	ReplicaDraining ReplicaState = "draining"
 )
 
-// Replica is one incarnation of a back end, as the store lists it.
+// Replica is one start of a back end, as the store lists it.
 type Replica struct {
-	// ID is new at every start: the replica's name and when it started. All that is
-	// learnt of a replica is kept under it, and so begins anew with each start.
+	// ID is new at every start: the replica's name and when it started. What a
+	// node learns of a replica is kept by ID, so it begins anew with each start.
 	ID string
 	// Name is what the replica is listed under and answers to; it may last for several
 	// starts. Empty where it is the ID.
@@ -32,7 +32,7 @@
 	State   ReplicaState
 	// Versions gives the weight version of each model it holds.
 	Versions map[string]int64
-	// Warming is for how much longer it serves slowly, as it said when it wrote the
+	// Warming is how much longer it serves slowly, counted from when it wrote the
 	// entry.
 	Warming time.Duration
 	// Spot replicas may be taken away at short notice, a whole zone at once.
@@ -41,11 +41,11 @@
 	Leaves time.Duration
 }
 
-// incarnationMark parts the name of a replica from its start in the ID.
+// incarnationMark separates the name of a replica from its start in the ID.
 const incarnationMark = "@"
 
-// IncarnationID is the ID of the replica of a name that started at a time, 0 for a time
-// that it does not tell.
+// IncarnationID returns the ID of the replica of a name that started at a time, 0 for an
+// unknown one.
 func IncarnationID(name string, born int64) string {
 	if born == 0 {
 		return name
@@ -53,7 +53,7 @@
 	return name + incarnationMark + strconv.FormatInt(born, 10)
 }
 
-// InstanceName is what the replica is listed under and answers to.
+// InstanceName returns what the replica is listed under and answers to.
 func (r *Replica) InstanceName() string {
 	if r.Name == "" {
 		return r.ID
--- a/internal/replicas/directory/sinks.go
+++ b/internal/replicas/directory/replica_sink.go
@@ -6,52 +6,6 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// takeAll hands every listed object on.
-func takeAll(objects []objectstore.Object, take func(objectstore.Object)) {
-	for _, object := range objects {
-		take(object)
-	}
-}
-
-// takePresent hands changed objects on, but no removed ones.
-func takePresent(changes []objectstore.Change, take func(objectstore.Object)) {
-	for _, change := range changes {
-		if !change.Gone {
-			take(change.Object)
-		}
-	}
-}
-
-// ConfigurationSink takes the configuration object.
-type ConfigurationSink struct {
-	Table   *Table
-	Decoder Decoder
-	// Name is the object that holds the configuration.
-	Name string
-}
-
-// Replace implements Sink.
-func (s ConfigurationSink) Replace(objects []objectstore.Object, _ bool) {
-	takeAll(objects, s.take)
-}
-
-// Apply implements Sink.
-func (s ConfigurationSink) Apply(changes []objectstore.Change, _ bool) {
-	takePresent(changes, s.take)
-}
-
-func (s ConfigurationSink) take(object objectstore.Object) {
-	if object.Name != s.Name {
-		return
-	}
-	configuration, err := s.Decoder.Configuration(object.Spec)
-	if err != nil {
-		s.Table.logger.Error(err, "configuration is not readable", "revision", object.Revision)
-		return
-	}
-	s.Table.SetConfiguration(configuration, object.Revision)
-}
-
 // ReplicaSink takes the entries of replicas.
 type ReplicaSink struct {
 	Table   *Table
@@ -96,7 +50,7 @@
 func (s ReplicaSink) read(object objectstore.Object) (replica *Replica, unreadable bool) {
 	replica, err := s.Decoder.Replica(object.Name, object.Spec)
 	if err != nil {
-		s.Table.noteUnreadable(object, err)
+		s.Table.recordUnreadable(object, err)
 		return nil, true
 	}
 	replica.Name = object.Name
@@ -110,28 +64,3 @@
 	}
 	return 0
 }
-
-// VersionSink takes the weight versions that trainers name.
-type VersionSink struct {
-	Table   *Table
-	Decoder Decoder
-}
-
-// Replace implements Sink.
-func (s VersionSink) Replace(objects []objectstore.Object, _ bool) {
-	takeAll(objects, s.take)
-}
-
-// Apply implements Sink.
-func (s VersionSink) Apply(changes []objectstore.Change, _ bool) {
-	takePresent(changes, s.take)
-}
-
-func (s VersionSink) take(object objectstore.Object) {
-	model, version, err := s.Decoder.Version(object.Spec)
-	if err != nil {
-		s.Table.logger.Error(err, "named version is not readable", "object", object.Name)
-		return
-	}
-	s.Table.SetVersion(model, version)
-}
--- a/internal/replicas/directory/slowstart.go
+++ b/internal/replicas/directory/slowstart.go
@@ -8,12 +8,12 @@
 
 // SlowStart bounds what replicas get while they warm up.
 type SlowStart interface {
-	// SetWarming names all replicas that warm up, and tells which replicas are listed.
-	// On return none of those that warm up gets more than is allotted.
+	// SetWarming takes all replicas that warm up, and which replicas are listed. On
+	// return none of those that warm up gets more than is allotted.
 	SetWarming(warming []slowstart.Warming, isListed func(replica string) bool)
 }
 
-// SetSlowStart has replicas that warm up be bounded. It is called before the first
+// SetSlowStart sets what bounds replicas that warm up. It is called before the first
 // listing.
 func (t *Table) SetSlowStart(slowStart SlowStart) {
 	t.mutex.Lock()
@@ -33,8 +33,8 @@
 	t.slowStart.SetWarming(t.warmUps.warming(now, next), isListed)
 }
 
-// warming lists the replicas of a view that warm up at an instant, of services that
-// bear a bounded rate meanwhile.
+// warming lists the replicas of a view that warm up at an instant, of services whose
+// rate is bounded meanwhile.
 func (w warmUps) warming(now time.Time, view *View) []slowstart.Warming {
 	if view.Configuration == nil {
 		return nil
@@ -52,8 +52,8 @@
 	return warming
 }
 
-// WarmUpRate is how many requests a second a replica bears while it warms up, 0 for a
-// replica that is not known or bears any.
+// WarmUpRate returns how many requests a second a replica can take while it warms up, 0
+// for a replica that is not known or has no bound.
 func (v *View) WarmUpRate(id string) float64 {
 	replica := v.Replicas[id]
 	if replica == nil || v.Configuration == nil {
--- a/internal/replicas/directory/starts.go
+++ b/internal/replicas/directory/starts.go
@@ -5,31 +5,25 @@
 	"time"
 )
 
-// lateWordTime is for how long after a word of a later start one of an earlier start is
-// taken for late: several heartbeats. After it what the store holds counts, so that a
-// start time that is wrong keeps no replica out for good.
-const lateWordTime = 10 * time.Second
+// startsScanInterval is the time between scans for starts to forget: there may be
+// thousands, and keeping them costs little.
+const startsScanInterval = time.Minute
 
 // start is the newest start known of the replicas of one name.
 type start struct {
 	id   string
 	born int64
-	// heard is when a word of that start came last.
-	heard time.Time
-	// refused is a word of an earlier start that came since, nil for none.
-	refused *Replica
+	// seen is when an entry of that start was read last.
+	seen time.Time
+	// lateEntry is an entry of an earlier start that was read since, nil for none.
+	lateEntry *Replica
 }
 
-// noteStart takes the word of a replica and tells whether it counts: not where it is of an
-// earlier start than one that spoke a moment ago. An earlier start leaves the listing.
-func (t *Table) noteStart(listing map[string]*Replica, replica *Replica) bool {
+// recordStart records the start of a replica as the newest of its name. A former start
+// leaves the listing.
+func (t *Table) recordStart(listing map[string]*Replica, replica *Replica) {
 	name := replica.InstanceName()
 	known := t.starts[name]
-	if known != nil && replica.Born < known.born && t.clock.Since(known.heard) < lateWordTime {
-		t.logger.Info("late word of an earlier start of a replica", "replica", known.id, "earlier", replica.ID, "state", replica.State)
-		t.refuse(name, known, replica)
-		return false
-	}
 	if known == nil {
 		known = &start{}
 		t.starts[name] = known
@@ -38,8 +32,7 @@
 		t.stopKeeping(known.id)
 		delete(listing, known.id)
 	}
-	*known = start{id: replica.ID, born: replica.Born, heard: t.clock()}
-	return true
+	*known = start{id: replica.ID, born: replica.Born, seen: t.clock()}
 }
 
 // keepNewest puts the newest start of a name into a listing, if it is in use: the listing
@@ -51,7 +44,7 @@
 	}
 }
 
-// startOf is the newest incarnation known of a name, which it is itself where none is.
+// startOf returns the id of the newest start known of a name, or the name itself.
 func (t *Table) startOf(name string) string {
 	if known := t.starts[name]; known != nil {
 		return known.id
@@ -59,41 +52,43 @@
 	return name
 }
 
-// refuse keeps a late word, which counts after all if nothing follows it.
-func (t *Table) refuse(name string, known *start, late *Replica) {
-	known.refused = late
-	time.AfterFunc(lateWordTime, func() {
-		t.mutex.Lock()
-		stands := t.starts[name] == known && known.refused == late
-		if stands {
-			// Whatever its start time says: the store has had it for long.
-			known.heard = time.Time{}
-		}
-		t.mutex.Unlock()
-		if stands {
-			t.ApplyReplicas([]ReplicaChange{{Name: name, Replica: late}}, 0)
-		}
-	})
+// delayLateEntry sets a late entry aside, and applies it after all if no other follows.
+func (t *Table) delayLateEntry(late *Replica) {
+	name := late.InstanceName()
+	known := t.starts[name]
+	t.logger.Info("late entry of an earlier start of a replica", "replica", known.id, "earlier", late.ID, "state", late.State)
+	known.lateEntry = late
+	time.AfterFunc(lateEntryPeriod, func() { t.applyLateEntry(name, known, late) })
+}
+
+// applyLateEntry applies a late entry if it is still the last one read of its name.
+func (t *Table) applyLateEntry(name string, known *start, late *Replica) {
+	t.mutex.Lock()
+	isLast := t.starts[name] == known && known.lateEntry == late
+	if isLast {
+		// The store has had it for long, whatever its start time says.
+		known.seen = time.Time{}
+	}
+	t.mutex.Unlock()
+	if isLast {
+		t.ApplyReplicas([]ReplicaChange{{Name: name, Replica: late}}, 0)
+	}
 }
 
-// isSuperseded tells whether a later start of a replica's name has spoken.
+// isSuperseded reports whether an entry of a later start of the same name was read.
 func (t *Table) isSuperseded(replica *Replica) bool {
 	known := t.starts[replica.InstanceName()]
 	return known != nil && known.id != replica.ID
 }
 
-// startsLook is the time between looks for starts to forget: there may be thousands, and
-// little is lost by keeping them.
-const startsLook = time.Minute
-
-// forgetStarts drops the starts of replicas that have left long ago.
+// forgetStarts drops the starts of replicas that left long ago.
 func (t *Table) forgetStarts() {
-	if t.clock.Since(t.startsLooked) < startsLook {
+	if t.clock.Since(t.startsScannedAt) < startsScanInterval {
 		return
 	}
-	t.startsLooked = t.clock()
+	t.startsScannedAt = t.clock()
 	listed := t.view.Load().Replicas
 	maps.DeleteFunc(t.starts, func(_ string, known *start) bool {
-		return listed[known.id] == nil && t.clock.Since(known.heard) > drainMemory
+		return listed[known.id] == nil && t.clock.Since(known.seen) > leftMemory
 	})
 }
--- a/internal/replicas/directory/table.go
+++ b/internal/replicas/directory/table.go
@@ -12,15 +12,7 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// Decoder reads the platform's objects.
-type Decoder interface {
-	Configuration(spec []byte) (*Configuration, error)
-	Replica(name string, spec []byte) (*Replica, error)
-	// Version reads a weight version that a trainer has named.
-	Version(spec []byte) (model string, version int64, err error)
-}
-
-// Table applies what the informers learn and publishes views. It is safe for
+// Table applies changes of the store and publishes views. It is safe for
 // use by many goroutines.
 type Table struct {
 	place routing.Place
@@ -31,24 +23,22 @@
 	clock clock.Clock
 
 	mutex sync.Mutex
-	// draining are the incarnations that have said they leave. They stay so; an entry
-	// that only vanished may come back, since the store drops
-	// entries of living replicas while it is down. Each is forgotten some time
-	// after it was listed last.
-	draining map[string]time.Time
-	// starts are the newest starts known, by the names of replicas.
-	starts map[string]*start
-	// startsLooked is when starts to forget were looked for last.
-	startsLooked time.Time
-	// missing are the replicas kept although their entries have vanished.
-	missing map[string]*time.Timer
-	// unreadable are the revisions of entries that named no replica when they were seen
-	// last, and onUnreadable is told of each.
+	// left gives the starts of replicas that have said they leave, each with when it was
+	// listed last.
+	left map[string]time.Time
+	// starts are the newest starts known, by the names of replicas, and startsScannedAt
+	// is when starts to forget were last looked for.
+	starts          map[string]*start
+	startsScannedAt time.Time
+	// kept are the replicas used on although their entries have vanished.
+	kept map[string]*time.Timer
+	// unreadable are the revisions of entries that named no replica when they were read
+	// last, and onUnreadable is called for each.
 	unreadable   map[string]uint64
 	onUnreadable func(reason string)
 	states       map[string]*routing.EndpointState
-	// warmUps are what is known of replicas that warm up, and slowStart is told of
-	// them; nil where what they get is not bounded.
+	// warmUps are what is known of replicas that warm up, and slowStart bounds what
+	// they get; nil where it is not bounded.
 	warmUps   warmUps
 	slowStart SlowStart
 	view      atomic.Pointer[View]
@@ -60,14 +50,14 @@
 func NewTable(node, zone string, regions map[string]string, logger klog.Logger) *Table {
 	table := &Table{
 		place: routing.Place{Node: node, Zone: zone, Region: regions[zone]}, regions: regions, logger: logger, clock: clock.Steady,
-		draining: map[string]time.Time{}, missing: map[string]*time.Timer{}, starts: map[string]*start{}, unreadable: map[string]uint64{}, onUnreadable: func(string) {},
+		left: map[string]time.Time{}, kept: map[string]*time.Timer{}, starts: map[string]*start{}, unreadable: map[string]uint64{}, onUnreadable: func(string) {},
 		states: map[string]*routing.EndpointState{}, warmUps: warmUps{}, changed: make(chan struct{}),
 	}
 	table.view.Store(&View{Replicas: map[string]*Replica{}, Named: map[string]int64{}, Plans: map[string]*routing.Plan{}})
 	return table
 }
 
-// SetClock has the table count suspensions of the machine, by the clock of those who send
+// SetClock sets the clock, which counts suspensions of the machine: that of those who send
 // to replicas that warm up. It is called before the first listing.
 func (t *Table) SetClock(counting clock.Clock) {
 	t.mutex.Lock()
@@ -90,17 +80,17 @@
 func (t *Table) SetConfiguration(configuration *Configuration, revision uint64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	standing := t.view.Load()
-	if standing.Configuration != nil && configuration.Version <= standing.Configuration.Version {
+	current := t.view.Load()
+	if current.Configuration != nil && configuration.Version <= current.Configuration.Version {
 		return
 	}
 	configuration.Index()
-	next := *standing
+	next := *current
 	next.Configuration, next.ConfigurationRevision = configuration, revision
 	t.logger.Info("configuration in force", "version", configuration.Version, "revision", revision, "routes", len(configuration.Routes),
 		"tenants", configuration.Tenants.Len())
 	for _, finding := range configuration.TenantFindings {
-		t.logger.Error(finding, "tenant declaration passed over in part", "version", configuration.Version)
+		t.logger.Error(finding, "tenant declaration ignored in part", "version", configuration.Version)
 	}
 	t.logUnknownHomes(configuration)
 	t.publish(&next, nil)
@@ -110,12 +100,12 @@
 func (t *Table) SetVersion(model string, version int64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	standing := t.view.Load()
-	if version <= standing.Named[model] {
+	current := t.view.Load()
+	if version <= current.Named[model] {
 		return
 	}
-	next := *standing
-	next.Named = maps.Clone(standing.Named)
+	next := *current
+	next.Named = maps.Clone(current.Named)
 	next.Named[model] = version
 	t.logger.Info("weight version named", "model", model, "version", version)
 	t.publish(&next, nil)
--- a/internal/replicas/directory/table_test.go
+++ b/internal/replicas/directory/table_test.go
@@ -247,16 +247,16 @@
 		leaving := ready("s")
 		leaving.ID, leaving.State = "one", ReplicaDraining
 		table.ApplyReplicas([]ReplicaChange{{Name: "one", Replica: leaving}}, 0)
-		time.Sleep(drainMemory / 2)
+		time.Sleep(leftMemory / 2)
 		table.ApplyReplicas([]ReplicaChange{{Name: "one", Replica: leaving}}, 0)
-		time.Sleep(drainMemory * 3 / 4)
+		time.Sleep(leftMemory * 3 / 4)
 		table.SetReplicas(nil, 0)
-		if !table.isDraining("one") {
+		if !table.hasLeft("one") {
 			t.Error("a replica that was listed lately is forgotten")
 		}
-		time.Sleep(drainMemory)
+		time.Sleep(leftMemory)
 		table.SetReplicas(nil, 0)
-		if table.isDraining("one") {
+		if table.hasLeft("one") {
 			t.Error("a replica that left long ago is still remembered")
 		}
 	})
--- a/internal/replicas/directory/view.go
+++ b/internal/replicas/directory/view.go
@@ -20,10 +20,10 @@
 	// Named gives the newest version that a trainer has named of each model.
 	Named map[string]int64
 	// Evacuated gives the zones whose replicas are to get nothing, each with when this
-	// node learnt of it.
+	// node learned it.
 	Evacuated map[string]time.Time
 	// EvacuationEnded gives the zones whose evacuation has ended, each with when this
-	// node learnt of the end. Their replicas may be cold. Old ends are forgotten.
+	// node learned it. Their replicas may be cold. Old ends are forgotten.
 	EvacuationEnded map[string]time.Time
 	// EvacuationsAwaited is true until the evacuations have been listed once, where
 	// they are followed: until then every zone counts as evacuated.
--- a/internal/replicas/directory/warmups.go
+++ b/internal/replicas/directory/warmups.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// warmUp is what this node has seen of one replica that warms up, or did.
+// warmUp is what this node knows of the warming of one replica.
 type warmUp struct {
-	// toldUntil is when it is warm as its entry tells, zero if that tells nothing.
-	toldUntil time.Time
-	// appeared is when it came into the listing without a word of it, zero if it did
-	// not.
+	// announcedUntil is when it is warm by its entry, zero if that says nothing.
+	announcedUntil time.Time
+	// appeared is when it came into the listing without saying whether it is warm, zero
+	// if it said so.
 	appeared time.Time
 }
 
@@ -15,37 +15,39 @@
 // read no clock. Instants are those of the node's boot-time clock.
 type warmUps map[string]warmUp
 
-// observe takes what is new of the replicas that a change touched. The first listing of a
-// node tells of replicas that have been there: those that say nothing are warm. One that
-// comes into a later listing has started, or has been away, and is not known to be warm.
-func (w warmUps) observe(now time.Time, standing, next *View, touched map[string]bool) {
+// observe records what is new of the replicas that a change touched. Replicas in the first
+// listing of a node have been there: those that say nothing are warm. One that comes into
+// a later listing has started, or has been away, and is not known to be warm.
+func (w warmUps) observe(now time.Time, current, next *View, touched map[string]bool) {
 	for id := range touched {
-		before, replica := standing.Replicas[id], next.Replicas[id]
+		before, replica := current.Replicas[id], next.Replicas[id]
 		switch {
 		case before == replica:
 		case replica == nil:
 			delete(w, id)
-		case before == nil && replica.Warming == 0 && standing.ReplicasKnown:
+		case before == nil && replica.Warming == 0 && current.ReplicasKnown:
 			w[id] = warmUp{appeared: now}
 		case before == nil || before.Warming != replica.Warming:
-			w.tell(now, id, replica.Warming)
+			w.recordEntry(now, id, replica.Warming)
 		}
 	}
 }
 
-// tell takes a new word of a replica's entry. One that says that it is warm, and came with
-// the first listing, is not kept: nearly all replicas are.
-func (w warmUps) tell(now time.Time, id string, left time.Duration) {
-	told := w[id].told(now, left)
-	if left <= 0 && told.appeared.IsZero() {
+// recordEntry records how much longer a replica warms up by its entry, counted from now,
+// which is later than when it was written. Warm replicas of the first listing are not
+// kept: nearly all replicas are.
+func (w warmUps) recordEntry(now time.Time, id string, left time.Duration) {
+	known := w[id]
+	if left <= 0 && known.appeared.IsZero() {
 		delete(w, id)
 		return
 	}
-	w[id] = told
+	known.announcedUntil = now.Add(left)
+	w[id] = known
 }
 
 // mayWarm lists the replicas of a view that may warm up: those of which something is
-// known, and all while an evacuation has ended of late.
+// known, and all while an ended evacuation is remembered.
 func (w warmUps) mayWarm(view *View) []*Replica {
 	var replicas []*Replica
 	if len(view.EvacuationEnded) > 0 {
@@ -62,21 +64,7 @@
 	return replicas
 }
 
-// told takes a new word of a replica's entry. It is counted from when it was seen,
-// which is later than when it was written.
-func (w warmUp) told(now time.Time, left time.Duration) warmUp {
-	return warmUp{toldUntil: now.Add(left), appeared: w.appeared}
-}
-
-// until is when a replica is warm as far as is known: the latest of what its entry
-// tells and of what its appearance and the end of its zone's evacuation let expect.
-func (w warmUps) until(replica *Replica, evacuationEnded map[string]time.Time, span time.Duration) time.Time {
-	known := w[replica.ID]
-	until := known.toldUntil
-	for _, begun := range []time.Time{known.appeared, evacuationEnded[replica.Zone]} {
-		if expected := begun.Add(span); !begun.IsZero() && expected.After(until) {
-			until = expected
-		}
-	}
-	return until
+// until returns when a replica is warm.
+func (w warmUps) until(replica *Replica, evacuationEnded map[string]time.Time, warmUpTime time.Duration) time.Time {
+	return warmUntil(w[replica.ID], evacuationEnded[replica.Zone], warmUpTime)
 }
