--- a/internal/replicas/directory/listing.go
+++ b/internal/replicas/directory/listing.go
@@ -18,7 +18,9 @@
 	current := next.Replicas
 	next.Replicas = map[string]*Replica{}
 	for _, replica := range replicas {
-		t.takeEntry(next.Replicas, replica)
+		if t.takeEntry(next.Replicas, replica) == dispositionLate {
+			t.keepNewest(next.Replicas, current, replica.InstanceName())
+		}
 	}
 	for id, replica := range current {
 		if next.Replicas[id] == nil {
@@ -68,26 +70,26 @@
 
 // takeEntry takes a replica's entry into a listing, in place of an earlier start of the
 // same name, unless it is late or the replica leaves.
-func (t *Table) takeEntry(listing map[string]*Replica, replica *Replica) {
+func (t *Table) takeEntry(listing map[string]*Replica, replica *Replica) disposition {
 	known := t.entryFacts(replica)
 	outcome := disposeEntry(known)
 	if outcome == dispositionLate {
 		t.delayLateEntry(replica)
-		t.keepNewest(listing, replica.InstanceName())
-		return
+		return outcome
 	}
 	t.recordStart(listing, replica)
 	t.stopKeeping(replica.ID)
 	delete(t.unreadable, replica.InstanceName())
 	if outcome == dispositionUse {
 		listing[replica.ID] = replica
-		return
+		return outcome
 	}
 	if !known.hasLeft {
 		t.logger.Info("replica draining", "replica", replica.ID, "state", replica.State)
 	}
 	t.left[replica.ID] = time.Now()
 	delete(listing, replica.ID)
+	return outcome
 }
 
 // entryFacts is what is known of a replica whose entry was read.
--- a/internal/replicas/directory/restarts_test.go
+++ b/internal/replicas/directory/restarts_test.go
@@ -4,8 +4,11 @@
 	"context"
 	"strings"
 	"testing"
+	"testing/synctest"
 	"time"
 
+	"k8s.io/klog/v2"
+
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
@@ -112,3 +115,23 @@
 		}
 	})
 }
+
+// The later start leaves, and an entry of the earlier one follows in the same batch of
+// changes: the later one was put back as it had been before the batch, and got requests
+// until its next entry.
+func TestALateEntryInTheBatchOfALeavingStartDoesNotBringItBack(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		table := NewTable("node", "zone", nil, klog.Background())
+		entry := func(born int64, state ReplicaState) *Replica {
+			return &Replica{ID: IncarnationID("one", born), Name: "one", Born: born, Service: "s", Address: "127.0.0.1:1", State: state}
+		}
+		table.SetReplicas([]*Replica{entry(2000, ReplicaReady)}, 0)
+		table.ApplyReplicas([]ReplicaChange{
+			{Name: "one", Replica: entry(2000, ReplicaDraining)},
+			{Name: "one", Replica: entry(1000, ReplicaReady)},
+		}, 0)
+		if endpointOf(table, "one") != nil {
+			t.Error("a replica that has said it leaves is used")
+		}
+	})
+}
--- a/internal/replicas/directory/starts.go
+++ b/internal/replicas/directory/starts.go
@@ -35,11 +35,11 @@
 	*known = start{id: replica.ID, born: replica.Born, seen: t.clock()}
 }
 
-// keepNewest puts the newest start of a name into a listing, if it is in use: the listing
-// may be built anew.
-func (t *Table) keepNewest(listing map[string]*Replica, name string) {
+// keepNewest puts the newest start of a name into a listing that is built anew, if it is
+// in use.
+func (t *Table) keepNewest(listing, current map[string]*Replica, name string) {
 	id := t.startOf(name)
-	if used := t.view.Load().Replicas[id]; used != nil {
+	if used := current[id]; used != nil {
 		listing[id] = used
 	}
 }
