--- a/internal/instance/peers.go
+++ b/internal/instance/peers.go
@@ -48,14 +48,14 @@
 		i.usage.FillHeartbeat(beat)
 	}
 	beat.Lease = i.duty.Tenure()
-	seen := i.duty.Seen()
+	seen := i.duty.LastObserved()
 	beat.LeaseHolder, beat.LeaseSeen, beat.LeaseReleased = seen.Holder, seen.Revision, seen.Released
 }
 
 // receiveHeartbeat applies another node's heartbeat.
 func (i *Instance) receiveHeartbeat(beat *wire.NodeBeat) {
-	i.duty.Observe(lease.Sighting{Holder: beat.Node, Revision: beat.Lease})
-	i.duty.Observe(lease.Sighting{Holder: beat.LeaseHolder, Revision: beat.LeaseSeen, Released: beat.LeaseReleased})
+	i.duty.Observe(lease.Observation{Holder: beat.Node, Revision: beat.Lease})
+	i.duty.Observe(lease.Observation{Holder: beat.LeaseHolder, Revision: beat.LeaseSeen, Released: beat.LeaseReleased})
 	for _, change := range beat.Versions {
 		i.weights.ObserveVersion(change)
 	}
