--- a/internal/standalone/configwriter/blocking.go
+++ b/internal/standalone/configwriter/blocking.go
@@ -37,25 +37,17 @@
 
 // Read returns the configuration in force and its generation.
 func (b *Blocking) Read() (*v1.Set, uint64, error) {
-	base, err := b.ReadBase()
-	return base.Set(), base.Generation(), err
-}
-
-// ReadBase reads what stands, for WriteOn.
-func (b *Blocking) ReadBase() (Base, error) {
 	type answer struct {
-		base Base
-		err  error
+		set        *v1.Set
+		generation uint64
+		err        error
 	}
 	answers := make(chan answer, 1)
-	b.loop.Post(func() { b.writer.ReadBase(func(base Base, err error) { answers <- answer{base, err} }) })
+	b.loop.Post(func() {
+		b.writer.Read(func(set *v1.Set, generation uint64, err error) { answers <- answer{set, generation, err} })
+	})
 	got := <-answers
-	return got.base, got.err
-}
-
-// WriteOn is Writer.WriteOn.
-func (b *Blocking) WriteOn(base Base, change Change) (Result, error) {
-	return b.wait(func(done func(Result, error)) { b.writer.WriteOn(base, change, done) })
+	return got.set, got.generation, got.err
 }
 
 // Write is Writer.Write.
--- a/internal/standalone/configwriter/writer.go
+++ b/internal/standalone/configwriter/writer.go
@@ -52,35 +52,21 @@
 	w.read(func(state headState, err error) { done(state.set, state.head.Generation, err) })
 }
 
-// Write makes one change on top of what stands when it is called. A rival
-// write in between makes it fail with a *ConflictError.
+// Write makes one change on top of the configuration in force. A rival write
+// in between makes it fail with a *ConflictError.
 func (w *Writer) Write(change Change, done func(Result, error)) {
 	w.read(func(state headState, err error) {
 		if err != nil {
 			done(Result{}, err)
 			return
 		}
-		w.WriteOn(Base{state: state}, change, done)
+		w.writeOn(state, change, done)
 	})
 }
 
-// Base is a configuration that was read, to write upon.
-type Base struct{ state headState }
-
-// Set and Generation describe the base.
-func (b Base) Set() *v1.Set { return b.state.set }
-
-// Generation is the base's number.
-func (b Base) Generation() uint64 { return b.state.head.Generation }
-
-// ReadBase reads what stands, for WriteOn.
-func (w *Writer) ReadBase(done func(Base, error)) {
-	w.read(func(state headState, err error) { done(Base{state: state}, err) })
-}
-
-// WriteOn makes one change on top of a base read before.
-func (w *Writer) WriteOn(base Base, change Change, done func(Result, error)) {
-	next, err := change(base.state.set)
+// writeOn makes one change on top of the configuration read before.
+func (w *Writer) writeOn(base headState, change Change, done func(Result, error)) {
+	next, err := change(base.set)
 	if err != nil {
 		done(Result{}, err)
 		return
@@ -89,18 +75,18 @@
 		done(Result{}, findings)
 		return
 	}
-	result := Result{Generation: base.state.head.Generation + 1, Changes: v1.Diff(base.state.set, next)}
+	result := Result{Generation: base.head.Generation + 1, Changes: v1.Diff(base.set, next)}
 	if len(result.Changes) == 0 {
-		result.Generation = base.state.head.Generation
+		result.Generation = base.head.Generation
 		done(result, nil)
 		return
 	}
-	data, writeID, err := w.encode(base.state.head, next)
+	data, writeID, err := w.encode(base.head, next)
 	if err != nil {
 		done(Result{}, err)
 		return
 	}
-	attempt := &attempt{writer: w, base: base.state, data: data, writeID: writeID, result: result, done: done}
+	attempt := &attempt{writer: w, base: base, data: data, writeID: writeID, result: result, done: done}
 	attempt.put()
 }
 
--- a/internal/standalone/devcluster/cluster.go
+++ b/internal/standalone/devcluster/cluster.go
@@ -205,12 +205,6 @@
 	return addresses
 }
 
-// Publish declares a weight version of a model as active.
-func (c *Cluster) Publish(model string, version int64) error {
-	_, err := c.Writer.WriteRebased(AddVersion(model, version))
-	return err
-}
-
 // keptVersions is how many weight versions of a model stay declared.
 const keptVersions = 4
 
--- a/internal/standalone/engine/protocol.go
+++ b/internal/standalone/engine/protocol.go
@@ -8,7 +8,6 @@
 	PathCancel      = "/cancel"
 	PathExport      = "/kv/export"
 	PathImport      = "/kv/import"
-	PathCacheEvents = "/cache/events"
 )
 
 // CompletionBody is the body of a completion request: the usual fields, and
--- a/internal/standalone/enginemodel/model.go
+++ b/internal/standalone/enginemodel/model.go
@@ -28,8 +28,6 @@
 	version  int64
 	draining bool
 	outputs  []Output
-	cached   int64
-	read     int64
 }
 
 // New returns an idle engine with a weight version.
@@ -52,9 +50,6 @@
 // SetDraining starts or ends the refusal of new work.
 func (m *Model) SetDraining(draining bool) { m.draining = draining }
 
-// CacheCounts returns the prompt tokens found in the cache and those read.
-func (m *Model) CacheCounts() (cached, read int64) { return m.cached, m.read }
-
 // Submit takes a sequence in; an error means that it was not admitted.
 func (m *Model) Submit(now time.Time, sequence Sequence) error {
 	if m.draining {
@@ -130,10 +125,8 @@
 	}
 	tokens := sequence.context()
 	if m.cache.touch(sequence.PrefixHash, sequence.PromptTokens) {
-		m.cached += int64(sequence.PromptTokens)
 		tokens = sequence.Produced
 	}
-	m.read += int64(tokens)
 	return time.Duration(tokens) * m.parameters.PrefillPerToken.Std()
 }
 
--- a/internal/standalone/node/config.go
+++ b/internal/standalone/node/config.go
@@ -2,7 +2,6 @@
 
 import (
 	"math/rand/v2"
-	"time"
 
 	"github.com/pathtally/pathtally/internal/environment"
 	"github.com/pathtally/pathtally/internal/standalone/engine"
@@ -28,9 +27,6 @@
 	// Journal keeps the node's quorum seat; nil on a node without a data
 	// folder.
 	Journal *quorum.Journal
-	// LeaseTerm and ProbePeriod override the defaults.
-	LeaseTerm   time.Duration
-	ProbePeriod time.Duration
 	// Policy overrides the policy that suits each trainer.
 	Policy rollout.Policy
 	// ChunkTokens overrides how many tokens of a sample come together.
--- a/internal/standalone/node/core.go
+++ b/internal/standalone/node/core.go
@@ -98,7 +98,7 @@
 func (c *Core) assembleMembership() {
 	c.relay = relay.NewStore(relay.Config{Peers: c.config.Peers, OnChange: c.documentChanged})
 	c.table = membership.New(membership.Config{
-		Self: c.config.Self, Seeds: c.config.Seeds, Clock: c.config.Clock, Random: c.config.Random, Peers: c.config.Peers, Period: c.config.ProbePeriod,
+		Self: c.config.Self, Seeds: c.config.Seeds, Clock: c.config.Clock, Random: c.config.Random, Peers: c.config.Peers,
 		Documents:   c.relay.Versions,
 		OnDocuments: c.relay.Observe,
 		OnChange:    c.membersChanged,
@@ -125,7 +125,7 @@
 		Publish: func(document *relay.Document) { c.relay.Publish(document) },
 	})
 	c.leases = lease.NewManager(lease.Config{
-		Self: c.processName(), Clock: c.config.Clock, Random: c.config.Random, Objects: c.config.Objects, Term: c.config.LeaseTerm,
+		Self: c.processName(), Clock: c.config.Clock, Random: c.config.Random, Objects: c.config.Objects,
 		Rank: c.leaseRank, YieldAfter: c.yieldAfter, OnAcquire: c.acquired, OnLose: c.lost,
 	})
 	c.poller = poller.New(poller.Config{
--- a/internal/standalone/node/duties.go
+++ b/internal/standalone/node/duties.go
@@ -190,9 +190,6 @@
 	c.rebuild()
 }
 
-// IsReader tells whether this node watches the object API.
-func (c *Core) IsReader() bool { return c.holdsReader() }
-
 func (c *Core) holdsReader() bool {
 	return slices.ContainsFunc(c.leases.HeldNames(), func(name string) bool { return strings.HasPrefix(name, readerPrefix) })
 }
--- a/internal/standalone/process/process.go
+++ b/internal/standalone/process/process.go
@@ -205,8 +205,5 @@
 	return 0
 }
 
-// PeerCounts are the totals of the peer protocol.
-func (p *Process) PeerCounts() *transport.Counts { return p.transport.Counts() }
-
 // processID is shown on the status page.
 var processID = os.Getpid()
--- a/internal/standalone/rollout/scheduler.go
+++ b/internal/standalone/rollout/scheduler.go
@@ -65,15 +65,6 @@
 // Counters returns what has been done so far.
 func (s *Scheduler) Counters() Counters { return s.counters }
 
-// OpenSamples is the number of slots not yet filled.
-func (s *Scheduler) OpenSamples() int {
-	open := 0
-	for _, step := range s.steps {
-		open += step.unfilled
-	}
-	return open
-}
-
 func (s *Scheduler) numbers() []uint64 { return slices.Sorted(maps.Keys(s.steps)) }
 
 // openSteps returns the steps not acknowledged, oldest first.
--- a/internal/standalone/sim/engineclient.go
+++ b/internal/standalone/sim/engineclient.go
@@ -69,7 +69,6 @@
 func (c *engineClient) Status(address string, done func(engine.Status, error)) {
 	life := c.host.life
 	c.reach(address, func(target *Engine) {
-		c.world.polls[c.host.Name]++
 		status := target.laggedStatus()
 		c.answer(address, life, func() { done(status, nil) }, func() {
 			done(engine.Status{}, &engine.Error{Kind: engine.Broken, Address: address, Detail: "answer lost"})
--- a/internal/standalone/sim/faults.go
+++ b/internal/standalone/sim/faults.go
@@ -104,7 +104,7 @@
 		}
 	}},
 	{FaultZone, func(w *World) func() {
-		return w.KillZone(w.randomNode().host.Zone)
+		return w.killZone(w.randomNode().host.Zone)
 	}},
 }
 
@@ -182,3 +182,19 @@
 	slices.Sort(kinds)
 	return kinds
 }
+
+// killZone kills all nodes of a zone; the function returned replaces them.
+func (w *World) killZone(zone string) (replace func()) {
+	var killed []*Node
+	for _, member := range w.Nodes {
+		if member.host.Zone == zone && member.host.alive {
+			member.Kill()
+			killed = append(killed, member)
+		}
+	}
+	return func() {
+		for _, member := range killed {
+			member.restart()
+		}
+	}
+}
--- a/internal/standalone/sim/network.go
+++ b/internal/standalone/sim/network.go
@@ -37,8 +37,6 @@
 	checkEvery  int
 	count       int
 	zoneLatency time.Duration
-	// Messages and Bytes count what was sent, by host, when measuring.
-	Measure func(from, to string, message wire.Message)
 }
 
 // NewNetwork returns a network without hosts.
@@ -138,9 +136,6 @@
 // Send implements environment.Peers.
 func (p *simPeers) Send(address string, message wire.Message) {
 	n := p.network
-	if n.Measure != nil {
-		n.Measure(p.host.Name, address, message)
-	}
 	sent := n.check(message)
 	n.deliver(p.host.Name, address, func() {
 		n.handlers[address](p.host.Name, sent, func(wire.Message) {})
@@ -157,9 +152,6 @@
 // Call implements environment.Peers.
 func (p *simPeers) Call(address string, message wire.Message, timeout time.Duration, done func(wire.Message, error)) {
 	n := p.network
-	if n.Measure != nil {
-		n.Measure(p.host.Name, address, message)
-	}
 	finished, life := false, p.host.life
 	finish := p.host.bind(func() {
 		if !finished {
@@ -171,9 +163,6 @@
 	sent := n.check(message)
 	n.deliver(p.host.Name, address, func() {
 		n.handlers[address](p.host.Name, sent, func(reply wire.Message) {
-			if n.Measure != nil {
-				n.Measure(address, p.host.Name, reply)
-			}
 			answer := n.check(reply)
 			n.deliverTo(address, p.host.Name, life, func() {
 				if finished {
--- a/internal/standalone/sim/world.go
+++ b/internal/standalone/sim/world.go
@@ -85,9 +85,7 @@
 	History *History
 	trace   *xxhash.Digest
 	quiet   bool
-	// polls counts the engine polls, by the host that made them.
-	polls map[string]int
-	lossy float64
+	lossy   float64
 	// boundChanges numbers the operators that change the staleness bound.
 	boundChanges int
 	// Faults counts the faults injected, by kind.
@@ -100,7 +98,7 @@
 		config.Places = placesOf(config.Set)
 	}
 	world := &World{
-		config: config, Scheduler: NewScheduler(config.Seed), Engines: map[string]*Engine{}, trace: xxhash.New(), Faults: map[string]int{}, polls: map[string]int{},
+		config: config, Scheduler: NewScheduler(config.Seed), Engines: map[string]*Engine{}, trace: xxhash.New(), Faults: map[string]int{},
 	}
 	world.Network = NewNetwork(world.Scheduler)
 	world.Platform = NewPlatform(world.Scheduler)
--- a/internal/standalone/standin/engine/server.go
+++ b/internal/standalone/standin/engine/server.go
@@ -59,7 +59,6 @@
 	lagUntil time.Time
 	faults   Faults
 	runs     map[uint64]int
-	produced int64
 }
 
 // Start listens on an address; port 0 lets the system choose.
@@ -112,13 +111,6 @@
 	return s.runs[xxhash.Sum64String(prompt)]
 }
 
-// Produced is the number of tokens sent.
-func (s *Server) Produced() int64 {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.produced
-}
-
 // SetFaults makes the engine fail.
 func (s *Server) SetFaults(faults Faults) {
 	s.mutex.Lock()
@@ -164,7 +156,6 @@
 		if stream == nil {
 			continue
 		}
-		s.produced += int64(output.Count)
 		stream.add(output)
 		if output.Ended {
 			delete(s.streams, output.ID)
--- a/internal/standalone/standin/scorer/server.go
+++ b/internal/standalone/standin/scorer/server.go
@@ -4,7 +4,6 @@
 import (
 	"encoding/json"
 	"net"
-	"sync/atomic"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -21,7 +20,6 @@
 	server  *fasthttp.Server
 	address string
 	delay   time.Duration
-	scored  atomic.Int64
 }
 
 // Start listens on an address; port 0 lets the system choose.
@@ -42,9 +40,6 @@
 // Close ends the scorer.
 func (s *Server) Close() { _ = s.server.Shutdown() }
 
-// Scored is the number of samples judged.
-func (s *Server) Scored() int64 { return s.scored.Load() }
-
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	time.Sleep(s.delay)
 	score := float64(xxhash.Sum64(ctx.PostBody())%scoreSteps) / scoreSteps
@@ -53,7 +48,6 @@
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
 		return
 	}
-	s.scored.Add(1)
 	ctx.SetContentType("application/json")
 	ctx.SetBody(data)
 }
--- a/internal/standalone/standin/trainer/counts.go
+++ b/internal/standalone/standin/trainer/counts.go
@@ -14,7 +14,6 @@
 	Stale       int   `json:"stale"`
 	Unversioned int   `json:"unversioned"`
 	Wrong       int   `json:"wrong"`
-	Resent      int   `json:"resent"`
 	Versions    int64 `json:"versions"`
 
 	Idle      time.Duration `json:"idle"`
