--- a/internal/replicas/routing/doc.go
+++ b/internal/replicas/routing/doc.go
@@ -1,6 +1,14 @@
-// Package routing picks an engine for each request and rollout. A plan holds
-// the engines that the rules in force allow a traffic group or a trainer; it
-// is immutable and read through an atomic pointer. A pick draws a few
-// candidates (the prompt's cache home, two near, two anywhere), filters them,
-// scores the rest and takes the best, without allocating.
+// Package routing picks the replica, or engine in the standalone stack, of a request.
+//
+// policy.go has the whole choice in one place: the filters in order, the scorers and
+// their weights, and the two pickers. A Plan holds the endpoints that the configuration
+// allows a service, traffic group or trainer. It is immutable and shared by all
+// goroutines; a pick takes no lock and allocates nothing unless it fails.
+//
+// The package owns what a node knows of each endpoint between configurations
+// (EndpointState): open dispatches, failures in a row, latency, load reports, the
+// slow-start gate and whether its zone is evacuated. Others write that; picks read it.
+//
+// A pick guarantees that every filter allowed the endpoint at that moment. What must hold
+// at the sending is checked again by package dispatch.
 package routing
--- a/internal/replicas/routing/latency.go
+++ b/internal/replicas/routing/latency.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// latencyShare is the part of a new answer in the average.
-	latencyShare = 0.3
-	// latencyMemory is for how long an average is believed whole; it fades over
-	// as long again, so that an engine that was slow is tried anew.
-	latencyMemory = 2 * time.Second
+	// latencyGain is the weight of a new answer in the moving average, between 0 and 1.
+	latencyGain = 0.3
+	// latencyLifetime is how long an average counts in full. It fades to nothing over as
+	// long again, so that a replica that was slow is tried anew.
+	latencyLifetime = 2 * time.Second
 )
 
-// LatencyAverage is how long an engine's answers take, as this node sees it.
+// LatencyAverage is a moving average of how long an endpoint's answers to this node take.
 // It is safe for use by many goroutines.
 type LatencyAverage struct {
 	newest atomic.Pointer[latencySample]
@@ -25,17 +25,17 @@
 	at      time.Time
 }
 
-// Observe takes the time of one answer, or for how long one was waited for in
-// vain. Two at the same moment may count as one.
+// Observe adds the time that an answer took. Of two calls at the same moment, one may be
+// lost.
 func (l *LatencyAverage) Observe(took time.Duration) {
 	average := took
-	if standing := l.newest.Load(); standing != nil && time.Since(standing.at) < latencyMemory {
-		average = standing.average + time.Duration(latencyShare*float64(took-standing.average))
+	if last := l.newest.Load(); last != nil && time.Since(last.at) < latencyLifetime {
+		average = last.average + time.Duration(latencyGain*float64(took-last.average))
 	}
 	l.newest.Store(&latencySample{average: average, at: time.Now()})
 }
 
-// ObserveAtLeast takes a time that was waited in vain; it never makes the
+// ObserveAtLeast adds a time that was waited without an answer. It never makes the
 // average shorter.
 func (l *LatencyAverage) ObserveAtLeast(waited time.Duration) {
 	if waited > l.Estimate() {
@@ -43,12 +43,12 @@
 	}
 }
 
-// Now is the average, 0 if nothing is known.
+// Estimate returns the average, 0 if nothing is known.
 func (l *LatencyAverage) Estimate() time.Duration {
-	standing := l.newest.Load()
-	if standing == nil {
+	last := l.newest.Load()
+	if last == nil {
 		return 0
 	}
-	faded := float64(time.Since(standing.at)-latencyMemory) / float64(latencyMemory)
-	return time.Duration(float64(standing.average) * (1 - min(1, max(0, faded))))
+	faded := float64(time.Since(last.at)-latencyLifetime) / float64(latencyLifetime)
+	return time.Duration(float64(last.average) * (1 - min(1, max(0, faded))))
 }
--- a/internal/replicas/routing/latency_test.go
+++ b/internal/replicas/routing/latency_test.go
@@ -23,7 +23,7 @@
 		if average.Estimate() <= 200*time.Millisecond {
 			t.Errorf("average %s after 500ms were waited in vain", average.Estimate())
 		}
-		time.Sleep(latencyMemory * 2)
+		time.Sleep(latencyLifetime * 2)
 		if average.Estimate() != 0 {
 			t.Errorf("average %s long after the last answer", average.Estimate())
 		}
--- a/internal/replicas/routing/plan.go
+++ b/internal/replicas/routing/plan.go
@@ -8,43 +8,35 @@
 
 // Errors of Pick.
 var (
-	// ErrNoEngineDeclared means that no rule allows any engine.
+	// ErrNoEngineDeclared means that the configuration allows no endpoint.
 	ErrNoEngineDeclared = merry.Sentinel("no engine is declared for the request")
-	// ErrNoEngineAvailable means that every engine allowed is leaving, silent,
-	// full or on other weights.
+	// ErrNoEngineAvailable means that the filters refused every endpoint.
 	ErrNoEngineAvailable = merry.Sentinel("no engine is available for the request")
 )
 
-const (
-	// nearDraws and anyDraws are how many candidates are drawn at random.
-	nearDraws = 2
-	anyDraws  = 2
-)
-
-// Plan is the engines allowed to one traffic group or trainer. It is
-// immutable.
+// Plan is the endpoints that the configuration allows a service, traffic group or
+// trainer. It is immutable.
 type Plan struct {
 	// endpoints has those of the node's own zone first.
 	endpoints []*Endpoint
-	near      int
-	// ranked tells that the endpoints stand in the order in which they are preferred.
+	// local is the number of endpoints in the node's own zone.
+	local int
+	// ranked is set if the endpoints are in the node's order of preference.
 	ranked  bool
 	filters Chain
 	scorers []Scorer
 }
 
-// NewPlan returns a plan for a node in a zone.
+// NewPlan returns a plan for a node in a zone. Its picks compare a few endpoints drawn at
+// random.
 func NewPlan(zone string, endpoints []*Endpoint) *Plan {
-	plan := &Plan{
-		filters: RequestChain,
-		scorers: []Scorer{LoadScorer{}, ZoneScorer{}, FailureScorer{}, LatencyScorer{}},
-	}
+	plan := &Plan{filters: RequestChain, scorers: requestScorers}
 	for _, endpoint := range endpoints {
 		if endpoint.Zone == zone {
 			plan.endpoints = append(plan.endpoints, endpoint)
 		}
 	}
-	plan.near = len(plan.endpoints)
+	plan.local = len(plan.endpoints)
 	for _, endpoint := range endpoints {
 		if endpoint.Zone != zone {
 			plan.endpoints = append(plan.endpoints, endpoint)
@@ -53,107 +45,68 @@
 	return plan
 }
 
-// Endpoints lists the engines of the plan.
+// Endpoints returns the endpoints of the plan. They must not be changed.
 func (p *Plan) Endpoints() []*Endpoint { return p.endpoints }
 
-// Pick returns the best of a few candidates, drawn or first in rank; only when none
-// of them will do does it look at all.
+// Pick returns the endpoint for a request. The error is ErrNoEngineDeclared or a
+// *NoneLeftError. A pick that finds none has this node ask for allotments of the
+// replicas that are warming up.
 func (p *Plan) Pick(query *Query) (*Endpoint, error) {
 	if len(p.endpoints) == 0 {
 		return nil, ErrNoEngineDeclared
 	}
-	best := p.candidate(query)
+	best := p.best(query)
 	if best == nil {
-		p.wantWarming()
+		p.requestAllotments()
 		return nil, &NoneLeftError{Reason: p.filters.Explain(query, p.endpoints)}
 	}
 	return best, nil
 }
 
-// candidate is the engine to pick, nil for none.
-func (p *Plan) candidate(query *Query) *Endpoint {
+// best returns the endpoint to pick, nil for none.
+func (p *Plan) best(query *Query) *Endpoint {
 	if p.ranked {
-		return p.first(query)
+		return p.bestInRank(query)
 	}
-	if drawn := p.draw(query); drawn != nil {
+	if drawn := p.bestDrawn(query); drawn != nil {
 		return drawn
 	}
-	return p.scan(query)
+	return p.bestOfAll(query)
 }
 
-// wantWarming notes that requests want to go to the replicas that warm up: a gate that
-// is found closed has this node ask for an allotment.
-func (p *Plan) wantWarming() {
+// requestAllotments records at each closed slow-start gate that it keeps a request back.
+func (p *Plan) requestAllotments() {
 	for _, endpoint := range p.endpoints {
 		endpoint.State.SlowStart.Open()
 	}
 }
 
-func (p *Plan) draw(query *Query) *Endpoint {
-	var best *Endpoint
-	bestScore := 0.0
-	consider := func(endpoint *Endpoint, bonus float64) {
-		if !p.filters.Allow(query, endpoint) {
-			return
-		}
-		score := p.score(query, endpoint) + bonus
-		if best == nil || score > bestScore {
-			best, bestScore = endpoint, score
-		}
-	}
-	if query.PrefixHash != 0 {
-		consider(p.home(query.PrefixHash), affinityWeight)
-	}
+// bestDrawn returns the best of the prompt's cache home, localDraws endpoints of the
+// node's zone and anyDraws of all.
+func (p *Plan) bestDrawn(query *Query) *Endpoint {
+	best := p.cacheHome(query)
 	random := query.Random
-	for range nearDraws {
-		if p.near > 0 {
+	for range localDraws {
+		if p.local > 0 {
 			random = rendezvous.Weight(random, hashStep)
-			consider(p.endpoints[random%uint64(p.near)], 0)
+			p.consider(&best, query, p.endpoints[random%uint64(p.local)])
 		}
 	}
 	for range anyDraws {
 		random = rendezvous.Weight(random, hashStep)
-		consider(p.endpoints[random%uint64(len(p.endpoints))], 0)
+		p.consider(&best, query, p.endpoints[random%uint64(len(p.endpoints))])
 	}
-	return best
+	return best.endpoint
 }
 
-// hashStep advances the caller's random number.
-const hashStep = 0x9e3779b97f4a7c15
-
-// home is the engine whose prefix cache should hold a prompt's beginning.
-// Rendezvous hashing moves few prompts when an engine comes or goes.
-func (p *Plan) home(prefix uint64) *Endpoint {
-	home := p.endpoints[0]
-	greatest := uint64(0)
+// bestOfAll returns the best of all endpoints.
+func (p *Plan) bestOfAll(query *Query) *Endpoint {
+	best := choice{}
 	for _, endpoint := range p.endpoints {
-		weight := rendezvous.Weight(prefix, endpoint.Hash)
-		if weight >= greatest {
-			home, greatest = endpoint, weight
-		}
+		p.consider(&best, query, endpoint)
 	}
-	return home
+	return best.endpoint
 }
 
-func (p *Plan) scan(query *Query) *Endpoint {
-	var best *Endpoint
-	bestScore := 0.0
-	for _, endpoint := range p.endpoints {
-		if !p.filters.Allow(query, endpoint) {
-			continue
-		}
-		score := p.score(query, endpoint)
-		if best == nil || score > bestScore {
-			best, bestScore = endpoint, score
-		}
-	}
-	return best
-}
-
-func (p *Plan) score(query *Query, endpoint *Endpoint) float64 {
-	total := 0.0
-	for _, scorer := range p.scorers {
-		total += scorer.Score(query, endpoint)
-	}
-	return total
-}
+// hashStep advances the caller's random number.
+const hashStep = 0x9e3779b97f4a7c15
--- /dev/null
+++ b/internal/replicas/routing/policy_test.go
@@ -0,0 +1,50 @@
+package routing
+
+import (
+	"slices"
+	"testing"
+
+	"github.com/pathtally/pathtally/internal/replicas/homes"
+)
+
+// Each step makes one more filter refuse, from the last to the first: the reason is that
+// of the first that refuses.
+func TestFiltersRefuseInOrder(t *testing.T) {
+	endpoint := testPlan(1).Endpoints()[0]
+	endpoint.Region = "north"
+	query := &Query{}
+	for _, step := range []struct {
+		spoil  func()
+		reason Reason
+	}{
+		{func() {}, ""},
+		{func() { query.MaxLoadShare = 1; endpoint.State.InFlight.Store(20) }, ReasonFull},
+		{func() { query.MinVersion = 4 }, ReasonVersion},
+		{func() { query.Homes = homes.Of([]string{"south"}, nil) }, ReasonOutsideHome},
+		{func() { endpoint.State.SetEvacuated(true) }, ReasonEvacuated},
+		{func() { query.Tried = []string{endpoint.Name} }, ReasonUnavailable},
+		{func() { endpoint.Serves = false }, ReasonRole},
+	} {
+		step.spoil()
+		if reason, refused := RequestChain.Refuse(query, endpoint); reason != step.reason || refused != (step.reason != "") {
+			t.Errorf("refused by %q, want %q", reason, step.reason)
+		}
+	}
+}
+
+func TestChainsAreInOrder(t *testing.T) {
+	reasons := func(chain Chain) (order []Reason) {
+		for _, filter := range chain {
+			order = append(order, filter.Reason())
+		}
+		return order
+	}
+	if got, want := reasons(RequestChain), []Reason{
+		ReasonRole, ReasonUnavailable, ReasonEvacuated, ReasonOutsideHome, ReasonVersion, ReasonSlowStart, ReasonFull,
+	}; !slices.Equal(got, want) {
+		t.Errorf("live requests: %v, want %v", got, want)
+	}
+	if got, want := reasons(ItemChain), []Reason{ReasonRole, ReasonUnavailable, ReasonEvacuated, ReasonOutsideHome, ReasonSlowStart}; !slices.Equal(got, want) {
+		t.Errorf("items: %v, want %v", got, want)
+	}
+}
--- a/internal/replicas/routing/reason.go
+++ b/internal/replicas/routing/reason.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Reason tells why a replica may not be picked.
+// Reason is why a filter refuses an endpoint.
 type Reason string
 
-// The reasons, in the order in which they are looked for.
+// The reasons, in the order of the filters in RequestChain.
 const (
 	ReasonRole        Reason = "of another role"
 	ReasonUnavailable Reason = "leaving, silent or asked before"
@@ -19,7 +19,7 @@
 // LeftNobodyError is a pick for which no replica was left. It is an
 // ErrNoEngineAvailable.
 type NoneLeftError struct {
-	// Reason is that of the filter that refused the last replicas that were left.
+	// Reason is that of the filter that refused the last of them, as of Chain.Explain.
 	Reason Reason
 }
 
--- a/internal/replicas/routing/score.go
+++ b/internal/replicas/routing/score.go
@@ -1,41 +1,12 @@
 package routing
 
-// Scorer rates an engine for a request; greater is better.
+// Scorer rates an endpoint for a request; greater is better. The weights are in
+// policy.go.
 type Scorer interface {
 	Score(query *Query, endpoint *Endpoint) float64
 }
 
-// Weights of the scores against one full batch of load.
-const (
-	zoneWeight     = 0.15
-	affinityWeight = 0.4
-	failureWeight  = 0.5
-	latencyWeight  = 0.5
-)
-
-// easyLatency is the part of the objective, between 0 and 1, up to which all answers
-// count as equally fast: shorter times differ by chance, and each change of the replica
-// may take a new connection.
-const easyLatency = 0.25
-
-// worstLatency bounds what a slow engine is marked down by, as a multiple of
-// the objective.
-const worstLatency = 2.0
-
-// LatencyScorer avoids engines whose answers take long against the request's
-// objective.
-type LatencyScorer struct{}
-
-// Score implements Scorer.
-func (LatencyScorer) Score(query *Query, endpoint *Endpoint) float64 {
-	if query.Objective <= 0 {
-		return 0
-	}
-	took := float64(endpoint.State.Latency.Estimate()) / float64(query.Objective)
-	return -latencyWeight * max(0, min(worstLatency, took)-easyLatency)
-}
-
-// LoadScorer prefers engines with free slots.
+// LoadScorer prefers endpoints with free slots.
 type LoadScorer struct{}
 
 // Score implements Scorer.
@@ -43,7 +14,7 @@
 	return -float64(endpoint.Load()) / float64(endpoint.Slots)
 }
 
-// ZoneScorer prefers engines of the node's own zone.
+// ZoneScorer prefers endpoints of the node's own zone.
 type ZoneScorer struct{}
 
 // Score implements Scorer.
@@ -54,10 +25,22 @@
 	return 0
 }
 
-// FailureScorer avoids engines that have failed this node lately.
+// FailureScorer avoids endpoints whose newest dispatches from this node failed.
 type FailureScorer struct{}
 
 // Score implements Scorer.
 func (FailureScorer) Score(_ *Query, endpoint *Endpoint) float64 {
 	return -failureWeight * float64(endpoint.State.Failures.Load())
 }
+
+// LatencyScorer avoids endpoints whose answers take long against the request's objective.
+type LatencyScorer struct{}
+
+// Score implements Scorer.
+func (LatencyScorer) Score(query *Query, endpoint *Endpoint) float64 {
+	if query.Objective <= 0 {
+		return 0
+	}
+	took := float64(endpoint.State.Latency.Estimate()) / float64(query.Objective)
+	return -latencyWeight * max(0, min(maxLatency, took)-toleratedLatency)
+}
