--- a/internal/callers/dispatch/dispatcher.go
+++ b/internal/callers/dispatch/dispatcher.go
@@ -13,7 +13,7 @@
 	pool    *exchange.Pool
 	headers Headers
 	metrics *Metrics
-	// guard keeps calls from replicas that end under them, nil for none.
+	// guard is nil for none.
 	guard Guard
 }
 
@@ -22,29 +22,15 @@
 	return &Dispatcher{pool: pool, headers: headers, metrics: metrics}
 }
 
-// SetGuard has a guard asked before calls are sent, and told how runs end. Call it before
-// the first Send.
+// SetGuard sets the guard. It must be called before the first Send.
 func (d *Dispatcher) SetGuard(guard Guard) { d.guard = guard }
 
-// admit tells why a replica is to get no request now. Everything that goes to a
-// replica passes here last: what a pick found may have changed since.
-func admit(endpoint *routing.Endpoint) *WithheldError {
-	if endpoint.State.Evacuated() {
-		return &WithheldError{Replica: endpoint.Name, Reason: routing.ReasonEvacuated}
-	}
-	if !endpoint.State.SlowStart.Take() {
-		return &WithheldError{Replica: endpoint.Name, Reason: routing.ReasonSlowStart}
-	}
-	return nil
-}
-
-// Send makes one attempt. Its error is a *QuarantinedError, a *WithheldError, a
-// *NotRunError, an *exchange.NotSentError or an *exchange.BrokenError. The caller closes
-// the answer.
+// Send makes one attempt and returns the answer, whose body is still to be read. The
+// caller must Close or Discard it. The error is a *QuarantinedError, a *WithheldError, a
+// *NotRunError, an *exchange.NotSentError or an *exchange.BrokenError; MayHaveRun tells
+// them apart.
 func (d *Dispatcher) Send(ctx context.Context, endpoint *routing.Endpoint, call *Call) (*Answer, error) {
 	if d.guard != nil {
-		// A request that ends its replica comes again, here or at another node: without
-		// this every replica of a service ends under it, each time it is back.
 		if err := d.guard.Admit(ctx, call); err != nil {
 			return nil, err
 		}
@@ -53,12 +39,7 @@
 		d.metrics.countWithheld(withheld.Reason)
 		return nil, withheld
 	}
-	header := call.Header.Clone()
-	d.headers.Prepare(header, Conditions{
-		Replica: endpoint.InstanceName(), Remaining: time.Until(call.Deadline), AfterEvent: call.AfterEvent, Version: call.Version,
-		Rank: call.Rank, Tenant: call.Tenant,
-	})
-	request := &exchange.Request{Method: call.Method, Target: call.Target, Host: call.Host, Header: header, Body: call.Body, Purpose: call.Purpose}
+	request := d.newRequest(endpoint, call)
 	run := &Run{Call: call, Endpoint: endpoint, guard: d.guard, sent: time.Now()}
 	endpoint.State.InFlight.Add(1)
 	response, err := d.pool.Send(ctx, endpoint.Address, request, call.Once)
@@ -66,7 +47,7 @@
 		endpoint.State.InFlight.Add(-1)
 		if ctx.Err() == nil {
 			endpoint.State.Failures.Add(1)
-			run.broke(err)
+			run.reportError(err)
 		}
 		return nil, err
 	}
@@ -77,3 +58,27 @@
 	answer.ctx, answer.run = ctx, run
 	return answer, nil
 }
+
+// admit returns why a replica must get no request now, nil if it may. It takes the permit
+// of a replica that is warming up.
+func admit(endpoint *routing.Endpoint) *WithheldError {
+	if endpoint.State.Evacuated() {
+		return &WithheldError{Replica: endpoint.Name, Reason: routing.ReasonEvacuated}
+	}
+	if !endpoint.State.SlowStart.Take() {
+		return &WithheldError{Replica: endpoint.Name, Reason: routing.ReasonSlowStart}
+	}
+	return nil
+}
+
+// newRequest returns the request to a replica for a call.
+func (d *Dispatcher) newRequest(endpoint *routing.Endpoint, call *Call) *exchange.Request {
+	header := call.Header.Clone()
+	d.headers.Prepare(header, Conditions{
+		Replica: endpoint.InstanceName(), Remaining: time.Until(call.Deadline), AfterEvent: call.AfterEvent, Version: call.Version,
+		Rank: call.Rank, Tenant: call.Tenant,
+	})
+	return &exchange.Request{
+		Method: call.Method, Target: call.Target, Host: call.Host, Header: header, Body: call.Body, Purpose: call.Purpose,
+	}
+}
--- a/internal/callers/dispatch/errors.go
+++ b/internal/callers/dispatch/errors.go
@@ -14,14 +14,14 @@
 // ErrForeignAnswer means that an answer belongs to another request.
 var ErrForeignAnswer = merry.Sentinel("answer belongs to another request")
 
-// ErrUnsigned means that a success carries no replica's signature.
+// ErrUnsigned means that an answer of status 2xx has no replica's signature.
 var ErrUnsigned = merry.Sentinel("success without a signature")
 
 // NotRunError is a replica's promise that it has not run a request.
 type NotRunError struct {
 	Replica string
 	Status  int
-	// OtherReplica tells that the incarnation asked for is no longer there.
+	// OtherReplica is set if another replica has the address by now.
 	OtherReplica bool
 }
 
@@ -30,11 +30,12 @@
 	return fmt.Sprintf("replica %s did not run the request: status %d", e.Replica, e.Status)
 }
 
-// WithheldError is a request that this node did not send, since the replica is to get
-// none: its zone is evacuated, or it warms up and bears no more now.
+// WithheldError is a request that this node did not send, since the replica gets none
+// now.
 type WithheldError struct {
 	Replica string
-	Reason  routing.Reason
+	// Reason is routing.ReasonEvacuated or routing.ReasonSlowStart.
+	Reason routing.Reason
 }
 
 // Error names the replica and the reason.
@@ -42,12 +43,12 @@
 	return fmt.Sprintf("nothing sent to replica %s: it is %s", e.Replica, e.Reason)
 }
 
-// QuarantinedError is a request that this node did not send, since replicas end under it.
-// No other replica will do.
+// QuarantinedError is a request that this node did not send, since replicas crash under
+// it. It must go to no other replica either.
 type QuarantinedError struct {
-	// Fingerprint tells the request from others, whatever its id.
+	// Fingerprint identifies the request, whatever its id.
 	Fingerprint string
-	// Left is for how much longer it is not sent.
+	// Left is the time until the quarantine ends.
 	Left time.Duration
 }
 
@@ -56,7 +57,8 @@
 	return fmt.Sprintf("request %s is not sent for %v: replicas end under it", e.Fingerprint, e.Left.Round(time.Second))
 }
 
-// MayHaveRun tells whether a request that failed with an error may have run.
+// MayHaveRun returns whether a request may have run whose Send or read of an answer failed
+// with an error.
 func MayHaveRun(err error) bool {
 	var notRun *NotRunError
 	var notSent *exchange.NotSentError
--- a/internal/callers/dispatch/metrics.go
+++ b/internal/callers/dispatch/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// Metrics count what was not sent to replicas.
+// Metrics count requests that were withheld from replicas.
 type Metrics struct {
 	withheld *prometheus.CounterVec
 }
@@ -20,12 +20,13 @@
 	return metrics
 }
 
-// withheldNames name the reasons in the metrics.
+// withheldNames are the values of the metric's reason label.
 var withheldNames = map[routing.Reason]string{
 	routing.ReasonEvacuated: "evacuated",
 	routing.ReasonSlowStart: "slow_start",
 }
 
+// countWithheld counts a withheld request. The receiver may be nil.
 func (m *Metrics) countWithheld(reason routing.Reason) {
 	if m != nil {
 		m.withheld.WithLabelValues(withheldNames[reason]).Inc()
--- a/internal/callers/forward/quarantine_test.go
+++ b/internal/callers/forward/quarantine_test.go
@@ -28,9 +28,9 @@
 	return &dispatch.QuarantinedError{Fingerprint: "f", Left: quarantineLeft}
 }
 
-func (g *countingGuard) Broke(dispatch.Run) { g.broken.Add(1) }
+func (g *countingGuard) ObserveBroken(dispatch.Run) { g.broken.Add(1) }
 
-func (g *countingGuard) Served(*dispatch.Call, int) { g.served.Add(1) }
+func (g *countingGuard) ObserveServed(*dispatch.Call, int) { g.served.Add(1) }
 
 func newGuardedForwarder(admits int64, backends ...*backend) (*Forwarder, *countingGuard) {
 	forwarder, guard := newForwarder(backends...), &countingGuard{}
--- a/internal/callers/quarantine/examine.go
+++ b/internal/callers/quarantine/examine.go
@@ -13,8 +13,8 @@
 // the end that another has brought about.
 const soonAfterSent = time.Second
 
-// Broke implements dispatch.Guard.
-func (s *Service) Broke(run dispatch.Run) {
+// ObserveBroken implements dispatch.Guard.
+func (s *Service) ObserveBroken(run dispatch.Run) {
 	request := fingerprintOf(run.Call)
 	s.mutex.Lock()
 	s.examined[request]++
--- a/internal/callers/quarantine/hold.go
+++ b/internal/callers/quarantine/hold.go
@@ -27,8 +27,8 @@
 	return true
 }
 
-// Served implements dispatch.Guard.
-func (s *Service) Served(call *dispatch.Call, status int) {
+// ObserveServed implements dispatch.Guard.
+func (s *Service) ObserveServed(call *dispatch.Call, status int) {
 	if s.suspects.Load() == 0 && s.table.IsEmpty() {
 		return
 	}
--- a/internal/callers/quarantine/service_test.go
+++ b/internal/callers/quarantine/service_test.go
@@ -112,7 +112,7 @@
 // settledBreak has a node examine a broken run to the end.
 func settledBreak(t *testing.T, service *Service, run dispatch.Run) {
 	t.Helper()
-	service.Broke(run)
+	service.ObserveBroken(run)
 	eventually(t, "the run has been examined", func() bool {
 		service.mutex.Lock()
 		defer service.mutex.Unlock()
@@ -232,7 +232,7 @@
 			name := fmt.Sprint("node-", try)
 			settledBreak(t, nodes.nodes[name], brokenRun(testCall(fmt.Sprint(round, "-", try), "good"), fmt.Sprint("replica-", round, try)))
 		}
-		nodes.nodes["node-0"].Served(testCall("served", "good"), 200)
+		nodes.nodes["node-0"].ObserveServed(testCall("served", "good"), 200)
 		eventually(t, "nobody remembers ends under it", func() bool {
 			for _, keeper := range nodes.nodes["node-0"].keepers(fingerprintOf(testCall("", "good"))) {
 				service := nodes.nodes[keeper]
@@ -261,11 +261,11 @@
 		eventually(t, name+" holds the request", func() bool { return isHeld(service, "good") })
 	}
 	eventually(t, "the store has it", func() bool { return len(recorded(t, nodes.store)) == 1 })
-	nodes.nodes["node-3"].Served(testCall("late", "good"), 500)
+	nodes.nodes["node-3"].ObserveServed(testCall("late", "good"), 500)
 	if !isHeld(nodes.nodes["node-3"], "good") {
 		t.Fatal("a failure lifts the quarantine")
 	}
-	nodes.nodes["node-3"].Served(testCall("late", "good"), 200)
+	nodes.nodes["node-3"].ObserveServed(testCall("late", "good"), 200)
 	for name, service := range nodes.nodes {
 		eventually(t, name+" lets the request through", func() bool { return !isHeld(service, "good") })
 	}
@@ -296,7 +296,7 @@
 	}
 	slow := make(chan struct{})
 	nodes.probed = func() { <-slow }
-	service.Broke(brokenRun(testCall("third", "bad"), "replica-third"))
+	service.ObserveBroken(brokenRun(testCall("third", "bad"), "replica-third"))
 	admitted := make(chan error, 1)
 	go func() { admitted <- service.Admit(context.Background(), testCall("next", "bad")) }()
 	if err := service.Admit(context.Background(), testCall("other", "good")); err != nil {
