--- a/cmd/pathtally-bench/main.go
+++ b/cmd/pathtally-bench/main.go
@@ -1,5 +1,5 @@
-// Command pathtally-bench measures: simulated faults, rollout policies, the
-// load that nodes bear, and where the time of steps went. Run it with -h for the subcommands.
+// Command pathtally-bench measures: simulated faults, the load that
+// nodes bear, and where the time of steps went. Run it with -h for the subcommands.
 package main
 
 import (
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -132,6 +132,8 @@
 	return report, nil
 }
 
+func milliseconds(span time.Duration) float64 { return float64(span.Microseconds()) / 1000 }
+
 // nodeCPU reads a node's processor time from its metrics.
 func nodeCPU(address string) (float64, error) {
 	_, body, err := fasthttp.GetTimeout(nil, "http://"+address+"/metrics", metricsTimeout)
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -21,8 +21,6 @@
 
   pathtally-bench sim -seeds 1000 [-from N] [-trace]
         random faults on a virtual clock; checks every promise
-  pathtally-bench rollout -deployment examples/kotuku -policy baseline,tail,overlap,fresh,none -steps 50 -seeds 10 -out out/rollout
-        rollout policies side by side on the same seeded work
   pathtally-bench timeline [-json] [-plot steps.svg] FILE...
         where the time of each trainer's step went, from the nodes' log lines
   pathtally-bench load -node 127.0.0.1:8001 -engine 127.0.0.1:9109 -rate 100 -for 10s
@@ -47,7 +45,7 @@
 
 // Run executes a command line.
 func Run(args []string, stdout, stderr io.Writer) int {
-	commands := map[string]func(*invocation) error{"sim": runSim, "rollout": runRollout, "load": runLoad, "timeline": runTimeline}
+	commands := map[string]func(*invocation) error{"sim": runSim, "load": runLoad, "timeline": runTimeline}
 	if len(args) == 0 || commands[args[0]] == nil {
 		fmt.Fprint(stderr, usageText)
 		return exitUsage
--- a/internal/command/node.go
+++ b/internal/command/node.go
@@ -42,7 +42,7 @@
 		return runInstance(context, loaded, given, *path, level)
 	}
 	process.SetupLogging(context.stderr, level)
-	running, err := process.Start(loaded, nil)
+	running, err := process.Start(loaded)
 	if err != nil {
 		return err
 	}
--- a/internal/standalone/devcluster/cluster.go
+++ b/internal/standalone/devcluster/cluster.go
@@ -17,7 +17,6 @@
 	"github.com/pathtally/pathtally/internal/standalone/configwriter"
 	"github.com/pathtally/pathtally/internal/standalone/enginemodel"
 	"github.com/pathtally/pathtally/internal/standalone/process"
-	"github.com/pathtally/pathtally/internal/standalone/rollout"
 	standengine "github.com/pathtally/pathtally/internal/standalone/standin/engine"
 	"github.com/pathtally/pathtally/internal/standalone/standin/platform"
 	"github.com/pathtally/pathtally/internal/standalone/standin/scorer"
@@ -47,7 +46,6 @@
 	DataFolder string
 	Parameters enginemodel.Parameters
 	Lengths    enginemodel.Lengths
-	Policy     rollout.Policy
 	// ScoreTime is how long judging a sample takes.
 	ScoreTime time.Duration
 }
@@ -165,7 +163,7 @@
 		count = len(c.places)
 	}
 	for i := range count {
-		if err := c.StartNode(i, folder, config.Policy); err != nil {
+		if err := c.StartNode(i, folder); err != nil {
 			return err
 		}
 	}
@@ -178,7 +176,7 @@
 }
 
 // StartNode adds the node of a number, which joins through those there are.
-func (c *Cluster) StartNode(number int, folder string, policy rollout.Policy) error {
+func (c *Cluster) StartNode(number int, folder string) error {
 	name := fmt.Sprintf("node-%d", number+1)
 	where := c.places[number%len(c.places)]
 	var seeds []string
@@ -188,7 +186,7 @@
 	started, err := process.Start(settings.Settings{
 		Node: name, Zone: where.zone, Region: where.region, Peer: anyPort, HTTP: anyPort, Seeds: seeds,
 		Platform: c.Platform.Address(), DataFolder: filepath.Join(folder, name), Grace: v1.Duration(nodeGrace),
-	}, policy)
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/standalone/node/config.go
+++ b/internal/standalone/node/config.go
@@ -27,10 +27,6 @@
 	// Journal keeps the node's quorum seat; nil on a node without a data
 	// folder.
 	Journal *quorum.Journal
-	// Policy overrides the policy that suits each trainer.
-	Policy rollout.Policy
-	// ChunkTokens overrides how many tokens of a sample come together.
-	ChunkTokens int
 	// OnConfiguration is told each generation that comes into force here.
 	OnConfiguration func(generation uint64)
 }
--- a/internal/standalone/node/duties.go
+++ b/internal/standalone/node/duties.go
@@ -197,20 +197,18 @@
 func (c *Core) startScheduler(name string, token uint64) {
 	trainer := strings.TrimPrefix(name, schedulerPrefix)
 	scheduler := rollout.NewScheduler(rollout.Config{
-		Trainer:     trainer,
-		Token:       token,
-		Node:        c.config.Self.ID,
-		Zone:        c.config.Self.Zone,
-		Clock:       c.config.Clock,
-		Random:      c.config.Random,
-		Peers:       c.config.Peers,
-		Engines:     c.config.Engines,
-		Registers:   c.quorum,
-		Scorer:      c.config.Scorer,
-		Stores:      storeDirectory{table: c.table},
-		Policy:      c.config.Policy,
-		ChunkTokens: c.config.ChunkTokens,
-		Plan:        func() *routing.TrainerPlan { return c.trainerPlan(trainer) },
+		Trainer:   trainer,
+		Token:     token,
+		Node:      c.config.Self.ID,
+		Zone:      c.config.Self.Zone,
+		Clock:     c.config.Clock,
+		Random:    c.config.Random,
+		Peers:     c.config.Peers,
+		Engines:   c.config.Engines,
+		Registers: c.quorum,
+		Scorer:    c.config.Scorer,
+		Stores:    storeDirectory{table: c.table},
+		Plan:      func() *routing.TrainerPlan { return c.trainerPlan(trainer) },
 	})
 	c.schedulers[name] = scheduler
 	c.rebuild()
--- a/internal/standalone/node/trainers.go
+++ b/internal/standalone/node/trainers.go
@@ -56,18 +56,3 @@
 	}
 	return scheduler.Acknowledge(step)
 }
-
-// RolloutCounters sums what the schedulers on this node have done.
-func (c *Core) RolloutCounters() rollout.Counters {
-	var total rollout.Counters
-	for _, scheduler := range c.schedulers {
-		counters := scheduler.Counters()
-		total.Dispatched += counters.Dispatched
-		total.Finished += counters.Finished
-		total.StaleReplaced += counters.StaleReplaced
-		total.Moved += counters.Moved
-		total.Raced += counters.Raced
-		total.TokensWasted += counters.TokensWasted
-	}
-	return total
-}
--- a/internal/standalone/process/process.go
+++ b/internal/standalone/process/process.go
@@ -19,7 +19,6 @@
 	"github.com/pathtally/pathtally/internal/standalone/objectapi"
 	"github.com/pathtally/pathtally/internal/standalone/quorum"
 	"github.com/pathtally/pathtally/internal/standalone/recordlog"
-	"github.com/pathtally/pathtally/internal/standalone/rollout"
 	"github.com/pathtally/pathtally/internal/standalone/samplestore"
 	"github.com/pathtally/pathtally/internal/standalone/scorer"
 	"github.com/pathtally/pathtally/internal/wire"
@@ -51,7 +50,7 @@
 
 // Start opens the addresses of the settings and starts the node. An address
 // with port 0 lets the system choose; see PeerAddress and HTTPAddress.
-func Start(configured settings.Settings, policy rollout.Policy) (*Process, error) {
+func Start(configured settings.Settings) (*Process, error) {
 	peerListener, err := net.Listen("tcp", configured.Peer)
 	if err != nil {
 		return nil, &settings.ListenError{Setting: "peer", Address: configured.Peer, Cause: err}
@@ -69,7 +68,7 @@
 		drained:  make(chan struct{}),
 		served:   make(chan struct{}),
 	}
-	if err := process.assemble(peerListener, policy); err != nil {
+	if err := process.assemble(peerListener); err != nil {
 		peerListener.Close()
 		httpListener.Close()
 		return nil, err
@@ -86,7 +85,7 @@
 }
 
 // assemble joins the parts of the node.
-func (p *Process) assemble(peerListener net.Listener, policy rollout.Policy) error {
+func (p *Process) assemble(peerListener net.Listener) error {
 	incarnation := uint64(time.Now().UnixMilli())
 	self := wire.Member{
 		ID: p.settings.Node, Address: p.settings.AdvertisedPeer(), HTTP: p.settings.HTTP, Zone: p.settings.Zone, Region: p.settings.Region,
@@ -112,7 +111,7 @@
 	p.core = node.NewCore(node.Config{
 		Self: self, Seeds: p.settings.Seeds, Clock: p.loop, Peers: p.transport, Objects: p.objects, Machines: p.objects,
 		Random:  random,
-		Engines: engine.NewPosted(p.engines, p.loop.Post), Scorer: p.scorer, Store: store, Journal: journal, Policy: policy,
+		Engines: engine.NewPosted(p.engines, p.loop.Post), Scorer: p.scorer, Store: store, Journal: journal,
 		OnConfiguration: func(generation uint64) { p.logger.Info("configuration in force", "generation", generation) },
 	})
 	close(started)
--- a/internal/standalone/rollout/attempt.go
+++ b/internal/standalone/rollout/attempt.go
@@ -37,7 +37,7 @@
 	}
 	s.pumpParked()
 	policy := s.policy()
-	ahead := policy.StepsAhead(plan.Trainer)
+	ahead := policy.stepsAhead()
 	defer func() { s.reorder = false }()
 	place := 0
 	for _, step := range s.openSteps() {
@@ -53,7 +53,7 @@
 
 // pumpStep dispatches the waiting samples of one step; false means that no
 // engine has room.
-func (s *Scheduler) pumpStep(step *stepState, plan *routing.TrainerPlan, policy Policy, place int) bool {
+func (s *Scheduler) pumpStep(step *stepState, plan *routing.TrainerPlan, policy samplePolicy, place int) bool {
 	now := s.config.Clock.Now()
 	if s.reorder {
 		s.orderPending(step)
@@ -73,7 +73,7 @@
 			waiting = append(waiting, next)
 			continue
 		}
-		s.start(next, endpoint, policy.Priority(place))
+		s.start(next, endpoint, policy.priority(place))
 	}
 	// An attempt that failed at once has put its slot back meanwhile.
 	step.pending = append(waiting, step.pending...)
@@ -85,7 +85,7 @@
 	// as fresh as the policy wants.
 	oldest := s.bound(next.step)
 	if avoid == "" {
-		oldest = max(oldest, s.policy().OldestVersion(next.step.request.TrainVersion, s.plan().Trainer.Spec.MaxStaleness))
+		oldest = max(oldest, s.policy().oldestVersion(next.step.request.TrainVersion))
 	}
 	return &routing.Query{
 		Zone:         s.config.Zone,
@@ -94,7 +94,7 @@
 		Avoid:        avoid,
 		Random:       s.config.Random.Uint64(),
 		Rollout:      true,
-		MaxLoadShare: s.policy().LoadShare(),
+		MaxLoadShare: maxLoadShare,
 	}
 }
 
@@ -114,7 +114,7 @@
 			MaxTokens:   step.request.MaxTokens,
 			Seed:        step.request.Seed ^ uint64(next.index),
 			Priority:    priority,
-			ChunkTokens: s.config.ChunkTokens,
+			ChunkTokens: chunkTokens,
 		},
 	})
 	next.attempts = append(next.attempts, begun)
@@ -169,7 +169,6 @@
 	running.dispatch++
 	running.moving = false
 	endpoint.State.InFlight.Add(1)
-	s.counters.Dispatched++
 	dispatch.Request.Deadline = s.config.Clock.Now().Add(sampleDeadline)
 	number, open := running.dispatch, true
 	closeStream := func() {
--- a/internal/standalone/rollout/config.go
+++ b/internal/standalone/rollout/config.go
@@ -28,10 +28,8 @@
 	sampleDeadline = 8 * time.Minute
 	// keptAcked is how many acknowledged steps stay in memory.
 	keptAcked = 2
-	// defaultChunkTokens is how many tokens a sample reports together.
-	defaultChunkTokens = 16
-	// fullLoadShare stops dispatching to an engine whose slots are taken.
-	fullLoadShare = 1.0
+	// chunkTokens is how many tokens of a sample an engine reports together.
+	chunkTokens = 16
 )
 
 // Registers decides the manifests.
@@ -68,20 +66,6 @@
 	Stores    Stores
 	// Plan returns the trainer and its engines as they are now, or nil.
 	Plan func() *routing.TrainerPlan
-	// Policy overrides the one that suits the trainer.
-	Policy Policy
 	// OnSuperseded is told when another holder's ballot was seen.
 	OnSuperseded func()
-	// ChunkTokens overrides how many tokens are reported together.
-	ChunkTokens int
-}
-
-// Counters are what a Scheduler has done, for the metrics.
-type Counters struct {
-	Dispatched    int64
-	Finished      int64
-	StaleReplaced int64
-	Moved         int64
-	Raced         int64
-	TokensWasted  int64
 }
--- a/internal/standalone/rollout/finish.go
+++ b/internal/standalone/rollout/finish.go
@@ -15,13 +15,11 @@
 	if oldest >= s.bound(running.slot.step) {
 		return
 	}
-	s.counters.StaleReplaced++
 	s.abandon(running)
 }
 
 // abandon ends an attempt without a result and has its slot tried again.
 func (s *Scheduler) abandon(running *attempt) {
-	s.counters.TokensWasted += int64(running.machine.Tokens())
 	s.cancelAttempt(running)
 	if len(running.slot.attempts) == 0 && running.slot.state == slotRunning {
 		s.requeue(running.slot)
@@ -38,7 +36,6 @@
 
 func (s *Scheduler) cancelAttempts(ended *slot) {
 	for _, running := range slices.Clone(ended.attempts) {
-		s.counters.TokensWasted += int64(running.machine.Tokens())
 		s.cancelAttempt(running)
 	}
 }
@@ -58,9 +55,7 @@
 	s.predictor.Observe(filled.prompt, result.Tokens)
 	s.reorder = true
 	filled.step.durations = append(filled.step.durations, s.config.Clock.Now().Sub(running.started))
-	s.counters.Finished++
 	if stream.OldestVersion(result.Segments) < s.bound(filled.step) {
-		s.counters.StaleReplaced++
 		s.requeue(filled)
 		return
 	}
--- a/internal/standalone/rollout/recover.go
+++ b/internal/standalone/rollout/recover.go
@@ -207,12 +207,16 @@
 
 // orderPending sorts the waiting slots as the policy wants them.
 func (s *Scheduler) orderPending(step *stepState) {
-	predictions := make([]Prediction, len(step.pending))
+	predictions := make([]prediction, len(step.pending))
 	for i, waiting := range step.pending {
-		predictions[i] = Prediction{Slot: waiting.index, Tokens: s.expected(waiting), Sample: int(waiting.index) % step.request.SamplesPerPrompt}
+		predictions[i] = prediction{
+			slot:   waiting.index,
+			tokens: s.expected(waiting),
+			sample: int(waiting.index) % step.request.SamplesPerPrompt,
+		}
 	}
-	s.policy().Order(predictions)
-	for i, prediction := range predictions {
-		step.pending[i] = step.slots[prediction.Slot]
+	s.policy().order(predictions)
+	for i, predicted := range predictions {
+		step.pending[i] = step.slots[predicted.slot]
 	}
 }
--- a/internal/standalone/rollout/scheduler.go
+++ b/internal/standalone/rollout/scheduler.go
@@ -17,7 +17,6 @@
 	config    Config
 	steps     map[uint64]*stepState
 	predictor *Predictor
-	counters  Counters
 	stopped   bool
 	parked    []*attempt
 	// reorder is set when what is known of the waiting samples has changed.
@@ -30,9 +29,6 @@
 
 // NewScheduler returns a scheduler without steps.
 func NewScheduler(config Config) *Scheduler {
-	if config.ChunkTokens == 0 {
-		config.ChunkTokens = defaultChunkTokens
-	}
 	return &Scheduler{config: config, steps: map[uint64]*stepState{}, predictor: NewPredictor()}
 }
 
@@ -62,9 +58,6 @@
 	}
 }
 
-// Counters returns what has been done so far.
-func (s *Scheduler) Counters() Counters { return s.counters }
-
 func (s *Scheduler) numbers() []uint64 { return slices.Sorted(maps.Keys(s.steps)) }
 
 // openSteps returns the steps not acknowledged, oldest first.
@@ -165,13 +158,8 @@
 	return s.lastPlan
 }
 
-// policy returns the policy in force.
-func (s *Scheduler) policy() Policy {
-	if s.config.Policy != nil {
-		return s.config.Policy
-	}
-	return PolicyFor(s.plan().Trainer)
-}
+// policy returns the policy for the trainer as it is declared now.
+func (s *Scheduler) policy() samplePolicy { return samplePolicy{trainer: s.plan().Trainer} }
 
 // bound is the least version allowed in a sample of a step.
 func (s *Scheduler) bound(step *stepState) int64 {
--- a/internal/standalone/rollout/seal.go
+++ b/internal/standalone/rollout/seal.go
@@ -190,7 +190,6 @@
 	}
 	if len(stale) > 0 {
 		step.acked = false
-		s.counters.StaleReplaced += int64(len(stale))
 		s.replace(step, stale)
 		return
 	}
--- a/internal/standalone/rollout/tail.go
+++ b/internal/standalone/rollout/tail.go
@@ -30,34 +30,32 @@
 	}
 }
 
-func (s *Scheduler) watchTail(late *slot, plan *routing.Plan, policy Policy, remaining int, median time.Duration) {
+func (s *Scheduler) watchTail(late *slot, plan *routing.Plan, policy samplePolicy, remaining int, median time.Duration) {
 	first := late.attempts[0]
 	if first.endpoint == nil || first.moving {
 		return
 	}
 	quietest, load := s.quietest(plan, late, first.endpoint)
-	action := policy.Tail(TailView{
-		Remaining: remaining,
-		Total:     len(late.step.slots),
-		Elapsed:   s.config.Clock.Now().Sub(first.started),
-		Median:    median,
-		Load:      shareOf(first.endpoint),
-		Quietest:  load,
-		Attempts:  len(late.attempts),
-		Moves:     first.moves,
+	action := decideTail(tailView{
+		remaining: remaining,
+		total:     len(late.step.slots),
+		elapsed:   s.config.Clock.Now().Sub(first.started),
+		median:    median,
+		load:      shareOf(first.endpoint),
+		quietest:  load,
+		attempts:  len(late.attempts),
+		moves:     first.moves,
 	})
 	if quietest == nil {
 		return
 	}
 	switch action {
-	case TailMove:
+	case tailMove:
 		first.moving = true
 		first.moves++
-		s.counters.Moved++
 		s.config.Engines.Export(first.endpoint.Address, first.machine.DispatchID())
-	case TailRace:
-		s.counters.Raced++
-		s.start(late, quietest, policy.Priority(0))
+	case tailRace:
+		s.start(late, quietest, policy.priority(0))
 	}
 }
 
--- a/internal/standalone/sim/callers.go
+++ b/internal/standalone/sim/callers.go
@@ -28,10 +28,6 @@
 	number int
 	// stopped ends new arrivals.
 	stopped bool
-	// Latencies are the times to whole answers, and Late counts requests that
-	// got none within their deadline.
-	Latencies []time.Duration
-	Late      int
 }
 
 func newCallers(world *World) *Callers {
@@ -72,13 +68,11 @@
 	asked.Deadline = c.world.Scheduler.Now().Add(callerDeadline)
 	network := c.world.Network
 	ended, reached := false, false
-	begun := c.world.Scheduler.Now()
 	end := func(answer *CallerAnswer) {
 		if ended {
 			return
 		}
 		ended = true
-		c.measure(answer, begun)
 		c.world.History.ended(asked, answer, reached)
 		c.again(asked, answer, place, tries)
 	}
@@ -96,14 +90,6 @@
 	}))
 }
 
-func (c *Callers) measure(answer *CallerAnswer, begun time.Time) {
-	if answer == nil || answer.Outcome != wire.OutcomeDone {
-		c.Late++
-		return
-	}
-	c.Latencies = append(c.Latencies, c.world.Scheduler.Now().Sub(begun))
-}
-
 // again sends an unsafe request whose outcome is not known, or that was
 // refused, once more with its key.
 func (c *Callers) again(asked CallerRequest, answer *CallerAnswer, place, tries int) {
--- a/internal/standalone/sim/history.go
+++ b/internal/standalone/sim/history.go
@@ -152,9 +152,6 @@
 }
 
 func (h *History) produced(output enginemodel.Output) {
-	if h.world.config.Lean {
-		return
-	}
 	h.tokens[output.ID] = append(h.tokens[output.ID], VersionRun{ID: output.ID, First: output.First, Count: output.Count, Version: output.Version})
 }
 
@@ -245,9 +242,6 @@
 }
 
 func (h *History) dispatched(node, engine string) {
-	if h.world.config.Lean {
-		return
-	}
 	h.dispatches = append(h.dispatches, Dispatched{Node: node, Engine: engine, At: h.at()})
 }
 
--- a/internal/standalone/sim/network.go
+++ b/internal/standalone/sim/network.go
@@ -34,15 +34,14 @@
 	SlowBy    time.Duration
 	// checkEvery encodes and decodes every so manieth message, so that the
 	// wire form is exercised too.
-	checkEvery  int
-	count       int
-	zoneLatency time.Duration
+	checkEvery int
+	count      int
 }
 
 // NewNetwork returns a network without hosts.
 func NewNetwork(scheduler *Scheduler) *Network {
 	return &Network{
-		scheduler: scheduler, hosts: map[string]*Host{}, cut: map[link]int{}, checkEvery: 50, zoneLatency: crossZone,
+		scheduler: scheduler, hosts: map[string]*Host{}, cut: map[link]int{}, checkEvery: 50,
 		handlers: map[string]func(string, wire.Message, func(wire.Message)){},
 	}
 }
@@ -83,7 +82,7 @@
 	case a.Zone == b.Zone:
 		return sameZone
 	case a.Region == b.Region || a.Region == outside.Region || b.Region == outside.Region:
-		return n.zoneLatency
+		return crossZone
 	}
 	return crossRegion
 }
--- a/internal/standalone/sim/node.go
+++ b/internal/standalone/sim/node.go
@@ -60,8 +60,6 @@
 		Random: rand.New(rand.NewPCG(n.world.Scheduler.Random.Uint64(), rendezvous.Hash(n.host.Name))),
 		Peers:  n.world.Network.Peers(n.host), Objects: platform, Machines: platform,
 		Engines: &engineClient{world: n.world, host: n.host}, Scorer: &simScorer{world: n.world, host: n.host}, Store: store, Journal: journal,
-		Policy:          n.world.config.Policy,
-		ChunkTokens:     n.world.config.ChunkTokens,
 		OnConfiguration: func(generation uint64) { n.world.History.applied(n.host.Name, n.host.life, generation) },
 	})
 	n.gateway = newGateway(n)
--- a/internal/standalone/sim/trainer.go
+++ b/internal/standalone/sim/trainer.go
@@ -36,8 +36,6 @@
 	// Ahead is how many steps are submitted before the last is trained.
 	Ahead     int
 	TrainTime time.Duration
-	// MaxSteps ends the training; 0 goes on.
-	MaxSteps int
 }
 
 // defaultTrainer is the small one of the chaos runs.
@@ -56,15 +54,8 @@
 	step   uint64
 	place  int
 	writer *configwriter.Writer
-	// Idle is the time spent waiting for samples.
-	Idle     time.Duration
-	Trained  int
-	finished bool
-	// IdleOf and StepOf are, for each trained step, the time waited and the
-	// time since the step before.
-	IdleOf   []time.Duration
-	StepOf   []time.Duration
-	lastStep time.Time
+	// Trained counts the steps trained.
+	Trained int
 }
 
 func newTrainer(world *World, config TrainerConfig) *Trainer {
@@ -76,12 +67,11 @@
 // Start begins a life of the trainer with the first step not yet trained.
 func (t *Trainer) Start() {
 	t.host.start()
-	t.lastStep = t.host.Now()
 	t.writer = configwriter.New(configwriter.Config{
 		Clock: t.host, Random: rand.New(rand.NewPCG(t.world.Scheduler.Random.Uint64(), 1)), Objects: t.world.Platform.Client(t.host),
 	})
 	t.publish(int64(t.step))
-	t.fetch(t.host.Now())
+	t.fetch()
 }
 
 // Crash ends the trainer's process.
@@ -138,12 +128,9 @@
 }
 
 // fetch submits the step, waits for it and goes on with it.
-func (t *Trainer) fetch(since time.Time) {
-	if t.finished {
-		return
-	}
+func (t *Trainer) fetch() {
 	step := t.step
-	again := func() { t.host.AfterFunc(trainerRetry, func() { t.fetch(since) }) }
+	again := func() { t.host.AfterFunc(trainerRetry, t.fetch) }
 	t.submit(step, func(err error) {
 		if err != nil {
 			again()
@@ -164,9 +151,6 @@
 				again()
 				return
 			}
-			idle := t.host.Now().Sub(since)
-			t.Idle += idle
-			t.IdleOf = append(t.IdleOf, idle)
 			t.world.History.delivered(t, step, body, bound)
 			t.train(step)
 		})
@@ -176,9 +160,7 @@
 // submitAhead opens the steps after one, while that one is still generated.
 func (t *Trainer) submitAhead(step uint64) {
 	for next := step + 1; next <= step+uint64(t.config.Ahead); next++ {
-		if t.config.MaxSteps == 0 || next <= uint64(t.config.MaxSteps) {
-			t.submit(next, func(error) {})
-		}
+		t.submit(next, func(error) {})
 	}
 }
 
@@ -191,15 +173,9 @@
 	t.host.AfterFunc(t.config.TrainTime, func() {
 		t.step = step + 1
 		t.Trained++
-		t.StepOf = append(t.StepOf, t.host.Now().Sub(t.lastStep))
-		t.lastStep = t.host.Now()
 		t.world.History.trained(t.config.Name, step)
-		if t.config.MaxSteps > 0 && t.Trained >= t.config.MaxSteps {
-			t.finished = true
-			return
-		}
 		t.publish(int64(t.step))
-		t.fetch(t.host.Now())
+		t.fetch()
 	})
 }
 
--- a/internal/standalone/sim/world.go
+++ b/internal/standalone/sim/world.go
@@ -11,7 +11,6 @@
 	"github.com/pathtally/pathtally/internal/environment"
 	"github.com/pathtally/pathtally/internal/standalone/enginemodel"
 	"github.com/pathtally/pathtally/internal/standalone/reader"
-	"github.com/pathtally/pathtally/internal/standalone/rollout"
 )
 
 // Names of what a World declares.
@@ -30,13 +29,9 @@
 	Nodes   int
 	Engines int
 	Places  []Place
-	// Models is how many models the engines are shared among.
-	Models int
 	// StepsAhead and Bound are the trainer's.
 	StepsAhead int
 	Bound      int64
-	// Prompts overrides how many prompts a step of the first trainer has.
-	Prompts int
 	// RequestsPerSecond and UnsafeShare describe the callers.
 	RequestsPerSecond float64
 	UnsafeShare       float64
@@ -44,15 +39,6 @@
 	LiveTokens int
 	Parameters enginemodel.Parameters
 	Lengths    enginemodel.Lengths
-	Policy     rollout.Policy
-	// Set overrides the declared objects; engines and places are then its.
-	Set *v1.Set
-	// ZoneLatency overrides the latency between zones, one way.
-	ZoneLatency time.Duration
-	// Lean leaves out of the history what only the checkers need.
-	Lean bool
-	// ChunkTokens overrides how many tokens of a sample come together.
-	ChunkTokens int
 	// Print receives the readable trace, if set.
 	Print func(string)
 }
@@ -65,7 +51,7 @@
 	parameters.StepBase = v1.Duration(12 * time.Millisecond)
 	parameters.StepPerSequence = v1.Duration(time.Millisecond)
 	return Config{
-		Seed: seed, Nodes: 5, Engines: 6, Models: 1, Places: []Place{{"zone-a", "region"}, {"zone-b", "region"}, {"zone-c", "region"}}, StepsAhead: 1, Bound: 2, RequestsPerSecond: 6, UnsafeShare: 0.4, LiveTokens: 24,
+		Seed: seed, Nodes: 5, Engines: 6, Places: []Place{{"zone-a", "region"}, {"zone-b", "region"}, {"zone-c", "region"}}, StepsAhead: 1, Bound: 2, RequestsPerSecond: 6, UnsafeShare: 0.4, LiveTokens: 24,
 		Parameters: parameters, Lengths: enginemodel.Lengths{Median: 40, Sigma: 0.8, Max: 400, PromptShare: 0.5},
 	}
 }
@@ -94,9 +80,6 @@
 
 // NewWorld builds a deployment; nothing runs before Start.
 func NewWorld(config Config) *World {
-	if config.Set != nil {
-		config.Places = placesOf(config.Set)
-	}
 	world := &World{
 		config: config, Scheduler: NewScheduler(config.Seed), Engines: map[string]*Engine{}, trace: xxhash.New(), Faults: map[string]int{},
 	}
@@ -107,38 +90,20 @@
 		storage := i < len(config.Places)
 		world.Nodes = append(world.Nodes, newNode(world, fmt.Sprintf("node-%d", i+1), config.Places[i%len(config.Places)], storage))
 	}
-	if config.Set == nil {
-		for i := range config.Engines {
-			world.addEngine(fmt.Sprintf("127.0.0.1:%d", i+1), config.Places[i%len(config.Places)], config.Parameters.Slots)
-		}
-	} else {
-		for _, declared := range v1.All[*v1.Engine](config.Set) {
-			world.addEngine(declared.Spec.Address, Place{declared.Spec.Zone, declared.Spec.Region}, declared.Spec.Slots)
-		}
-	}
-	if config.ZoneLatency > 0 {
-		world.Network.zoneLatency = config.ZoneLatency
+	for i := range config.Engines {
+		world.addEngine(fmt.Sprintf("127.0.0.1:%d", i+1), config.Places[i%len(config.Places)])
 	}
-	first := defaultTrainer(config.StepsAhead)
-	if config.Prompts > 0 {
-		first.Prompts = config.Prompts
-	}
-	world.Trainer = newTrainer(world, first)
+	world.Trainer = newTrainer(world, defaultTrainer(config.StepsAhead))
 	world.Callers = newCallers(world)
 	world.Platform.OnPut = world.put
 	return world
 }
 
-func (w *World) addEngine(address string, where Place, slots int) {
-	added := newEngine(w, address, where)
-	added.parameters.Slots = slots
-	w.Engines[address] = added
+func (w *World) addEngine(address string, where Place) {
+	w.Engines[address] = newEngine(w, address, where)
 	w.order = append(w.order, address)
 }
 
-// AddTrainer adds a trainer, which has not started.
-func (w *World) AddTrainer(config TrainerConfig) *Trainer { return newTrainer(w, config) }
-
 // Start brings everything up, with load from callers and a trainer.
 func (w *World) Start() {
 	w.StartQuiet()
@@ -184,9 +149,6 @@
 
 // Trace adds a line to the trace of the run.
 func (w *World) Trace(format string, values ...any) {
-	if w.config.Lean {
-		return
-	}
 	line := fmt.Sprintf("%10.4f ", w.Scheduler.Elapsed().Seconds()) + fmt.Sprintf(format, values...)
 	w.trace.WriteString(line)
 	if w.config.Print != nil {
