--- a/internal/duties/weightorders/coordinator.go
+++ b/internal/duties/weightorders/coordinator.go
@@ -9,7 +9,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/duties/duty"
+	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/wire"
 )
@@ -41,7 +41,7 @@
 
 // Config is what a Coordinator needs.
 type Config struct {
-	Keeper    *duty.Keeper
+	Keeper    *lease.Keeper
 	Directory *directory.Table
 	Replicas  Replicas
 	Logger    klog.Logger
@@ -98,7 +98,7 @@
 		pause := c.step(ctx)
 		if !c.config.Keeper.IsCandidate() {
 			// Whether there is work is for the candidates to see at once.
-			changed, pause = nil, max(pause, outsiderPause, c.config.Keeper.Patience()/2)
+			changed, pause = nil, max(pause, outsiderPause, c.config.Keeper.RankDelay()/2)
 		}
 		timer := time.NewTimer(pause)
 		select {
--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -15,7 +15,7 @@
 	"github.com/pathtally/pathtally/internal/cluster/peering"
 	"github.com/pathtally/pathtally/internal/cluster/transport"
 	"github.com/pathtally/pathtally/internal/duties/autoscale"
-	"github.com/pathtally/pathtally/internal/duties/duty"
+	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/duties/weightorders"
 	"github.com/pathtally/pathtally/internal/jobs/batch"
 	"github.com/pathtally/pathtally/internal/jobs/journal"
@@ -79,7 +79,7 @@
 	})
 	i.peers = peering.NewTable(peering.Config{
 		Node: self.Node, Address: self.Address, Zone: i.settings.Zone, Incarnation: self.Incarnation, Capacity: i.settings.Capacity(), Seeds: i.settings.Seeds,
-		Store: i.adapter.Store, Peers: i.transport, Logger: i.logger, Beat: i.fillBeat, OnBeat: i.takeBeat,
+		Store: i.adapter.Store, Peers: i.transport, Logger: i.logger, FillHeartbeat: i.fillHeartbeat, OnHeartbeat: i.receiveHeartbeat,
 		Watchers: i.watchers,
 	})
 }
@@ -88,7 +88,7 @@
 func (i *Instance) assembleStore(self journal.Owner) {
 	i.source = watchcache.NewSource(watchcache.Config{
 		Self: watchcache.Node{Name: self.Node, Address: self.Address, Zone: i.settings.Zone, Capacity: i.settings.Capacity()}, Regions: i.settings.Regions, Store: i.adapter.Store, Peers: i.transport,
-		Nodes: i.followable, Joined: i.peers.Settled, ProbeKind: peering.Kind, ProbeName: self.Node, Clock: i.clock, Logger: i.logger, Registry: i.registry,
+		Nodes: i.followable, Joined: i.peers.JoinAttempted, ProbeKind: peering.Kind, ProbeName: self.Node, Clock: i.clock, Logger: i.logger, Registry: i.registry,
 	})
 	i.store = storerelay.New(storerelay.Config{
 		Own: i.adapter.Store, Peers: i.transport, Through: i.source.CurrentPeer, Others: i.helpers, Region: i.regionAt, Logger: i.logger, Registry: i.registry,
@@ -97,13 +97,13 @@
 
 // assembleDuties makes the lease and what is done under it.
 func (i *Instance) assembleDuties(self journal.Owner, duties Duties) {
-	i.lease = duty.NewLease(self.Node, strconv.FormatUint(self.Incarnation, nonceBase), i.settings.DutyLease.Std(), i.store, i.clock)
-	i.duty = duty.NewKeeper(duty.Config{
-		Node: self.Node, Lease: i.lease, Clock: i.clock, Logger: i.logger, Nodes: i.peers.Nodes, Silence: i.silence, Tell: i.peers.Tell,
+	i.lease = lease.NewLease(self.Node, strconv.FormatUint(self.Incarnation, nonceBase), i.settings.DutyLease.Std(), i.store, i.clock)
+	i.duty = lease.NewKeeper(lease.Config{
+		Node: self.Node, Lease: i.lease, Clock: i.clock, Logger: i.logger, Nodes: i.peers.Nodes, Silence: i.silence, Announce: i.peers.Announce,
 	})
 	i.weights = weightorders.NewCoordinator(weightorders.Config{
 		Keeper: i.duty, Directory: i.directory, Replicas: i.adapter.Orders(i.pool), Logger: i.logger, Registry: i.registry,
-		Load: i.jobs.Load, Tolerance: i.jobs.Tolerance, Demand: i.jobs.Demand, OnChange: i.jobs.NoteVersion, Changed: i.peers.Changed,
+		Load: i.jobs.Load, Tolerance: i.jobs.Tolerance, Demand: i.jobs.Demand, OnChange: i.jobs.NoteVersion, Changed: i.peers.HeartbeatSoon,
 	})
 	if duties.Usage != nil {
 		i.usage = i.newUsage(self, duties.Usage)
--- a/internal/instance/slowstart.go
+++ b/internal/instance/slowstart.go
@@ -7,7 +7,7 @@
 
 	"github.com/ansel1/merry/v2"
 
-	"github.com/pathtally/pathtally/internal/duties/duty"
+	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/environment"
 	"github.com/pathtally/pathtally/internal/replicas/slowstart"
 	"github.com/pathtally/pathtally/internal/wire"
@@ -41,8 +41,8 @@
 
 // allotterLease is the duty lease as the allotter sees it.
 type allotterLease struct {
-	*duty.Keeper
-	*duty.Lease
+	*lease.Keeper
+	*lease.Lease
 }
 
 func (i *Instance) newSlowStart() *slowStart {
@@ -106,7 +106,7 @@
 // allotters names the nodes that may allot, the likeliest first: the holder of the
 // duty lease unless it gave it up, then those that would follow it.
 func (s *slowStart) allotters() []string {
-	seen := s.instance.duty.Seen()
+	seen := s.instance.duty.LastObserved()
 	named := s.instance.duty.Informed(allotterFollowers)
 	if seen.Holder == "" {
 		return named
--- a/internal/replicas/routing/reason.go
+++ b/internal/replicas/routing/reason.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Reason tells why a replica may not be picked.
+// Reason is why a filter refuses an endpoint.
 type Reason string
 
-// The reasons, in the order in which they are looked for.
+// The reasons, in the order of the filters in RequestChain.
 const (
 	ReasonRole        Reason = "of another role"
 	ReasonUnavailable Reason = "leaving, silent or asked before"
@@ -18,15 +18,15 @@
 
 // LeftNobodyError is a pick for which no replica was left. It is an
 // ErrNoEngineAvailable.
-type LeftNobodyError struct {
-	// Reason is that of the filter that refused the last replicas that were left.
+type NoneLeftError struct {
+	// Reason is that of the filter that refused the last of them, as of Chain.Explain.
 	Reason Reason
 }
 
 // Error gives the reason.
-func (e *LeftNobodyError) Error() string {
+func (e *NoneLeftError) Error() string {
 	return fmt.Sprintf("%v: those left are %s", ErrNoEngineAvailable, e.Reason)
 }
 
 // Unwrap returns ErrNoEngineAvailable.
-func (e *LeftNobodyError) Unwrap() error { return ErrNoEngineAvailable }
+func (e *NoneLeftError) Unwrap() error { return ErrNoEngineAvailable }
--- a/internal/standalone/node/duties.go
+++ b/internal/standalone/node/duties.go
@@ -7,7 +7,7 @@
 
 	v1 "github.com/pathtally/pathtally/api/v1"
 	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
-	"github.com/pathtally/pathtally/internal/replicas/routing"
+	"github.com/pathtally/pathtally/internal/standalone/engineplan"
 	"github.com/pathtally/pathtally/internal/standalone/lease"
 	"github.com/pathtally/pathtally/internal/standalone/quorum"
 	"github.com/pathtally/pathtally/internal/standalone/rollout"
@@ -190,9 +190,6 @@
 	c.rebuild()
 }
 
-// IsReader tells whether this node watches the object API.
-func (c *Core) IsReader() bool { return c.holdsReader() }
-
 func (c *Core) holdsReader() bool {
 	return slices.ContainsFunc(c.leases.HeldNames(), func(name string) bool { return strings.HasPrefix(name, readerPrefix) })
 }
@@ -200,27 +197,25 @@
 func (c *Core) startScheduler(name string, token uint64) {
 	trainer := strings.TrimPrefix(name, schedulerPrefix)
 	scheduler := rollout.NewScheduler(rollout.Config{
-		Trainer:     trainer,
-		Token:       token,
-		Node:        c.config.Self.ID,
-		Zone:        c.config.Self.Zone,
-		Clock:       c.config.Clock,
-		Random:      c.config.Random,
-		Peers:       c.config.Peers,
-		Engines:     c.config.Engines,
-		Registers:   c.quorum,
-		Scorer:      c.config.Scorer,
-		Stores:      storeDirectory{table: c.table},
-		Policy:      c.config.Policy,
-		ChunkTokens: c.config.ChunkTokens,
-		Plan:        func() *routing.TrainerPlan { return c.trainerPlan(trainer) },
+		Trainer:   trainer,
+		Token:     token,
+		Node:      c.config.Self.ID,
+		Zone:      c.config.Self.Zone,
+		Clock:     c.config.Clock,
+		Random:    c.config.Random,
+		Peers:     c.config.Peers,
+		Engines:   c.config.Engines,
+		Registers: c.quorum,
+		Scorer:    c.config.Scorer,
+		Stores:    storeDirectory{table: c.table},
+		Plan:      func() *engineplan.TrainerPlan { return c.trainerPlan(trainer) },
 	})
 	c.schedulers[name] = scheduler
 	c.rebuild()
 	scheduler.Start()
 }
 
-func (c *Core) trainerPlan(trainer string) *routing.TrainerPlan {
+func (c *Core) trainerPlan(trainer string) *engineplan.TrainerPlan {
 	snapshot := c.snapshot.Load()
 	if snapshot == nil {
 		return nil
