--- a/internal/jobs/batch/attempt.go
+++ b/internal/jobs/batch/attempt.go
@@ -201,7 +201,7 @@
 	defer s.nudge()
 	if err == nil {
 		state.failures.observe(false, time.Now())
-		s.eventRate(work.job.submission.Model).Observe(work.ExpectedTokens, len(work.progress.events))
+		s.eventRates.Of(work.job.submission.Model).Observe(work.ExpectedTokens, len(work.progress.events))
 	}
 	if work.job.ended || work.job.displaced || err == nil {
 		return
--- a/internal/jobs/batch/demand.go
+++ b/internal/jobs/batch/demand.go
@@ -1,7 +1,6 @@
 package batch
 
 import (
-	"maps"
 	"slices"
 	"time"
 
@@ -9,19 +8,6 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// demandMemory is for how long a batch job counts towards the demand for its
-// model: some steps of a trainer, so that one late step changes little.
-const demandMemory = 30 * time.Second
-
-// knownWork is what a batch job of this or another node was expected to make.
-type knownWork struct {
-	model  string
-	tokens float64
-	// items is how many the job has, 0 for unknown.
-	items int
-	at    time.Time
-}
-
 // work tells how much a job has to do.
 func (j *job) work() wire.JobWork {
 	tokens, open := 0.0, 0
@@ -45,35 +31,12 @@
 	return work
 }
 
-// noteDemand learns how much a batch job has to do. The mutex must be held.
-func (s *Service) noteDemand(work wire.JobWork) {
-	if _, known := s.works[work.Job]; known || work.Model == "" {
-		return
-	}
-	s.works[work.Job] = knownWork{model: work.Model, tokens: float64(work.ExpectedTokens), items: int(work.Items), at: time.Now()}
-}
-
-// Demand is the mean work of the batch jobs of each model of late, in tokens
-// that they were expected to make, and the items of the largest of them.
+// Demand is the mean work of the recent batch jobs of each model, of all nodes, in
+// expected tokens, and the number of items of the largest of them.
 func (s *Service) Demand() weightorders.Demand {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	demand := weightorders.Demand{Tokens: map[string]float64{}, Items: map[string]int{}}
-	counts := map[string]float64{}
-	for _, work := range s.works {
-		demand.Tokens[work.model] += work.tokens
-		demand.Items[work.model] = max(demand.Items[work.model], work.items)
-		counts[work.model]++
-	}
-	for model, count := range counts {
-		demand.Tokens[model] /= count
-	}
-	return demand
-}
-
-// evictWorks forgets old batch jobs. The mutex must be held.
-func (s *Service) evictWorks() {
-	maps.DeleteFunc(s.works, func(_ string, work knownWork) bool { return time.Since(work.at) > demandMemory })
+	return s.demand.Mean()
 }
 
 // OpenWork is how many items of batch jobs run at a service's replicas, and how many
--- a/internal/jobs/batch/evict.go
+++ b/internal/jobs/batch/evict.go
@@ -28,8 +28,8 @@
 	}
 	s.ends.evict()
 	s.evictReplicas()
-	s.evictLengths()
-	s.evictWorks()
+	s.lengths.Evict(time.Now())
+	s.demand.Evict(time.Now())
 }
 
 // evictReplicas forgets replicas that are gone and nodes that are silent. The
--- a/internal/jobs/batch/beat.go
+++ b/internal/jobs/batch/heartbeat.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"maps"
 	"slices"
 	"time"
 
@@ -34,10 +33,8 @@
 		beat.Work = append(beat.Work, s.workOf(s.jobs[id]))
 	}
 	beat.Leaving = s.leaving
-	for _, model := range slices.Sorted(maps.Keys(s.tolerances)) {
-		beat.Tolerances = append(beat.Tolerances, wire.ModelTolerance{Model: model, Versions: s.tolerances[model]})
-	}
-	beat.Lengths = s.recentLengths()
+	beat.Tolerances = s.tolerances.Announced()
+	beat.Lengths = s.lengths.Announced(time.Now())
 	beat.Ended = s.ends.toTell()
 }
 
@@ -47,11 +44,11 @@
 	s.uses[beat.Node] = usesOf(beat)
 	s.toWatch.set()
 	for _, told := range beat.Tolerances {
-		s.limitTolerance(told.Model, told.Versions)
+		s.tolerances.Limit(told.Model, told.Versions)
 	}
-	s.takeLengths(beat.Lengths)
+	s.lengths.Learn(beat.Lengths, time.Now())
 	for _, work := range beat.Work {
-		s.noteDemand(work)
+		s.demand.Learn(work, time.Now())
 	}
 	contested := s.takeRunning(beat)
 	s.takeOrigins(beat.Work)
@@ -148,7 +145,7 @@
 		return
 	}
 	held.ended, held.endedAt = true, time.Now()
-	s.keepLengths(held)
+	s.recordLengths(held)
 	s.logLateness(held)
 	held.cancel()
 	s.dropQueued(held)
@@ -186,31 +183,3 @@
 	defer s.mutex.Unlock()
 	return len(s.ends.toTell()) > 0
 }
-
-// firstVersion is the weight version that replicas start with. Jobs that allow
-// it say nothing of how far behind later ones let the weights be.
-const firstVersion = 1
-
-// noteTolerance learns from a new job how far behind the newest version its
-// weights may be. The mutex must be held.
-func (s *Service) noteTolerance(submission *Submission) {
-	if submission.MinVersion > firstVersion {
-		named := s.config.Directory.View().Named[submission.Model]
-		s.limitTolerance(submission.Model, max(0, named-submission.MinVersion))
-	}
-}
-
-// limitTolerance lowers what is believed of a model. The mutex must be held.
-func (s *Service) limitTolerance(model string, versions int64) {
-	if standing, known := s.tolerances[model]; !known || versions < standing {
-		s.tolerances[model] = versions
-	}
-}
-
-// Tolerance is by how many versions the weights of a model may be behind the
-// newest, 0 until a job has shown it.
-func (s *Service) Tolerance(model string) int64 {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.tolerances[model]
-}
--- a/internal/jobs/batch/publish.go
+++ b/internal/jobs/batch/publish.go
@@ -71,7 +71,7 @@
 		return 0, true
 	case published.listsSoon(time.Now()):
 		return groupGather, true
-	case waited >= published.gatherTime(time.Now(), s.eventRate(published.submission.Model).Longest()):
+	case waited >= published.gatherTime(time.Now(), s.eventRates.Of(published.submission.Model).Longest()):
 		return 0, true
 	}
 	return gatherLook, false
--- a/internal/jobs/batch/queue.go
+++ b/internal/jobs/batch/queue.go
@@ -42,20 +42,10 @@
 // rest is how many events an item is expected to make yet, 0 for unknown. The mutex
 // must be held.
 func (s *Service) rest(work *item) int {
-	rate := s.eventRate(work.job.submission.Model)
+	rate := s.eventRates.Of(work.job.submission.Model)
 	expected := work.expected
 	if expected == 0 && work.Item != nil {
 		expected = rate.Expect(work.ExpectedTokens)
 	}
 	return placement.Remaining(expected, work.seen(), rate.Longest())
 }
-
-// eventRate is that of a model. The mutex must be held.
-func (s *Service) eventRate(model string) *placement.EventRate {
-	rate := s.eventRates[model]
-	if rate == nil {
-		rate = &placement.EventRate{}
-		s.eventRates[model] = rate
-	}
-	return rate
-}
--- a/internal/jobs/batch/service.go
+++ b/internal/jobs/batch/service.go
@@ -16,7 +16,7 @@
 	"github.com/pathtally/pathtally/internal/cluster/peering"
 	"github.com/pathtally/pathtally/internal/environment"
 	"github.com/pathtally/pathtally/internal/jobs/journal"
-	"github.com/pathtally/pathtally/internal/jobs/placement"
+	"github.com/pathtally/pathtally/internal/jobs/statistics"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
@@ -60,18 +60,11 @@
 	ends      endRegister
 	// pursued are the jobs whose end is being made lasting after its caller's time.
 	pursued map[string]bool
-	// tolerances gives by how many versions the weights of a model may be
-	// behind, the least of what any job has allowed.
-	tolerances map[string]int64
-	// lengths are what earlier runs have shown of items that jobs ended
-	// without, and toldLengths those that this node tells the others of.
-	lengths map[string]knownLength
-	// eventRates are how many events the texts of each model have for each token
-	// expected.
-	eventRates  map[string]*placement.EventRate
-	toldLengths []toldLength
-	// works are what batch jobs of late had to do, by id.
-	works map[string]knownWork
+	// What jobs have shown of models and items.
+	tolerances statistics.Tolerances
+	lengths    *statistics.Lengths
+	eventRates statistics.EventRates
+	demand     *statistics.Demand
 	// candidates are the replicas of each service among which items are placed.
 	candidates map[string]*candidateSet
 	// storedLoads are the jobs that are being read from the store, by id.
@@ -95,8 +88,8 @@
 		config: config, base: base, metrics: newMetrics(config.Registry),
 		jobs: map[string]*job{}, known: map[string]*remoteJob{}, ends: newEndRegister(), pursued: map[string]bool{}, accepting: map[string]*acceptance{},
 		replicas: map[string]*replicaState{}, uses: map[string]nodeUses{}, attempts: map[*attempt]bool{},
-		tolerances: map[string]int64{}, lengths: map[string]knownLength{}, eventRates: map[string]*placement.EventRate{},
-		works: map[string]knownWork{}, avoided: map[string]time.Time{}, storedLoads: map[string]*storedLoad{},
+		tolerances: statistics.Tolerances{}, lengths: statistics.NewLengths(), eventRates: statistics.EventRates{},
+		demand: statistics.NewDemand(), avoided: map[string]time.Time{}, storedLoads: map[string]*storedLoad{},
 		candidates:   map[string]*candidateSet{},
 		rewardBounds: map[string]*admission.Adaptive{},
 		wake:         newSignal(), toTell: newSignal(), toWatch: newSignal(),
--- a/internal/jobs/batch/start.go
+++ b/internal/jobs/batch/start.go
@@ -37,8 +37,8 @@
 		}
 	}
 	s.sortQueue()
-	s.noteTolerance(submission)
-	s.noteDemand(started.work())
+	s.observeTolerance(submission)
+	s.demand.Learn(started.work(), time.Now())
 	s.jobs[id] = started
 	delete(s.known, id)
 	s.mutex.Unlock()
@@ -77,7 +77,7 @@
 		standing.carried = standing.carried || ranks[submitted.ID].Carried
 		made.order = append(made.order, submitted.ID)
 		made.items[submitted.ID] = &item{
-			Item: submitted, job: made, group: standing, rank: ranks[submitted.ID], expected: s.expectedEvents(submitted.ID),
+			Item: submitted, job: made, group: standing, rank: ranks[submitted.ID], expected: s.lengths.ExpectedEvents(submitted.ID),
 		}
 	}
 	for _, result := range stands.Results {
@@ -92,8 +92,8 @@
 	items := make([]placement.Submitted, 0, len(submission.Items))
 	for _, submitted := range submission.Items {
 		items = append(items, placement.Submitted{ID: submitted.ID, Group: submitted.Group, ExpectedTokens: submitted.ExpectedTokens})
-		if length, known := s.lengths[submitted.ID]; known {
-			lengths[submitted.ID] = length.Length
+		if length, known := s.lengths.Get(submitted.ID); known {
+			lengths[submitted.ID] = length
 		}
 	}
 	return placement.RankItems(items, submission.Desired, lengths)
--- a/internal/jobs/batch/takeover_test.go
+++ b/internal/jobs/batch/takeover_test.go
@@ -312,6 +312,7 @@
 	eventually(t, "the other node knows the lengths", func() bool {
 		cluster.nodes[1].mutex.Lock()
 		defer cluster.nodes[1].mutex.Unlock()
-		return len(cluster.nodes[1].lengths) == 6 && cluster.nodes[1].lengths["job.0"].Events == 1
+		length, _ := cluster.nodes[1].lengths.Get("job.0")
+		return cluster.nodes[1].lengths.Len() == 6 && length.Events == 1
 	})
 }
--- /dev/null
+++ b/internal/jobs/statistics/statistics_test.go
@@ -0,0 +1,76 @@
+package statistics
+
+import (
+	"testing"
+	"time"
+
+	"github.com/pathtally/pathtally/internal/jobs/placement"
+	"github.com/pathtally/pathtally/internal/wire"
+)
+
+func TestLengthsAreAnnouncedThenKeptThenForgotten(t *testing.T) {
+	began := time.Now()
+	for _, test := range []struct {
+		name      string
+		after     time.Duration
+		announced int
+		known     int
+	}{
+		{"at once", 0, 1, 2},
+		{"just before the last announcement", lengthAnnounceTime - 1, 1, 2},
+		{"after the last announcement", lengthAnnounceTime, 0, 2},
+		{"at the end of the retention", lengthRetention, 0, 2},
+		{"after the retention", lengthRetention + 1, 0, 0},
+	} {
+		lengths := NewLengths()
+		lengths.Observe("own", placement.Length{Events: 7, Whole: true}, began)
+		lengths.Learn([]wire.ItemLength{{Item: "other", Events: 9, Whole: true}}, began)
+		lengths.Evict(began.Add(test.after))
+		if got := len(lengths.Announced(began.Add(test.after))); got != test.announced {
+			t.Errorf("%s: %d lengths announced, want %d", test.name, got, test.announced)
+		}
+		if lengths.Len() != test.known {
+			t.Errorf("%s: %d lengths known, want %d", test.name, lengths.Len(), test.known)
+		}
+		if _, known := lengths.Get("other"); known != (test.known > 0) {
+			t.Errorf("%s: the length of another node is known: %v", test.name, known)
+		}
+	}
+}
+
+func TestTolerancesOnlyFall(t *testing.T) {
+	tolerances := Tolerances{}
+	for _, test := range []struct {
+		name       string
+		minVersion int64
+		newest     int64
+		want       int64
+		known      bool
+	}{
+		{"the first version tells nothing", 1, 5, 0, false},
+		{"two behind", 3, 5, 2, true},
+		{"three behind changes nothing", 2, 5, 2, true},
+		{"one behind", 4, 5, 1, true},
+		{"ahead of the newest", 6, 5, 0, true},
+	} {
+		tolerances.Observe("m", test.minVersion, test.newest)
+		if got, known := tolerances["m"]; got != test.want || known != test.known {
+			t.Errorf("%s: tolerance %d (known %v), want %d (%v)", test.name, got, known, test.want, test.known)
+		}
+	}
+}
+
+func TestDemandIsForgotten(t *testing.T) {
+	began, demand := time.Now(), NewDemand()
+	demand.Learn(wire.JobWork{Job: "a", Model: "m", ExpectedTokens: 100, Items: 8}, began)
+	demand.Learn(wire.JobWork{Job: "a", Model: "m", ExpectedTokens: 900, Items: 80}, began.Add(time.Second))
+	demand.Learn(wire.JobWork{Job: "b", Model: "m", ExpectedTokens: 300, Items: 16}, began.Add(time.Second))
+	demand.Learn(wire.JobWork{Job: "of no model"}, began)
+	if got := demand.Mean(); got.Tokens["m"] != 200 || got.Items["m"] != 16 {
+		t.Errorf("mean of %v tokens, largest of %d items", got.Tokens["m"], got.Items["m"])
+	}
+	demand.Evict(began.Add(demandRetention + time.Millisecond))
+	if got := demand.Mean(); got.Tokens["m"] != 300 || demand.Len() != 1 {
+		t.Errorf("mean of %v tokens of %d jobs after the first is forgotten", got.Tokens["m"], demand.Len())
+	}
+}
