--- a/internal/jobs/batch/attempt.go
+++ b/internal/jobs/batch/attempt.go
@@ -54,7 +54,7 @@
 		waiting.waited = running.begun.Sub(waiting.job.takenUp)
 	}
 	s.attempts[running] = true
-	s.replica(endpoint.Name).running++
+	s.replicas.Get(endpoint.Name).Running++
 	s.metrics.runs.Inc()
 	configuration := s.config.Directory.View().Configuration
 	route := routeOf(configuration, waiting.job.record.Route)
@@ -158,11 +158,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	state := s.replica(replica)
-	if version > state.versions[model] {
-		state.versions[model] = version
-		delete(state.loadingSince, model)
-	}
+	s.replicas.Get(replica).ObserveVersion(model, version)
 }
 
 // startAnew drops what an item's runs have made.
@@ -185,7 +181,7 @@
 		return
 	}
 	running.longestGap = max(running.longestGap, interval)
-	s.replica(running.endpoint.Name).observe(interval, time.Now())
+	s.replicas.Get(running.endpoint.Name).Observe(interval, time.Now())
 }
 
 // ran ends a run: the item is done with, waits for another run, or failed.
@@ -194,13 +190,13 @@
 	defer s.mutex.Unlock()
 	work := running.item
 	delete(s.attempts, running)
-	state := s.replica(running.endpoint.Name)
-	state.running--
+	state := s.replicas.Get(running.endpoint.Name)
+	state.Running--
 	work.running, work.lastRun = nil, running
 	work.events = max(work.events, len(work.progress.events))
 	defer s.nudge()
 	if err == nil {
-		state.failures.observe(false, time.Now())
+		state.Failures.Observe(false, time.Now())
 		s.eventRates.Of(work.job.submission.Model).Observe(work.ExpectedTokens, len(work.progress.events))
 	}
 	if work.job.ended || work.job.displaced || err == nil {
--- a/internal/jobs/batch/demand.go
+++ b/internal/jobs/batch/demand.go
@@ -54,15 +54,9 @@
 			open += int(held.work().Open)
 		}
 	}
-	for _, uses := range s.uses {
-		if time.Since(uses.at) >= usesAge {
-			continue
-		}
-		for _, model := range models {
-			open += uses.open[model]
-		}
-	}
-	for id, load := range s.loads() {
+	now := time.Now()
+	open += s.replicas.OpenItems(models, now)
+	for id, load := range s.replicas.Loads(now) {
 		if replica := view.Replicas[id]; replica != nil && replica.Service == service {
 			running += load
 		}
--- a/internal/jobs/batch/evict.go
+++ b/internal/jobs/batch/evict.go
@@ -1,7 +1,6 @@
 package batch
 
 import (
-	"maps"
 	"time"
 )
 
@@ -27,15 +26,7 @@
 		}
 	}
 	s.ends.evict()
-	s.evictReplicas()
+	s.replicas.Evict(s.config.Directory.View().Replicas, time.Now())
 	s.lengths.Evict(time.Now())
 	s.demand.Evict(time.Now())
 }
-
-// evictReplicas forgets replicas that are gone and nodes that are silent. The
-// mutex must be held.
-func (s *Service) evictReplicas() {
-	listed := s.config.Directory.View().Replicas
-	maps.DeleteFunc(s.replicas, func(id string, state *replicaState) bool { return listed[id] == nil && state.running == 0 })
-	maps.DeleteFunc(s.uses, func(_ string, uses nodeUses) bool { return time.Since(uses.at) > usesAge })
-}
--- a/internal/jobs/batch/heartbeat.go
+++ b/internal/jobs/batch/heartbeat.go
@@ -41,7 +41,7 @@
 // ReceiveHeartbeat takes another node's heartbeat.
 func (s *Service) ReceiveHeartbeat(beat *wire.NodeBeat) {
 	s.mutex.Lock()
-	s.uses[beat.Node] = usesOf(beat)
+	s.replicas.LearnUses(beat, time.Now())
 	s.toWatch.set()
 	for _, told := range beat.Tolerances {
 		s.tolerances.Limit(told.Model, told.Versions)
--- a/internal/jobs/batch/late_create_test.go
+++ b/internal/jobs/batch/late_create_test.go
@@ -69,7 +69,7 @@
 	})
 	slow.mutex.Lock()
 	defer slow.mutex.Unlock()
-	if slow.jobs["job"] != nil || len(slow.replicas) > 0 {
+	if slow.jobs["job"] != nil || len(slow.replicas.States) > 0 {
 		t.Error("the slow node has run items of the job")
 	}
 }
--- a/internal/jobs/batch/lateness.go
+++ b/internal/jobs/batch/lateness.go
@@ -16,7 +16,7 @@
 	if last == nil {
 		return
 	}
-	reason := placement.WhyLate(s.paces(), last.history())
+	reason := placement.WhyLate(s.replicas.Paces(), last.history())
 	s.metrics.late.WithLabelValues(string(reason)).Inc()
 	s.config.Logger.Info("batch job was late", "request", ended.id, "reason", string(reason), "lateMs", time.Since(ended.due).Milliseconds(),
 		"item", last.ID, "replica", last.lastRun.endpoint.Name, "waitedMs", last.waited.Milliseconds(), "runs", last.runs, "events", last.events)
--- a/internal/jobs/batch/outcome.go
+++ b/internal/jobs/batch/outcome.go
@@ -8,6 +8,7 @@
 	"github.com/pathtally/pathtally/internal/callers/dispatch"
 	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/jobs/placement"
+	"github.com/pathtally/pathtally/internal/jobs/replicastate"
 )
 
 const (
@@ -33,7 +34,7 @@
 
 // judge decides what the end of a run means for the item and the replica. The
 // mutex must be held.
-func (s *Service) judge(running *attempt, state *replicaState, err error) {
+func (s *Service) judge(running *attempt, state *replicastate.State, err error) {
 	work := running.item
 	var notRun *dispatch.NotRunError
 	var withheld *dispatch.WithheldError
@@ -47,9 +48,9 @@
 		// It was not sent: another replica, or a later moment, will do.
 		work.notBefore = time.Now().Add(breakPause)
 	case errors.As(err, &notRun) && notRun.OtherReplica:
-		state.blockedUntil = time.Now().Add(otherBlock)
+		state.BlockedUntil = time.Now().Add(otherBlock)
 	case errors.As(err, &notRun):
-		state.block(fullBlock)
+		state.Block(fullBlock)
 	case errors.As(err, &cut):
 		s.metrics.moved.WithLabelValues(string(cut.Reason)).Inc()
 		if cut.Reason == placement.ReasonStalled {
@@ -63,8 +64,8 @@
 	default:
 		if running.events.Load() == 0 {
 			// It may be down: trying it with one item after the other helps none.
-			state.unproven = true
-			state.block(breakBlock)
+			state.Unproven = true
+			state.Block(breakBlock)
 		}
 		work.breaks++
 		work.notBefore = time.Now().Add(min(time.Duration(work.breaks)*breakPause, longestBreak))
--- a/internal/jobs/batch/ownerwatch.go
+++ b/internal/jobs/batch/ownerwatch.go
@@ -43,7 +43,7 @@
 func (s *Service) knowsNoJob() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return len(s.jobs) == 0 && len(s.known) == 0 && len(s.uses) == 0 && len(s.ends.learnt) == 0 && s.lengths.Len() == 0 && s.demand.Len() == 0
+	return len(s.jobs) == 0 && len(s.known) == 0 && len(s.replicas.Uses) == 0 && len(s.ends.learnt) == 0 && s.lengths.Len() == 0 && s.demand.Len() == 0
 }
 
 const (
--- a/internal/jobs/batch/pace_test.go
+++ b/internal/jobs/batch/pace_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/jobs/placement"
+	"github.com/pathtally/pathtally/internal/jobs/replicastate"
 )
 
 // paced returns a service that has seen replicas at the given intervals, in
@@ -13,56 +14,39 @@
 func paced(intervals ...int) (*Service, *item) {
 	service, waiting := placing(len(intervals))
 	for number, interval := range intervals {
-		state := service.replica(replicaName(number))
-		state.pace, state.observed = placement.NewPace(time.Duration(interval)*time.Millisecond), time.Now()
+		state := service.replicas.Get(replicaName(number))
+		state.Pace, state.ObservedAt = placement.NewPace(time.Duration(interval)*time.Millisecond), time.Now()
 	}
 	return service, waiting
 }
 
 func TestPaceIsOnesOwnWhileFreshThenThatOfOthers(t *testing.T) {
 	service, _ := paced(40, 40, 40)
-	service.uses["other"] = nodeUses{at: time.Now(), intervals: map[string]time.Duration{replicaName(0): 140 * time.Millisecond}}
-	state := service.replica(replicaName(0))
+	service.replicas.Uses["other"] = replicastate.NodeUses{ReceivedAt: time.Now(), Intervals: map[string]time.Duration{replicaName(0): 140 * time.Millisecond}}
+	state := service.replicas.Get(replicaName(0))
 	for _, test := range []struct {
 		name string
 		age  time.Duration
 		want time.Duration
 	}{
 		{"seen just now", 0, 40 * time.Millisecond},
-		{"seen a while ago", 2 * paceAge, 140 * time.Millisecond},
+		{"seen a while ago", 2 * replicastate.FreshPaceAge, 140 * time.Millisecond},
 	} {
-		state.observed = time.Now().Add(-test.age)
-		if got := service.interval(replicaName(0), state); got != test.want {
+		state.ObservedAt = time.Now().Add(-test.age)
+		if got := service.replicas.Interval(replicaName(0), state); got != test.want {
 			t.Errorf("%s: %s, want %s", test.name, got, test.want)
 		}
 	}
-	delete(service.uses, "other")
-	if got := service.interval(replicaName(0), state); got != 40*time.Millisecond {
+	delete(service.replicas.Uses, "other")
+	if got := service.replicas.Interval(replicaName(0), state); got != 40*time.Millisecond {
 		t.Errorf("nobody else has seen it: %s", got)
 	}
-	state.observed = time.Now().Add(-2 * paceMemory)
-	if got := service.interval(replicaName(0), state); got != 0 {
+	state.ObservedAt = time.Now().Add(-2 * replicastate.PaceRetention)
+	if got := service.replicas.Interval(replicaName(0), state); got != 0 {
 		t.Errorf("seen long ago: %s", got)
 	}
 }
 
-// Replicas that had been slow were remembered so, and the first runs there after it
-// were moved though their events came as fast as elsewhere.
-func TestPaceIsLearntAnewAfterAWhileWithoutRuns(t *testing.T) {
-	now := time.Now()
-	state := &replicaState{pace: placement.NewPace(140 * time.Millisecond), observed: now, running: 1}
-	state.observe(50*time.Millisecond, now.Add(time.Second))
-	if got := state.pace.Interval(); got < 130*time.Millisecond {
-		t.Errorf("%s after one event a second later", got)
-	}
-	for number := range 6 {
-		state.observe(50*time.Millisecond, now.Add(2*paceAge+time.Duration(number)*50*time.Millisecond))
-	}
-	if got := state.pace.Interval(); got != 50*time.Millisecond {
-		t.Errorf("%s after six events a while later", got)
-	}
-}
-
 func TestSlowReplicasAreUsedLast(t *testing.T) {
 	service, waiting := paced(40, 40, 40, 52, 140)
 	pool := service.newPool()
@@ -89,7 +73,7 @@
 			added.events.Store(events)
 			work.running = added
 			s.attempts[added] = true
-			s.replica(replica).running++
+			s.replicas.Get(replica).Running++
 			return added
 		}
 	}
--- a/internal/jobs/batch/pool.go
+++ b/internal/jobs/batch/pool.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/jobs/placement"
+	"github.com/pathtally/pathtally/internal/jobs/replicastate"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/replicas/homes"
 	"github.com/pathtally/pathtally/internal/replicas/routing"
@@ -40,28 +41,11 @@
 // held.
 func (s *Service) newPool() *pool {
 	return &pool{
-		service: s, view: s.config.Directory.View(), now: time.Now(), paces: s.paces(), loads: s.loads(),
+		service: s, view: s.config.Directory.View(), now: time.Now(), paces: s.replicas.Paces(), loads: s.replicas.Loads(time.Now()),
 		replicas: map[poolKey][]*placement.Replica{}, byName: map[string]*placement.Replica{}, endpoints: map[string]*routing.Endpoint{},
 	}
 }
 
-// loads are the items that run at each replica, from all nodes. The mutex must
-// be held.
-func (s *Service) loads() map[string]int {
-	loads := make(map[string]int, len(s.replicas))
-	for id, state := range s.replicas {
-		loads[id] = state.running
-	}
-	for _, uses := range s.uses {
-		if time.Since(uses.at) < usesAge {
-			for id, running := range uses.running {
-				loads[id] += running
-			}
-		}
-	}
-	return loads
-}
-
 // pick returns the replica for an item, nil for none.
 func (p *pool) pick(waiting *item) *placement.Replica {
 	return placement.Pick(p.replicasFor(waiting), placement.Wish{FailedAt: waiting.failedAt, Urgent: waiting.urgent})
@@ -90,9 +74,9 @@
 // add adds the replicas that are not barred from some items.
 func (p *pool) add(replicas []*placement.Replica, endpoints []*routing.Endpoint, key poolKey, query *routing.Query) []*placement.Replica {
 	for _, endpoint := range endpoints {
-		state := p.service.replica(endpoint.Name)
-		known := p.service.version(p.view, endpoint.Name, key.model)
-		if p.now.Before(state.blockedUntil) || state.loading(key.model) || (known > 0 && known < key.minVersion) {
+		state := p.service.replicas.Get(endpoint.Name)
+		known := p.service.replicas.Version(p.view.Replicas[endpoint.Name], endpoint.Name, key.model)
+		if p.now.Before(state.BlockedUntil) || state.IsLoading(key.model) || (known > 0 && known < key.minVersion) {
 			continue
 		}
 		// Last, since a gate takes a look at it for demand.
@@ -105,11 +89,11 @@
 }
 
 // replicaOf returns the one view of a replica.
-func (p *pool) replicaOf(endpoint *routing.Endpoint, state *replicaState) *placement.Replica {
+func (p *pool) replicaOf(endpoint *routing.Endpoint, state *replicastate.State) *placement.Replica {
 	if shared := p.byName[endpoint.Name]; shared != nil {
 		return shared
 	}
-	condition := placement.Condition{Failing: state.failures.failing(p.now), Unproven: state.unproven, SinceEvent: p.now.Sub(state.observed)}
+	condition := placement.Condition{Failing: state.Failures.IsFailing(p.now), Unproven: state.Unproven, SinceEvent: p.now.Sub(state.ObservedAt)}
 	made := placement.NewReplica(endpoint.Name, endpoint.Slots, p.loads[endpoint.Name], p.paces, condition)
 	if left := endpoint.State.SlowStart.Left(); left < made.Most {
 		made.Most = min(made.Most, made.Load+left)
--- a/internal/jobs/batch/replicas_test.go
+++ b/internal/jobs/batch/replicas_test.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"strings"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
@@ -13,74 +12,17 @@
 
 	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/jobs/placement"
+	"github.com/pathtally/pathtally/internal/jobs/replicastate"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/replicas/slowstart"
 )
 
-// A replica that was down or full used to be tried again every 80 ms, with as
-// many items as it had slots, for as long as that lasted.
-func TestReplicaThatGivesNothingIsLeftAloneEverLonger(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		state := &replicaState{}
-		tries := 0
-		for began := time.Now(); time.Since(began) < 10*time.Second; time.Sleep(10 * time.Millisecond) {
-			if time.Now().Before(state.blockedUntil) {
-				continue
-			}
-			tries++
-			for range 6 {
-				state.block(fullBlock)
-			}
-		}
-		if tries < 10 || tries > 16 {
-			t.Errorf("%d tries in ten seconds", tries)
-		}
-		state.blocks = 0
-		time.Sleep(longestBlock)
-		state.block(fullBlock)
-		if left := time.Until(state.blockedUntil); left != fullBlock {
-			t.Errorf("after it gave something, it is left alone for %s", left)
-		}
-	})
-}
-
-func TestFailingReplicasAreTold(t *testing.T) {
-	start := time.Now()
-	for _, test := range []struct {
-		name string
-		// runs are outcomes a tenth of a second apart, F for a failure.
-		runs string
-		// after is how long after the last one is asked.
-		after time.Duration
-		want  bool
-	}{
-		{"none", "", 0, false},
-		{"one failure", "....F", 0, false},
-		{"two in a row", "....FF", 0, true},
-		{"one in ten", "F.........F.........F", 0, false},
-		{"half", "F.F.F.F.F.F.F.F", 0, true},
-		{"all, some time ago", "FFFFFFFFFFFF", 5 * time.Second, false},
-		{"all, a moment ago", "FFFFFFFFFFFF", 2 * time.Second, true},
-		{"all, then well", "FFFFFFFF.....", 0, false},
-	} {
-		var failures failureRate
-		now := start
-		for _, run := range test.runs {
-			now = now.Add(100 * time.Millisecond)
-			failures.observe(run == 'F', now)
-		}
-		if got := failures.failing(now.Add(test.after)); got != test.want {
-			t.Errorf("%s: %v, want %v", test.name, got, test.want)
-		}
-	}
-}
-
 // Failing replicas answer at once and so have free slots: most items went there.
 func TestItemsAvoidFailingReplicas(t *testing.T) {
 	service, waiting := placing(3)
 	now := time.Now()
 	for range 4 {
-		service.replica(replicaName(0)).failures.observe(true, now)
+		service.replicas.Get(replicaName(0)).Failures.Observe(true, now)
 	}
 	waiting.failedAt = []string{replicaName(1)}
 	pool := service.newPool()
@@ -121,10 +63,10 @@
 
 func TestPlacementFillsReplicasEvenlyAndStopsWhenAllAreFull(t *testing.T) {
 	service, waiting := placing(5)
-	service.uses["other"] = nodeUses{at: time.Now(), running: map[string]int{"replica-0": 6, "replica-1": 2}}
-	service.replica("replica-2").block(time.Minute)
-	service.replica("replica-3").versions["m"] = 4
-	service.replica("replica-4").loadingSince["m"] = time.Now()
+	service.replicas.Uses["other"] = replicastate.NodeUses{ReceivedAt: time.Now(), Running: map[string]int{"replica-0": 6, "replica-1": 2}}
+	service.replicas.Get("replica-2").Block(time.Minute)
+	service.replicas.Get("replica-3").Versions["m"] = 4
+	service.replicas.Get("replica-4").LoadingSince["m"] = time.Now()
 	pool := service.newPool()
 	taken := map[string]int{}
 	for chosen := pool.pick(waiting); chosen != nil; chosen = pool.pick(waiting) {
@@ -148,12 +90,12 @@
 	isListed := func(string) bool { return true }
 	gate := &service.config.Directory.View().Endpoints[replicaName(0)].State.SlowStart
 	asker.SetWarming([]slowstart.Warming{{Replica: replicaName(0), Gate: gate, Until: time.Now().Add(time.Hour)}}, isListed)
-	service.replica(replicaName(0)).loadingSince["m"] = time.Now()
+	service.replicas.Get(replicaName(0)).LoadingSince["m"] = time.Now()
 	picks(service, waiting)
 	if gate.Wanted() {
 		t.Error("an allotment is wanted for a replica that loads weights")
 	}
-	service.replica(replicaName(0)).loadingSince = map[string]time.Time{}
+	service.replicas.Get(replicaName(0)).LoadingSince = map[string]time.Time{}
 	if picked := picks(service, waiting); !gate.Wanted() || picked[replicaName(0)] != 0 || picked[replicaName(1)] != 6 {
 		t.Errorf("items went to %v", picked)
 	}
@@ -176,7 +118,7 @@
 
 func TestPlacementPrefersReplicasInUseUntilTheyFill(t *testing.T) {
 	service, waiting := placing(2)
-	service.replica("replica-1").observed = time.Now()
+	service.replicas.Get("replica-1").ObservedAt = time.Now()
 	pool := service.newPool()
 	order := ""
 	for range 5 {
--- a/internal/jobs/batch/reward.go
+++ b/internal/jobs/batch/reward.go
@@ -112,7 +112,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	most := callsPerSlot * slots / s.runningNodes()
+	most := callsPerSlot * slots / s.replicas.RunningNodes(time.Now())
 	bound := s.rewardBounds[route.Name]
 	if bound == nil {
 		bound = admission.NewAdaptive(most)
@@ -122,18 +122,6 @@
 	return bound
 }
 
-// runningNodes counts the nodes that run items, this one included. The mutex
-// must be held.
-func (s *Service) runningNodes() int {
-	count := 1
-	for _, uses := range s.uses {
-		if len(uses.running) > 0 && time.Since(uses.at) < usesAge {
-			count++
-		}
-	}
-	return count
-}
-
 // rewardRoute is the route of a scorer.
 func (s *Service) rewardRoute(reward *Reward) *directory.Route {
 	configuration := s.config.Directory.View().Configuration
--- a/internal/jobs/batch/scheduler.go
+++ b/internal/jobs/batch/scheduler.go
@@ -103,8 +103,8 @@
 		case pool.view.Replicas[running.endpoint.Name] == nil && !placement.MayFinish(run):
 			running.cut(&CutError{Cause: ErrMoved, Reason: placement.ReasonGone})
 		case placement.Stalled(pool.paces, run):
-			state := s.replica(running.endpoint.Name)
-			state.blockedUntil, state.unproven = time.Now().Add(stallBlock), true
+			state := s.replicas.Get(running.endpoint.Name)
+			state.BlockedUntil, state.Unproven = time.Now().Add(stallBlock), true
 			running.cut(&CutError{Cause: ErrStalled, Reason: placement.ReasonStalled})
 		default:
 			runs = append(runs, run)
@@ -127,7 +127,7 @@
 		Index: index, Replica: running.endpoint.Name, Replicas: p.replicasFor(work), FailedAt: work.failedAt,
 		Events: int(running.events.Load()), Rest: p.service.rest(work), Idle: running.idle(),
 		Due: !work.job.due.IsZero(), Left: work.job.due.Sub(p.now),
-		Loading: p.service.replica(running.endpoint.Name).loading(work.job.submission.Model),
+		Loading: p.service.replicas.Get(running.endpoint.Name).IsLoading(work.job.submission.Model),
 	}
 }
 
--- a/internal/jobs/batch/service.go
+++ b/internal/jobs/batch/service.go
@@ -16,6 +16,7 @@
 	"github.com/pathtally/pathtally/internal/cluster/peering"
 	"github.com/pathtally/pathtally/internal/environment"
 	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/replicastate"
 	"github.com/pathtally/pathtally/internal/jobs/statistics"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
@@ -54,10 +55,10 @@
 	// accepting are the submissions under way, by id.
 	accepting map[string]*acceptance
 	queue     []*item
-	replicas  map[string]*replicaState
-	uses      map[string]nodeUses
-	attempts  map[*attempt]bool
-	ends      endRegister
+	// replicas is what this node knows of replicas as places for items.
+	replicas *replicastate.Table
+	attempts map[*attempt]bool
+	ends     endRegister
 	// pursued are the jobs whose end is being made lasting after its caller's time.
 	pursued map[string]bool
 	// What jobs have shown of models and items.
@@ -87,7 +88,7 @@
 	return &Service{
 		config: config, base: base, metrics: newMetrics(config.Registry),
 		jobs: map[string]*job{}, known: map[string]*remoteJob{}, ends: newEndRegister(), pursued: map[string]bool{}, accepting: map[string]*acceptance{},
-		replicas: map[string]*replicaState{}, uses: map[string]nodeUses{}, attempts: map[*attempt]bool{},
+		replicas: replicastate.NewTable(), attempts: map[*attempt]bool{},
 		tolerances: statistics.Tolerances{}, lengths: statistics.NewLengths(), eventRates: statistics.EventRates{},
 		demand: statistics.NewDemand(), avoided: map[string]time.Time{}, storedLoads: map[string]*storedLoad{},
 		candidates:   map[string]*candidateSet{},
--- a/internal/jobs/batch/service_test.go
+++ b/internal/jobs/batch/service_test.go
@@ -11,6 +11,7 @@
 	"k8s.io/klog/v2"
 
 	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/replicastate"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/standin/metastore"
@@ -82,7 +83,7 @@
 // A replica that fails all items is to blame for it, and they are given up later
 // than they would be for failures of their own, but not never.
 func TestItemsOfAFailingReplicaAreGivenMoreAttempts(t *testing.T) {
-	for failures, want := range map[int]journal.State{4: journal.Succeeded, failedAnswers * 3: journal.Abandoned} {
+	for failures, want := range map[int]journal.State{4: journal.Succeeded, maxFailuresFactor * 3: journal.Abandoned} {
 		engine := startEngine(t, 2)
 		for number := range 4 {
 			engine.fail[fmt.Sprint("job.", number)] = failures
@@ -168,18 +169,18 @@
 	table := directory.NewTable("node", "zone", nil, klog.Background())
 	table.SetReplicas([]*directory.Replica{{ID: "listed", State: directory.ReplicaReady}}, 0)
 	service := NewService(t.Context(), Config{Directory: table, Registry: prometheus.NewRegistry()})
-	service.replica("listed")
-	service.replica("gone")
-	service.replica("busy").running = 1
-	service.uses["silent"] = nodeUses{at: time.Now().Add(-2 * usesAge)}
-	service.uses["heard"] = nodeUses{at: time.Now()}
+	service.replicas.Get("listed")
+	service.replicas.Get("gone")
+	service.replicas.Get("busy").Running = 1
+	service.replicas.Uses["silent"] = replicastate.NodeUses{ReceivedAt: time.Now().Add(-2 * replicastate.UsesTimeout)}
+	service.replicas.Uses["heard"] = replicastate.NodeUses{ReceivedAt: time.Now()}
 	service.evict()
 	for id, want := range map[string]bool{"listed": true, "busy": true, "gone": false} {
-		if _, kept := service.replicas[id]; kept != want {
+		if _, kept := service.replicas.States[id]; kept != want {
 			t.Errorf("replica %s kept: %v", id, kept)
 		}
 	}
-	if len(service.uses) != 1 {
-		t.Errorf("uses of %d nodes are kept", len(service.uses))
+	if len(service.replicas.Uses) != 1 {
+		t.Errorf("uses of %d nodes are kept", len(service.replicas.Uses))
 	}
 }
--- /dev/null
+++ b/internal/jobs/replicastate/state_test.go
@@ -0,0 +1,85 @@
+package replicastate
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/pathtally/pathtally/internal/jobs/placement"
+)
+
+// A replica that was down or full used to be tried again every 80 ms, with as
+// many items as it had slots, for as long as that lasted.
+func TestReplicaThatGivesNothingIsLeftAloneEverLonger(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		const firstBlock = 80 * time.Millisecond
+		state := &State{}
+		tries := 0
+		for began := time.Now(); time.Since(began) < 10*time.Second; time.Sleep(10 * time.Millisecond) {
+			if time.Now().Before(state.BlockedUntil) {
+				continue
+			}
+			tries++
+			for range 6 {
+				state.Block(firstBlock)
+			}
+		}
+		if tries < 10 || tries > 16 {
+			t.Errorf("%d tries in ten seconds", tries)
+		}
+		state.Blocks = 0
+		time.Sleep(MaxBlock)
+		state.Block(firstBlock)
+		if left := time.Until(state.BlockedUntil); left != firstBlock {
+			t.Errorf("after it gave something, it is left alone for %s", left)
+		}
+	})
+}
+
+func TestFailingReplicasAreTold(t *testing.T) {
+	start := time.Now()
+	for _, test := range []struct {
+		name string
+		// runs are outcomes a tenth of a second apart, F for a failure.
+		runs string
+		// after is how long after the last one is asked.
+		after time.Duration
+		want  bool
+	}{
+		{"none", "", 0, false},
+		{"one failure", "....F", 0, false},
+		{"two in a row", "....FF", 0, true},
+		{"one in ten", "F.........F.........F", 0, false},
+		{"half", "F.F.F.F.F.F.F.F", 0, true},
+		{"all, some time ago", "FFFFFFFFFFFF", 5 * time.Second, false},
+		{"all, a moment ago", "FFFFFFFFFFFF", 2 * time.Second, true},
+		{"all, then well", "FFFFFFFF.....", 0, false},
+	} {
+		var failures FailureRate
+		now := start
+		for _, run := range test.runs {
+			now = now.Add(100 * time.Millisecond)
+			failures.Observe(run == 'F', now)
+		}
+		if got := failures.IsFailing(now.Add(test.after)); got != test.want {
+			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+		}
+	}
+}
+
+// Replicas that had been slow were remembered so, and the first runs there after it
+// were moved though their events came as fast as elsewhere.
+func TestPaceIsLearntAnewAfterAWhileWithoutRuns(t *testing.T) {
+	now := time.Now()
+	state := &State{Pace: placement.NewPace(140 * time.Millisecond), ObservedAt: now, Running: 1}
+	state.Observe(50*time.Millisecond, now.Add(time.Second))
+	if got := state.Pace.Interval(); got < 130*time.Millisecond {
+		t.Errorf("%s after one event a second later", got)
+	}
+	for number := range 6 {
+		state.Observe(50*time.Millisecond, now.Add(2*FreshPaceAge+time.Duration(number)*50*time.Millisecond))
+	}
+	if got := state.Pace.Interval(); got != 50*time.Millisecond {
+		t.Errorf("%s after six events a while later", got)
+	}
+}
