--- a/internal/jobs/batch/accept.go
+++ b/internal/jobs/batch/accept.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/ownership"
 	"time"
 )
 
@@ -138,7 +139,7 @@
 
 // promptAnswer is how long an acceptance may take for its record to stand as it was
 // made: nobody takes a job over before its owner has been silent for longer.
-const promptAnswer = ownerSilence
+const promptAnswer = ownership.OwnerTimeout
 
 // takeUpAgain goes on with a job of this node's that is not held, unless it has
 // ended.
--- a/internal/jobs/batch/end.go
+++ b/internal/jobs/batch/end.go
@@ -68,7 +68,7 @@
 	}
 	s.mutex.Lock()
 	// The others are told of it from now on, however long it took.
-	s.ends.learnHere(id)
+	s.ends.Announce(id, time.Now())
 	if held := s.jobs[id]; held != nil {
 		s.takeRecord(held, standing, began)
 	}
@@ -117,7 +117,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.endLocally(id)
-	s.ends.learnHere(id)
+	s.ends.Announce(id, time.Now())
 	s.toTell.set()
 	s.toWatch.set()
 }
--- a/internal/jobs/batch/evict.go
+++ b/internal/jobs/batch/evict.go
@@ -2,6 +2,8 @@
 
 import (
 	"time"
+
+	"github.com/pathtally/pathtally/internal/jobs/ownership"
 )
 
 // endedMemory is for how long the results of an ended job are kept in memory;
@@ -20,12 +22,12 @@
 	}
 	for id, standing := range s.known {
 		// A node that no owner tells of a job knows it from a question, and asks again.
-		untold := !s.config.Table.AnnouncesToAll() && s.cachedRank(id, standing) >= locators
+		untold := !s.config.Table.AnnouncesToAll() && s.cachedRank(id, standing) >= ownership.Locators
 		if (standing.ended || untold) && time.Since(standing.heard) > endedMemory {
 			delete(s.known, id)
 		}
 	}
-	s.ends.evict()
+	s.ends.Evict(time.Now())
 	s.replicas.Evict(s.config.Directory.View().Replicas, time.Now())
 	s.lengths.Evict(time.Now())
 	s.demand.Evict(time.Now())
--- a/internal/jobs/batch/heartbeat.go
+++ b/internal/jobs/batch/heartbeat.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/ownership"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/internal/wire"
 )
@@ -35,7 +36,7 @@
 	beat.Leaving = s.leaving
 	beat.Tolerances = s.tolerances.Announced()
 	beat.Lengths = s.lengths.Announced(time.Now())
-	beat.Ended = s.ends.toTell()
+	beat.Ended = s.ends.Announced(time.Now())
 }
 
 // ReceiveHeartbeat takes another node's heartbeat.
@@ -71,7 +72,7 @@
 	epochs := epochsOf(beat)
 	for _, id := range beat.Jobs {
 		if held := s.jobs[id]; held != nil {
-			if !beat.Leaving && !isEarlier(epochs[id], held.record.Epoch) {
+			if !beat.Leaving && !ownership.IsEarlierEpoch(epochs[id], held.record.Epoch) {
 				held.doubt()
 				contested = append(contested, held)
 			}
@@ -136,7 +137,7 @@
 // endLocally stops a job that its caller has ended, and keeps one that this node is
 // about to take up from being started. The mutex must be held.
 func (s *Service) endLocally(id string) {
-	s.ends.learn(id)
+	s.ends.Learn(id, time.Now())
 	if standing := s.known[id]; standing != nil {
 		standing.ended = true
 	}
@@ -181,5 +182,5 @@
 func (s *Service) tellsEnds() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return len(s.ends.toTell()) > 0
+	return len(s.ends.Announced(time.Now())) > 0
 }
--- a/internal/jobs/batch/homes.go
+++ b/internal/jobs/batch/homes.go
@@ -6,6 +6,7 @@
 
 	"github.com/pathtally/pathtally/internal/callers/forward"
 	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/ownership"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/replicas/homes"
 )
@@ -137,7 +138,7 @@
 	nodes := s.config.Table.Nodes()
 	for id, held := range s.jobs {
 		from := originOf(held.record)
-		if held.open() && len(successors(s.insiders(&from, nodes), s.config.Self.Node)) == 0 {
+		if held.open() && len(ownership.Successors(s.insiders(&from, nodes), s.config.Self.Node)) == 0 {
 			s.config.Logger.Info("batch job given to nobody: no other node is in its allowed regions", "request", id,
 				"allowed", s.boundsOf(from).Homes().Regions(), "entry", from.entry)
 		}
--- a/internal/jobs/batch/homes_test.go
+++ b/internal/jobs/batch/homes_test.go
@@ -12,6 +12,7 @@
 
 	"github.com/pathtally/pathtally/internal/callers/forward"
 	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/ownership"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/internal/wire"
@@ -124,7 +125,7 @@
 	reads := []*recorder{c.record(c.nodes[1]), c.record(c.nodes[2])}
 	c.nodes[0].cancel()
 	c.setCut("node-0", true)
-	time.Sleep(ownerSilence + unwatchedPatience + time.Second)
+	time.Sleep(ownership.OwnerTimeout + ownership.UnwatchedDelay + time.Second)
 	for number, node := range c.nodes[1:] {
 		if node.runs("job") || reads[number].count(journal.KindPayloads) > 0 {
 			t.Errorf("a node outside runs the job: %v, and has read %d payloads", node.runs("job"), reads[number].count(journal.KindPayloads))
--- a/internal/jobs/batch/locate.go
+++ b/internal/jobs/batch/locate.go
@@ -4,17 +4,13 @@
 	"context"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
 	"github.com/pathtally/pathtally/internal/environment"
 	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/ownership"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
 const (
-	// locators is how many nodes, the first in rank for a job's id, hear of its start
-	// and its end in a deployment whose nodes are too many for all of them to. They
-	// include its watchers.
-	locators = 12
 	// locatorsAsked is how many of them a node asks at once that is asked about a job
 	// that it does not know, and locateTime bounds their answer. The store is asked
 	// where none of them knows.
@@ -24,8 +20,7 @@
 
 // locatorsOf names the nodes that hear of a job's start and end.
 func (s *Service) locatorsOf(id string) []string {
-	ranked := rendezvous.RankNames(id, s.config.Table.Nodes())
-	return ranked[:min(locators, len(ranked))]
+	return ownership.LocatorsOf(id, s.config.Table.Nodes())
 }
 
 // announce tells the nodes that a job concerns of its start or end, and some more.
--- a/internal/jobs/batch/locate_test.go
+++ b/internal/jobs/batch/locate_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/ownership"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
@@ -55,13 +56,13 @@
 // them over a connection of its own.
 func TestAJobIsReadAndEndedThroughNodesThatWereNotToldOfIt(t *testing.T) {
 	engine := startEngine(t, 3)
-	large := newLargeCluster(t, 2*locators, engine)
+	large := newLargeCluster(t, 2*ownership.Locators, engine)
 	if err := large.submit(large.nodes[0], "job", 4); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "locators know of the job", func() bool { return len(large.knowing("job")) > locators/2 })
-	if told := len(large.knowing("job")); told > locators+1 {
-		t.Errorf("%d nodes were told, want %d at the most", told, locators+1)
+	eventually(t, "locators know of the job", func() bool { return len(large.knowing("job")) > ownership.Locators/2 })
+	if told := len(large.knowing("job")); told > ownership.Locators+1 {
+		t.Errorf("%d nodes were told, want %d at the most", told, ownership.Locators+1)
 	}
 	looks := large.store.Calls("get")
 	checkWhole(t, "job", large.readAll(large.unknowing("job"), "job", 4), 4, 3)
@@ -83,7 +84,7 @@
 
 // A job that nobody knows is looked for in the store, whose word is certain.
 func TestAJobThatNoNodeKnowsIsLookedForInTheStore(t *testing.T) {
-	large := newLargeCluster(t, 2*locators, startEngine(t, 3))
+	large := newLargeCluster(t, 2*ownership.Locators, startEngine(t, 3))
 	if _, err := large.nodes[3].Read(context.Background(), "none", 0, 0); !errors.Is(err, journal.ErrNoSuchJob) {
 		t.Errorf("read of a job that was never handed in: %v", err)
 	}
@@ -92,11 +93,11 @@
 // The nodes that were asked are gone: the store tells who runs the job.
 func TestAJobIsFoundWhenTheNodesThatWereToldOfItAreSilent(t *testing.T) {
 	engine := startEngine(t, 3)
-	large := newLargeCluster(t, 2*locators, engine)
+	large := newLargeCluster(t, 2*ownership.Locators, engine)
 	if err := large.submit(large.nodes[0], "job", 4); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "locators know of the job", func() bool { return len(large.knowing("job")) > locators/2 })
+	eventually(t, "locators know of the job", func() bool { return len(large.knowing("job")) > ownership.Locators/2 })
 	outsider := large.unknowing("job")
 	for _, node := range large.knowing("job") {
 		node.mutex.Lock()
@@ -115,9 +116,9 @@
 
 // The nodes that a start or an end is told to do not grow with the deployment.
 func TestNewsOfAJobGoToTheSameNumberOfNodesInAnyDeployment(t *testing.T) {
-	for _, nodes := range []int{2 * locators, 4 * locators} {
+	for _, nodes := range []int{2 * ownership.Locators, 4 * ownership.Locators} {
 		large := newLargeCluster(t, nodes, startEngine(t, 3))
-		if told := len(large.nodes[0].locatorsOf("job")); told != locators {
+		if told := len(large.nodes[0].locatorsOf("job")); told != ownership.Locators {
 			t.Errorf("%d of %d nodes are told", told, nodes)
 		}
 	}
--- a/internal/jobs/batch/ownerwatch.go
+++ b/internal/jobs/batch/ownerwatch.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/ownership"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
@@ -25,8 +26,8 @@
 		for _, held := range s.unconfirmed(stoodStill > 0) {
 			go s.confirmOwner(held)
 		}
-		for id, gone := range s.orphans() {
-			go s.takeOver(ctx, id, gone)
+		for id, lost := range s.orphans() {
+			go s.takeOver(ctx, id, lost)
 		}
 		if s.knowsNoJob() {
 			// The watchers of a job hear of it together, and so does its owner look at it;
@@ -43,7 +44,7 @@
 func (s *Service) knowsNoJob() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return len(s.jobs) == 0 && len(s.known) == 0 && len(s.replicas.Uses) == 0 && len(s.ends.learnt) == 0 && s.lengths.Len() == 0 && s.demand.Len() == 0
+	return len(s.jobs) == 0 && len(s.known) == 0 && len(s.replicas.Uses) == 0 && s.ends.Len() == 0 && s.lengths.Len() == 0 && s.demand.Len() == 0
 }
 
 const (
@@ -77,34 +78,42 @@
 	return due
 }
 
-// orphans returns the open jobs that it is this node's turn to take over, with
-// the owners that are gone.
-func (s *Service) orphans() map[string]journal.Owner {
+// orphan is a job that this node is to take over.
+type orphan struct {
+	// owner is the one that is gone.
+	owner journal.Owner
+	// probeOwner tells that it is to be asked first.
+	probeOwner bool
+}
+
+// orphans returns the jobs that this node is to take over now, by id.
+func (s *Service) orphans() map[string]orphan {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.leaving {
 		return nil
 	}
-	orphans := map[string]journal.Owner{}
-	for id, standing := range s.known {
+	orphans := map[string]orphan{}
+	for id, remote := range s.known {
 		if s.jobs[id] != nil {
-			// It runs here: the note is from a reader that looked it up just
-			// before this node took it up.
+			// It runs here: a reader looked it up just before this node took it up.
 			delete(s.known, id)
 			continue
 		}
-		if standing.ended || standing.taking || time.Now().Before(standing.notBefore) {
-			continue
-		}
-		if s.cachedRank(id, standing) < 0 {
-			// This node may not take it over: it is outside the regions where the job's
-			// bodies may be.
-			continue
-		}
-		if time.Since(standing.heard) > s.patience(id, standing) {
-			standing.taking = true
-			orphans[id] = standing.owner
+		decision := ownership.Decide(s.remoteView(id, remote), time.Now())
+		if decision.TakeOver {
+			remote.taking = true
+			orphans[id] = orphan{owner: remote.owner, probeOwner: decision.ProbeOwner}
 		}
 	}
 	return orphans
 }
+
+// remoteView is a job of another node as decisions about takeovers see it. The mutex must
+// be held.
+func (s *Service) remoteView(id string, remote *remoteJob) ownership.RemoteJob {
+	return ownership.RemoteJob{
+		Ended: remote.ended, TakingOver: remote.taking, RetryAt: remote.notBefore, LastHeartbeat: remote.heard,
+		Owner: s.conditionOf(remote), Rank: func() int { return s.cachedRank(id, remote) },
+	}
+}
--- /dev/null
+++ b/internal/jobs/batch/rank.go
@@ -0,0 +1,53 @@
+package batch
+
+import (
+	"time"
+
+	"github.com/pathtally/pathtally/internal/jobs/ownership"
+)
+
+// takeoverDelay returns how long to wait after the owner's last heartbeat before taking
+// over its job. The mutex must be held.
+func (s *Service) takeoverDelay(id string, remote *remoteJob) time.Duration {
+	return ownership.Delay(s.conditionOf(remote), s.cachedRank(id, remote))
+}
+
+// conditionOf is what is known of a job's owner besides its heartbeats. The mutex must be
+// held.
+func (s *Service) conditionOf(remote *remoteJob) ownership.OwnerCondition {
+	if remote.owner.Node == s.config.Self.Node {
+		return ownership.OwnerFormerSelf
+	}
+	peer, known := s.config.Table.Get(remote.owner.Node)
+	switch {
+	case remote.leaving:
+		return ownership.OwnerLeaving
+	case known && peer.Incarnation > remote.owner.Incarnation:
+		return ownership.OwnerRestarted
+	}
+	return ownership.OwnerRunning
+}
+
+// rank is this node's place among those that may take a job over, ownership.Outside where
+// it may not. The mutex must be held.
+func (s *Service) rank(id string, remote *remoteJob) int {
+	nodes, owner := s.insiders(remote.origin, s.config.Table.Nodes()), remote.owner.Node
+	if owner == s.config.Self.Node {
+		owner = ""
+	}
+	successors := ownership.Successors(nodes, owner)
+	if len(successors) == 0 {
+		s.logWaiting(id, remote)
+	}
+	return ownership.Rank(id, successors, s.config.Self.Node)
+}
+
+// cachedRank is this node's rank for a job, worked out anew when the nodes, the
+// configuration or the owner change. The mutex must be held.
+func (s *Service) cachedRank(id string, remote *remoteJob) int {
+	membership, configuration := s.config.Table.Membership()+1, s.config.Directory.View().Configuration
+	if remote.membership != membership || remote.rankedIn != configuration {
+		remote.rank, remote.membership, remote.rankedIn = s.rank(id, remote), membership, configuration
+	}
+	return remote.rank
+}
--- a/internal/jobs/batch/remotejob.go
+++ b/internal/jobs/batch/remotejob.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/ownership"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
@@ -59,20 +60,17 @@
 	switch {
 	case standing.owner == owner:
 		standing.epoch = max(standing.epoch, epoch)
-	case !isEarlier(epoch, standing.epoch):
+	case !ownership.IsEarlierEpoch(epoch, standing.epoch):
 		standing.owner, standing.epoch, standing.leaving = owner, epoch, false
 		standing.heard = time.Now()
 		// The rank depends on who the owner is.
 		standing.membership = 0
 	}
 	if ended {
-		s.ends.learn(id)
+		s.ends.Learn(id, time.Now())
 	}
-	standing.ended = standing.ended || s.ends.has(id)
+	standing.ended = standing.ended || s.ends.Has(id)
 	return standing
 }
 
-// isEarlier tells whether an epoch is known to be before another one.
-func isEarlier(epoch, other int) bool { return epoch > 0 && epoch < other }
-
 func formatIncarnation(incarnation uint64) string { return strconv.FormatUint(incarnation, 36) }
--- a/internal/jobs/batch/service.go
+++ b/internal/jobs/batch/service.go
@@ -15,6 +15,7 @@
 	"github.com/pathtally/pathtally/internal/clock"
 	"github.com/pathtally/pathtally/internal/cluster/peering"
 	"github.com/pathtally/pathtally/internal/environment"
+	"github.com/pathtally/pathtally/internal/jobs/ends"
 	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/jobs/replicastate"
 	"github.com/pathtally/pathtally/internal/jobs/statistics"
@@ -58,7 +59,7 @@
 	// replicas is what this node knows of replicas as places for items.
 	replicas *replicastate.Table
 	attempts map[*attempt]bool
-	ends     endRegister
+	ends     *ends.Register
 	// pursued are the jobs whose end is being made lasting after its caller's time.
 	pursued map[string]bool
 	// What jobs have shown of models and items.
@@ -87,7 +88,7 @@
 func NewService(base context.Context, config Config) *Service {
 	return &Service{
 		config: config, base: base, metrics: newMetrics(config.Registry),
-		jobs: map[string]*job{}, known: map[string]*remoteJob{}, ends: newEndRegister(), pursued: map[string]bool{}, accepting: map[string]*acceptance{},
+		jobs: map[string]*job{}, known: map[string]*remoteJob{}, ends: ends.NewRegister(), pursued: map[string]bool{}, accepting: map[string]*acceptance{},
 		replicas: replicastate.NewTable(), attempts: map[*attempt]bool{},
 		tolerances: statistics.Tolerances{}, lengths: statistics.NewLengths(), eventRates: statistics.EventRates{},
 		demand: statistics.NewDemand(), avoided: map[string]time.Time{}, storedLoads: map[string]*storedLoad{},
--- a/internal/jobs/batch/start.go
+++ b/internal/jobs/batch/start.go
@@ -20,7 +20,7 @@
 		s.mutex.Unlock()
 		return
 	}
-	if s.ends.has(id) {
+	if s.ends.Has(id) {
 		// It was ended while this node read it or waited for the store's word.
 		s.noteStanding(journal.StoredJob{ID: id, Record: record, Ended: true})
 		s.mutex.Unlock()
--- a/internal/jobs/batch/takeover.go
+++ b/internal/jobs/batch/takeover.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/ownership"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
@@ -13,7 +14,7 @@
 
 // takeOver makes this node the owner of a job whose owner is gone, unless
 // another has become that meanwhile or the job has ended.
-func (s *Service) takeOver(ctx context.Context, id string, gone journal.Owner) {
+func (s *Service) takeOver(ctx context.Context, id string, lost orphan) {
 	defer func() {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
@@ -21,7 +22,7 @@
 			standing.taking, standing.notBefore = false, time.Now().Add(takeOverPause)
 		}
 	}()
-	if s.isUnwatched(id) && s.ownerAnswers(ctx, id, gone) {
+	if lost.probeOwner && s.ownerAnswers(ctx, id, lost.owner) {
 		s.mutex.Lock()
 		if standing := s.known[id]; standing != nil {
 			standing.heard = time.Now()
@@ -37,7 +38,7 @@
 	s.mutex.Lock()
 	outsider := s.isOutsider(s.noteStanding(standing))
 	s.mutex.Unlock()
-	if standing.Ended || standing.Record.Owner != gone || outsider {
+	if may, _ := ownership.DecideReplace(standing, lost.owner, outsider); !may {
 		return
 	}
 	taken, err := s.config.Journal.TakeOver(ctx, standing, s.config.Self)
@@ -45,7 +46,7 @@
 		s.config.Logger.Info("batch job not taken over", "request", id, "error", err.Error())
 		return
 	}
-	s.config.Logger.Info("batch job taken over", "request", id, "from", gone.Node, "epoch", taken.Record.Epoch)
+	s.config.Logger.Info("batch job taken over", "request", id, "from", lost.owner.Node, "epoch", taken.Record.Epoch)
 	s.metrics.takeovers.Inc()
 	s.loadJob(ctx, taken)
 }
@@ -64,26 +65,26 @@
 	}
 }
 
-// startConfirmed looks at a job's record once more and starts the job if it is open
-// and this node's: the reading took a second or more from a slow store, and items of
-// a job that was ended meanwhile ran for three seconds.
-func (s *Service) startConfirmed(ctx context.Context, read journal.StoredJob, submission *Submission, stands journal.Listing) {
+// startConfirmed reads a job's record once more and starts the job if it is open and this
+// process still owns it: reading the job may have taken seconds, and an end that came
+// meanwhile must not be followed by runs.
+func (s *Service) startConfirmed(ctx context.Context, read journal.StoredJob, submission *Submission, listed journal.Listing) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		standing, err := s.config.Journal.Read(ctx, read.ID)
-		switch {
-		case err != nil:
+		stored, err := s.config.Journal.Read(ctx, read.ID)
+		if err != nil {
 			s.config.Logger.Info("record of batch job not read before its start", "request", read.ID, "error", err.Error())
 			objectstore.Pause(ctx, readPause)
 			continue
-		case standing.Ended || standing.Record.Owner != s.config.Self || standing.Record.Epoch != read.Record.Epoch:
-			s.config.Logger.Info("batch job not started", "request", read.ID, "ended", standing.Ended, "owner", standing.Record.Owner.Node, "epoch", standing.Record.Epoch)
+		}
+		if may, _ := ownership.DecideStart(stored, s.config.Self, read.Record.Epoch); !may {
+			s.config.Logger.Info("batch job not started", "request", read.ID, "ended", stored.Ended, "owner", stored.Record.Owner.Node, "epoch", stored.Record.Epoch)
 			s.mutex.Lock()
-			s.noteStanding(standing)
+			s.noteStanding(stored)
 			s.mutex.Unlock()
-		default:
-			s.start(read.ID, submission, standing.Record, stands, began)
+			return
 		}
+		s.start(read.ID, submission, stored.Record, listed, began)
 		return
 	}
 }
--- a/internal/jobs/batch/takeover_test.go
+++ b/internal/jobs/batch/takeover_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/ownership"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
@@ -256,12 +257,12 @@
 		most  time.Duration
 	}{
 		{"this node's former process", journal.Owner{Node: "node-0", Incarnation: 1}, 0, 0},
-		{"a peer's former process", journal.Owner{Node: "node-1", Incarnation: 1}, rankDelay, 2 * rankDelay},
-		{"a peer's process", journal.Owner{Node: "node-1", Incarnation: peer.Incarnation}, ownerSilence, ownerSilence + rankDelay},
-		{"a node never heard", journal.Owner{Node: "node-9", Incarnation: 1}, ownerSilence, ownerSilence + 2*rankDelay},
+		{"a peer's former process", journal.Owner{Node: "node-1", Incarnation: 1}, ownership.RankDelay, 2 * ownership.RankDelay},
+		{"a peer's process", journal.Owner{Node: "node-1", Incarnation: peer.Incarnation}, ownership.OwnerTimeout, ownership.OwnerTimeout + ownership.RankDelay},
+		{"a node never heard", journal.Owner{Node: "node-9", Incarnation: 1}, ownership.OwnerTimeout, ownership.OwnerTimeout + 2*ownership.RankDelay},
 	} {
 		node.mutex.Lock()
-		patience := node.patience("job", &remoteJob{owner: test.owner})
+		patience := node.takeoverDelay("job", &remoteJob{owner: test.owner})
 		node.mutex.Unlock()
 		if patience < test.least || patience > test.most {
 			t.Errorf("%s: waits %s, want %s to %s", test.name, patience, test.least, test.most)
--- a/internal/jobs/batch/watchers_test.go
+++ b/internal/jobs/batch/watchers_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/cluster/peering"
+	"github.com/pathtally/pathtally/internal/jobs/ownership"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
@@ -37,7 +38,7 @@
 // runs on the first node and which all have heard of.
 func watchedCluster(t *testing.T, engine *testEngine) (made *cluster, watching, others []*testNode) {
 	t.Helper()
-	made = newCluster(t, watchers+4, engine)
+	made = newCluster(t, ownership.Watchers+4, engine)
 	owner := made.nodes[0]
 	eventually(t, "all nodes know each other", func() bool {
 		for _, node := range made.nodes {
@@ -59,7 +60,7 @@
 		return true
 	})
 	watching, others = made.watched("job", owner)
-	if len(watching) != watchers || len(others) != 3 {
+	if len(watching) != ownership.Watchers || len(others) != 3 {
 		t.Fatalf("%d nodes watch and %d do not", len(watching), len(others))
 	}
 	return made, watching, others
@@ -197,3 +198,11 @@
 		t.Error("the node has joined")
 	}
 }
+
+// isUnwatched tells whether a node hears no heartbeats of a job's owner.
+func (s *Service) isUnwatched(id string) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	remote := s.known[id]
+	return remote != nil && s.cachedRank(id, remote) >= ownership.Watchers
+}
