--- a/internal/replicas/directory/table_test.go
+++ b/internal/replicas/directory/table_test.go
@@ -224,7 +224,7 @@
 		table := NewTable("node", "zone", nil, klog.Background())
 		regained := make(chan struct{})
 		informer := watchcache.NewInformer(store, "servers", ReplicaSink{Table: table, Decoder: jsonDecoder{}, KeepMissing: func() time.Duration { return keepMissing }}, klog.Background())
-		informer.Regained = func() <-chan struct{} { return regained }
+		informer.Recovered = func() <-chan struct{} { return regained }
 		go informer.Run(ctx)
 		settle(time.Second)
 		store.deaf.Store(false)
--- /dev/null
+++ b/internal/store/objectstore/list.go
@@ -0,0 +1,35 @@
+package objectstore
+
+import "context"
+
+// ListPages lists a kind and calls visit for each page. Changes that happen between two
+// pages may be missing from the pages; a watch from the first page's revision reports them.
+func ListPages(ctx context.Context, store Store, kind string, freshness Freshness, visit func(Page)) error {
+	after := ""
+	for {
+		page, err := store.List(ctx, kind, after, freshness)
+		if err != nil {
+			return err
+		}
+		visit(page)
+		if !page.More || len(page.Objects) == 0 {
+			return nil
+		}
+		after = page.Objects[len(page.Objects)-1].Name
+	}
+}
+
+// ListAll lists a kind and returns all pages as one, at the first page's revision.
+func ListAll(ctx context.Context, store Store, kind string, freshness Freshness) (Page, error) {
+	var listed Page
+	err := ListPages(ctx, store, kind, freshness, func(page Page) {
+		listed.Objects = append(listed.Objects, page.Objects...)
+		if listed.At == 0 {
+			listed.At = page.At
+		}
+	})
+	if err != nil {
+		return Page{}, err
+	}
+	return listed, nil
+}
--- a/internal/store/watchcache/answer.go
+++ b/internal/store/watchcache/answer.go
@@ -8,109 +8,135 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// longestHold bounds for how long a poll is held.
-const longestHold = 5 * time.Second
-
-// relayBound is how old the word of a reader may be that a node hands on as current: a
-// poll that was held to its end and an answer that came late, on two levels.
-const relayBound = 900 * time.Millisecond
+const (
+	// maxHold is the longest time for which a poll is held, whatever it asks for.
+	maxHold = 5 * time.Second
+	// readAfterPoll is how long a node reads the store after it was last polled as a
+	// reader.
+	readAfterPoll = 10 * time.Second
+	// maxRelayedAge is the greatest age at which a node passes its copies on as current:
+	// two levels of polls held to the end, and late replies.
+	maxRelayedAge = 900 * time.Millisecond
+)
 
-// Answer answers a follower's poll. It waits until there is news, but not
-// beyond the time that the poll names. A node that is polled reads the store, unless its
-// follower takes it for one that follows another.
+// Answer returns the reply to a follower's poll. It waits until there are changes, this
+// node is unsure or leaving, or the time that the poll names has passed. A node that is
+// polled reads the store, unless the follower takes it for a relay, which follows another
+// node.
 func (s *Source) Answer(ctx context.Context, poll *wire.WatchPoll) *wire.WatchNews {
 	s.metrics.answered.Inc()
-	if poll.Direct && !s.reads() && !answers(ctx, s.config.Store, s.config.ProbeKind, s.config.ProbeName) {
-		// The store is away for both: reading it would help nobody.
+	if poll.Direct && !s.reading.isActive() && !s.probe.answered(ctx) {
+		// The store answers neither node: reading it would not help the other.
 		return &wire.WatchNews{Standing: uint8(wire.StandingUnsure)}
 	}
 	if !poll.Relay {
-		s.readAtLeast(polledTime)
+		s.reading.require(readAfterPoll)
 	}
-	limit := time.NewTimer(min(longestHold, time.Duration(poll.WaitMs)*time.Millisecond))
-	defer limit.Stop()
+	hold := time.NewTimer(min(maxHold, time.Duration(poll.WaitMs)*time.Millisecond))
+	defer hold.Stop()
 	for {
-		changed := s.changes()
-		news := s.newsNow(poll)
-		switch wire.Standing(news.Standing) {
-		case wire.StandingLeaving, wire.StandingUnsure:
-			return news
-		case wire.StandingCurrent:
-			if len(news.Kinds) > 0 {
-				return news
-			}
+		changed := s.changed.next()
+		reply := s.replyNow(poll)
+		if isWorthSending(reply) {
+			return reply
 		}
 		select {
 		case <-ctx.Done():
-			return news
-		case <-limit.C:
-			return s.newsNow(poll)
+			return reply
+		case <-hold.C:
+			return s.replyNow(poll)
 		case <-changed:
 		}
 	}
 }
 
-// newsNow is the answer to a poll at this moment.
-func (s *Source) newsNow(poll *wire.WatchPoll) *wire.WatchNews {
-	standing, through := s.standing(poll.Direct)
-	age := time.Duration(0)
-	if poll.Relay && standing != wire.StandingLeaving && !s.reads() {
-		standing, through, age = s.relayedStanding()
+// isWorthSending reports whether a reply is sent before the end of the hold.
+func isWorthSending(reply *wire.WatchNews) bool {
+	switch wire.Standing(reply.Standing) {
+	case wire.StandingLeaving, wire.StandingUnsure:
+		return true
+	case wire.StandingCurrent:
+		return len(reply.Kinds) > 0
+	}
+	return false
+}
+
+// replyNow returns the reply to a poll at this moment.
+func (s *Source) replyNow(poll *wire.WatchPoll) *wire.WatchNews {
+	status := s.readerStatus(poll.Direct)
+	if poll.Relay && status.standing != wire.StandingLeaving && !s.reading.isActive() {
+		status = s.relayStatus()
 	}
-	return &wire.WatchNews{Standing: uint8(standing), Through: through, AgeMs: uint32(age.Milliseconds()), Kinds: s.newsFor(poll)}
+	return &wire.WatchNews{
+		Standing: uint8(status.standing),
+		Through:  status.through,
+		AgeMs:    uint32(status.age.Milliseconds()),
+		Kinds:    s.updatesFor(poll),
+	}
+}
+
+// copyStatus is what a node says of its copies.
+type copyStatus struct {
+	standing wire.Standing
+	// through is the address of the node that the store answers, if it is another one.
+	through string
+	// age is how long ago the copies were known to be current.
+	age time.Duration
 }
 
-// relayedStanding is what a node that follows another one says of its copies.
-func (s *Source) relayedStanding() (standing wire.Standing, through string, age time.Duration) {
-	age = s.Age()
+// relayStatus returns the status of a node that follows another one.
+func (s *Source) relayStatus() copyStatus {
+	age := s.Age()
 	switch {
 	case !s.listed():
-		return wire.StandingStarting, "", 0
-	case age > relayBound:
-		return wire.StandingUnsure, "", 0
+		return copyStatus{standing: wire.StandingStarting}
+	case age > maxRelayedAge:
+		return copyStatus{standing: wire.StandingUnsure}
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return wire.StandingCurrent, s.peer.Address, age
+	return copyStatus{standing: wire.StandingCurrent, through: s.peer.last(), age: age}
 }
 
-// standing is what this node says of its own view. One that another node helps
-// out calls itself current too and names that node, but not to a node that might
-// be helped by it in turn.
-func (s *Source) standing(direct bool) (standing wire.Standing, through string) {
-	s.mutex.Lock()
-	leaving := s.leaving
-	helped := time.Since(s.helpedAt) < helpedTime
-	helper := s.peer.Address
-	s.mutex.Unlock()
+// readerStatus returns the status of a node that reads the store. One that is helped by
+// another node calls itself current too and names the helper, but not in reply to a direct
+// poll: two nodes must not vouch for each other.
+func (s *Source) readerStatus(direct bool) copyStatus {
+	helper, helped := s.peer.helper()
 	switch {
-	case leaving:
-		return wire.StandingLeaving, ""
+	case s.leaving.Load():
+		return copyStatus{standing: wire.StandingLeaving}
 	case helped && !direct:
-		return wire.StandingCurrent, helper
-	case s.health.isTroubled():
-		return wire.StandingUnsure, ""
+		return copyStatus{standing: wire.StandingCurrent, through: helper}
+	case s.health.isUnavailable():
+		return copyStatus{standing: wire.StandingUnsure}
 	case s.isCurrent():
-		return wire.StandingCurrent, ""
+		return copyStatus{standing: wire.StandingCurrent}
 	}
-	return wire.StandingStarting, ""
+	return copyStatus{standing: wire.StandingStarting}
 }
 
-// newsFor collects what a poll's sender lacks.
-func (s *Source) newsFor(poll *wire.WatchPoll) []wire.KindNews {
-	var collected []wire.KindNews
+// updatesFor returns an update for each kind of which a poll's sender lacks changes.
+func (s *Source) updatesFor(poll *wire.WatchPoll) []wire.KindNews {
+	var updates []wire.KindNews
 	for _, has := range poll.Kinds {
 		for _, cache := range s.caches {
 			if cache.kind != has.Kind {
 				continue
 			}
-			if news, found := cache.Since(has.Revision, poll.Compressed); found {
-				collected = append(collected, wire.KindNews{
-					Kind: has.Kind, Revision: news.At, Whole: news.Whole, AfterOutage: news.AfterOutage, Changes: objectwire.EncodeChanges(news.Changes),
-					Compressed: news.Compressed,
-				})
+			if update, found := cache.UpdateSince(has.Revision, poll.Compressed); found {
+				updates = append(updates, encodeUpdate(has.Kind, update))
 			}
 		}
 	}
-	return collected
+	return updates
+}
+
+func encodeUpdate(kind string, update Update) wire.KindNews {
+	return wire.KindNews{
+		Kind:        kind,
+		Revision:    update.At,
+		Whole:       update.Whole,
+		AfterOutage: update.AfterOutage,
+		Changes:     objectwire.EncodeChanges(update.Changes),
+		Compressed:  update.Compressed,
+	}
 }
--- a/internal/store/watchcache/area.go
+++ b/internal/store/watchcache/area.go
@@ -2,79 +2,87 @@
 
 import "time"
 
-// mostFollowers bounds the nodes that one reader answers. Each polls it up to two and
-// a half times a second; at this bound that is a few hundredths of a core, which also
-// a small node has beside its callers. In a zone with more nodes they follow one another
-// (tree.go).
-const mostFollowers = 128
+// maxFollowers is the most nodes that one reader answers, so that a small node still has
+// time for its callers. In a zone with more nodes the followers form a tree.
+const maxFollowers = 128
 
-// area is a part of the deployment whose nodes follow one reader.
-type area struct {
-	// kind is "deployment", "region" or "zone".
-	kind  string
-	nodes []Node
-}
+// areaKind is the extent of an area.
+type areaKind string
 
-// The kinds of areas, widest first.
 const (
-	kindDeployment = "deployment"
-	kindRegion     = "region"
-	kindZone       = "zone"
+	deploymentArea areaKind = "deployment"
+	regionArea     areaKind = "region"
+	zoneArea       areaKind = "zone"
 )
 
-// areas are those of this node that one reader can answer, widest first, among some
-// other nodes. The zone is always one of them; a wider one is left out where it adds no
-// node to the next narrower.
+// area is a part of the deployment whose nodes follow the same reader.
+type area struct {
+	kind areaKind
+	// nodes are its nodes without this one.
+	nodes []Node
+}
+
+// areas returns the areas that this node can belong to, widest first: those that one
+// reader can answer and that have more nodes than the next narrower one. The zone is
+// always the last.
 func (s *Source) areas(nodes []Node) []area {
+	zone, region, deployment := s.areasAround(nodes)
+	narrowestFirst := []area{zone, region, deployment}
+	var widestFirst []area
+	for i := len(narrowestFirst) - 1; i > 0; i-- {
+		wide, narrower := narrowestFirst[i], narrowestFirst[i-1]
+		if len(wide.nodes) < maxFollowers && len(wide.nodes) > len(narrower.nodes) {
+			widestFirst = append(widestFirst, wide)
+		}
+	}
+	return append(widestFirst, zone)
+}
+
+// areasAround sorts nodes into this node's zone, its region and the deployment.
+func (s *Source) areasAround(nodes []Node) (zone, region, deployment area) {
 	self := s.config.Self
-	region := s.config.Regions[self.Zone]
-	zone, inRegion, all := area{kind: kindZone}, area{kind: kindRegion}, area{kind: kindDeployment}
+	ownRegion := s.config.Regions[self.Zone]
+	zone, region, deployment = area{kind: zoneArea}, area{kind: regionArea}, area{kind: deploymentArea}
 	for _, node := range nodes {
 		if node.Name == self.Name {
 			continue
 		}
-		all.nodes = append(all.nodes, node)
-		if node.Zone == self.Zone {
+		sameZone := node.Zone == self.Zone
+		deployment.nodes = append(deployment.nodes, node)
+		if sameZone {
 			zone.nodes = append(zone.nodes, node)
 		}
-		if node.Zone == self.Zone || (region != "" && s.config.Regions[node.Zone] == region) {
-			inRegion.nodes = append(inRegion.nodes, node)
+		if sameZone || (ownRegion != "" && s.config.Regions[node.Zone] == ownRegion) {
+			region.nodes = append(region.nodes, node)
 		}
 	}
-	narrowestFirst := []area{zone, inRegion, all}
-	var widestFirst []area
-	for i := len(narrowestFirst) - 1; i > 0; i-- {
-		if wide := narrowestFirst[i]; len(wide.nodes) < mostFollowers && len(wide.nodes) > len(narrowestFirst[i-1].nodes) {
-			widestFirst = append(widestFirst, wide)
-		}
-	}
-	return append(widestFirst, zone)
+	return zone, region, deployment
 }
 
-// standingArea is the widest area whose reader this node has not left, or the narrowest
-// where it has left all of them. The mutex must be held.
-func (s *Source) standingArea(nodes []Node) (standing area, narrowest bool) {
+// followedArea returns the widest area whose reader is not excluded, or the zone if all
+// are. Narrowest reports whether it is the zone.
+func (s *Source) followedArea(nodes []Node) (followed area, narrowest bool) {
 	areas := s.areas(nodes)
-	for i, candidate := range areas {
-		last := i == len(areas)-1
-		if last || !time.Now().Before(s.leftAreas[candidate.kind]) {
-			return candidate, last
+	last := len(areas) - 1
+	for _, candidate := range areas[:last] {
+		if !s.exclusions.isAreaExcluded(candidate.kind) {
+			return candidate, false
 		}
 	}
-	return area{}, true
+	return areas[last], true
+}
+
+// hasNarrowerArea reports whether the reader of a narrower area could be followed.
+func (s *Source) hasNarrowerArea() bool {
+	_, narrowest := s.followedArea(s.config.Nodes())
+	return !narrowest
 }
 
-// narrow has this node follow the reader of the next narrower area for a time, and
-// tells whether there is one. What keeps a reader from answering may keep all of a
-// wide area's nodes from it: regions may lose each other.
-func (s *Source) narrow(span time.Duration) bool {
-	nodes := s.config.Nodes()
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	left, narrowest := s.standingArea(nodes)
-	if narrowest {
-		return false
+// leaveArea makes this node follow the reader of the next narrower area for a time, if
+// there is one. A reader that is unreachable here may be unreachable from the whole
+// region: regions can lose each other.
+func (s *Source) leaveArea(span time.Duration) {
+	if left, narrowest := s.followedArea(s.config.Nodes()); !narrowest {
+		s.exclusions.excludeArea(left.kind, span)
 	}
-	s.leftAreas[left.kind] = time.Now().Add(span)
-	return true
 }
--- a/internal/store/watchcache/area_test.go
+++ b/internal/store/watchcache/area_test.go
@@ -22,7 +22,7 @@
 // A reader answers no more than it can bear: where the deployment is larger, each
 // region has its own.
 func TestALargeDeploymentHasOneReaderARegion(t *testing.T) {
-	inZones(t, mostFollowers/4+1, twoRegions, func(c *cluster) {
+	inZones(t, maxFollowers/4+1, twoRegions, func(c *cluster) {
 		readers := c.readers()
 		if len(readers) != 2 || twoRegions[readers[0].node.Zone] == twoRegions[readers[1].node.Zone] {
 			t.Errorf("%d nodes read the store", len(readers))
--- a/internal/store/watchcache/config.go
+++ b/internal/store/watchcache/config.go
@@ -9,32 +9,22 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// Node is one that may be followed.
-type Node struct {
-	Name    string
-	Address string
-	Zone    string
-	// Capacity is how many thousandths of a core it has, 0 for unknown.
-	Capacity uint32
-}
-
-// Config is what a Source needs.
+// Config holds the settings and dependencies of a Source.
 type Config struct {
-	// Self is this node.
 	Self Node
-	// Regions gives the region of each zone; empty where none is known.
+	// Regions maps each zone to its region; empty if regions are not configured.
 	Regions map[string]string
 	Store   objectstore.Store
 	Peers   environment.Peers
-	// Nodes lists the other nodes known, and Joined tells whether the list has
-	// been read, or could not be.
+	// Nodes lists the other known nodes. Joined reports whether that list has been read,
+	// or the attempt to read it has failed.
 	Nodes  func() []Node
 	Joined func() bool
-	// ProbeKind and ProbeName name an object that is asked for to see whether
-	// the store answers; it need not exist.
+	// ProbeKind and ProbeName name the object that is read to check whether the store
+	// answers; it need not exist.
 	ProbeKind string
 	ProbeName string
-	// Clock tells how old the copies are. It counts suspensions of the machine.
+	// Clock measures the age of the copies. It must count while the machine is suspended.
 	Clock    clock.Clock
 	Logger   klog.Logger
 	Registry prometheus.Registerer
--- /dev/null
+++ b/internal/store/watchcache/exclusions.go
@@ -0,0 +1,93 @@
+package watchcache
+
+import (
+	"maps"
+	"slices"
+	"sync"
+	"time"
+)
+
+const (
+	// silentExclusion is how long a node that did not reply is excluded. It doubles with
+	// each further silence up to maxSilentExclusion: a machine that is gone for good stays
+	// in the list of nodes, and each attempt delays updates.
+	silentExclusion    = 8 * time.Second
+	maxSilentExclusion = 64 * time.Second
+	// unsureExclusion is how long a node that the store does not answer is excluded.
+	unsureExclusion = 4 * time.Second
+	// leavingExclusion is how long a node that is stopping is excluded.
+	leavingExclusion = 15 * time.Second
+)
+
+// exclusions remembers the nodes and the areas that are not followed for a time. It is
+// safe for concurrent use.
+type exclusions struct {
+	mutex sync.Mutex
+	// nodeUntil and areaUntil give when the exclusion of a node or area ends.
+	nodeUntil map[string]time.Time
+	areaUntil map[areaKind]time.Time
+	// silentFor is the last exclusion of each node that has not replied since.
+	silentFor map[string]time.Duration
+}
+
+func newExclusions() *exclusions {
+	return &exclusions{
+		nodeUntil: map[string]time.Time{},
+		areaUntil: map[areaKind]time.Time{},
+		silentFor: map[string]time.Duration{},
+	}
+}
+
+// exclude excludes a node for a time.
+func (e *exclusions) exclude(node string, span time.Duration) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.nodeUntil[node] = time.Now().Add(span)
+}
+
+// excludeSilent excludes a node that did not reply, longer after each silence in a row.
+func (e *exclusions) excludeSilent(node string) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	span := min(max(silentExclusion, 2*e.silentFor[node]), maxSilentExclusion)
+	e.silentFor[node] = span
+	e.nodeUntil[node] = time.Now().Add(span)
+}
+
+// wasSilent reports whether a node was excluded as silent and has not replied since.
+func (e *exclusions) wasSilent(node string) bool {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	_, silent := e.silentFor[node]
+	return silent
+}
+
+// recordReply resets the exclusion time of a node that has replied.
+func (e *exclusions) recordReply(node string) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	delete(e.silentFor, node)
+}
+
+// allowed returns the nodes that are not excluded.
+func (e *exclusions) allowed(nodes []Node) []Node {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	now := time.Now()
+	maps.DeleteFunc(e.nodeUntil, func(_ string, until time.Time) bool { return !now.Before(until) })
+	return slices.DeleteFunc(slices.Clone(nodes), func(node Node) bool { return !e.nodeUntil[node.Name].IsZero() })
+}
+
+// excludeArea excludes the reader of an area for a time.
+func (e *exclusions) excludeArea(kind areaKind, span time.Duration) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.areaUntil[kind] = time.Now().Add(span)
+}
+
+// isAreaExcluded reports whether the reader of an area is excluded.
+func (e *exclusions) isAreaExcluded(kind areaKind) bool {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	return time.Now().Before(e.areaUntil[kind])
+}
--- /dev/null
+++ b/internal/store/watchcache/freshness.go
@@ -0,0 +1,40 @@
+package watchcache
+
+import (
+	"sync"
+	"time"
+
+	"github.com/pathtally/pathtally/internal/clock"
+)
+
+// freshness remembers when the copies were last known to be current. It is safe for
+// concurrent use.
+type freshness struct {
+	clock     clock.Clock
+	mutex     sync.Mutex
+	currentAt time.Time
+}
+
+// markCurrent records that the copies are current now.
+func (f *freshness) markCurrent() {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.currentAt = f.clock()
+}
+
+// markCurrentBefore records that the copies were current the given time ago, unless they
+// are already known to have been current later.
+func (f *freshness) markCurrentBefore(age time.Duration) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	if at := f.clock().Add(-age); at.After(f.currentAt) {
+		f.currentAt = at
+	}
+}
+
+// age returns how long ago the copies were last known to be current.
+func (f *freshness) age() time.Duration {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.clock.Since(f.currentAt)
+}
--- a/internal/store/watchcache/harness_test.go
+++ b/internal/store/watchcache/harness_test.go
@@ -23,19 +23,19 @@
 
 const (
 	testKind = "replicas"
-	// storePatience is for how long a client waits for the store.
-	storePatience = 1500 * time.Millisecond
+	// storeTimeout is how long a client waits for the store.
+	storeTimeout = 1500 * time.Millisecond
 )
 
-// cutStore is one node's way to the store, which a test can cut.
+// cutStore is one node's connection to the store, which a test can cut.
 type cutStore struct {
 	*metastore.Store
 	cut atomic.Bool
-	// losesWatch has the next answer to a watch lost, and no other.
+	// losesWatch makes the next answer to a watch get lost, and no other.
 	losesWatch atomic.Bool
 	// calls counts those that reach the store at their full price.
 	calls atomic.Int64
-	// asked counts all questions, also those that are not answered.
+	// asked counts all calls, also those that are not answered.
 	asked atomic.Int64
 }
 
@@ -44,7 +44,7 @@
 	if !s.cut.Load() {
 		return nil
 	}
-	objectstore.Sleep(ctx, storePatience)
+	objectstore.Sleep(ctx, storeTimeout)
 	return &objectstore.UnansweredError{Cause: metastore.ErrFault}
 }
 
@@ -63,8 +63,7 @@
 	return s.Store.Get(ctx, kind, name, freshness)
 }
 
-// Watch loses its answer if the way is cut at its end, or if it is to be lost. Its
-// connection then says nothing more.
+// Watch loses its answer if the connection is cut at its end, or if losesWatch is set.
 func (s *cutStore) Watch(ctx context.Context, kind string, from uint64, wait time.Duration) (objectstore.Changes, error) {
 	if err := s.pass(ctx); err != nil {
 		return objectstore.Changes{}, err
@@ -78,7 +77,7 @@
 	return changes, err
 }
 
-// recorder is a sink that keeps what it was told.
+// recorder is a sink that keeps the objects.
 type recorder struct {
 	mutex       sync.Mutex
 	objects     map[string]objectstore.Object
@@ -114,7 +113,7 @@
 	return string(r.objects[name].Spec)
 }
 
-// testNode is a source with its way to the store and its sink.
+// testNode is a source with its connection to the store and its sink.
 type testNode struct {
 	node   Node
 	store  *cutStore
@@ -138,12 +137,12 @@
 	parted  atomic.Bool
 }
 
-// reach tells whether a message from one node arrives at another.
+// reach reports whether a message from one node arrives at another.
 func (c *cluster) reach(from, to Node) bool {
 	return !c.parted.Load() || c.regions[from.Zone] == c.regions[to.Zone]
 }
 
-// link is a node's way to the others.
+// link is a node's connection to the others.
 type link struct {
 	cluster *cluster
 	node    Node
@@ -161,9 +160,9 @@
 				node.polledDead.Add(1)
 			}
 			if node.node.Address == address && !node.dead.Load() && l.cluster.reach(l.node, node.node) {
-				news := node.source.Answer(ctx, message.(*wire.WatchPoll))
+				reply := node.source.Answer(ctx, message.(*wire.WatchPoll))
 				if !node.dead.Load() && ctx.Err() == nil {
-					done(news, nil)
+					done(reply, nil)
 					return
 				}
 			}
--- a/internal/store/watchcache/health.go
+++ b/internal/store/watchcache/health.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"sync"
 	"time"
 
@@ -11,47 +10,41 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-const (
-	// probePeriod is the time between two questions of a reading node to the
-	// store, and probeTime how long one may take. Together they bound for how
-	// long after an outage begins its followers go without news.
-	// troubledPeriod is the time between two questions during one. Questions are
-	// answered from an old state, which costs a tenth of a call.
-	probePeriod    = 500 * time.Millisecond
-	probeTime      = 600 * time.Millisecond
-	troubledPeriod = 150 * time.Millisecond
-)
-
-// storeHealth remembers whether the store answers this node. It is safe for use
-// by many goroutines.
+// storeHealth tracks whether the store answers this node. It is safe for concurrent use.
 type storeHealth struct {
 	logger klog.Logger
-	// notify is called at each change.
-	notify   func()
-	mutex    sync.Mutex
-	troubled bool
-	failedAt time.Time
-	// failedAsked and answeredAsked are when the newest call without an answer and
-	// the newest one with an answer were sent.
-	failedAsked   time.Time
-	answeredAsked time.Time
-	regained      chan struct{}
+	// notify is called after each change of available to unavailable or back.
+	notify func()
+
+	mutex       sync.Mutex
+	unavailable bool
+	// failedAt is when a call last failed, and suspectedAt when the node that was followed
+	// last did not vouch for its copies.
+	failedAt    time.Time
+	suspectedAt time.Time
+	// failedCallSent and answeredCallSent are when the newest failed and the newest
+	// answered call were sent.
+	failedCallSent   time.Time
+	answeredCallSent time.Time
+	// recovery is closed at the end of an outage.
+	recovery chan struct{}
 }
 
 func newStoreHealth(logger klog.Logger, notify func()) *storeHealth {
-	return &storeHealth{logger: logger, notify: notify, regained: make(chan struct{})}
+	return &storeHealth{logger: logger, notify: notify, recovery: make(chan struct{})}
 }
 
-// noteFailed records that a call sent at an instant had no answer. One that is older
-// than a question that was answered says nothing of now: calls sent during an outage
-// fail long after its end.
-func (h *storeHealth) noteFailed(asked time.Time) {
+// recordFailure records that a call sent at the given time was not answered. It doesn't
+// start an outage if a later call was answered: calls sent during an outage fail long
+// after its end.
+func (h *storeHealth) recordFailure(sentAt time.Time) {
 	h.mutex.Lock()
 	h.failedAt = time.Now()
 	changed := false
-	if asked.After(h.answeredAsked) {
-		changed = !h.troubled
-		h.troubled, h.failedAsked = true, latest(h.failedAsked, asked)
+	if sentAt.After(h.answeredCallSent) {
+		changed = !h.unavailable
+		h.unavailable = true
+		h.failedCallSent = latest(h.failedCallSent, sentAt)
 	}
 	h.mutex.Unlock()
 	if changed {
@@ -59,93 +52,92 @@
 	}
 }
 
-// noteAnswered records the answer to a question sent at an instant. After an outage it
-// has everybody who waits for an old answer ask anew.
-func (h *storeHealth) noteAnswered(asked time.Time) {
+// recordAnswer records that a call sent at the given time was answered. An answer to a
+// call sent after the last failed one ends the outage.
+func (h *storeHealth) recordAnswer(sentAt time.Time) {
 	h.mutex.Lock()
-	h.answeredAsked = latest(h.answeredAsked, asked)
-	changed := h.troubled && !asked.Before(h.failedAsked)
-	if changed {
-		h.troubled = false
-		close(h.regained)
-		h.regained = make(chan struct{})
+	h.answeredCallSent = latest(h.answeredCallSent, sentAt)
+	recovered := h.unavailable && !sentAt.Before(h.failedCallSent)
+	if recovered {
+		h.unavailable = false
+		close(h.recovery)
+		h.recovery = make(chan struct{})
 	}
 	h.mutex.Unlock()
-	if changed {
+	if recovered {
 		h.logger.Info("store answers again")
 		h.notify()
 	}
 }
 
-// latest is the later of two instants.
-func latest(a, b time.Time) time.Time {
-	if a.After(b) {
-		return a
-	}
-	return b
-}
-
-// lastFailed is when a call was last without an answer.
-func (h *storeHealth) lastFailed() time.Time {
+// recordSuspect records that the copies may be stale because the node that was followed
+// was silent or unsure.
+func (h *storeHealth) recordSuspect() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.failedAt
+	h.suspectedAt = time.Now()
 }
 
-// isTroubled tells whether the last question had no answer.
-func (h *storeHealth) isTroubled() bool {
+// lastOutage returns when the store last did not answer, here or at the node that was
+// followed; zero for never.
+func (h *storeHealth) lastOutage() time.Time {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.troubled
+	return latest(h.failedAt, h.suspectedAt)
 }
 
-// Regained returns a channel that is closed when the store answers again after
-// it did not.
-func (h *storeHealth) Regained() <-chan struct{} {
+// isUnavailable reports whether the store doesn't answer this node.
+func (h *storeHealth) isUnavailable() bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.regained
+	return h.unavailable
 }
 
-// answers asks the store something small, which may be answered from an old
-// state, and tells whether an answer came.
-func answers(ctx context.Context, store objectstore.Store, kind, name string) bool {
-	ctx, cancel := context.WithTimeout(ctx, probeTime)
-	defer cancel()
-	_, err := store.Get(ctx, kind, name, objectstore.MayBeStale)
-	return err == nil || errors.Is(err, objectstore.ErrNotFound)
+// recovered returns a channel that is closed at the end of the current or next outage.
+func (h *storeHealth) recovered() <-chan struct{} {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	return h.recovery
 }
 
-// probe asks the store until the context ends. Watches alone do not show an
-// outage: they wait for long in any case. During one, questions are asked beside those
-// that have no answer yet, so that its end shows within one period.
-func (h *storeHealth) probe(ctx context.Context, store objectstore.Store, kind, name string) {
+// monitor probes the store until the context ends. Watches alone don't show an outage,
+// since they wait long in any case. During an outage it doesn't wait for open probes, so
+// that the end of the outage is seen within outageProbeInterval.
+func (h *storeHealth) monitor(ctx context.Context, probe storeProbe) {
 	var open sync.WaitGroup
 	defer open.Wait()
 	for {
-		if !h.isTroubled() {
-			if !objectstore.Sleep(ctx, probePeriod) {
+		if !h.isUnavailable() {
+			if !objectstore.Sleep(ctx, probeInterval) {
 				return
 			}
-			h.ask(ctx, store, kind, name)
+			h.check(ctx, probe)
 			continue
 		}
-		if !objectstore.Sleep(ctx, troubledPeriod) {
+		if !objectstore.Sleep(ctx, outageProbeInterval) {
 			return
 		}
-		open.Go(func() { h.ask(ctx, store, kind, name) })
+		open.Go(func() { h.check(ctx, probe) })
 	}
 }
 
-// ask asks the store once.
-func (h *storeHealth) ask(ctx context.Context, store objectstore.Store, kind, name string) {
-	asked := time.Now()
-	answered := answers(ctx, store, kind, name)
+// check probes the store once and records the result.
+func (h *storeHealth) check(ctx context.Context, probe storeProbe) {
+	sentAt := time.Now()
+	answered := probe.answered(ctx)
 	switch {
 	case ctx.Err() != nil:
 	case answered:
-		h.noteAnswered(asked)
+		h.recordAnswer(sentAt)
 	default:
-		h.noteFailed(asked)
+		h.recordFailure(sentAt)
+	}
+}
+
+// latest returns the later of two instants.
+func latest(a, b time.Time) time.Time {
+	if a.After(b) {
+		return a
 	}
+	return b
 }
--- a/internal/store/watchcache/help.go
+++ b/internal/store/watchcache/help.go
@@ -10,36 +10,44 @@
 )
 
 const (
-	// helpedTime is for how long the word of another node counts.
-	helpedTime = time.Second
-	// helpLook is the time between looks at whether help is needed, and
-	// helpPause the one between two polls that brought none.
-	helpLook  = 100 * time.Millisecond
-	helpPause = 300 * time.Millisecond
+	// helpCheckInterval is the time between two checks whether this node needs help, and
+	// helpRetryInterval the pause after a node that could not help.
+	helpCheckInterval = 100 * time.Millisecond
+	helpRetryInterval = 300 * time.Millisecond
 )
 
-// seekHelp polls other nodes while the store does not answer this one although
-// it is to read it. Those of other zones that read in any case come first.
+// seekHelp polls other nodes, in turn, while this node should read the store but the store
+// doesn't answer it.
 func (s *Source) seekHelp(ctx context.Context) {
-	for objectstore.Sleep(ctx, helpLook) {
-		for turn := 0; s.health.isTroubled() && ctx.Err() == nil; turn++ {
+	for objectstore.Sleep(ctx, helpCheckInterval) {
+		for attempt := 0; s.health.isUnavailable() && ctx.Err() == nil; attempt++ {
 			helpers := s.helpers()
 			if len(helpers) == 0 {
 				break
 			}
-			helper := helpers[turn%len(helpers)]
-			for s.health.isTroubled() && s.poll(ctx, pollOf{node: helper, direct: true}) == outcomeCurrent {
-				s.noteHelp(helper)
-			}
-			if !objectstore.Sleep(ctx, helpPause) {
+			s.getHelp(ctx, helpers[attempt%len(helpers)])
+			if !objectstore.Sleep(ctx, helpRetryInterval) {
 				return
 			}
 		}
 	}
 }
 
-// helpers are the first in rank of each zone but this node, and further ones of its own
-// zone where that is large.
+// getHelp polls a node for as long as it is current and the store doesn't answer this one.
+func (s *Source) getHelp(ctx context.Context, helper Node) {
+	target := pollTarget{node: helper, direct: true}
+	for s.health.isUnavailable() && s.poll(ctx, target, ordinaryTiming).outcome == outcomeCurrent {
+		s.freshness.markCurrent()
+		if s.peer.recordHelp() {
+			s.config.Logger.Info("following the store through a peer while it does not answer this node", "reader", helper.Name)
+			s.changed.broadcast()
+		}
+	}
+}
+
+// helpers returns the nodes to ask for help: the first in rank of each zone, and in a
+// large deployment standbyReaders of this node's zone. Those of other zones come first,
+// since they are likely to read the store already.
 func (s *Source) helpers() []Node {
 	byName := map[string]Node{}
 	var candidates []rendezvous.Candidate
@@ -49,61 +57,30 @@
 			candidates = append(candidates, rendezvous.Candidate{ID: node.Name, Zone: node.Zone})
 		}
 	}
-	own := 1
-	if len(candidates) >= mostFollowers {
-		own = deputies
+	limitInOwnZone := 1
+	if len(candidates) >= maxFollowers {
+		limitInOwnZone = standbyReaders
 	}
 	var helpers []Node
 	taken := map[string]int{}
 	for _, candidate := range rendezvous.Rank(rankKey, candidates) {
-		most := 1
+		limit := 1
 		if candidate.Zone == s.config.Self.Zone {
-			most = own
+			limit = limitInOwnZone
 		}
-		if taken[candidate.Zone] < most {
+		if taken[candidate.Zone] < limit {
 			taken[candidate.Zone]++
 			helpers = append(helpers, byName[candidate.ID])
 		}
 	}
-	// Those of this zone would have to begin to read.
-	slices.SortStableFunc(helpers, func(a, b Node) int { return s.nearness(a) - s.nearness(b) })
+	slices.SortStableFunc(helpers, func(a, b Node) int { return s.helpOrder(a) - s.helpOrder(b) })
 	return helpers
 }
 
-func (s *Source) nearness(node Node) int {
+// helpOrder sorts helpers of other zones before those of this node's zone.
+func (s *Source) helpOrder(node Node) int {
 	if node.Zone == s.config.Self.Zone {
 		return 1
 	}
 	return 0
 }
-
-// noteHelp records that a node that the store answers has brought the news.
-func (s *Source) noteHelp(helper Node) {
-	s.noteNews()
-	s.mutex.Lock()
-	first := time.Since(s.helpedAt) > helpedTime
-	s.helpedAt = time.Now()
-	s.mutex.Unlock()
-	if first {
-		s.config.Logger.Info("following the store through a peer while it does not answer this node", "reader", helper.Name)
-		s.notify()
-	}
-}
-
-// notePeer records a node that the store answers: one that called itself
-// current, or the one through which that is so.
-func (s *Source) notePeer(current Node, through string) {
-	if through != "" {
-		current = Node{Address: through}
-	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.peer, s.peerAt = current, time.Now()
-}
-
-// CurrentPeer returns the address of a node that the store has answered of late.
-func (s *Source) CurrentPeer() (address string, known bool) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.peer.Address, s.peer.Address != "" && time.Since(s.peerAt) < helpedTime
-}
--- a/internal/store/watchcache/informer.go
+++ b/internal/store/watchcache/informer.go
@@ -12,229 +12,201 @@
 )
 
 const (
-	// gatherTime is how long an informer waits after a change before it
-	// watches on, so that changes close together cost one call. It is a small
-	// part of the bounds that changes have to be in force within.
-	gatherTime = 250 * time.Millisecond
-	// retryPause is the time before the first further try while the store does
-	// not answer, and longestRetry bounds the times before later ones.
-	retryPause   = 250 * time.Millisecond
-	longestRetry = 2 * time.Second
-	// settleTime is how long after a gap everything is listed once more: a watch
-	// that began right after it may not hear what a store that is still
-	// recovering has forgotten. A store that forgets its history leaves watches
-	// without a word for about a second; tests play up to 1.2 s of that.
-	settleTime = 1500 * time.Millisecond
-	// outageMemory is how long after a failure vanished entries may be due to
-	// the store and not to their owners.
-	outageMemory = 4 * time.Second
+	// watchPause is how long an informer waits after a change before it watches again, so
+	// that changes close together cost one call.
+	watchPause = 250 * time.Millisecond
+	// minRetryBackoff and maxRetryBackoff bound the time between attempts while the store
+	// doesn't answer. It doubles each time.
+	minRetryBackoff = 250 * time.Millisecond
+	maxRetryBackoff = 2 * time.Second
+	// relistDelay is how long after a gap everything is listed once more. A watch that
+	// begins while the store recovers may not report what the store has forgotten.
+	relistDelay = 1500 * time.Millisecond
+	// outageWindow is how long after an outage entries that have vanished may have done so
+	// because of it.
+	outageWindow = 4 * time.Second
 )
 
-// Informer keeps a cache current from the store: it lists, watches, and lists
-// anew when the store has forgotten the history in between.
+// Informer keeps a cache current from the store: it lists, watches, and lists again
+// whenever changes may have been missed.
 type Informer struct {
 	store  objectstore.Store
 	cache  *Cache
+	health *storeHealth
 	logger klog.Logger
-
-	lastFailed time.Time
-	failing    bool
-	// settled fires some time after a gap, nil after that.
-	settled *time.Timer
-	// retry is the time that was waited before the last try.
-	retry time.Duration
-	// resumes has a watch begin where the copy stands, so that a node that takes over
-	// from a reader reads nothing anew.
+	// Recovered returns a channel that is closed when the store answers again after an
+	// outage: a call sent before that may never be answered.
+	Recovered func() <-chan struct{}
+
+	// gapAt is when changes may last have been missed.
+	gapAt   time.Time
+	failing bool
+	// relistTimer fires when the kind is to be listed once more; nil for never.
+	relistTimer *time.Timer
+	// backoff is the time that was waited before the last attempt.
+	backoff time.Duration
+	// resumes makes the first watch start from the copy, so that a node that takes over
+	// from a reader doesn't list everything at once.
 	resumes bool
 	// current is set while the last call to the store was answered.
 	current atomic.Bool
-	// Failed is called after each call without an answer with when it was sent; it
-	// may be nil.
-	Failed func(asked time.Time)
-	// Regained returns a channel that is closed when the store answers again
-	// after it did not. A watch from before may never end: its answer may have
-	// been lost, and then its connection says nothing more. Nil for never.
-	Regained func() <-chan struct{}
-	// Troubled returns when this node last was without the store, as other
-	// calls than the informer's own have shown; nil for never.
-	Troubled func() time.Time
 }
 
-// NewInformer returns an informer that keeps a sink current, and has not
+// NewInformer returns an informer that keeps a sink current with a kind. It has not
 // started.
 func NewInformer(store objectstore.Store, kind string, sink Sink, logger klog.Logger) *Informer {
-	return newInformer(store, newCache(kind, sink, LongWait, func() {}), logger)
+	cache := newCache(kind, sink, LongWait, func() {})
+	return newInformer(store, cache, newStoreHealth(logger, func() {}), logger)
 }
 
-func newInformer(store objectstore.Store, cache *Cache, logger klog.Logger) *Informer {
-	return &Informer{store: store, cache: cache, logger: logger}
+func newInformer(store objectstore.Store, cache *Cache, health *storeHealth, logger klog.Logger) *Informer {
+	return &Informer{store: store, cache: cache, health: health, logger: logger, Recovered: health.recovered}
 }
 
-// Run works until the context ends.
+// Run keeps the cache current until the context ends.
 func (i *Informer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		asked := time.Now()
+		sentAt := time.Now()
 		if i.resumes && i.resume(ctx) {
-			i.follow(ctx)
+			i.watchUntilGap(ctx)
 			continue
 		}
 		err := i.relist(ctx)
-		if errors.Is(err, errRegained) {
+		if errors.Is(err, errRecovered) {
 			i.logger.Info("listing anew", "kind", i.cache.kind, "reason", err.Error())
-			i.noteGap()
+			i.recordGap()
 			continue
 		}
 		if err != nil {
-			i.fail(ctx, "list", asked, err)
+			i.fail(ctx, "list", sentAt, err)
 			continue
 		}
-		i.follow(ctx)
+		i.watchUntilGap(ctx)
 	}
 }
 
-// resume asks for what has come since the copy, and tells whether the store still knows.
-// Everything is listed once more soon: a store that is losing its history at this moment
-// may not say so.
+// resume gets the changes since the copy, and reports whether the store still had them.
+// The kind is listed again soon: a store that is losing its history may not say so.
 func (i *Informer) resume(ctx context.Context) bool {
 	i.resumes = false
 	from := i.cache.Revision()
-	changes, err := untilRegained(ctx, i.regained(), nil, func() (objectstore.Changes, error) { return i.store.Watch(ctx, i.cache.kind, from, 0) })
+	changes, err := untilRecovered(ctx, i.Recovered(), nil, func() (objectstore.Changes, error) {
+		return i.store.Watch(ctx, i.cache.kind, from, 0)
+	})
 	if err != nil {
 		i.logger.Info("copy not resumed", "kind", i.cache.kind, "from", from, "reason", err.Error())
 		return false
 	}
-	if !i.cache.Advance(from, changes.Events, changes.At, i.afterOutage()) {
+	if !i.cache.Advance(from, changes.Events, changes.At, i.isAfterOutage()) {
 		return false
 	}
 	i.logger.Info("copy resumed", "kind", i.cache.kind, "from", from, "changes", len(changes.Events))
-	i.settled = time.NewTimer(settleTime)
+	i.relistTimer = time.NewTimer(relistDelay)
 	i.succeed()
 	return true
 }
 
-// relist reads everything and hands it to the sink.
+// relist lists everything and replaces the copy.
 func (i *Informer) relist(ctx context.Context) error {
-	listed, err := untilRegained(ctx, i.regained(), nil, func() (objectstore.Page, error) { return i.list(ctx) })
+	listed, err := untilRecovered(ctx, i.Recovered(), nil, func() (objectstore.Page, error) {
+		return objectstore.ListAll(ctx, i.store, i.cache.kind, objectstore.Linearizable)
+	})
 	if err != nil {
 		return err
 	}
-	if !i.cache.Replace(listed.Objects, listed.At, i.afterOutage()) {
-		// An older state than the one known is never shown.
+	if !i.cache.Replace(listed.Objects, listed.At, i.isAfterOutage()) {
 		return &objectstore.UnansweredError{Cause: objectstore.ErrHistoryGone}
 	}
 	i.succeed()
 	return nil
 }
 
-// list reads all pages as one.
-func (i *Informer) list(ctx context.Context) (objectstore.Page, error) {
-	var listed objectstore.Page
-	after := ""
-	for {
-		page, err := i.store.List(ctx, i.cache.kind, after, objectstore.Linearizable)
-		if err != nil {
-			return objectstore.Page{}, err
-		}
-		listed.Objects = append(listed.Objects, page.Objects...)
-		if listed.At == 0 {
-			// Changes between the pages come again in the watch.
-			listed.At = page.At
-		}
-		if !page.More || len(page.Objects) == 0 {
-			return listed, nil
-		}
-		after = page.Objects[len(page.Objects)-1].Name
-	}
-}
-
-// follow watches until there may be a gap in what it hears or the context ends.
-// A watch that ended without an answer is not begun again from where it stood:
-// the store may have forgotten what came since, and a new watch may wait for the
-// next change without saying so.
-func (i *Informer) follow(ctx context.Context) {
+// watchUntilGap watches until changes may have been missed or the context ends. A watch
+// that failed is not resumed where it stood: the store may have forgotten changes since,
+// and a new watch may not report that before the next change.
+func (i *Informer) watchUntilGap(ctx context.Context) {
 	for ctx.Err() == nil {
 		from := i.cache.Revision()
-		asked := time.Now()
+		sentAt := time.Now()
 		changes, err := i.watch(ctx, from)
-		if errors.Is(err, errRegained) || errors.Is(err, errSettling) {
-			i.logger.Info("listing anew", "kind", i.cache.kind, "from", from, "reason", err.Error())
-			if errors.Is(err, errRegained) {
-				i.noteGap()
-			}
-			return
-		}
-		if errors.Is(err, objectstore.ErrHistoryGone) {
-			i.logger.Info("watch history gone, listing anew", "kind", i.cache.kind, "from", from)
-			return
-		}
 		if err != nil {
-			i.fail(ctx, "watch", asked, err)
+			i.endWatch(ctx, from, sentAt, err)
 			return
 		}
-		if ctx.Err() != nil || !i.cache.Advance(from, changes.Events, changes.At, i.afterOutage()) {
+		if ctx.Err() != nil || !i.cache.Advance(from, changes.Events, changes.At, i.isAfterOutage()) {
 			continue
 		}
 		i.succeed()
 		if len(changes.Events) > 0 {
-			objectstore.Pause(ctx, gatherTime)
+			objectstore.Pause(ctx, watchPause)
 		}
 	}
 }
 
-// noteGap records that changes may have been missed, and that what the store
-// says in the next moments may lack some.
-func (i *Informer) noteGap() {
-	i.lastFailed = time.Now()
-	i.settled = time.NewTimer(settleTime)
+// endWatch handles the error that ended a watch.
+func (i *Informer) endWatch(ctx context.Context, from uint64, sentAt time.Time, err error) {
+	switch {
+	case errors.Is(err, errRecovered):
+		i.logger.Info("listing anew", "kind", i.cache.kind, "from", from, "reason", err.Error())
+		i.recordGap()
+	case errors.Is(err, errRelistDue):
+		i.logger.Info("listing anew", "kind", i.cache.kind, "from", from, "reason", err.Error())
+	case errors.Is(err, objectstore.ErrHistoryGone):
+		i.logger.Info("watch history gone, listing anew", "kind", i.cache.kind, "from", from)
+	default:
+		i.fail(ctx, "watch", sentAt, err)
+	}
+}
+
+// recordGap records that changes may have been missed, and that replies of the store may
+// lack some for a while.
+func (i *Informer) recordGap() {
+	i.gapAt = time.Now()
+	i.relistTimer = time.NewTimer(relistDelay)
 }
 
-// afterOutage tells whether there was an outage of late. A watch that began
-// before one may well be answered after it.
-func (i *Informer) afterOutage() bool {
-	troubled := i.lastFailed
-	if i.Troubled != nil && i.Troubled().After(troubled) {
-		troubled = i.Troubled()
-	}
-	return time.Since(troubled) < outageMemory
+// isAfterOutage reports whether there was an outage within outageWindow. A watch that
+// began before the outage may be answered after it.
+func (i *Informer) isAfterOutage() bool {
+	return time.Since(latest(i.gapAt, i.health.lastOutage())) < outageWindow
 }
 
+// succeed records that the store has answered.
 func (i *Informer) succeed() {
 	if !i.current.Swap(true) {
 		i.cache.notify()
 	}
-	i.retry = 0
+	i.backoff = 0
 	if i.failing {
 		i.failing = false
 		i.logger.Info("store reachable again", "kind", i.cache.kind)
 	}
 }
 
-func (i *Informer) fail(ctx context.Context, call string, asked time.Time, err error) {
+// fail records that a call was not answered, and waits before the next attempt.
+func (i *Informer) fail(ctx context.Context, call string, sentAt time.Time, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	i.noteGap()
+	i.recordGap()
 	i.current.Store(false)
 	if !i.failing {
 		i.failing = true
 		i.logger.Error(err, "store unreachable", "kind", i.cache.kind, "call", call)
 	}
-	if i.Failed != nil {
-		i.Failed(asked)
-	}
+	i.health.recordFailure(sentAt)
 	i.awaitRetry(ctx)
 }
 
-// awaitRetry waits until the store is worth another try: ever longer, but not
-// beyond the end of an outage.
+// awaitRetry waits for the backoff, but not beyond the end of an outage.
 func (i *Informer) awaitRetry(ctx context.Context) {
-	i.retry = min(max(retryPause, 2*i.retry), longestRetry)
-	regained := i.regained()
-	timer := time.NewTimer(i.retry)
+	i.backoff = min(max(minRetryBackoff, 2*i.backoff), maxRetryBackoff)
+	recovered := i.Recovered()
+	timer := time.NewTimer(i.backoff)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-regained:
+	case <-recovered:
 	case <-timer.C:
 	}
 }
--- a/internal/store/watchcache/informer_test.go
+++ b/internal/store/watchcache/informer_test.go
@@ -13,14 +13,13 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// forgetfulStore forgets its history as the users' platform does: for a while
-// watches hear nothing, then they are cut, and a watch that begins too soon
-// after that hears of the gap only at the next change.
+// forgetfulStore forgets its history in steps: for a while watches report nothing, then
+// they are cut, and a watch that begins too soon after that reports the gap only at the
+// next change.
 type forgetfulStore struct {
 	*metastore.Store
 	mutex sync.Mutex
-	// cut ends the watches that wait, and deafUntil is until when a new watch
-	// hears nothing.
+	// cut ends the watches that wait. New watches report nothing before deafUntil.
 	cut       chan struct{}
 	deafUntil time.Time
 }
@@ -52,9 +51,10 @@
 	}
 }
 
-// mix 26668628570 at Cauce: a configuration was written while the store forgot
-// its history, the informer watched on from where it had been right after its
-// watch was cut, and the node answered 404 on the new route for five seconds.
+// Symptom: a node answers 404 on a new route for five seconds.
+//
+// Cause: a configuration was written while the store forgot its history, and the informer
+// resumed its watch right after it was cut.
 func TestWatchThatWasCutIsNotBegunAgainFromWhereItStood(t *testing.T) {
 	for _, deaf := range []time.Duration{0, 400 * time.Millisecond, 1200 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
@@ -62,12 +62,11 @@
 			store := &forgetfulStore{Store: metastore.New(), cut: make(chan struct{})}
 			store.Write(testKind, "first", 1)
 			sink := &recorder{}
-			informer := NewInformer(store, testKind, sink, klog.Background())
 			health := newStoreHealth(klog.Background(), func() {})
-			informer.Failed, informer.Regained = health.noteFailed, health.Regained
+			informer := newInformer(store, newCache(testKind, sink, LongWait, func() {}), health, klog.Background())
 			go informer.Run(ctx)
 			settle(time.Second)
-			// While nothing is heard, a change is made; then the history goes and
+			// While watches report nothing, a change is made; then the history goes and
 			// the watches are cut. The probe is answered at once.
 			store.mutex.Lock()
 			cut := store.cut
@@ -75,11 +74,11 @@
 			store.mutex.Unlock()
 			close(cut)
 			synctest.Wait()
-			health.noteAnswered(time.Now())
+			health.recordAnswer(time.Now())
 			settle(deaf / 2)
 			store.Write(testKind, "first", 2)
 			store.Forget()
-			settle(settleTime + 500*time.Millisecond)
+			settle(relistDelay + 500*time.Millisecond)
 			if got := sink.spec("first"); got != "2" {
 				t.Errorf("deaf for %s: the sink has %q two seconds after the change", deaf, got)
 			}
--- a/internal/store/watchcache/metrics.go
+++ b/internal/store/watchcache/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the figures of one source.
+// metrics are the metrics of a source.
 type metrics struct {
 	reading  prometheus.Gauge
 	answered prometheus.Counter
--- /dev/null
+++ b/internal/store/watchcache/node.go
@@ -0,0 +1,10 @@
+package watchcache
+
+// Node is a node of the deployment that can be followed.
+type Node struct {
+	Name    string
+	Address string
+	Zone    string
+	// Capacity is the node's processor time in thousandths of a core, 0 for unknown.
+	Capacity uint32
+}
--- /dev/null
+++ b/internal/store/watchcache/poll.go
@@ -0,0 +1,107 @@
+package watchcache
+
+import (
+	"context"
+	"time"
+
+	"github.com/pathtally/pathtally/internal/environment"
+	"github.com/pathtally/pathtally/internal/wire"
+)
+
+// pollOutcome is the outcome of a poll, as metrics and logs name it.
+type pollOutcome string
+
+const (
+	// outcomeCurrent: the node vouches for its copies.
+	outcomeCurrent pollOutcome = "current"
+	// outcomeUnsure: the store doesn't answer the node, or its reply was not readable.
+	outcomeUnsure pollOutcome = "unsure"
+	// outcomeLeaving: the node is stopping.
+	outcomeLeaving pollOutcome = "leaving"
+	// outcomeSilent: no reply in time.
+	outcomeSilent pollOutcome = "silent"
+	// outcomeStarting: the node has begun to list.
+	outcomeStarting pollOutcome = "starting"
+	// outcomeUnlisted: the node doesn't know all kinds, as one of an earlier version.
+	outcomeUnlisted pollOutcome = "unlisted"
+)
+
+// pollTarget is a node to poll and how.
+type pollTarget struct {
+	node Node
+	// direct asks for a node that the store itself answers.
+	direct bool
+	// relayed tells the node that it is followed as one that follows another node.
+	relayed bool
+}
+
+// pollResult is the outcome of a poll. ApplyTime is how long its changes took to apply, 0
+// if there were none.
+type pollResult struct {
+	outcome   pollOutcome
+	applyTime time.Duration
+}
+
+// poll polls a node once and applies the changes of its reply.
+func (s *Source) poll(ctx context.Context, target pollTarget, timing pollTiming) pollResult {
+	request := s.newPoll(target, timing.hold)
+	message, err := environment.Ask(ctx, s.config.Peers, target.node.Address, request, timing.timeout)
+	reply, isReply := message.(*wire.WatchNews)
+	if err != nil || !isReply {
+		return pollResult{outcome: outcomeSilent}
+	}
+	s.exclusions.recordReply(target.node.Name)
+	began := time.Now()
+	err = s.apply(request, reply)
+	result := pollResult{}
+	if len(reply.Kinds) > 0 {
+		result.applyTime = max(time.Since(began), 1)
+	}
+	if err != nil {
+		s.config.Logger.Error(err, "reply of the reader is not readable", "reader", target.node.Name)
+		result.outcome = outcomeUnsure
+		return result
+	}
+	result.outcome = s.acceptReply(target.node, reply)
+	return result
+}
+
+// newPoll returns the message that polls a node, with the revisions of all copies.
+func (s *Source) newPoll(target pollTarget, hold time.Duration) *wire.WatchPoll {
+	poll := &wire.WatchPoll{WaitMs: uint32(hold.Milliseconds()), Direct: target.direct, Relay: target.relayed, Compressed: true}
+	for _, cache := range s.caches {
+		poll.Kinds = append(poll.Kinds, wire.KindRevision{Kind: cache.kind, Revision: cache.Revision()})
+	}
+	return poll
+}
+
+// acceptReply returns the outcome of a poll whose changes were applied. If the node is
+// current, it records the node that the store answers and the age of the copies.
+func (s *Source) acceptReply(node Node, reply *wire.WatchNews) pollOutcome {
+	outcome := outcomeOf(wire.Standing(reply.Standing))
+	if outcome != outcomeCurrent {
+		return outcome
+	}
+	if !s.listed() {
+		return outcomeUnlisted
+	}
+	answering := node.Address
+	if reply.Through != "" {
+		answering = reply.Through
+	}
+	s.peer.record(answering)
+	s.freshness.markCurrentBefore(time.Duration(reply.AgeMs) * time.Millisecond)
+	return outcomeCurrent
+}
+
+func outcomeOf(standing wire.Standing) pollOutcome {
+	switch standing {
+	case wire.StandingCurrent:
+		return outcomeCurrent
+	case wire.StandingLeaving:
+		return outcomeLeaving
+	case wire.StandingStarting:
+		return outcomeStarting
+	}
+	return outcomeUnsure
+}
--- /dev/null
+++ b/internal/store/watchcache/poll_history.go
@@ -0,0 +1,41 @@
+package watchcache
+
+import "time"
+
+// pollHistory is what the polls of a following node have shown. It is not safe for
+// concurrent use.
+type pollHistory struct {
+	// lastSilent reports that the last poll of a parent had no reply.
+	lastSilent bool
+	// unsureReplies counts the replies in a row by which the current parent was unsure
+	// although the store answers this node.
+	unsureReplies int
+	// suspectSince is when the first of them came, from any parent; zero for none.
+	suspectSince time.Time
+	// relayLeftAt is when this node last left a relaying parent without current copies, and
+	// probedAt when it last probed the store because of one.
+	relayLeftAt time.Time
+	probedAt    time.Time
+}
+
+// isSuspect reports whether a parent was unsure although the store answers this node, and
+// none has been current since.
+func (h *pollHistory) isSuspect() bool { return !h.suspectSince.IsZero() }
+
+// recordUnsure records the unsure reply of a parent that reads the store itself.
+func (h *pollHistory) recordUnsure(storeAnswers bool) {
+	if !storeAnswers {
+		h.clearSuspect()
+		return
+	}
+	if !h.isSuspect() {
+		h.suspectSince = time.Now()
+	}
+	h.unsureReplies++
+}
+
+// clearSuspect forgets unsure replies.
+func (h *pollHistory) clearSuspect() {
+	h.unsureReplies = 0
+	h.suspectSince = time.Time{}
+}
--- /dev/null
+++ b/internal/store/watchcache/read_mode.go
@@ -0,0 +1,78 @@
+package watchcache
+
+import (
+	"context"
+	"sync"
+	"time"
+)
+
+// readMode holds whether this node reads the store, and until when it has to. It is safe
+// for concurrent use.
+type readMode struct {
+	mutex sync.Mutex
+	// informers run while this node reads; empty while it follows.
+	informers []*Informer
+	// requiredUntil is until when this node reads the store whatever its rank.
+	requiredUntil time.Time
+	// stopFollowing ends the current following, so that the switch to reading doesn't wait
+	// for the parent's reply; nil before the first.
+	stopFollowing context.CancelFunc
+}
+
+// require makes this node read the store for at least a time from now on.
+func (m *readMode) require(span time.Duration) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.requiredUntil = latest(m.requiredUntil, time.Now().Add(span))
+	if m.stopFollowing != nil {
+		m.stopFollowing()
+	}
+}
+
+// isRequired reports whether this node has to read the store now.
+func (m *readMode) isRequired() bool {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return time.Now().Before(m.requiredUntil)
+}
+
+// followUntil sets the function that ends the current following.
+func (m *readMode) followUntil(stop context.CancelFunc) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.stopFollowing = stop
+}
+
+// start records the informers that begin to read.
+func (m *readMode) start(informers []*Informer) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.informers = informers
+}
+
+// stop records that this node has stopped reading.
+func (m *readMode) stop() {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.informers = nil
+}
+
+// isActive reports whether this node reads the store, which may not answer it.
+func (m *readMode) isActive() bool {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return len(m.informers) > 0
+}
+
+// isCurrent reports whether this node reads the store and every informer's last call was
+// answered.
+func (m *readMode) isCurrent() bool {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	for _, informer := range m.informers {
+		if !informer.current.Load() {
+			return false
+		}
+	}
+	return len(m.informers) > 0
+}
--- a/internal/store/watchcache/source_test.go
+++ b/internal/store/watchcache/source_test.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// soon is the time for news on their ordinary way.
+	// soon is the time within which changes arrive in ordinary operation.
 	soon = 500 * time.Millisecond
-	// bound is within what a configuration must be in force on every node that
-	// is sound, whatever becomes of others.
+	// bound is the time within which a configuration must be in force on every healthy
+	// node, whatever happens to others.
 	bound = 1900 * time.Millisecond
 )
 
@@ -43,7 +43,7 @@
 	})
 }
 
-// troubles are what may happen to the node that is followed.
+// troubles are the faults of the node that is followed.
 var troubles = []struct {
 	name  string
 	begin func(reader *testNode)
@@ -78,9 +78,10 @@
 		inCluster(t, 7, func(c *cluster) {
 			first := c.readers()[0]
 			others := c.followers()
-			others[0].source.passOver(first.node.Name, time.Hour)
-			second, found := others[0].source.reader()
-			if !found {
+			others[0].source.exclusions.exclude(first.node.Name, time.Hour)
+			position := others[0].source.position()
+			second := position.parent
+			if !position.follows {
 				// It is the second itself.
 				second = others[0].node
 			}
@@ -113,8 +114,8 @@
 	})
 }
 
-// While the store is away for all, nobody floods it, and after it everybody
-// has the news and knows that entries may have vanished because of it.
+// While the store is unavailable to all, nobody floods it. Afterwards all nodes have the
+// changes and know that entries may have vanished because of the outage.
 func TestOutageForAll(t *testing.T) {
 	inCluster(t, 10, func(c *cluster) {
 		reader := c.readers()[0]
@@ -177,35 +178,34 @@
 	}
 }
 
-func TestNewsSinceARevision(t *testing.T) {
+func TestUpdateSinceARevision(t *testing.T) {
 	cache := newCache(testKind, &recorder{}, LongWait, func() {})
-	if _, found := cache.Since(0, false); found {
-		t.Error("news of a kind that was never listed")
+	if _, found := cache.UpdateSince(0, false); found {
+		t.Error("an update of a kind that was never listed")
 	}
 	cache.Replace([]objectstore.Object{object("a", 5)}, 10, false)
-	for at := uint64(11); at <= 11+historyLength+20; at++ {
+	for at := uint64(11); at <= 11+minHistory+20; at++ {
 		cache.Advance(at-1, []objectstore.Change{{Object: object("b", at)}}, at, false)
 	}
-	last := uint64(11 + historyLength + 20)
+	last := uint64(11 + minHistory + 20)
 	for _, test := range []struct {
 		since   uint64
 		found   bool
 		whole   bool
 		changes int
 	}{
-		{0, true, true, 2}, {3, true, true, 2}, {12, true, true, 2}, {last - historyLength, true, false, historyLength},
+		{0, true, true, 2}, {3, true, true, 2}, {12, true, true, 2}, {last - minHistory, true, false, minHistory},
 		{last - 3, true, false, 3}, {last, false, false, 0}, {last + 9, false, false, 0},
 	} {
-		news, found := cache.Since(test.since, false)
-		if found != test.found || news.Whole != test.whole || len(news.Changes) != test.changes {
-			t.Errorf("since %d: found %v, whole %v, %d changes", test.since, found, news.Whole, len(news.Changes))
+		update, found := cache.UpdateSince(test.since, false)
+		if found != test.found || update.Whole != test.whole || len(update.Changes) != test.changes {
+			t.Errorf("since %d: found %v, whole %v, %d changes", test.since, found, update.Whole, len(update.Changes))
 		}
 	}
 }
 
-// The store turns the reader alone away: it learns from another node what it
-// lacks, its followers stay with it, and two that the store turns away never
-// take each other for current.
+// The store refuses the reader alone: it gets the changes from another node, its followers
+// stay with it, and two nodes that the store refuses never take each other for current.
 func TestNodeWithoutTheStoreIsHelpedByAPeer(t *testing.T) {
 	inCluster(t, 6, func(c *cluster) {
 		reader := c.readers()[0]
@@ -235,10 +235,9 @@
 	})
 }
 
-// The store turns a reader and one of its followers away. The follower hears
-// news from the reader, which is helped itself, but its calls must go to a node
-// that the store answers: on scale-2, seed 3003, all results of step 0 were lost
-// so.
+// The store refuses a reader and one of its followers. The follower gets changes from the
+// reader, which is helped itself, but its calls must go to a node that the store answers:
+// otherwise all results that it writes are lost.
 func TestFollowerOfAHelpedReaderCallsThroughItsHelper(t *testing.T) {
 	inCluster(t, 6, func(c *cluster) {
 		reader, follower := c.readers()[0], c.followers()[0]
@@ -257,9 +256,8 @@
 	})
 }
 
-// Calls sent during an outage fail up to 1.5 s after its end. They do not make the
-// reader unsure once more, which would have all its followers read the store: at its
-// return that is when it can bear least.
+// Calls sent during an outage fail up to 1.5 s after its end. They must not make the
+// reader unsure again: all its followers would read the store while it recovers.
 func TestAfterAnOutageItsReaderAloneReadsOn(t *testing.T) {
 	for phase := range 8 {
 		inCluster(t, 10, func(c *cluster) {
@@ -288,8 +286,8 @@
 	}
 }
 
-// While the store is away, its readers ask for little: they wait for the probe
-// to be answered.
+// While the store is unavailable, its readers make few calls: they wait until a probe is
+// answered.
 func TestOutageCostsFewCalls(t *testing.T) {
 	inCluster(t, 10, func(c *cluster) {
 		c.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Refused })
@@ -304,18 +302,17 @@
 	})
 }
 
-// Symptom: a configuration, or word that a replica leaves, reaches no node of a zone
-// for up to 26 seconds, although the store has been well for long.
+// Symptom: a configuration, or the notice that a replica leaves, reaches no node of a zone
+// for up to 26 seconds, although the store has long recovered.
 //
-// Sequence: while answers of the store are lost now and then, that of the reader's
-// watch of one kind is, and none of its other calls after it; the store loses no more
-// answers; seconds later an object of that kind changes.
+// Sequence: the store loses single answers, among them that of the reader's watch of one
+// kind, but none of its later calls. Seconds after the last loss an object of that kind
+// changes.
 //
-// Cause: a watch whose answer was lost waits for as long as one to which nothing
-// happens. Only a lost answer to the probe has it begun anew, and the reader calls
-// itself current meanwhile, so that its followers do not ask elsewhere. What is left
-// is the end of the watch, much later than the bounds that changes have to be in
-// force within.
+// Cause: a watch whose answer was lost waits as long as one without changes. Only a lost
+// answer to a probe restarts it, and meanwhile the reader reports current copies, so its
+// followers don't turn to another node. Only the end of the watch is left, long after the
+// change has to be in force.
 func TestAWatchWhoseAnswerAloneIsLostHoldsNoNewsUp(t *testing.T) {
 	inCluster(t, 4, func(c *cluster) {
 		reader := c.readers()[0]
@@ -339,7 +336,7 @@
 		ctx, cancel := context.WithCancel(c.t.Context())
 		starting.stop = cancel
 		go starting.source.Run(ctx)
-		settle(newsBound + bound)
+		settle(staleAge + bound)
 		if sink.spec("first") == "" {
 			t.Error("a kind that the reader does not know has not been listed")
 		}
@@ -349,8 +346,8 @@
 // The copies of a node whose machine was suspended are as old as the suspension.
 func TestCopiesAgeWhileTheMachineIsSuspended(t *testing.T) {
 	suspended := time.Duration(0)
-	source := &Source{config: Config{Clock: func() time.Time { return time.Unix(0, 0).Add(suspended) }}}
-	source.noteNews()
+	source := &Source{freshness: freshness{clock: func() time.Time { return time.Unix(0, 0).Add(suspended) }}}
+	source.freshness.markCurrent()
 	suspended = 5 * time.Second
 	if age := source.Age(); age != suspended {
 		t.Errorf("copies are %v old after %v", age, suspended)
--- a/internal/store/watchcache/tree.go
+++ b/internal/store/watchcache/tree.go
@@ -7,49 +7,51 @@
 )
 
 const (
-	// fanOut is how many nodes follow one directly where an area has more nodes than
-	// one can answer. A listing of ten thousand replicas, half a megabyte, reaches so
-	// many in less than a second over 200 Mbit/s, and three levels reach a thousand.
+	// rankKey is the rendezvous key by which the nodes of an area are ranked.
+	rankKey = "store-reader"
+	// fanOut is the most nodes that follow one node directly in a tree. It bounds the time
+	// in which a full listing gets over one node's link.
 	fanOut = 32
-	// deputies is how many nodes after the first in rank may read the store in such an
-	// area: with a third of the machines turned away by the store, one in seven
-	// thousand areas has none left among them.
-	deputies = 8
+	// standbyReaders is how many nodes after the first in rank may read the store in a
+	// tree, so that one of them is left when the store turns many nodes away.
+	standbyReaders = 8
 )
 
-// position is a node's place among those of its area that follow one another.
-type position struct {
-	// parent is the node to follow, if follows is set; else this node reads the store.
+// treePosition is a node's position among the nodes of its area. The zero value is that of
+// a node that reads the store and whose area has no tree.
+type treePosition struct {
+	// parent is the node to follow if follows is set; otherwise this node reads the store.
 	parent  Node
 	follows bool
-	// relayed tells that the parent follows another node itself.
+	// relayed reports that the parent itself follows another node.
 	relayed bool
-	// inTree tells that the area is too large for one node to answer all others.
+	// inTree reports that the area is too large for one node to answer all others.
 	inTree bool
-	// mayRead tells that this node may read the store where it finds nobody to follow
-	// in time. Of a large area only some may: all of them reading is what a store can
-	// bear least.
+	// mayRead reports that this node may read the store if it finds no parent in time. In
+	// a tree only the first nodes in rank may, to spare the store.
 	mayRead bool
 }
 
-// positionOf is this node's position among the other nodes of its area.
-func positionOf(self Node, others []Node) position {
-	if len(others) < mostFollowers {
+// positionOf returns a node's position among the other nodes of its area.
+func positionOf(self Node, others []Node) treePosition {
+	if len(others) < maxFollowers {
 		return flatPosition(self, others)
 	}
 	ranked := rankByCapacity(self, others)
-	place := slices.IndexFunc(ranked, func(node Node) bool { return node.Name == self.Name })
-	standing := position{inTree: true, mayRead: place <= deputies}
-	if place == 0 {
-		return standing
+	rank := slices.IndexFunc(ranked, func(node Node) bool { return node.Name == self.Name })
+	position := treePosition{inTree: true, mayRead: rank <= standbyReaders}
+	if rank == 0 {
+		return position
 	}
-	above := parentPlace(place)
-	standing.parent, standing.follows, standing.relayed = ranked[above], true, above > 0
-	return standing
+	parent := parentRank(rank)
+	position.parent = ranked[parent]
+	position.follows = true
+	position.relayed = parent > 0
+	return position
 }
 
-// flatPosition has all nodes of an area follow the first in rank.
-func flatPosition(self Node, others []Node) position {
+// flatPosition makes all nodes of an area follow the first in rank.
+func flatPosition(self Node, others []Node) treePosition {
 	byName := make(map[string]Node, len(others))
 	names := []string{self.Name}
 	for _, node := range others {
@@ -57,11 +59,11 @@
 		names = append(names, node.Name)
 	}
 	first, follows := byName[rendezvous.RankNames(rankKey, names)[0]]
-	return position{parent: first, follows: follows, mayRead: true}
+	return treePosition{parent: first, follows: follows, mayRead: true}
 }
 
-// rankByCapacity orders the nodes of an area, those with the most processor time first:
-// they have the widest links too, and answer others beside their own callers.
+// rankByCapacity ranks the nodes of an area, those with the most processor time first:
+// they also have the widest links.
 func rankByCapacity(self Node, others []Node) []Node {
 	byName := map[string]Node{self.Name: self}
 	candidates := []rendezvous.Candidate{{ID: self.Name, Capacity: self.Capacity}}
@@ -76,13 +78,13 @@
 	return ranked
 }
 
-// parentPlace is the place of the node that the one at a place follows. The first is
-// alone on its level and each level is fanOut times as long as the one before; the nodes
-// of a level share those of the one above evenly, however few they are.
-func parentPlace(place int) int {
+// parentRank returns the rank of the node that the one of a given rank follows. The first
+// level of the tree is a single node, and each level is fanOut times as long as the one
+// above, whose nodes share its followers evenly.
+func parentRank(rank int) int {
 	above, start, length := 0, 1, fanOut
-	for place >= start+length {
+	for rank >= start+length {
 		above, start, length = start, start+length, length*fanOut
 	}
-	return above + (place-start)%(start-above)
+	return above + (rank-start)%(start-above)
 }
--- a/internal/store/watchcache/tree_test.go
+++ b/internal/store/watchcache/tree_test.go
@@ -7,13 +7,13 @@
 )
 
 // large is more nodes than one can answer.
-const large = mostFollowers + 40
+const large = maxFollowers + 40
 
 func TestParentsAreSharedEvenly(t *testing.T) {
 	for _, count := range []int{2, fanOut + 1, fanOut + 2, 170, 985, 2000} {
 		children := map[int]int{}
 		for place := 1; place < count; place++ {
-			above := parentPlace(place)
+			above := parentRank(place)
 			if above < 0 || above >= place {
 				t.Fatalf("%d follows %d", place, above)
 			}
@@ -75,7 +75,7 @@
 			t.Errorf("%d calls for 10 changes", calls)
 		}
 		for _, node := range c.nodes {
-			if age := node.source.Age(); age > newsBound {
+			if age := node.source.Age(); age > staleAge {
 				t.Errorf("the copies of %s are %s old", node.node.Name, age)
 			}
 		}
@@ -98,7 +98,7 @@
 // itself, as did all others.
 func TestAStartCostsTheStoreTheSameForAnyNumberOfNodes(t *testing.T) {
 	few, many := startCalls(t, 50), startCalls(t, 400)
-	if many > few+deputies {
+	if many > few+standbyReaders {
 		t.Errorf("%d calls to start 400 nodes, %d to start 50", many, few)
 	}
 }
@@ -118,7 +118,7 @@
 					c.store.Write(testKind, "first", 2)
 					c.await(followers, "first", "2", bound)
 					settle(4 * time.Second)
-					if calls := c.calls() - before; calls > 12*(deputies+1) {
+					if calls := c.calls() - before; calls > 12*(standbyReaders+1) {
 						t.Errorf("phase %d: %d calls", phase, calls)
 					}
 				})
@@ -144,7 +144,7 @@
 				rest = append(rest, node)
 			}
 			c.store.Write(testKind, "first", 2)
-			c.await(rest, "first", "2", bound+newsBound)
+			c.await(rest, "first", "2", bound+staleAge)
 		})
 	}
 }
@@ -188,11 +188,11 @@
 				}
 			}
 			c.store.Write(testKind, "first", 2)
-			c.await(c.nodes, "first", "2", bound+newsBound)
+			c.await(c.nodes, "first", "2", bound+staleAge)
 			settle(3 * time.Second)
 			c.store.Write(testKind, "first", 3)
 			c.await(c.nodes, "first", "3", bound)
-			if readers := c.readers(); len(readers) > deputies+1 {
+			if readers := c.readers(); len(readers) > standbyReaders+1 {
 				t.Errorf("phase %d: %d nodes read the store", phase, len(readers))
 			}
 		})
--- a/internal/store/watchcache/watch.go
+++ b/internal/store/watchcache/watch.go
@@ -10,47 +10,44 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// For how long the store holds a watch without events.
+// How long the store may hold a watch without events. If the answer to a watch is lost,
+// only the end of its hold shows that.
 const (
-	// LongWait is for kinds whose changes have no bound: an answer costs a call. It is
-	// shorter than the time for which stores keep their history, or every watch without
-	// changes ends with a listing.
+	// LongWait is for kinds whose changes may take effect late. It is shorter than the time
+	// for which stores keep their history, so that a watch without changes doesn't end in a
+	// new listing.
 	LongWait = 15 * time.Second
-	// PromptWait is for kinds whose changes have to be in force within two seconds. A
-	// watch whose answer was lost says nothing more, and nothing but its end shows that.
-	// A platform that loses answers gives three seconds more; with the time for the
-	// answer the watch ends 4.5 s after it began, half a second before the bound.
+	// PromptWait is for kinds whose changes have to take effect within two seconds, or five
+	// seconds if answers of the store are lost.
 	PromptWait = 3 * time.Second
 )
 
-// regained is closed when the store answers again after it did not; nil, so that
-// it never is, where nobody tells.
-func (i *Informer) regained() <-chan struct{} {
-	if i.Regained == nil {
-		return nil
-	}
-	return i.Regained()
-}
+var (
+	// errRecovered ends a call that was sent before the end of an outage.
+	errRecovered = merry.Sentinel("store reachable again")
+	// errRelistDue ends a watch when relistDelay has passed since a gap.
+	errRelistDue = merry.Sentinel("store settled after an outage")
+)
 
-// watch waits for changes, but not beyond the end of an outage.
+// watch waits for changes, at most until the end of an outage or until the kind is to be
+// listed once more.
 func (i *Informer) watch(ctx context.Context, from uint64) (objectstore.Changes, error) {
-	var settled <-chan time.Time
-	if i.settled != nil {
-		settled = i.settled.C
+	var relistDue <-chan time.Time
+	if i.relistTimer != nil {
+		relistDue = i.relistTimer.C
 	}
-	changes, err := untilRegained(ctx, i.regained(), settled, func() (objectstore.Changes, error) {
+	changes, err := untilRecovered(ctx, i.Recovered(), relistDue, func() (objectstore.Changes, error) {
 		return i.store.Watch(ctx, i.cache.kind, from, i.cache.wait)
 	})
-	if errors.Is(err, errSettling) {
-		i.settled = nil
+	if errors.Is(err, errRelistDue) {
+		i.relistTimer = nil
 	}
 	return changes, err
 }
 
-// untilRegained makes a call to the store, but waits for its answer no longer than
-// until the store answers again after it did not, or has settled after that: what was
-// asked before may never be answered.
-func untilRegained[T any](ctx context.Context, regained <-chan struct{}, settled <-chan time.Time, call func() (T, error)) (T, error) {
+// untilRecovered makes a call to the store and waits for its answer, at most until an
+// outage ends or a new listing is due: a call from before may never be answered.
+func untilRecovered[T any](ctx context.Context, recovered <-chan struct{}, relistDue <-chan time.Time, call func() (T, error)) (T, error) {
 	type result struct {
 		value T
 		err   error
@@ -64,18 +61,11 @@
 	select {
 	case ended := <-results:
 		return ended.value, ended.err
-	case <-settled:
-		return none, errSettling
-	case <-regained:
-		return none, errRegained
+	case <-relistDue:
+		return none, errRelistDue
+	case <-recovered:
+		return none, errRecovered
 	case <-ctx.Done():
 		return none, ctx.Err()
 	}
 }
-
-// errRegained ends a call from before the end of an outage of the store, and
-// errSettling a watch that began soon after.
-var (
-	errRegained = merry.Sentinel("store reachable again")
-	errSettling = merry.Sentinel("store settled after an outage")
-)
