--- a/internal/callers/quarantine/admit.go
+++ b/internal/callers/quarantine/admit.go
@@ -12,8 +12,8 @@
 		return nil
 	}
 	request := fingerprintOf(call)
-	s.awaitExamined(ctx, request)
-	left := s.table.Left(request, s.config.Clock())
+	s.awaitExamination(ctx, request)
+	left := s.table.TimeLeft(request, s.config.Clock())
 	if left <= 0 {
 		return nil
 	}
@@ -23,11 +23,11 @@
 
 // awaitExamined waits while a run that broke may yet be found to be the end that puts a
 // request in quarantine. Only requests that need just one more end wait.
-func (s *Service) awaitExamined(ctx context.Context, request Fingerprint) {
+func (s *Service) awaitExamination(ctx context.Context, request Fingerprint) {
 	for {
 		s.mutex.Lock()
-		mayDecide := s.examined[request] > 0 && len(s.ledger.Ends(request)) >= endsToQuarantine-1
-		settled := s.settled
+		mayDecide := s.examining[request] > 0 && len(s.ledger.Ends(request)) >= endsToQuarantine-1
+		settled := s.examinationEnded
 		s.mutex.Unlock()
 		if !mayDecide {
 			return
--- a/internal/callers/quarantine/endcheck.go
+++ b/internal/callers/quarantine/endcheck.go
@@ -12,11 +12,11 @@
 const (
 	// probeTime bounds the new connection that tells whether a replica has ended: a
 	// process that has ended is refused within a round trip.
-	probeTime = 300 * time.Millisecond
+	probeTimeout = 300 * time.Millisecond
 	// endSpacing is the least time between two ends of one replica, which has to start
 	// and to be listed in between. Runs that break closer together were cut off by
 	// the same end.
-	endSpacing = 2 * time.Second
+	minEndInterval = 2 * time.Second
 )
 
 // Prober tells whether anybody listens at a replica's address.
@@ -45,32 +45,32 @@
 }
 
 // look tells whether a replica lives, of which a run has just broken.
-func (c *endCheck) look(ctx context.Context, endpoint *routing.Endpoint) exchange.Liveness {
+func (c *endCheck) check(ctx context.Context, endpoint *routing.Endpoint) exchange.Liveness {
 	c.mutex.Lock()
-	standing := c.probes[endpoint.Name]
-	if standing != nil {
+	current := c.probes[endpoint.Name]
+	if current != nil {
 		c.mutex.Unlock()
-		<-standing.done
-		return standing.found
+		<-current.done
+		return current.found
 	}
 	started := &probe{done: make(chan struct{})}
 	c.probes[endpoint.Name] = started
 	c.mutex.Unlock()
 
-	ctx, cancel := context.WithTimeout(ctx, probeTime)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	started.found = c.prober.Probe(ctx, endpoint.Address)
 	close(started.done)
 	if started.found == exchange.Ended {
-		time.AfterFunc(endSpacing, func() { c.forget(endpoint.Name) })
+		time.AfterFunc(minEndInterval, func() { c.dropProbe(endpoint.Name) })
 	} else {
-		c.forget(endpoint.Name)
+		c.dropProbe(endpoint.Name)
 	}
 	return started.found
 }
 
 // forget has the next broken run of a replica looked at anew.
-func (c *endCheck) forget(replica string) {
+func (c *endCheck) dropProbe(replica string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	delete(c.probes, replica)
--- a/internal/callers/quarantine/hold.go
+++ b/internal/callers/quarantine/hold.go
@@ -12,8 +12,8 @@
 	if !s.hold(request) {
 		return
 	}
-	s.report(request, s.config.Nodes())
-	s.recorder.want(request, intent{at: s.config.Clock()})
+	s.reportEnds(request, s.config.Nodes())
+	s.recorder.setIntent(request, intent{at: s.config.Clock()})
 }
 
 // hold puts a request in quarantine at this node and tells whether it was not in it.
@@ -37,13 +37,13 @@
 		return
 	}
 	request := fingerprintOf(call)
-	if !s.isKnown(request) {
+	if !s.isSuspectOrHeld(request) {
 		return
 	}
-	wasSuspect, wasHeld := s.clear(request)
+	wasSuspect, wasHeld := s.forgive(request)
 	switch {
 	case wasHeld:
-		s.recorder.want(request, intent{lift: true})
+		s.recorder.setIntent(request, intent{lift: true})
 		s.reportServed(request, s.config.Nodes())
 	case wasSuspect:
 		s.reportServed(request, s.keepers(request))
@@ -51,8 +51,8 @@
 }
 
 // isKnown tells whether there are ends under a request, or it is in quarantine.
-func (s *Service) isKnown(request Fingerprint) bool {
-	if s.table.Left(request, s.config.Clock()) > 0 {
+func (s *Service) isSuspectOrHeld(request Fingerprint) bool {
+	if s.table.TimeLeft(request, s.config.Clock()) > 0 {
 		return true
 	}
 	s.mutex.Lock()
@@ -61,9 +61,9 @@
 }
 
 // clear forgets the ends under a request that was served, and lifts its quarantine.
-func (s *Service) clear(request Fingerprint) (wasSuspect, wasHeld bool) {
+func (s *Service) forgive(request Fingerprint) (wasSuspect, wasHeld bool) {
 	s.mutex.Lock()
-	wasSuspect = s.ledger.Serve(request, s.config.Clock())
+	wasSuspect = s.ledger.RecordServed(request, s.config.Clock())
 	s.suspects.Store(int64(s.ledger.Len()))
 	s.mutex.Unlock()
 	wasHeld = s.table.Lift(request, s.config.Clock())
--- a/internal/callers/quarantine/ledger.go
+++ b/internal/callers/quarantine/ledger.go
@@ -12,10 +12,10 @@
 	endsToQuarantine = 3
 	// ledgerMemory is for how long after its last end a request is remembered: callers
 	// and queues try again for minutes.
-	ledgerMemory = 10 * time.Minute
+	suspectLifetime = 10 * time.Minute
 	// mostSuspects bounds the requests remembered. Losing a rack of replicas cuts off
 	// some hundreds; each takes about 200 bytes.
-	mostSuspects = 4096
+	maxSuspects = 4096
 )
 
 // end is the end of a replica under a request.
@@ -62,7 +62,7 @@
 func (l *Ledger) suspect(request Fingerprint, at time.Time) *suspect {
 	known := l.suspects[request]
 	if known == nil {
-		if len(l.suspects) >= mostSuspects {
+		if len(l.suspects) >= maxSuspects {
 			l.dropOldest()
 		}
 		known = &suspect{}
@@ -77,7 +77,7 @@
 // has tells whether an end is known: one of the same replica at about the same time.
 func (s *suspect) has(replica string, at time.Time) bool {
 	for _, known := range s.ends {
-		if known.replica == replica && at.Sub(known.at).Abs() < endSpacing {
+		if known.replica == replica && at.Sub(known.at).Abs() < minEndInterval {
 			return true
 		}
 	}
@@ -95,7 +95,7 @@
 // Serve takes the word that a request was served, and tells whether there were ends under
 // it. A request of which nothing is known is remembered as well: ends from before may yet be
 // told.
-func (l *Ledger) Serve(request Fingerprint, now time.Time) bool {
+func (l *Ledger) RecordServed(request Fingerprint, now time.Time) bool {
 	known := l.suspect(request, now)
 	had := len(known.ends) > 0
 	known.ends, known.served = nil, now
@@ -107,7 +107,7 @@
 
 // Prune forgets the requests whose last end is long ago.
 func (l *Ledger) Prune(now time.Time) {
-	maps.DeleteFunc(l.suspects, func(_ Fingerprint, known *suspect) bool { return now.Sub(known.last) > ledgerMemory })
+	maps.DeleteFunc(l.suspects, func(_ Fingerprint, known *suspect) bool { return now.Sub(known.last) > suspectLifetime })
 }
 
 // dropOldest forgets the request whose last end is the longest ago.
--- a/internal/callers/quarantine/ledger_test.go
+++ b/internal/callers/quarantine/ledger_test.go
@@ -27,7 +27,7 @@
 			life := rapid.IntRange(0, 2).Draw(t, "life")
 			// Two nodes see the same end some tenths of a second apart.
 			seen := rapid.IntRange(0, 900).Draw(t, "seenMs")
-			at := start.Add(time.Duration(life)*2*endSpacing + time.Duration(seen)*time.Millisecond)
+			at := start.Add(time.Duration(life)*2*minEndInterval + time.Duration(seen)*time.Millisecond)
 			different[fmt.Sprint(replica, ".", life)] = true
 			got := ledger.Add(numbered(1), replica, at, start.Add(time.Minute))
 			if want := min(len(different), endsToQuarantine); got != want {
@@ -41,7 +41,7 @@
 	ledger := NewLedger()
 	ledger.Add(numbered(1), "one", start, start)
 	ledger.Add(numbered(1), "two", start, start)
-	later := start.Add(ledgerMemory + time.Second)
+	later := start.Add(suspectLifetime + time.Second)
 	if known := ledger.Add(numbered(1), "three", later, later); known != 1 {
 		t.Errorf("%d ends are counted after those of long ago, want 1", known)
 	}
@@ -49,14 +49,14 @@
 
 func TestLedgerIsBounded(t *testing.T) {
 	ledger := NewLedger()
-	for number := range mostSuspects + 100 {
+	for number := range maxSuspects + 100 {
 		at := start.Add(time.Duration(number) * time.Millisecond)
 		ledger.Add(numbered(number), "one", at, at)
 	}
-	if ledger.Len() != mostSuspects {
-		t.Errorf("%d requests are remembered, want %d", ledger.Len(), mostSuspects)
+	if ledger.Len() != maxSuspects {
+		t.Errorf("%d requests are remembered, want %d", ledger.Len(), maxSuspects)
 	}
-	if len(ledger.Ends(numbered(0))) != 0 || len(ledger.Ends(numbered(mostSuspects+99))) != 1 {
+	if len(ledger.Ends(numbered(0))) != 0 || len(ledger.Ends(numbered(maxSuspects+99))) != 1 {
 		t.Error("the oldest request is kept, or the newest is not")
 	}
 }
@@ -68,16 +68,16 @@
 	nodes := startNodes(t, 1)
 	service := nodes.nodes["node-0"]
 	request := fingerprintOf(testCall("", "good"))
-	service.Take(&wire.CrashReport{Fingerprint: request[:], Served: true})
+	service.ReceiveReport(&wire.CrashReport{Fingerprint: request[:], Served: true})
 	for try := range endsToQuarantine {
-		service.Take(&wire.CrashReport{Fingerprint: request[:], Ends: []wire.ReplicaEnd{{Replica: fmt.Sprint(try), AgoMs: 1000}}})
+		service.ReceiveReport(&wire.CrashReport{Fingerprint: request[:], Ends: []wire.ReplicaEnd{{Replica: fmt.Sprint(try), AgoMs: 1000}}})
 	}
 	if isHeld(service, "good") {
 		t.Error("a request is held for ends from before it was served")
 	}
 	for try := range endsToQuarantine {
 		time.Sleep(2 * time.Millisecond)
-		service.Take(&wire.CrashReport{Fingerprint: request[:], Ends: []wire.ReplicaEnd{{Replica: fmt.Sprint("after-", try)}}})
+		service.ReceiveReport(&wire.CrashReport{Fingerprint: request[:], Ends: []wire.ReplicaEnd{{Replica: fmt.Sprint("after-", try)}}})
 	}
 	if !isHeld(service, "good") {
 		t.Error("a request is not held for ends from after it was served")
--- a/internal/callers/quarantine/record.go
+++ b/internal/callers/quarantine/record.go
@@ -20,7 +20,7 @@
 
 // mostRecorded bounds the requests in the object, which everybody follows, to about 70 KB;
 // the newest stay.
-const mostRecorded = 1000
+const maxRecorded = 1000
 
 // record is what the store holds.
 type record struct {
@@ -36,7 +36,7 @@
 }
 
 // errNoFingerprint means that a text is no fingerprint.
-var errNoFingerprint = merry.Sentinel("not a fingerprint of 32 hexadecimal digits")
+var errBadFingerprint = merry.Sentinel("not a fingerprint of 32 hexadecimal digits")
 
 // RecordError is a record that cannot be read, or not in part.
 type RecordError struct {
@@ -56,7 +56,7 @@
 func parseFingerprint(text string) (Fingerprint, error) {
 	digits, err := hex.DecodeString(text)
 	if err != nil || len(digits) != fingerprintBytes {
-		return Fingerprint{}, errNoFingerprint
+		return Fingerprint{}, errBadFingerprint
 	}
 	return Fingerprint(digits), nil
 }
@@ -92,6 +92,6 @@
 	slices.SortFunc(written.Requests, func(a, b recordEntry) int {
 		return cmp.Or(cmp.Compare(b.At, a.At), cmp.Compare(a.Fingerprint, b.Fingerprint))
 	})
-	written.Requests = written.Requests[:min(len(written.Requests), mostRecorded)]
+	written.Requests = written.Requests[:min(len(written.Requests), maxRecorded)]
 	return json.Marshal(written)
 }
--- a/internal/callers/quarantine/record_test.go
+++ b/internal/callers/quarantine/record_test.go
@@ -8,7 +8,7 @@
 
 func TestRecordRoundTrip(t *testing.T) {
 	began := map[Fingerprint]time.Time{}
-	for number := range mostRecorded + 5 {
+	for number := range maxRecorded + 5 {
 		began[numbered(number)] = start.Add(time.Duration(number) * time.Second)
 	}
 	spec, err := encodeRecord(began)
@@ -16,10 +16,10 @@
 		t.Fatal(err)
 	}
 	read, err := decodeRecord(spec)
-	if err != nil || len(read) != mostRecorded {
+	if err != nil || len(read) != maxRecorded {
 		t.Fatalf("%d requests are read, error %v", len(read), err)
 	}
-	if _, oldest := read[numbered(0)]; oldest || !read[numbered(mostRecorded+4)].Equal(began[numbered(mostRecorded+4)]) {
+	if _, oldest := read[numbered(0)]; oldest || !read[numbered(maxRecorded+4)].Equal(began[numbered(maxRecorded+4)]) {
 		t.Error("not the newest requests are kept")
 	}
 }
--- a/internal/callers/quarantine/recorder.go
+++ b/internal/callers/quarantine/recorder.go
@@ -16,9 +16,9 @@
 const (
 	// writePause is the time before a write that failed is made again: other nodes hold
 	// the quarantine meanwhile, and only nodes that start now lack it.
-	writePause = 500 * time.Millisecond
+	writeRetryDelay = 500 * time.Millisecond
 	// writeTime bounds one try: a read and a write.
-	writeTime = 3 * time.Second
+	writeTimeout = 3 * time.Second
 )
 
 // intent is what is to become of a request in the store's record.
@@ -46,7 +46,7 @@
 }
 
 // want has a request's entry written; a later intent replaces an earlier one.
-func (r *recorder) want(request Fingerprint, wanted intent) {
+func (r *recorder) setIntent(request Fingerprint, wanted intent) {
 	r.mutex.Lock()
 	r.intents[request] = wanted
 	r.mutex.Unlock()
@@ -66,8 +66,8 @@
 		}
 		for r.isBehind() {
 			if err := r.write(ctx); err != nil {
-				r.logger.Info("quarantine not recorded yet", "error", err.Error(), "retryMs", writePause.Milliseconds())
-				if !objectstore.Pause(ctx, writePause) {
+				r.logger.Info("quarantine not recorded yet", "error", err.Error(), "retryMs", writeRetryDelay.Milliseconds())
+				if !objectstore.Pause(ctx, writeRetryDelay) {
 					return
 				}
 			}
@@ -88,25 +88,25 @@
 	r.mutex.Lock()
 	wanted := maps.Clone(r.intents)
 	r.mutex.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, writeTime)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	standing, err := r.store.Get(ctx, Kind, ObjectName, objectstore.Linearizable)
+	current, err := r.store.Get(ctx, Kind, ObjectName, objectstore.Linearizable)
 	isNew := errors.Is(err, objectstore.ErrNotFound)
 	if err != nil && !isNew {
 		return err
 	}
 	began := map[Fingerprint]time.Time{}
 	if !isNew {
-		if began, err = decodeRecord(standing.Spec); err != nil {
+		if began, err = decodeRecord(current.Spec); err != nil {
 			r.logger.Error(err, "record of quarantined requests is replaced, without what cannot be read")
 		}
 	}
 	if next, changed := r.apply(began, wanted); changed {
-		if err := r.put(ctx, standing, isNew, next); err != nil {
+		if err := r.put(ctx, current, isNew, next); err != nil {
 			return err
 		}
 	}
-	r.settle(wanted)
+	r.dropWritten(wanted)
 	return nil
 }
 
@@ -134,7 +134,7 @@
 }
 
 // put writes the record unless it was changed since it was read.
-func (r *recorder) put(ctx context.Context, standing objectstore.Object, isNew bool, next map[Fingerprint]time.Time) error {
+func (r *recorder) put(ctx context.Context, current objectstore.Object, isNew bool, next map[Fingerprint]time.Time) error {
 	spec, err := encodeRecord(next)
 	if err != nil {
 		return &RecordError{Cause: err}
@@ -142,13 +142,13 @@
 	if isNew {
 		_, err = r.store.Create(ctx, Kind, ObjectName, spec)
 	} else {
-		_, err = r.store.Replace(ctx, Kind, ObjectName, spec, standing.Revision)
+		_, err = r.store.Replace(ctx, Kind, ObjectName, spec, current.Revision)
 	}
 	return err
 }
 
 // settle takes off what has been written, unless something else was wanted since.
-func (r *recorder) settle(written map[Fingerprint]intent) {
+func (r *recorder) dropWritten(written map[Fingerprint]intent) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	maps.DeleteFunc(r.intents, func(request Fingerprint, wanted intent) bool { return written[request] == wanted })
--- a/internal/callers/quarantine/recorder_test.go
+++ b/internal/callers/quarantine/recorder_test.go
@@ -54,10 +54,10 @@
 		if number%2 == 1 {
 			writer = two
 		}
-		writer.want(numbered(number), intent{at: time.Now()})
+		writer.setIntent(numbered(number), intent{at: time.Now()})
 	}
 	eventually(t, "all requests are in the record", func() bool { return len(recorded(t, store)) == 40 })
-	one.want(numbered(3), intent{lift: true})
+	one.setIntent(numbered(3), intent{lift: true})
 	eventually(t, "the lifted one is out of it", func() bool { return len(recorded(t, store)) == 39 })
 }
 
@@ -78,7 +78,7 @@
 				return metastore.Sound
 			})
 			writer := startRecorder(t, store)
-			writer.want(numbered(1), intent{at: time.Now()})
+			writer.setIntent(numbered(1), intent{at: time.Now()})
 			eventually(t, "the request is in the record", func() bool { return len(recorded(t, store)) == 1 && !writer.isBehind() })
 		})
 	}
@@ -93,10 +93,10 @@
 	if _, err := store.Create(t.Context(), Kind, ObjectName, old); err != nil {
 		t.Fatal(err)
 	}
-	startRecorder(t, store).want(numbered(2), intent{at: time.Now()})
+	startRecorder(t, store).setIntent(numbered(2), intent{at: time.Now()})
 	eventually(t, "only the new one stands", func() bool {
-		standing := recorded(t, store)
-		_, isOld := standing[numbered(1)]
-		return len(standing) == 1 && !isOld
+		current := recorded(t, store)
+		_, isOld := current[numbered(1)]
+		return len(current) == 1 && !isOld
 	})
 }
--- a/internal/callers/quarantine/reports.go
+++ b/internal/callers/quarantine/reports.go
@@ -10,16 +10,16 @@
 
 // keepersOfRequest is how many nodes count the ends under a request besides those that
 // saw one: two may be lost at the same time.
-const keepersOfRequest = 3
+const keeperCount = 3
 
 // keepers are the nodes that count the ends under a request.
 func (s *Service) keepers(request Fingerprint) []string {
 	ranked := rendezvous.RankNames(request.String(), s.config.Nodes())
-	return ranked[:min(len(ranked), keepersOfRequest)]
+	return ranked[:min(len(ranked), keeperCount)]
 }
 
 // report tells nodes of all ends known under a request.
-func (s *Service) report(request Fingerprint, nodes []string) {
+func (s *Service) reportEnds(request Fingerprint, nodes []string) {
 	now := s.config.Clock()
 	s.mutex.Lock()
 	known := slices.Clone(s.ledger.Ends(request))
@@ -49,15 +49,15 @@
 }
 
 // Take takes another node's report.
-func (s *Service) Take(message *wire.CrashReport) {
+func (s *Service) ReceiveReport(message *wire.CrashReport) {
 	if len(message.Fingerprint) != fingerprintBytes {
-		s.config.Logger.Info("crash report passed over", "reason", errNoFingerprint.Error(), "bytes", len(message.Fingerprint))
+		s.config.Logger.Info("crash report passed over", "reason", errBadFingerprint.Error(), "bytes", len(message.Fingerprint))
 		return
 	}
 	request := Fingerprint(message.Fingerprint)
 	if message.Served {
-		if _, wasHeld := s.clear(request); wasHeld && s.isKeeper(request) {
-			s.recorder.want(request, intent{lift: true})
+		if _, wasHeld := s.forgive(request); wasHeld && s.isKeeper(request) {
+			s.recorder.setIntent(request, intent{lift: true})
 		}
 		return
 	}
@@ -66,13 +66,13 @@
 	for _, told := range message.Ends {
 		ends = append(ends, end{replica: told.Replica, at: now.Add(-time.Duration(told.AgoMs) * time.Millisecond)})
 	}
-	known := s.count(request, ends, now)
+	known := s.addEnds(request, ends, now)
 	switch {
 	case len(message.Ends) >= endsToQuarantine:
 		// The sender tells everybody. A keeper records it too, should the sender end
 		// before it has.
 		if s.hold(request) && s.isKeeper(request) {
-			s.recorder.want(request, intent{at: now})
+			s.recorder.setIntent(request, intent{at: now})
 		}
 	case known >= endsToQuarantine:
 		s.quarantine(request)
--- a/internal/callers/quarantine/service.go
+++ b/internal/callers/quarantine/service.go
@@ -40,7 +40,7 @@
 type Service struct {
 	config   Config
 	metrics  *metrics
-	ends     *endCheck
+	endCheck     *endCheck
 	table    *Table
 	recorder *recorder
 	// ctx bounds what goes on beside the requests.
@@ -53,8 +53,8 @@
 	ledger   *Ledger
 	// examined counts the broken runs of each request that are being looked into, and
 	// settled is closed and replaced when one of them has been.
-	examined map[Fingerprint]int
-	settled  chan struct{}
+	examining map[Fingerprint]int
+	examinationEnded  chan struct{}
 }
 
 var _ dispatch.Guard = (*Service)(nil)
@@ -65,8 +65,8 @@
 		config.Span = DefaultSpan
 	}
 	service := &Service{
-		config: config, ends: newEndCheck(config.Prober), table: NewTable(), recorder: newRecorder(config.Store, config.Clock, config.Span, config.Logger),
-		ctx: ctx, ledger: NewLedger(), examined: map[Fingerprint]int{}, settled: make(chan struct{}),
+		config: config, endCheck: newEndCheck(config.Prober), table: NewTable(), recorder: newRecorder(config.Store, config.Clock, config.Span, config.Logger),
+		ctx: ctx, ledger: NewLedger(), examining: map[Fingerprint]int{}, examinationEnded: make(chan struct{}),
 	}
 	service.metrics = newMetrics(config.Registry, service.table, config.Clock)
 	return service
@@ -74,21 +74,21 @@
 
 // forgetPause is the time between looks for ends to forget: while any are remembered, each
 // request is told by its fingerprint.
-const forgetPause = time.Minute
+const pruneInterval = time.Minute
 
 // Run records quarantines in the store, and forgets what is long ago, until the context
 // ends.
 func (s *Service) Run(ctx context.Context) {
 	var duties sync.WaitGroup
 	duties.Go(func() { s.recorder.Run(ctx) })
-	for objectstore.Sleep(ctx, forgetPause) {
-		s.forget()
+	for objectstore.Sleep(ctx, pruneInterval) {
+		s.prune()
 	}
 	duties.Wait()
 }
 
 // forget drops the ends that are long ago.
-func (s *Service) forget() {
+func (s *Service) prune() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.ledger.Prune(s.config.Clock())
--- a/internal/callers/quarantine/service_test.go
+++ b/internal/callers/quarantine/service_test.go
@@ -91,7 +91,7 @@
 		receiver, isCut := n.nodes[address], n.cut[address]
 		n.mutex.Unlock()
 		if receiver != nil && !isCut {
-			go receiver.Take(message.(*wire.CrashReport))
+			go receiver.ReceiveReport(message.(*wire.CrashReport))
 		}
 	}
 }
@@ -116,7 +116,7 @@
 	eventually(t, "the run has been examined", func() bool {
 		service.mutex.Lock()
 		defer service.mutex.Unlock()
-		return len(service.examined) == 0
+		return len(service.examining) == 0
 	})
 }
 
@@ -278,7 +278,7 @@
 	nodes := startNodes(t, 1)
 	for try := range 2 * endsToQuarantine {
 		run := brokenRun(testCall(fmt.Sprint("try-", try), "long"), fmt.Sprint("replica-", try))
-		run.Call.Resumable, run.Received, run.Lasted = true, true, 2*soonAfterSent
+		run.Call.Resumable, run.Received, run.Lasted = true, true, 2*earlyBreakLimit
 		settledBreak(t, nodes.nodes["node-0"], run)
 	}
 	if isHeld(nodes.nodes["node-0"], "long") {
@@ -343,8 +343,8 @@
 	if service.suspects.Load() != 1 {
 		t.Fatal("the end is not remembered")
 	}
-	now = now.Add(ledgerMemory + time.Second)
-	service.forget()
+	now = now.Add(suspectLifetime + time.Second)
+	service.prune()
 	if service.suspects.Load() != 0 {
 		t.Error("an end of long ago is still remembered")
 	}
@@ -353,7 +353,7 @@
 func TestReportsOfAnotherLengthArePassedOver(t *testing.T) {
 	nodes := startNodes(t, 1)
 	ends := []wire.ReplicaEnd{{Replica: "a"}, {Replica: "b"}, {Replica: "c"}}
-	nodes.nodes["node-0"].Take(&wire.CrashReport{Fingerprint: []byte{1}, Ends: ends})
+	nodes.nodes["node-0"].ReceiveReport(&wire.CrashReport{Fingerprint: []byte{1}, Ends: ends})
 	if !nodes.nodes["node-0"].table.IsEmpty() {
 		t.Error("a report without a fingerprint holds something")
 	}
--- a/internal/callers/quarantine/sink.go
+++ b/internal/callers/quarantine/sink.go
@@ -10,11 +10,11 @@
 func (s *Service) Replace(objects []objectstore.Object, _ bool) {
 	for _, object := range objects {
 		if object.Name == ObjectName {
-			s.takeRecord(object)
+			s.applyRecord(object)
 			return
 		}
 	}
-	s.table.TakeStored(nil, s.config.Clock())
+	s.table.ApplyStored(nil, s.config.Clock())
 }
 
 // Apply takes changes of the kind, as package watchcache hands them on.
@@ -23,9 +23,9 @@
 		switch {
 		case change.Object.Name != ObjectName:
 		case change.Gone:
-			s.table.TakeStored(nil, s.config.Clock())
+			s.table.ApplyStored(nil, s.config.Clock())
 		default:
-			s.takeRecord(change.Object)
+			s.applyRecord(change.Object)
 		}
 	}
 }
@@ -33,7 +33,7 @@
 // takeRecord takes the store's record. How old a quarantine is goes by the time of day,
 // of which only the rest of its time is kept, so that a wrong clock never makes it longer
 // than it is to be.
-func (s *Service) takeRecord(object objectstore.Object) {
+func (s *Service) applyRecord(object objectstore.Object) {
 	began, err := decodeRecord(object.Spec)
 	if err != nil {
 		s.config.Logger.Error(err, "record of quarantined requests is not readable, or not in part", "revision", object.Revision)
@@ -47,5 +47,5 @@
 		rest := min(s.config.Span, s.config.Span-now.Sub(at))
 		listed[request] = now.Add(rest)
 	}
-	s.table.TakeStored(listed, now)
+	s.table.ApplyStored(listed, now)
 }
--- a/internal/callers/quarantine/table.go
+++ b/internal/callers/quarantine/table.go
@@ -45,7 +45,7 @@
 }
 
 // Left is for how much longer a request is in quarantine, 0 where it is not.
-func (t *Table) Left(request Fingerprint, now time.Time) time.Duration {
+func (t *Table) TimeLeft(request Fingerprint, now time.Time) time.Duration {
 	entry, found := (*t.current.Load())[request]
 	if !found {
 		return 0
@@ -82,7 +82,7 @@
 // TakeStored takes the requests that the store lists, with the end of each quarantine.
 // What the store listed before and lists no more is lifted; what this node has from its
 // peers alone stays.
-func (t *Table) TakeStored(listed map[Fingerprint]time.Time, now time.Time) {
+func (t *Table) ApplyStored(listed map[Fingerprint]time.Time, now time.Time) {
 	t.change(now, func(next map[Fingerprint]held) {
 		maps.DeleteFunc(next, func(request Fingerprint, entry held) bool {
 			_, stands := listed[request]
--- a/internal/callers/quarantine/table_test.go
+++ b/internal/callers/quarantine/table_test.go
@@ -8,10 +8,10 @@
 func TestQuarantineEndsByItself(t *testing.T) {
 	table := NewTable()
 	table.Hold(numbered(1), start.Add(time.Minute), start)
-	if left := table.Left(numbered(1), start.Add(20*time.Second)); left != 40*time.Second {
+	if left := table.TimeLeft(numbered(1), start.Add(20*time.Second)); left != 40*time.Second {
 		t.Errorf("%v are left of a minute after 20 s", left)
 	}
-	if left := table.Left(numbered(1), start.Add(time.Minute)); left != 0 {
+	if left := table.TimeLeft(numbered(1), start.Add(time.Minute)); left != 0 {
 		t.Errorf("%v are left after the end", left)
 	}
 	table.Hold(numbered(2), start.Add(time.Hour), start.Add(time.Minute))
@@ -24,18 +24,18 @@
 func TestListingWithoutARequestLiftsOnlyWhatWasListed(t *testing.T) {
 	table := NewTable()
 	table.Hold(numbered(1), start.Add(time.Minute), start)
-	table.TakeStored(map[Fingerprint]time.Time{numbered(2): start.Add(time.Minute)}, start)
-	if table.Left(numbered(1), start) == 0 {
+	table.ApplyStored(map[Fingerprint]time.Time{numbered(2): start.Add(time.Minute)}, start)
+	if table.TimeLeft(numbered(1), start) == 0 {
 		t.Error("a request that the store does not list yet is let through")
 	}
-	table.TakeStored(map[Fingerprint]time.Time{numbered(1): start.Add(time.Hour)}, start)
-	if table.Left(numbered(2), start) != 0 {
+	table.ApplyStored(map[Fingerprint]time.Time{numbered(1): start.Add(time.Hour)}, start)
+	if table.TimeLeft(numbered(2), start) != 0 {
 		t.Error("a request that was taken out of the record is still held")
 	}
-	if left := table.Left(numbered(1), start); left != time.Minute {
+	if left := table.TimeLeft(numbered(1), start); left != time.Minute {
 		t.Errorf("the listing changed the end of a quarantine: %v are left", left)
 	}
-	table.TakeStored(nil, start)
+	table.ApplyStored(nil, start)
 	if !table.IsEmpty() {
 		t.Error("requests are held although the record is gone")
 	}
--- a/internal/instance/peers.go
+++ b/internal/instance/peers.go
@@ -24,7 +24,7 @@
 		return
 	}
 	if report, isReport := message.(*wire.CrashReport); isReport {
-		i.quarantine.Take(report)
+		i.quarantine.ReceiveReport(report)
 		return
 	}
 	if push, isPush := message.(*wire.UsagePush); isPush && i.usage != nil {
