--- a/internal/duties/weightorders/candidates.go
+++ b/internal/duties/weightorders/candidates.go
@@ -1,46 +1,38 @@
 package weightorders
 
-import (
-	"cmp"
-	"slices"
+import "github.com/pathtally/pathtally/internal/replicas/routing"
 
-	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
-	"github.com/pathtally/pathtally/internal/replicas/routing"
-)
-
-// leastCandidates is how many replicas the items of a model are placed among at least,
-// and candidateShare how many for each of its homes: a replica that weighs much for a
-// model is nearly always one of its homes.
 const (
-	leastCandidates = 256
-	candidateShare  = 2
+	// minCandidates is how many replicas the items of a model are placed among at least.
+	minCandidates = 256
+	// candidatesPerHome is how many there are for each home of the model: a replica of
+	// great weight for a model is nearly always one of its homes.
+	candidatesPerHome = 2
 )
 
-// Candidates are the replicas of a plan among which the items of a model's jobs are
-// placed: all where they are few, else those of greatest weight for the model, so that
-// they hold its homes. Looking at thousands of replicas for each item is what a node that
-// runs jobs would spend its time on.
+// Candidates returns the replicas of a plan among which the items of a model's jobs are
+// placed: all where they are few, else those of greatest weight for the model, which
+// include its homes. A node that runs jobs cannot weigh thousands of replicas for each
+// item.
 func Candidates(plan *routing.Plan, model string, items int) []*routing.Endpoint {
 	endpoints := plan.Endpoints()
-	count := max(leastCandidates, candidateShare*mostHomes(items, slotsOf(plan)))
+	count := max(minCandidates, candidatesPerHome*homesNeeded(items, slotsOf(plan)))
 	if len(endpoints) <= count {
 		return endpoints
 	}
-	type weighed struct {
-		endpoint *routing.Endpoint
-		weight   uint64
-	}
-	modelHash := rendezvous.Hash(model)
-	all := make([]weighed, len(endpoints))
-	for i, endpoint := range endpoints {
-		all[i] = weighed{endpoint, rendezvous.Weight(rendezvous.Hash(endpoint.Name), modelHash)}
+	return heaviest(endpoints, func(endpoint *routing.Endpoint) string { return endpoint.Name }, model, count)
+}
+
+// slotsOf is how many slots the smallest replica of a plan has.
+func slotsOf(plan *routing.Plan) int {
+	if plan == nil {
+		return 1
 	}
-	slices.SortFunc(all, func(a, b weighed) int {
-		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.endpoint.Name, b.endpoint.Name))
-	})
-	chosen := make([]*routing.Endpoint, count)
-	for i := range chosen {
-		chosen[i] = all[i].endpoint
+	least := 0
+	for _, endpoint := range plan.Endpoints() {
+		if least == 0 || endpoint.Slots < least {
+			least = endpoint.Slots
+		}
 	}
-	return chosen
+	return max(1, least)
 }
--- a/internal/duties/weightorders/candidates_test.go
+++ b/internal/duties/weightorders/candidates_test.go
@@ -24,7 +24,7 @@
 		candidates[endpoint.Name] = true
 	}
 	homes, outside := 0, 0
-	for _, open := range coordinator.tasks(table.View(), coordinator.plannedDemand()) {
+	for _, open := range coordinator.openTasks(table.View(), coordinator.currentDemand()) {
 		if open.model != "m" {
 			continue
 		}
--- a/internal/duties/weightorders/coordinator_test.go
+++ b/internal/duties/weightorders/coordinator_test.go
@@ -77,8 +77,8 @@
 		})
 		made := NewCoordinator(Config{
 			Keeper: keeper, Directory: f.table, Replicas: f.replicas, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
-			Load: func(string) int { return 0 }, Tolerance: func(string) int64 { return 0 }, Demand: func() Demand { return Demand{} }, OnChange: f.list,
-			Changed: func() { f.tell(keeper) },
+			RunningItems: func(string) int { return 0 }, Tolerance: func(string) int64 { return 0 }, Demand: func() Demand { return Demand{} }, OnChange: f.list,
+			Announce: func() { f.tell(keeper) },
 		})
 		coordinators = append(coordinators, made)
 	}
@@ -123,16 +123,16 @@
 		}
 		// Those first in rank are away one after the other, so that the lease
 		// comes to one far back.
-		standing := slices.Clone(nodes)
+		current := slices.Clone(nodes)
 		version := int64(2)
 		for range 8 {
 			f.table.SetVersion("m", version)
-			f.start(t.Context(), fmt.Sprint("process-", version), standing...)
+			f.start(t.Context(), fmt.Sprint("process-", version), current...)
 			time.Sleep(30 * time.Second)
 			f.stop()
 			time.Sleep(time.Second)
 			holder, _ := f.replicas.newest()
-			standing = slices.DeleteFunc(slices.Clone(standing), func(node string) bool { return node == holder.Owner })
+			current = slices.DeleteFunc(slices.Clone(current), func(node string) bool { return node == holder.Owner })
 			version++
 		}
 		before, _ := f.replicas.newest()
--- a/internal/duties/weightorders/demand.go
+++ b/internal/duties/weightorders/demand.go
@@ -6,21 +6,20 @@
 	"slices"
 )
 
-// Demand is how much work the jobs of each model have lately brought.
+// Demand is the work that the recent jobs of each model brought.
 type Demand struct {
-	// Tokens is what the items of a job are expected to make, in the mean of the jobs.
+	// Tokens is how many tokens a job is expected to produce, as a mean over the jobs.
 	Tokens map[string]float64
 	// Items is how many items the largest of the jobs has, 0 for unknown.
 	Items map[string]int
 }
 
-// demandChange is by what part the demand for a model must differ from that of
-// the plan in force for a new plan. Every move of a model to another replica is
-// a load, and the estimates of a trainer's jobs differ by some tenths.
+// demandChange is by what part, between 0 and 1, the demand for a model must differ from
+// that of the plan in force for a new plan. Each move of a model to another replica is a
+// load, and the estimates of a trainer's jobs differ by some tenths.
 const demandChange = 0.25
 
-// differsFrom tells whether a demand is so far from the one planned for that the
-// plan is made anew.
+// differsFrom reports whether a demand is far enough from the planned one for a new plan.
 func (d Demand) differsFrom(planned Demand) bool {
 	return differs(planned.Tokens, d.Tokens) || differs(asFloats(planned.Items), asFloats(d.Items))
 }
@@ -33,7 +32,7 @@
 	return floats
 }
 
-// differs tells whether an amount of any model is far from the planned one.
+// differs reports whether an amount of any model is far from the planned one.
 func differs(planned, demand map[string]float64) bool {
 	if len(planned) != len(demand) {
 		return true
--- /dev/null
+++ b/internal/duties/weightorders/heaviest.go
@@ -0,0 +1,39 @@
+package weightorders
+
+import (
+	"cmp"
+	"slices"
+
+	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
+)
+
+// weighed is a replica, in some form, with its weight for a model.
+type weighed[T any] struct {
+	value  T
+	id     string
+	weight uint64
+}
+
+// heaviest returns the replicas of greatest weight for a model, so that few change when
+// replicas come and go.
+func heaviest[T any](replicas []T, idOf func(T) string, model string, count int) []T {
+	modelHash := rendezvous.Hash(model)
+	all := make([]weighed[T], len(replicas))
+	for i, replica := range replicas {
+		id := idOf(replica)
+		all[i] = weighed[T]{value: replica, id: id, weight: rendezvous.Weight(rendezvous.Hash(id), modelHash)}
+	}
+	slices.SortFunc(all, func(a, b weighed[T]) int {
+		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.id, b.id))
+	})
+	chosen := make([]T, count)
+	for i := range chosen {
+		chosen[i] = all[i].value
+	}
+	return chosen
+}
+
+// pairWeight is the weight of a replica for a model.
+func pairWeight(replica, model string) uint64 {
+	return rendezvous.Weight(rendezvous.Hash(replica), rendezvous.Hash(model))
+}
--- a/internal/duties/weightorders/homes.go
+++ b/internal/duties/weightorders/homes.go
@@ -5,96 +5,90 @@
 	"math"
 	"slices"
 
-	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
-// homeShare is how many replicas keep up with one model, as a multiple of its
-// share. More give room where others are busy; each takes loads. Equal shares and
-// doubled ones were no better in trials (docs/PLATFORM.md, "Orders").
-const homeShare = 4.0 / 3
-
-// homeHeadroom is how many slots the homes of a model have for each item of a job: the
-// items of two jobs at once, while half of the homes load or are a version behind. More
-// homes would take loads for nothing: of some thousand replicas, jobs of a hundred items
-// use some dozen.
-const homeHeadroom = 4
-
-// unknownHomes is how many replicas a model has at most while nothing is known of its
-// jobs: a node that has just taken the orders over hears of them within a second, and is
-// not to begin with thousands of loads.
-const unknownHomes = 256
+const (
+	// homeShareFactor is how many homes a model has, as a multiple of its share of the
+	// replicas: more leave room where others are busy, but each takes loads.
+	homeShareFactor = 4.0 / 3
+	// slotsPerItem is how many slots the homes of a model have for each item of a job:
+	// the items of two jobs at once, while half of the homes load or are a version
+	// behind. More homes would load in vain.
+	slotsPerItem = 4
+	// maxHomesUnknownDemand bounds the homes of a model while nothing is known of its
+	// jobs: a new holder of the lease learns of them within a second, and must not begin
+	// with thousands of loads.
+	maxHomesUnknownDemand = 256
+	// minHomes is how many homes a model has however small its jobs are, so that the
+	// loss of one stops nothing.
+	minHomes = 2
+)
 
-// mostHomes is how many replicas a model needs for jobs of some items, 0 for unknown.
-func mostHomes(items, slots int) int {
+// homesNeeded returns how many homes a model needs for jobs of some items, 0 for unknown,
+// at replicas of some slots.
+func homesNeeded(items, slots int) int {
 	if items <= 0 {
-		return unknownHomes
+		return maxHomesUnknownDemand
 	}
 	slots = max(1, slots)
-	return max(leastHomes, (homeHeadroom*items+slots-1)/slots)
+	return max(minHomes, (slotsPerItem*items+slots-1)/slots)
 }
 
-// leastHomes is how many replicas a model has however small its jobs are, so that the
-// loss of one stops nothing.
-const leastHomes = 2
-
-// homes gives each model the replicas that keep up with it, those that it has anyway
-// first. First each replica gets one model, so that each model has its share of them;
-// then each model gets some more, so that models with much work find slots where others
-// leave them. A replica that keeps up with few models loads seldom, and the loads that
-// run at once are bounded. No model keeps more replicas than the bound that most gives for
-// it, if any.
-func homes(replicas []*directory.Replica, shares []share, most map[string]int) map[string][]*directory.Replica {
-	kept := map[string][]*directory.Replica{}
+// homes gives each model its homes, the replicas that keep up with it, those that are
+// only its own first. First each replica gets one model, so that each model has its share
+// of them; then each model gets some more, so that models with much work find slots where
+// others leave them. A replica with few models loads seldom, and the loads that run at
+// once are bounded. No model has more homes than maxHomes gives for it, if any.
+func homes(replicas []*directory.Replica, shares []share, maxHomes map[string]int) map[string][]*directory.Replica {
 	if len(shares) == 0 {
-		return kept
+		return map[string][]*directory.Replica{}
 	}
-	whole := apportion(len(replicas), shares)
 	ordered := slices.Clone(replicas)
 	slices.SortFunc(ordered, func(a, b *directory.Replica) int { return cmp.Compare(a.ID, b.ID) })
-	counts := map[string]int{}
-	for _, replica := range ordered {
-		model := preferred(shares, replica, func(model string) bool { return len(kept[model]) < whole[model] })
-		kept[model] = append(kept[model], replica)
-		counts[replica.ID]++
-	}
-	for _, share := range shares {
-		wanted := min(len(replicas), int(math.Ceil(homeShare*share.part*float64(len(replicas)))))
-		for _, extra := range leastShared(ordered, share.model, counts, kept[share.model], wanted-len(kept[share.model])) {
-			kept[share.model] = append(kept[share.model], extra)
-			counts[extra.ID]++
-		}
-	}
-	for model, bound := range most {
+	kept := ownHomes(ordered, shares)
+	addSharedHomes(kept, ordered, shares)
+	for model, bound := range maxHomes {
 		if bound > 0 && len(kept[model]) > bound {
-			kept[model] = heaviest(kept[model], model, bound)
+			kept[model] = heaviest(kept[model], func(replica *directory.Replica) string { return replica.ID }, model, bound)
 		}
 	}
 	return kept
 }
 
-// heaviest are the replicas of greatest weight for a model, so that few change when
-// replicas come and go.
-func heaviest(replicas []*directory.Replica, model string, count int) []*directory.Replica {
-	weighed := make([]weighedReplica, 0, len(replicas))
-	for _, replica := range replicas {
-		weighed = append(weighed, weighedReplica{Replica: replica, weight: pairWeight(replica, model)})
+// ownHomes gives each replica one model, by the models' shares.
+func ownHomes(ordered []*directory.Replica, shares []share) map[string][]*directory.Replica {
+	kept := map[string][]*directory.Replica{}
+	apportioned := apportion(len(ordered), shares)
+	hasRoom := func(model string) bool { return len(kept[model]) < apportioned[model] }
+	for _, replica := range ordered {
+		model := preferred(shares, replica, hasRoom)
+		kept[model] = append(kept[model], replica)
 	}
-	slices.SortFunc(weighed, func(a, b weighedReplica) int {
-		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.ID, b.ID))
-	})
-	chosen := make([]*directory.Replica, 0, count)
-	for _, replica := range weighed[:count] {
-		chosen = append(chosen, replica.Replica)
+	return kept
+}
+
+// addSharedHomes gives each model homeShareFactor times its share of the replicas, each of
+// which has one model already.
+func addSharedHomes(kept map[string][]*directory.Replica, ordered []*directory.Replica, shares []share) {
+	models := make(map[string]int, len(ordered))
+	for _, replica := range ordered {
+		models[replica.ID] = 1
+	}
+	for _, share := range shares {
+		wanted := min(len(ordered), int(math.Ceil(homeShareFactor*share.part*float64(len(ordered)))))
+		for _, extra := range leastShared(ordered, share.model, models, kept[share.model], wanted-len(kept[share.model])) {
+			kept[share.model] = append(kept[share.model], extra)
+			models[extra.ID]++
+		}
 	}
-	return chosen
 }
 
-// preferred is the model of greatest weight for a replica among those allowed.
+// preferred returns the model of greatest weight for a replica among those allowed.
 func preferred(shares []share, replica *directory.Replica, allowed func(model string) bool) string {
 	best, bestWeight := "", uint64(0)
 	for _, share := range shares {
-		weight := pairWeight(replica, share.model)
+		weight := pairWeight(replica.ID, share.model)
 		if allowed(share.model) && (best == "" || weight > bestWeight) {
 			best, bestWeight = share.model, weight
 		}
@@ -102,23 +96,23 @@
 	return best
 }
 
-// leastShared are some replicas that do not keep up with a model yet: those with
-// the fewest models, and among these those of greatest weight.
-func leastShared(replicas []*directory.Replica, model string, counts map[string]int, has []*directory.Replica, some int) []*directory.Replica {
+// leastShared returns some replicas that are no homes of a model yet: those with the
+// fewest models, and among these those of greatest weight.
+func leastShared(replicas []*directory.Replica, model string, models map[string]int, has []*directory.Replica, some int) []*directory.Replica {
 	if some <= 0 {
 		return nil
 	}
-	keeps := make(map[string]bool, len(has))
+	isHome := make(map[string]bool, len(has))
 	for _, replica := range has {
-		keeps[replica.ID] = true
+		isHome[replica.ID] = true
 	}
-	var others []weighedReplica
+	var others []sharedReplica
 	for _, replica := range replicas {
-		if !keeps[replica.ID] {
-			others = append(others, weighedReplica{Replica: replica, models: counts[replica.ID], weight: pairWeight(replica, model)})
+		if !isHome[replica.ID] {
+			others = append(others, sharedReplica{Replica: replica, models: models[replica.ID], weight: pairWeight(replica.ID, model)})
 		}
 	}
-	slices.SortFunc(others, func(a, b weighedReplica) int {
+	slices.SortFunc(others, func(a, b sharedReplica) int {
 		return cmp.Or(cmp.Compare(a.models, b.models), cmp.Compare(b.weight, a.weight), cmp.Compare(a.ID, b.ID))
 	})
 	least := make([]*directory.Replica, 0, some)
@@ -128,14 +122,10 @@
 	return least
 }
 
-// weighedReplica is a replica with how many models it keeps up with and its weight
-// for a further one.
-type weighedReplica struct {
+// sharedReplica is a replica with how many models it is a home of, and its weight for a
+// further one.
+type sharedReplica struct {
 	*directory.Replica
 	models int
 	weight uint64
 }
-
-func pairWeight(replica *directory.Replica, model string) uint64 {
-	return rendezvous.Weight(rendezvous.Hash(replica.ID), rendezvous.Hash(model))
-}
--- a/internal/duties/weightorders/homes_test.go
+++ b/internal/duties/weightorders/homes_test.go
@@ -19,7 +19,7 @@
 				continue
 			}
 			if best == nil || counts[replica.ID] < counts[best.ID] ||
-				(counts[replica.ID] == counts[best.ID] && pairWeight(replica, model) > pairWeight(best, model)) {
+				(counts[replica.ID] == counts[best.ID] && pairWeight(replica.ID, model) > pairWeight(best.ID, model)) {
 				best = replica
 			}
 		}
--- a/internal/duties/weightorders/plan_test.go
+++ b/internal/duties/weightorders/plan_test.go
@@ -70,26 +70,20 @@
 	}
 }
 
-// known is what a test knows of one replica.
-type known struct{ has, allowed int64 }
-
-func (k known) version(string, string) int64 { return k.has }
-func (k known) tolerance(string) int64       { return k.allowed }
-
 func TestWhichReplicasNeedAVersion(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		known known
-		named int64
+		known modelState
+		held  int64
 		want  bool
 	}{
-		{"has the newest", known{has: 7}, 7, false},
-		{"jobs want the newest", known{has: 6}, 7, true},
-		{"jobs let it be one behind", known{has: 6, allowed: 1}, 7, false},
-		{"it is two behind", known{has: 5, allowed: 1}, 7, true},
+		{"has the newest", modelState{named: 7}, 7, false},
+		{"jobs want the newest", modelState{named: 7}, 6, true},
+		{"jobs let it be one behind", modelState{named: 7, tolerance: 1}, 6, false},
+		{"it is two behind", modelState{named: 7, tolerance: 1}, 5, true},
 	} {
-		if got := needed(test.known, "r", "m", test.named); got != test.want {
-			t.Errorf("%s: needed %v", test.name, got)
+		if got := test.known.isRequired(test.held); got != test.want {
+			t.Errorf("%s: required %v", test.name, got)
 		}
 	}
 }
@@ -98,8 +92,8 @@
 // for every load of the others.
 func TestModelsTakeTurns(t *testing.T) {
 	open := []task{
-		{target: Target{ID: "a1"}, model: "a", version: 3, has: 1, current: 2, kept: 4}, {target: Target{ID: "a2"}, model: "a", version: 3, has: 1, current: 2, kept: 4},
-		{target: Target{ID: "b1"}, model: "b", version: 2, has: 1, current: 0, kept: 4}, {target: Target{ID: "b2"}, model: "b", version: 2, has: 1, current: 0, kept: 4},
+		{target: Target{ID: "a1"}, model: "a", version: 3, held: 1, currentHomes: 2, homes: 4}, {target: Target{ID: "a2"}, model: "a", version: 3, held: 1, currentHomes: 2, homes: 4},
+		{target: Target{ID: "b1"}, model: "b", version: 2, held: 1, currentHomes: 0, homes: 4}, {target: Target{ID: "b2"}, model: "b", version: 2, held: 1, currentHomes: 0, homes: 4},
 	}
 	for _, test := range []struct {
 		loading map[string]int
@@ -109,7 +103,7 @@
 		{map[string]int{"b": 1}, "b1"},
 		{map[string]int{"b": 3}, "a1"},
 	} {
-		if first, _ := newTurns(open, maps.Clone(test.loading)).next(); first.target.ID != test.want {
+		if first, _ := newLoadQueue(open, maps.Clone(test.loading)).next(); first.target.ID != test.want {
 			t.Errorf("with %v loading, %s is first, want %s", test.loading, first.target.ID, test.want)
 		}
 	}
@@ -119,10 +113,10 @@
 // of it, and was a step behind at the end of the day.
 func TestModelsWithMoreReplicasLoadMore(t *testing.T) {
 	open := []task{
-		{target: Target{ID: "small"}, model: "small", version: 2, has: 1, current: 2, kept: 5},
-		{target: Target{ID: "large"}, model: "large", version: 2, has: 1, current: 4, kept: 20},
+		{target: Target{ID: "small"}, model: "small", version: 2, held: 1, currentHomes: 2, homes: 5},
+		{target: Target{ID: "large"}, model: "large", version: 2, held: 1, currentHomes: 4, homes: 20},
 	}
-	if first, _ := newTurns(open, map[string]int{}).next(); first.model != "large" {
+	if first, _ := newLoadQueue(open, map[string]int{}).next(); first.model != "large" {
 		t.Error("the model with 4 of 20 replicas waits for the one with 2 of 5")
 	}
 }
@@ -150,23 +144,20 @@
 	return routing.NewRankedPlan(routing.Place{}, endpoints)
 }
 
-// standing is what a test knows of several replicas.
-type standing map[string]int64
-
-func (s standing) version(replica, _ string) int64 { return s[replica] }
-func (s standing) tolerance(string) int64          { return 1 }
-
 func TestReplicasThatCanDoWithoutAVersionLoadItLast(t *testing.T) {
-	has := standing{"replica-0": 7, "replica-1": 6, "replica-2": 5}
-	open := tasksOf(has, "m", 7, replicas(3))
-	queue := newTurns(open, map[string]int{})
+	known := modelState{model: "m", named: 7, tolerance: 1}
+	for i, held := range []int64{7, 6, 5} {
+		known.homes = append(known.homes, home{replica: replicas(3)[i], held: held})
+	}
+	open := tasksOf(known)
+	queue := newLoadQueue(open, map[string]int{})
 	first, _ := queue.next()
 	second, _ := queue.next()
 	if len(open) != 2 || first.target.ID != "replica-2" || first.ahead || second.target.ID != "replica-1" || !second.ahead {
 		t.Fatalf("to be done: %+v", open)
 	}
-	if open[0].current != 2 {
-		t.Errorf("%d replicas take new jobs as they are, want 2", open[0].current)
+	if open[0].currentHomes != 2 {
+		t.Errorf("%d replicas take new jobs as they are, want 2", open[0].currentHomes)
 	}
 }
 
@@ -185,7 +176,7 @@
 		config:   Config{Directory: table, Tolerance: func(string) int64 { return 0 }},
 		versions: map[string]map[string]int64{}, homePlans: map[string]*homePlan{},
 	}
-	for _, open := range coordinator.tasks(table.View(), Demand{}) {
+	for _, open := range coordinator.openTasks(table.View(), Demand{}) {
 		models[open.model] = true
 		if open.target.ID != "1" {
 			t.Errorf("replica %s is to be ordered", open.target.ID)
--- a/internal/duties/weightorders/scale_test.go
+++ b/internal/duties/weightorders/scale_test.go
@@ -33,10 +33,10 @@
 // Cause: the homes of a model were its share of all replicas, whatever its jobs need.
 func TestOrdersFollowTheItemsAndNotTheReplicas(t *testing.T) {
 	demand := Demand{Tokens: map[string]float64{"m": 100, "n": 100}, Items: map[string]int{"m": 72, "n": 120}}
-	want := mostHomes(72, 6) + mostHomes(120, 6)
+	want := homesNeeded(72, 6) + homesNeeded(120, 6)
 	for _, count := range []int{400, 3200} {
 		coordinator, _ := coordinatorOf(count, demand)
-		if open := coordinator.tasks(coordinator.config.Directory.View(), coordinator.plannedDemand()); len(open) != want {
+		if open := coordinator.openTasks(coordinator.config.Directory.View(), coordinator.currentDemand()); len(open) != want {
 			t.Errorf("%d loads among %d replicas, want %d", len(open), count, want)
 		}
 	}
@@ -47,7 +47,7 @@
 func TestSmallDeploymentsKeepTheirShares(t *testing.T) {
 	for _, items := range []int{0, 72} {
 		coordinator, _ := coordinatorOf(30, Demand{Items: map[string]int{"m": items, "n": items}})
-		if open := coordinator.tasks(coordinator.config.Directory.View(), coordinator.plannedDemand()); len(open) != 40 {
+		if open := coordinator.openTasks(coordinator.config.Directory.View(), coordinator.currentDemand()); len(open) != 40 {
 			t.Errorf("jobs of %d items: %d loads, want 40", items, len(open))
 		}
 	}
@@ -56,8 +56,8 @@
 // A node that has just taken the orders over knows of no job yet.
 func TestOrdersAreBoundedWhileNoJobIsKnown(t *testing.T) {
 	coordinator, _ := coordinatorOf(3200, Demand{})
-	if open := coordinator.tasks(coordinator.config.Directory.View(), coordinator.plannedDemand()); len(open) != 2*unknownHomes {
-		t.Errorf("%d loads of two models, want %d", len(open), 2*unknownHomes)
+	if open := coordinator.openTasks(coordinator.config.Directory.View(), coordinator.currentDemand()); len(open) != 2*maxHomesUnknownDemand {
+		t.Errorf("%d loads of two models, want %d", len(open), 2*maxHomesUnknownDemand)
 	}
 }
 
@@ -67,7 +67,7 @@
 	coordinator, table := coordinatorOf(400, demand)
 	homesNow := func() map[string]bool {
 		homes := map[string]bool{}
-		for _, open := range coordinator.tasks(table.View(), coordinator.plannedDemand()) {
+		for _, open := range coordinator.openTasks(table.View(), coordinator.currentDemand()) {
 			homes[open.model+" "+open.target.ID] = true
 		}
 		return homes
@@ -90,16 +90,16 @@
 // The homes are worked out once for replicas that stay.
 func TestHomesAreKeptBetweenLooks(t *testing.T) {
 	coordinator, table := coordinatorOf(400, Demand{Items: map[string]int{"m": 72, "n": 72}})
-	coordinator.tasks(table.View(), coordinator.plannedDemand())
-	standing := coordinator.homePlans["s"]
+	coordinator.openTasks(table.View(), coordinator.currentDemand())
+	current := coordinator.homePlans["s"]
 	table.SetVersion("m", 4)
-	coordinator.tasks(table.View(), coordinator.plannedDemand())
-	if coordinator.homePlans["s"] != standing {
+	coordinator.openTasks(table.View(), coordinator.currentDemand())
+	if coordinator.homePlans["s"] != current {
 		t.Error("a new version has the homes worked out anew")
 	}
 	table.ApplyReplicas([]directory.ReplicaChange{{Name: "replica-1"}}, 0)
-	coordinator.tasks(table.View(), coordinator.plannedDemand())
-	if coordinator.homePlans["s"] == standing {
+	coordinator.openTasks(table.View(), coordinator.currentDemand())
+	if coordinator.homePlans["s"] == current {
 		t.Error("homes of a replica that is gone stand")
 	}
 }
@@ -108,10 +108,10 @@
 func BenchmarkTurnsOfAThousandTasks(b *testing.B) {
 	open := make([]task, 1000)
 	for i := range open {
-		open[i] = task{target: Target{ID: fmt.Sprint("replica-", i)}, model: fmt.Sprint("model-", i%8), version: 3, has: 1, kept: 125}
+		open[i] = task{target: Target{ID: fmt.Sprint("replica-", i)}, model: fmt.Sprint("model-", i%8), version: 3, held: 1, homes: 125}
 	}
 	for b.Loop() {
-		queue := newTurns(open, map[string]int{})
+		queue := newLoadQueue(open, map[string]int{})
 		for {
 			if _, found := queue.next(); !found {
 				break
--- a/internal/duties/weightorders/share.go
+++ b/internal/duties/weightorders/share.go
@@ -72,7 +72,7 @@
 
 func fraction(quota float64) float64 { return quota - math.Floor(quota) }
 
-// largest is the model with the most replicas, the first of several.
+// largest returns the model with the most replicas, the first of several.
 func largest(shares []share, whole map[string]int) string {
 	best := shares[0].model
 	for _, share := range shares {
--- a/internal/duties/weightorders/knowledge.go
+++ b/internal/duties/weightorders/versions.go
@@ -9,37 +9,37 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// ObserveVersion takes another node's word of a replica.
+// maxAnnounced bounds how many changes heartbeats repeat.
+const maxAnnounced = 24
+
+// ObserveVersion takes a replica's version that another node has sent.
 func (c *Coordinator) ObserveVersion(change wire.ReplicaVersion) {
 	if !change.Loading {
 		c.learn(change.Replica, change.Model, change.Version)
 	}
 }
 
-// Versions returns what this node has to tell of replicas.
+// Versions returns the changes of replicas that this node's heartbeats carry.
 func (c *Coordinator) Versions() []wire.ReplicaVersion {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	told := slices.Clone(c.told)
+	changes := slices.Clone(c.announced)
 	for _, change := range c.loading {
-		told = append(told, change)
+		changes = append(changes, change)
 	}
-	return told
+	return changes
 }
 
-// toldLength bounds how many changes heartbeats repeat.
-const toldLength = 24
-
-// tell keeps a change for the next heartbeats.
-func (c *Coordinator) tell(change wire.ReplicaVersion) {
+// keepAnnouncing adds a change to those that the next heartbeats carry.
+func (c *Coordinator) keepAnnouncing(change wire.ReplicaVersion) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.told = slices.DeleteFunc(c.told, func(older wire.ReplicaVersion) bool {
+	c.announced = slices.DeleteFunc(c.announced, func(older wire.ReplicaVersion) bool {
 		return older.Replica == change.Replica && older.Model == change.Model
 	})
-	c.told = append(c.told, change)
-	if len(c.told) > toldLength {
-		c.told = c.told[len(c.told)-toldLength:]
+	c.announced = append(c.announced, change)
+	if len(c.announced) > maxAnnounced {
+		c.announced = c.announced[len(c.announced)-maxAnnounced:]
 	}
 }
 
@@ -53,7 +53,7 @@
 	c.versions[replica][model] = max(c.versions[replica][model], version)
 }
 
-// version is the newest version known of a replica's model.
+// version returns the newest version known of a replica's model.
 func (c *Coordinator) version(replica, model string) int64 {
 	known := int64(0)
 	if listed := c.config.Directory.View().Replicas[replica]; listed != nil {
@@ -69,16 +69,13 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	maps.DeleteFunc(c.versions, func(id string, _ map[string]int64) bool { return listed[id] == nil })
-	maps.DeleteFunc(c.leftAlone, func(id string, _ time.Time) bool { return listed[id] == nil })
+	maps.DeleteFunc(c.retryAt, func(id string, _ time.Time) bool { return listed[id] == nil })
 }
 
-// isUnderWay tells whether a task needs no order now.
+// isUnderWay reports whether a task's replica loads now or is left alone.
 func (c *Coordinator) isUnderWay(next task) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	_, loading := c.loading[next.target.ID]
-	return loading || time.Now().Before(c.leftAlone[next.target.ID])
+	return loading || time.Now().Before(c.retryAt[next.target.ID])
 }
-
-// tolerance implements knowledge.
-func (c *Coordinator) tolerance(model string) int64 { return c.config.Tolerance(model) }
--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -102,7 +102,7 @@
 	})
 	i.weights = weightorders.NewCoordinator(weightorders.Config{
 		Keeper: i.duty, Directory: i.directory, Replicas: i.adapter.Orders(i.pool), Logger: i.logger, Registry: i.registry,
-		Load: i.jobs.Load, Tolerance: i.jobs.Tolerance, Demand: i.jobs.Demand, OnChange: i.jobs.NoteVersion, Changed: i.peers.Changed,
+		RunningItems: i.jobs.Load, Tolerance: i.jobs.Tolerance, Demand: i.jobs.Demand, OnChange: i.jobs.NoteVersion, Announce: i.peers.Changed,
 	})
 	if duties.Usage != nil {
 		i.usage = i.newUsage(self, duties.Usage)
