--- a/internal/standalone/node/core.go
+++ b/internal/standalone/node/core.go
@@ -10,7 +10,7 @@
 
 	v1 "github.com/pathtally/pathtally/api/v1"
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/replicas/routing"
+	"github.com/pathtally/pathtally/internal/standalone/engineplan"
 	"github.com/pathtally/pathtally/internal/standalone/fleet"
 	"github.com/pathtally/pathtally/internal/standalone/lease"
 	"github.com/pathtally/pathtally/internal/standalone/membership"
@@ -49,7 +49,7 @@
 	reader  *reader.Reader
 	fleet   *fleet.Table
 	poller  *poller.Poller
-	builder *routing.Builder
+	builder *engineplan.Builder
 
 	member      *quorum.Member
 	quorum      *quorum.Client
@@ -62,7 +62,7 @@
 	generation uint64
 	// configuredSince is when the first configuration came into force.
 	configuredSince time.Time
-	snapshot        atomic.Pointer[routing.Snapshot]
+	snapshot        atomic.Pointer[engineplan.Snapshot]
 	followed        map[string]time.Duration
 	// wanted are the leases competed for, and prompted the tokens of those
 	// that were looked at because their holder was gone.
@@ -82,7 +82,7 @@
 	core := &Core{
 		config:     config,
 		fleet:      fleet.NewTable(config.Clock),
-		builder:    routing.NewBuilder(config.Self.Zone),
+		builder:    engineplan.NewBuilder(config.Self.Zone),
 		schedulers: map[string]*rollout.Scheduler{},
 		weights:    map[string]*weights.Coordinator{},
 		followed:   map[string]time.Duration{},
@@ -98,7 +98,7 @@
 func (c *Core) assembleMembership() {
 	c.relay = relay.NewStore(relay.Config{Peers: c.config.Peers, OnChange: c.documentChanged})
 	c.table = membership.New(membership.Config{
-		Self: c.config.Self, Seeds: c.config.Seeds, Clock: c.config.Clock, Random: c.config.Random, Peers: c.config.Peers, Period: c.config.ProbePeriod,
+		Self: c.config.Self, Seeds: c.config.Seeds, Clock: c.config.Clock, Random: c.config.Random, Peers: c.config.Peers,
 		Documents:   c.relay.Versions,
 		OnDocuments: c.relay.Observe,
 		OnChange:    c.membersChanged,
@@ -125,7 +125,7 @@
 		Publish: func(document *relay.Document) { c.relay.Publish(document) },
 	})
 	c.leases = lease.NewManager(lease.Config{
-		Self: c.processName(), Clock: c.config.Clock, Random: c.config.Random, Objects: c.config.Objects, Term: c.config.LeaseTerm,
+		Self: c.processName(), Clock: c.config.Clock, Random: c.config.Random, Objects: c.config.Objects,
 		Rank: c.leaseRank, YieldAfter: c.yieldAfter, OnAcquire: c.acquired, OnLose: c.lost,
 	})
 	c.poller = poller.New(poller.Config{
@@ -179,7 +179,7 @@
 
 // Snapshot returns what the request path reads, or nil before the first
 // configuration. Any goroutine may call it.
-func (c *Core) Snapshot() *routing.Snapshot { return c.snapshot.Load() }
+func (c *Core) Snapshot() *engineplan.Snapshot { return c.snapshot.Load() }
 
 // Generation is the configuration generation in force here, 0 for none.
 func (c *Core) Generation() uint64 { return c.generation }
