--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -103,7 +103,7 @@
 	})
 	i.weights = weightorders.NewCoordinator(weightorders.Config{
 		Keeper: i.duty, Directory: i.directory, Replicas: i.adapter.Orders(i.pool), Logger: i.logger, Registry: i.registry,
-		Load: i.jobs.Load, Tolerance: i.jobs.Tolerance, Demand: i.jobs.Demand, OnChange: i.jobs.NoteVersion, Changed: i.peers.HeartbeatSoon,
+		RunningItems: i.jobs.Load, Tolerance: i.jobs.Tolerance, Demand: i.jobs.Demand, OnChange: i.jobs.NoteVersion, Announce: i.peers.HeartbeatSoon,
 	})
 	if duties.Usage != nil {
 		i.usage = i.newUsage(self, duties.Usage)
