--- a/internal/callers/quarantine/service.go
+++ b/internal/callers/quarantine/service.go
@@ -40,7 +40,7 @@
 type Service struct {
 	config   Config
 	metrics  *metrics
-	endCheck     *endCheck
+	endCheck *endCheck
 	table    *Table
 	recorder *recorder
 	// ctx bounds what goes on beside the requests.
@@ -53,8 +53,8 @@
 	ledger   *Ledger
 	// examined counts the broken runs of each request that are being looked into, and
 	// settled is closed and replaced when one of them has been.
-	examining map[Fingerprint]int
-	examinationEnded  chan struct{}
+	examining        map[Fingerprint]int
+	examinationEnded chan struct{}
 }
 
 var _ dispatch.Guard = (*Service)(nil)
