--- a/internal/cluster/transport/incoming.go
+++ b/internal/cluster/transport/incoming.go
@@ -62,7 +62,7 @@
 func (t *Transport) handle(from string, frame wire.Frame, replies *replyWriter) {
 	arrived := time.Now()
 	t.config.Post(func() {
-		if frame.Patience != 0 && time.Since(arrived) > frame.Patience {
+		if frame.Timeout != 0 && time.Since(arrived) > frame.Timeout {
 			return
 		}
 		t.config.Handler(from, frame.Message, func(message wire.Message) {
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -117,7 +117,7 @@
 		return
 	}
 	correlation := peer.register(timeout, done)
-	frame := wire.Frame{Correlation: correlation, Patience: timeout, Message: message}
+	frame := wire.Frame{Correlation: correlation, Timeout: timeout, Message: message}
 	encoded, err := wire.Encode(frame)
 	if err != nil {
 		peer.finish(correlation, nil, err)
--- a/internal/store/watchcache/answer.go
+++ b/internal/store/watchcache/answer.go
@@ -27,7 +27,7 @@
 	s.metrics.answered.Inc()
 	if poll.Direct && !s.reading.isActive() && !s.probe.answered(ctx) {
 		// The store answers neither node: reading it would not help the other.
-		return &wire.WatchNews{Standing: uint8(wire.StandingUnsure)}
+		return &wire.WatchNews{Standing: uint8(wire.ReaderUnsure)}
 	}
 	if !poll.Relay {
 		s.reading.require(readAfterPoll)
@@ -52,10 +52,10 @@
 
 // isWorthSending reports whether a reply is sent before the end of the hold.
 func isWorthSending(reply *wire.WatchNews) bool {
-	switch wire.Standing(reply.Standing) {
-	case wire.StandingLeaving, wire.StandingUnsure:
+	switch wire.ReaderState(reply.Standing) {
+	case wire.ReaderLeaving, wire.ReaderUnsure:
 		return true
-	case wire.StandingCurrent:
+	case wire.ReaderCurrent:
 		return len(reply.Kinds) > 0
 	}
 	return false
@@ -64,7 +64,7 @@
 // replyNow returns the reply to a poll at this moment.
 func (s *Source) replyNow(poll *wire.WatchPoll) *wire.WatchNews {
 	status := s.readerStatus(poll.Direct)
-	if poll.Relay && status.standing != wire.StandingLeaving && !s.reading.isActive() {
+	if poll.Relay && status.standing != wire.ReaderLeaving && !s.reading.isActive() {
 		status = s.relayStatus()
 	}
 	return &wire.WatchNews{
@@ -77,7 +77,7 @@
 
 // copyStatus is what a node says of its copies.
 type copyStatus struct {
-	standing wire.Standing
+	standing wire.ReaderState
 	// through is the address of the node that the store answers, if it is another one.
 	through string
 	// age is how long ago the copies were known to be current.
@@ -89,11 +89,11 @@
 	age := s.Age()
 	switch {
 	case !s.listed():
-		return copyStatus{standing: wire.StandingStarting}
+		return copyStatus{standing: wire.ReaderStarting}
 	case age > maxRelayedAge:
-		return copyStatus{standing: wire.StandingUnsure}
+		return copyStatus{standing: wire.ReaderUnsure}
 	}
-	return copyStatus{standing: wire.StandingCurrent, through: s.peer.last(), age: age}
+	return copyStatus{standing: wire.ReaderCurrent, through: s.peer.last(), age: age}
 }
 
 // readerStatus returns the status of a node that reads the store. One that is helped by
@@ -103,15 +103,15 @@
 	helper, helped := s.peer.helper()
 	switch {
 	case s.leaving.Load():
-		return copyStatus{standing: wire.StandingLeaving}
+		return copyStatus{standing: wire.ReaderLeaving}
 	case helped && !direct:
-		return copyStatus{standing: wire.StandingCurrent, through: helper}
+		return copyStatus{standing: wire.ReaderCurrent, through: helper}
 	case s.health.isUnavailable():
-		return copyStatus{standing: wire.StandingUnsure}
+		return copyStatus{standing: wire.ReaderUnsure}
 	case s.isCurrent():
-		return copyStatus{standing: wire.StandingCurrent}
+		return copyStatus{standing: wire.ReaderCurrent}
 	}
-	return copyStatus{standing: wire.StandingStarting}
+	return copyStatus{standing: wire.ReaderStarting}
 }
 
 // updatesFor returns an update for each kind of which a poll's sender lacks changes.
--- a/internal/store/watchcache/poll.go
+++ b/internal/store/watchcache/poll.go
@@ -78,7 +78,7 @@
 // acceptReply returns the outcome of a poll whose changes were applied. If the node is
 // current, it records the node that the store answers and the age of the copies.
 func (s *Source) acceptReply(node Node, reply *wire.WatchNews) pollOutcome {
-	outcome := outcomeOf(wire.Standing(reply.Standing))
+	outcome := outcomeOf(wire.ReaderState(reply.Standing))
 	if outcome != outcomeCurrent {
 		return outcome
 	}
@@ -94,13 +94,13 @@
 	return outcomeCurrent
 }
 
-func outcomeOf(standing wire.Standing) pollOutcome {
+func outcomeOf(standing wire.ReaderState) pollOutcome {
 	switch standing {
-	case wire.StandingCurrent:
+	case wire.ReaderCurrent:
 		return outcomeCurrent
-	case wire.StandingLeaving:
+	case wire.ReaderLeaving:
 		return outcomeLeaving
-	case wire.StandingStarting:
+	case wire.ReaderStarting:
 		return outcomeStarting
 	}
 	return outcomeUnsure
--- a/internal/wire/builds_test.go
+++ b/internal/wire/builds_test.go
@@ -26,8 +26,8 @@
 			Capacity: 192, UsageDone: 5, Lengths: []ItemLength{{Item: "i", Events: 12, Whole: true}},
 			Work: []JobWork{{Job: "j", Model: "m", ExpectedTokens: 900, Tenant: "t", Epoch: 2, Open: 3, Routes: []string{"r"}, Entry: "g"}},
 		}},
-		{Correlation: 1, Patience: 5, Message: &WatchPoll{Kinds: []KindRevision{{Kind: "k", Revision: 5}}, WaitMs: 400, Direct: true}},
-		{Correlation: 1, Reply: true, Message: &WatchNews{Standing: uint8(StandingStarting), Through: "a:3", Kinds: []KindNews{{
+		{Correlation: 1, Timeout: 5, Message: &WatchPoll{Kinds: []KindRevision{{Kind: "k", Revision: 5}}, WaitMs: 400, Direct: true}},
+		{Correlation: 1, Reply: true, Message: &WatchNews{Standing: uint8(ReaderStarting), Through: "a:3", Kinds: []KindNews{{
 			Kind: "k", Revision: 6, Whole: true, AfterOutage: true, Changes: []ObjectChange{{Name: "n", Deleting: true, Revision: 6, Spec: []byte("{}"), Status: []byte("1")}, {Name: "o", Gone: true}},
 		}}}},
 		{Correlation: 2, Message: &JobOffer{Job: "j"}},
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -19,10 +19,10 @@
 type Frame struct {
 	Correlation uint64
 	Reply       bool
-	// Patience is for how long after its arrival an answer is wanted; 0 for no
-	// bound. It is a span, since the clocks of nodes disagree.
-	Patience time.Duration
-	Message  Message
+	// Timeout bounds the wait for an answer, counted from the frame's arrival; 0 for no
+	// bound. It is a duration and no instant, since the clocks of nodes disagree.
+	Timeout time.Duration
+	Message Message
 	// Bytes is the size of a frame that was read.
 	Bytes int
 }
@@ -39,7 +39,7 @@
 	}
 	root.SetCorrelation(f.Correlation)
 	root.SetReply(f.Reply)
-	root.SetPatience(int64(f.Patience))
+	root.SetPatience(int64(f.Timeout))
 	if err := f.Message.attach(root); err != nil {
 		return nil, err
 	}
@@ -69,7 +69,7 @@
 	if err != nil {
 		return Frame{}, err
 	}
-	return Frame{Correlation: root.Correlation(), Reply: root.Reply(), Patience: time.Duration(root.Patience()), Message: content}, nil
+	return Frame{Correlation: root.Correlation(), Reply: root.Reply(), Timeout: time.Duration(root.Patience()), Message: content}, nil
 }
 
 // Read reads one frame from a connection.
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -11,13 +11,13 @@
 	member := Member{ID: "node-1", Address: "127.0.0.1:1", HTTP: "127.0.0.1:2", Zone: "a", Region: "r", Incarnation: 7, Sequence: 2, State: MemberLeaving, Storage: true}
 	records := Records{Members: []Member{member}, Leases: []LeaseNote{{Name: "reader", Holder: "node-1", Token: 3}}}
 	return []Frame{
-		{Correlation: 1, Patience: 5, Message: &Ping{Target: "x", Summary: 9, Records: records, Documents: []DocumentVersion{{Name: "configuration", Version: 4}}}},
+		{Correlation: 1, Timeout: 5, Message: &Ping{Target: "x", Summary: 9, Records: records, Documents: []DocumentVersion{{Name: "configuration", Version: 4}}}},
 		{Correlation: 1, Reply: true, Message: &Ack{Summary: 8, Records: Records{}}},
 		{Message: &DocumentReply{Name: "d", Version: 3, Base: 2, Upserts: []Entry{{Key: "k", Data: []byte("v")}}, Removed: []string{"gone"}, Digest: 11}},
 		{Message: &ClaimSnapshot{Epoch: 2, Records: []ClaimRecord{{Key: "k", Attempt: "a", Answer: []byte{1}, Withdrawn: []string{"b"}}}}},
 		{Message: &LoadReport{Loads: []EngineLoad{{Engine: "e", Running: 1, Version: -2, Flags: EngineHealthy}}}},
-		{Correlation: 2, Patience: 7, Message: &WatchPoll{Kinds: []KindRevision{{Kind: "k", Revision: 5}}, WaitMs: 500, Direct: true}},
-		{Correlation: 2, Reply: true, Message: &WatchNews{Standing: uint8(StandingLeaving), Kinds: []KindNews{{
+		{Correlation: 2, Timeout: 7, Message: &WatchPoll{Kinds: []KindRevision{{Kind: "k", Revision: 5}}, WaitMs: 500, Direct: true}},
+		{Correlation: 2, Reply: true, Message: &WatchNews{Standing: uint8(ReaderLeaving), Kinds: []KindNews{{
 			Kind: "k", Revision: 6, Whole: true, AfterOutage: true, Changes: []ObjectChange{{Name: "n", Deleting: true, Revision: 6, Spec: []byte("{}"), Status: []byte("1")}, {Name: "o", Gone: true}},
 		}}}},
 		{Correlation: 3, Message: &StoreCall{Verb: uint8(StoreReplace), Kind: "k", Name: "n", Revision: 4, Content: []byte("{}"), MayBeStale: true}},
--- a/internal/wire/heartbeat.go
+++ b/internal/wire/heartbeat.go
@@ -28,8 +28,8 @@
 	Incarnation uint64
 }
 
-// NodeBeat is the heartbeat of a node that keeps its lasting state in a
-// metadata store, and the greeting between two such nodes.
+// NodeBeat is the heartbeat of a node on a metadata store, and the greeting between two such
+// nodes.
 type NodeBeat struct {
 	Node        string
 	Address     string
--- a/internal/wire/watch.go
+++ b/internal/wire/watch.go
@@ -1,6 +1,6 @@
 package wire
 
-// KindRevision is up to which revision a node has the objects of one kind.
+// KindRevision is the revision of a node's copies of one kind.
 type KindRevision struct {
 	Kind     string
 	Revision uint64
@@ -12,10 +12,10 @@
 	WaitMs uint32
 	// Direct asks for a node that the store itself answers.
 	Direct bool
-	// Relay tells that the sender takes the receiver for one that follows another
-	// node itself, so that it need not read the store.
+	// Relay is set if the receiver may follow another node itself, as the sender ranks
+	// it, and so need not read the store.
 	Relay bool
-	// Compressed tells that the sender can read compressed listings.
+	// Compressed is set if the sender can read compressed listings.
 	Compressed bool
 }
 
@@ -29,7 +29,8 @@
 	Status   []byte
 }
 
-// KindNews are the changes of one kind, or all its objects.
+// KindNews holds the changes of one kind since a revision, or all its objects if Whole is
+// set.
 type KindNews struct {
 	Kind        string
 	Revision    uint64
@@ -46,24 +47,25 @@
 	Objects []ObjectChange
 }
 
-// Standing is what a node says of its own view of the metadata store.
-type Standing uint8
+// ReaderState is what a polled node reports of its own copies of the metadata store.
+type ReaderState uint8
 
-// The standings of a node that is asked for news.
+// The states of a polled node.
 const (
-	// StandingCurrent means that the store answers the node.
-	StandingCurrent Standing = iota
-	// StandingUnsure means that the store does not answer the node.
-	StandingUnsure
-	// StandingLeaving means that the node stops soon.
-	StandingLeaving
-	// StandingStarting means that the node has begun to read and has not read
+	// ReaderCurrent means that the store answers the node.
+	ReaderCurrent ReaderState = iota
+	// ReaderUnsure means that the store does not answer the node.
+	ReaderUnsure
+	// ReaderLeaving means that the node stops soon.
+	ReaderLeaving
+	// ReaderStarting means that the node has begun to read and has not read
 	// everything yet.
-	StandingStarting
+	ReaderStarting
 )
 
 // WatchNews answers a WatchPoll.
 type WatchNews struct {
+	// Standing is a ReaderState.
 	Standing uint8
 	Kinds    []KindNews
 	// Through is the address of the node through which the sender is current,
