--- a/internal/callers/quarantine/admit.go
+++ b/internal/callers/quarantine/admit.go
@@ -21,21 +21,21 @@
 	return &dispatch.QuarantinedError{Fingerprint: request.String(), Left: left}
 }
 
-// awaitExamined waits while a run that broke may yet be found to be the end that puts a
-// request in quarantine. Only requests that need just one more end wait.
+// awaitExamination waits while the examination of a broken run may put the request in
+// quarantine. Only requests that are one end short of it wait.
 func (s *Service) awaitExamination(ctx context.Context, request Fingerprint) {
 	for {
 		s.mutex.Lock()
-		mayDecide := s.examining[request] > 0 && len(s.ledger.Ends(request)) >= endsToQuarantine-1
-		settled := s.examinationEnded
+		isOneEndShort := s.examining[request] > 0 && len(s.ledger.Ends(request)) >= endsToQuarantine-1
+		ended := s.examinationEnded
 		s.mutex.Unlock()
-		if !mayDecide {
+		if !isOneEndShort {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-settled:
+		case <-ended:
 		}
 	}
 }
--- a/internal/callers/quarantine/endcheck.go
+++ b/internal/callers/quarantine/endcheck.go
@@ -9,23 +9,17 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-const (
-	// probeTime bounds the new connection that tells whether a replica has ended: a
-	// process that has ended is refused within a round trip.
-	probeTimeout = 300 * time.Millisecond
-	// endSpacing is the least time between two ends of one replica, which has to start
-	// and to be listed in between. Runs that break closer together were cut off by
-	// the same end.
-	minEndInterval = 2 * time.Second
-)
+// probeTimeout bounds the new connection by which the end of a replica is found: where
+// the process has ended, it is refused within a round trip.
+const probeTimeout = 300 * time.Millisecond
 
-// Prober tells whether anybody listens at a replica's address.
+// Prober checks whether a process listens at a replica's address.
 type Prober interface {
 	Probe(ctx context.Context, address string) exchange.Liveness
 }
 
-// endCheck finds out whether replicas have ended, with one new connection for all the
-// runs that an end has cut off. It is safe for use by many goroutines.
+// endCheck checks whether replicas have ended, with one new connection for all the runs
+// that an end has cut off. It is safe for use by many goroutines.
 type endCheck struct {
 	prober Prober
 
@@ -33,10 +27,10 @@
 	probes map[string]*probe
 }
 
-// probe is one look at a replica.
+// probe is one check of a replica.
 type probe struct {
 	done chan struct{}
-	// found is what it brought, once done is closed.
+	// found may be read once done is closed.
 	found exchange.Liveness
 }
 
@@ -44,7 +38,8 @@
 	return &endCheck{prober: prober, probes: map[string]*probe{}}
 }
 
-// look tells whether a replica lives, of which a run has just broken.
+// check returns whether a replica lives whose run has just broken. It waits for a probe
+// that is under way, and takes the result of one that found the end a short time ago.
 func (c *endCheck) check(ctx context.Context, endpoint *routing.Endpoint) exchange.Liveness {
 	c.mutex.Lock()
 	current := c.probes[endpoint.Name]
@@ -69,7 +64,7 @@
 	return started.found
 }
 
-// forget has the next broken run of a replica looked at anew.
+// dropProbe has the next broken run of a replica checked anew.
 func (c *endCheck) dropProbe(replica string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/callers/quarantine/examine.go
+++ b/internal/callers/quarantine/examine.go
@@ -4,16 +4,9 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/callers/dispatch"
-	"github.com/pathtally/pathtally/internal/callers/exchange"
 )
 
-// soonAfterSent is for how long after it was sent the break of a run counts although it
-// had made a part of an answer that the next run goes on behind. A request that ends its
-// replica does so soon after it begins; one that has run for longer is mostly cut off by
-// the end that another has brought about.
-const earlyBreakLimit = time.Second
-
-// ObserveBroken implements dispatch.Guard.
+// ObserveBroken implements dispatch.Guard. The run is examined beside the request.
 func (s *Service) ObserveBroken(run dispatch.Run) {
 	request := fingerprintOf(run.Call)
 	s.mutex.Lock()
@@ -31,29 +24,28 @@
 	}()
 }
 
-// examine finds out whether a replica has ended under a run that broke, and counts that
-// against the request.
+// examine checks whether the replica of a broken run has ended, and counts that against
+// the request.
 func (s *Service) examine(request Fingerprint, run dispatch.Run) {
-	found := s.endCheck.check(s.ctx, run.Endpoint)
-	s.metrics.broken.WithLabelValues(string(found)).Inc()
-	hadProgress := run.Call.Resumable && run.Received && run.Lasted >= earlyBreakLimit
-	counts := found == exchange.Ended && !hadProgress
+	replica := s.endCheck.check(s.ctx, run.Endpoint)
+	s.metrics.broken.WithLabelValues(string(replica)).Inc()
+	counts := countsAsEnd(&run, replica)
 	known := 0
 	if counts {
 		now := s.config.Clock()
 		known = s.addEnds(request, []end{{replica: run.Endpoint.Name, at: now}}, now)
 	}
-	s.config.Logger.Info("run broke", "request", run.Call.ID, "fingerprint", request.String(), "replica", run.Endpoint.Name, "replicaIs", found,
+	s.config.Logger.Info("run broke", "request", run.Call.ID, "fingerprint", request.String(), "replica", run.Endpoint.Name, "replicaIs", replica,
 		"counts", counts, "ends", known, "tookMs", run.Lasted.Milliseconds(), "received", run.Received)
-	switch {
-	case known >= endsToQuarantine:
+	switch onBrokenRun(counts, known) {
+	case startQuarantine:
 		s.quarantine(request)
-	case counts:
+	case reportToKeepers:
 		s.reportEnds(request, s.keepers(request))
 	}
 }
 
-// count takes ends of replicas under a request and returns how many are known.
+// addEnds adds ends of replicas under a request and returns the number known.
 func (s *Service) addEnds(request Fingerprint, ends []end, now time.Time) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/callers/quarantine/fingerprint.go
+++ b/internal/callers/quarantine/fingerprint.go
@@ -8,14 +8,15 @@
 	"github.com/pathtally/pathtally/internal/callers/dispatch"
 )
 
-// fingerprintBytes is the length of a fingerprint: too long for callers to find another
-// request with the same one.
+// fingerprintBytes is the length of a fingerprint, long enough that nobody finds two
+// requests with the same one.
 const fingerprintBytes = 16
 
-// Fingerprint tells whether two requests are the same but for their ids.
+// Fingerprint is the same for requests that differ in their ids and headers alone.
 type Fingerprint [fingerprintBytes]byte
 
-// fingerprintOf is the fingerprint of a call: of its caller, where it goes, and its body.
+// fingerprintOf returns the fingerprint of a call, over tenant, host, method, target and
+// body.
 func fingerprintOf(call *dispatch.Call) Fingerprint {
 	digest := sha256.New()
 	for _, part := range []string{call.Tenant, call.Host, call.Method, call.Target} {
@@ -29,5 +30,5 @@
 	return Fingerprint(digest.Sum(nil)[:fingerprintBytes])
 }
 
-// String is the fingerprint in hexadecimal digits.
+// String returns the fingerprint in hexadecimal digits.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
--- a/internal/callers/quarantine/hold.go
+++ b/internal/callers/quarantine/hold.go
@@ -1,13 +1,8 @@
 package quarantine
 
-import (
-	"net/http"
+import "github.com/pathtally/pathtally/internal/callers/dispatch"
 
-	"github.com/pathtally/pathtally/internal/callers/dispatch"
-)
-
-// quarantine puts a request under which enough replicas have ended in quarantine, and
-// tells the other nodes and the store.
+// quarantine holds a request, reports that to all nodes and has it written to the store.
 func (s *Service) quarantine(request Fingerprint) {
 	if !s.hold(request) {
 		return
@@ -16,7 +11,7 @@
 	s.recorder.setIntent(request, intent{at: s.config.Clock()})
 }
 
-// hold puts a request in quarantine at this node and tells whether it was not in it.
+// hold puts a request in quarantine at this node, and returns whether it was not in it.
 func (s *Service) hold(request Fingerprint) bool {
 	now := s.config.Clock()
 	if !s.table.Hold(request, now.Add(s.config.Span), now) {
@@ -32,8 +27,7 @@
 	if s.suspects.Load() == 0 && s.table.IsEmpty() {
 		return
 	}
-	if status < http.StatusOK || status >= http.StatusMultipleChoices {
-		// A failure may come from a replica that did not begin to run it.
+	if !clearsRequest(status) {
 		return
 	}
 	request := fingerprintOf(call)
@@ -50,7 +44,7 @@
 	}
 }
 
-// isKnown tells whether there are ends under a request, or it is in quarantine.
+// isSuspectOrHeld returns whether there are ends under a request, or it is in quarantine.
 func (s *Service) isSuspectOrHeld(request Fingerprint) bool {
 	if s.table.TimeLeft(request, s.config.Clock()) > 0 {
 		return true
@@ -60,7 +54,7 @@
 	return len(s.ledger.Ends(request)) > 0
 }
 
-// clear forgets the ends under a request that was served, and lifts its quarantine.
+// forgive drops the ends under a request that was served, and lifts its quarantine.
 func (s *Service) forgive(request Fingerprint) (wasSuspect, wasHeld bool) {
 	s.mutex.Lock()
 	wasSuspect = s.ledger.RecordServed(request, s.config.Clock())
--- a/internal/callers/quarantine/ledger.go
+++ b/internal/callers/quarantine/ledger.go
@@ -6,15 +6,11 @@
 )
 
 const (
-	// endsToQuarantine is how many ends of replicas under one request put it in
-	// quarantine. A good request that shares replicas with one that ends them meets two
-	// ends now and then; three without an answer in between are its own.
-	endsToQuarantine = 3
-	// ledgerMemory is for how long after its last end a request is remembered: callers
-	// and queues try again for minutes.
+	// suspectLifetime is how long after its last end a request is remembered: callers and
+	// queues try again for minutes.
 	suspectLifetime = 10 * time.Minute
-	// mostSuspects bounds the requests remembered. Losing a rack of replicas cuts off
-	// some hundreds; each takes about 200 bytes.
+	// maxSuspects bounds the requests remembered, some 200 bytes each. The loss of a rack
+	// of replicas cuts off some hundreds.
 	maxSuspects = 4096
 )
 
@@ -28,15 +24,15 @@
 type suspect struct {
 	// ends are at most endsToQuarantine, in the order in which they became known.
 	ends []end
-	// served is when it was last known to be served, zero for never: ends from before that
-	// count nothing, in whatever order they are told.
+	// served is when it was last known to be served, zero for never. Ends from before do
+	// not count, in whatever order they become known.
 	served time.Time
-	// last is when anything of it came last.
+	// last is when it was last seen to end a replica or to be served.
 	last time.Time
 }
 
 // Ledger counts the ends of replicas under requests. It does no input or output and reads
-// no clock, so that a test can drive it. It is not safe for use by many goroutines.
+// no clock. It is not safe for use by many goroutines.
 //
 // Invariants: a request has as many ends as replicas are known to have ended under it since
 // it was served, but no more than endsToQuarantine; taking the same end again, in any
@@ -48,7 +44,7 @@
 // NewLedger returns a ledger without requests.
 func NewLedger() *Ledger { return &Ledger{suspects: map[Fingerprint]*suspect{}} }
 
-// Add takes the end of a replica under a request and returns how many there are.
+// Add adds the end of a replica under a request and returns how many are known.
 func (l *Ledger) Add(request Fingerprint, replica string, at, now time.Time) int {
 	l.Prune(now)
 	known := l.suspect(request, at)
@@ -58,7 +54,8 @@
 	return len(known.ends)
 }
 
-// suspect returns what is known of a request of which something came at an instant.
+// suspect returns the entry of a request that was seen at a time, a new one if there is
+// none.
 func (l *Ledger) suspect(request Fingerprint, at time.Time) *suspect {
 	known := l.suspects[request]
 	if known == nil {
@@ -74,7 +71,7 @@
 	return known
 }
 
-// has tells whether an end is known: one of the same replica at about the same time.
+// has returns whether an end is known: one of the same replica within minEndInterval.
 func (s *suspect) has(replica string, at time.Time) bool {
 	for _, known := range s.ends {
 		if known.replica == replica && at.Sub(known.at).Abs() < minEndInterval {
@@ -92,9 +89,9 @@
 	return nil
 }
 
-// Serve takes the word that a request was served, and tells whether there were ends under
-// it. A request of which nothing is known is remembered as well: ends from before may yet be
-// told.
+// RecordServed records that a request was served, and returns whether there were ends
+// under it. An unknown request is remembered too, since reports of earlier ends may still
+// come.
 func (l *Ledger) RecordServed(request Fingerprint, now time.Time) bool {
 	known := l.suspect(request, now)
 	had := len(known.ends) > 0
@@ -102,15 +99,15 @@
 	return had
 }
 
-// Len counts the requests.
+// Len returns the number of requests remembered.
 func (l *Ledger) Len() int { return len(l.suspects) }
 
-// Prune forgets the requests whose last end is long ago.
+// Prune drops the requests that were not seen for suspectLifetime.
 func (l *Ledger) Prune(now time.Time) {
 	maps.DeleteFunc(l.suspects, func(_ Fingerprint, known *suspect) bool { return now.Sub(known.last) > suspectLifetime })
 }
 
-// dropOldest forgets the request whose last end is the longest ago.
+// dropOldest drops the request that was not seen for the longest time.
 func (l *Ledger) dropOldest() {
 	var oldest Fingerprint
 	var last time.Time
--- a/internal/callers/quarantine/metrics.go
+++ b/internal/callers/quarantine/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/pathtally/pathtally/internal/clock"
 )
 
-// metrics count what this node learns of broken runs, and what it keeps from replicas.
+// metrics count broken runs, quarantines and refused attempts.
 type metrics struct {
 	broken  *prometheus.CounterVec
 	held    prometheus.Counter
--- a/internal/callers/quarantine/record.go
+++ b/internal/callers/quarantine/record.go
@@ -18,8 +18,8 @@
 	ObjectName = "requests"
 )
 
-// mostRecorded bounds the requests in the object, which everybody follows, to about 70 KB;
-// the newest stay.
+// maxRecorded bounds the requests in the object, which all nodes watch, to about 70 KB. The
+// newest stay.
 const maxRecorded = 1000
 
 // record is what the store holds.
@@ -35,11 +35,12 @@
 	At int64 `json:"at"`
 }
 
-// errNoFingerprint means that a text is no fingerprint.
+// errBadFingerprint means that a text or message has no valid fingerprint.
 var errBadFingerprint = merry.Sentinel("not a fingerprint of 32 hexadecimal digits")
 
-// RecordError is a record that cannot be read, or not in part.
+// RecordError is a record that cannot be read, or not in part, or not written.
 type RecordError struct {
+	// Found is the first fingerprint that cannot be read, if the rest can.
 	Found string
 	Cause error
 }
--- a/internal/callers/quarantine/recorder.go
+++ b/internal/callers/quarantine/recorder.go
@@ -14,22 +14,23 @@
 )
 
 const (
-	// writePause is the time before a write that failed is made again: other nodes hold
-	// the quarantine meanwhile, and only nodes that start now lack it.
+	// writeRetryDelay is the time before a failed write is made again. Meanwhile, only
+	// nodes that start lack the quarantine.
 	writeRetryDelay = 500 * time.Millisecond
-	// writeTime bounds one try: a read and a write.
+	// writeTimeout bounds one try: a read and a write.
 	writeTimeout = 3 * time.Second
 )
 
-// intent is what is to become of a request in the store's record.
+// intent is a change of the store's record about one request.
 type intent struct {
-	// lift takes it out; else it is put in with the time at which its quarantine began.
+	// lift takes the request out; else it is put in.
 	lift bool
-	at   time.Time
+	// at is when the quarantine began.
+	at time.Time
 }
 
-// recorder brings what this node knows into the store's record. It is safe for use by
-// many goroutines.
+// recorder writes changes to the store's record until the store takes them. It is safe
+// for use by many goroutines.
 type recorder struct {
 	store  objectstore.Store
 	clock  clock.Clock
@@ -45,7 +46,7 @@
 	return &recorder{store: store, clock: counting, span: span, logger: logger, wake: make(chan struct{}, 1), intents: map[Fingerprint]intent{}}
 }
 
-// want has a request's entry written; a later intent replaces an earlier one.
+// setIntent has a request's entry written. A later intent replaces an earlier one.
 func (r *recorder) setIntent(request Fingerprint, wanted intent) {
 	r.mutex.Lock()
 	r.intents[request] = wanted
@@ -56,7 +57,7 @@
 	}
 }
 
-// Run writes what is wanted until the context ends.
+// Run writes intents until the context ends.
 func (r *recorder) Run(ctx context.Context) {
 	for {
 		select {
@@ -75,15 +76,15 @@
 	}
 }
 
-// isBehind tells whether something wanted is not in the store yet.
+// isBehind returns whether there is an intent that is not in the store yet.
 func (r *recorder) isBehind() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return len(r.intents) > 0
 }
 
-// write makes one try to bring all that is wanted into the record. Writing on condition
-// keeps what other nodes have written since it was read.
+// write makes one try to write all intents. It replaces the record only at the revision
+// that it read, so that no other node's change is lost.
 func (r *recorder) write(ctx context.Context) error {
 	r.mutex.Lock()
 	wanted := maps.Clone(r.intents)
@@ -110,8 +111,8 @@
 	return nil
 }
 
-// apply returns the record with what is wanted and without quarantines that are over, and
-// whether anything wanted was missing.
+// apply returns the record with the intents and without quarantines that are over, and
+// whether an intent changed it.
 func (r *recorder) apply(began map[Fingerprint]time.Time, wanted map[Fingerprint]intent) (next map[Fingerprint]time.Time, changed bool) {
 	next = map[Fingerprint]time.Time{}
 	for request, at := range began {
@@ -120,12 +121,12 @@
 		}
 	}
 	for request, want := range wanted {
-		_, stands := next[request]
+		_, isListed := next[request]
 		switch {
-		case want.lift && stands:
+		case want.lift && isListed:
 			delete(next, request)
 			changed = true
-		case !want.lift && !stands && r.clock.Since(want.at) < r.span:
+		case !want.lift && !isListed && r.clock.Since(want.at) < r.span:
 			next[request] = want.at
 			changed = true
 		}
@@ -147,7 +148,7 @@
 	return err
 }
 
-// settle takes off what has been written, unless something else was wanted since.
+// dropWritten drops the intents that have been written, unless they were replaced since.
 func (r *recorder) dropWritten(written map[Fingerprint]intent) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/callers/quarantine/reports.go
+++ b/internal/callers/quarantine/reports.go
@@ -8,17 +8,13 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// keepersOfRequest is how many nodes count the ends under a request besides those that
-// saw one: two may be lost at the same time.
-const keeperCount = 3
-
-// keepers are the nodes that count the ends under a request.
+// keepers returns the nodes that count the ends under a request for all.
 func (s *Service) keepers(request Fingerprint) []string {
 	ranked := rendezvous.RankNames(request.String(), s.config.Nodes())
 	return ranked[:min(len(ranked), keeperCount)]
 }
 
-// report tells nodes of all ends known under a request.
+// reportEnds sends nodes all ends known under a request.
 func (s *Service) reportEnds(request Fingerprint, nodes []string) {
 	now := s.config.Clock()
 	s.mutex.Lock()
@@ -32,7 +28,7 @@
 	s.broadcast(message, nodes)
 }
 
-// reportServed tells nodes that a request was served.
+// reportServed sends nodes that a request was served.
 func (s *Service) reportServed(request Fingerprint, nodes []string) {
 	s.broadcast(&wire.CrashReport{Fingerprint: request[:], Served: true}, nodes)
 }
@@ -48,10 +44,10 @@
 	s.config.Peers.Broadcast(addresses, message)
 }
 
-// Take takes another node's report.
+// ReceiveReport takes another node's report.
 func (s *Service) ReceiveReport(message *wire.CrashReport) {
 	if len(message.Fingerprint) != fingerprintBytes {
-		s.config.Logger.Info("crash report passed over", "reason", errBadFingerprint.Error(), "bytes", len(message.Fingerprint))
+		s.config.Logger.Info("crash report ignored", "reason", errBadFingerprint.Error(), "bytes", len(message.Fingerprint))
 		return
 	}
 	request := Fingerprint(message.Fingerprint)
@@ -63,23 +59,20 @@
 	}
 	now := s.config.Clock()
 	ends := make([]end, 0, len(message.Ends))
-	for _, told := range message.Ends {
-		ends = append(ends, end{replica: told.Replica, at: now.Add(-time.Duration(told.AgoMs) * time.Millisecond)})
+	for _, reported := range message.Ends {
+		ends = append(ends, end{replica: reported.Replica, at: now.Add(-time.Duration(reported.AgoMs) * time.Millisecond)})
 	}
-	known := s.addEnds(request, ends, now)
-	switch {
-	case len(message.Ends) >= endsToQuarantine:
-		// The sender tells everybody. A keeper records it too, should the sender end
-		// before it has.
+	switch onReportedEnds(len(ends), s.addEnds(request, ends, now)) {
+	case joinQuarantine:
 		if s.hold(request) && s.isKeeper(request) {
 			s.recorder.setIntent(request, intent{at: now})
 		}
-	case known >= endsToQuarantine:
+	case startQuarantine:
 		s.quarantine(request)
 	}
 }
 
-// isKeeper tells whether this node counts the ends under a request for all.
+// isKeeper returns whether this node counts the ends under a request for all.
 func (s *Service) isKeeper(request Fingerprint) bool {
 	return slices.Contains(s.keepers(request), s.config.Node)
 }
--- a/internal/callers/quarantine/service.go
+++ b/internal/callers/quarantine/service.go
@@ -15,14 +15,11 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// DefaultSpan is how long a request stays in quarantine where the settings (quarantine)
-// name no time: callers that try again give up within minutes, and a request that is
-// held by mistake is served again within the same.
-const DefaultSpan = 10 * time.Minute
-
 // Config is what a Service needs.
 type Config struct {
-	Node     string
+	// Node is the name of this node.
+	Node string
+	// Span is how long a request stays in quarantine; DefaultSpan if it is not positive.
 	Span     time.Duration
 	Prober   Prober
 	Store    objectstore.Store
@@ -40,26 +37,27 @@
 type Service struct {
 	config   Config
 	metrics  *metrics
-	endCheck     *endCheck
+	endCheck *endCheck
 	table    *Table
 	recorder *recorder
-	// ctx bounds what goes on beside the requests.
+	// ctx ends the examinations.
 	ctx context.Context
 
-	// suspects counts the requests in the ledger, so that ordinary requests pass
+	// suspects is the number of requests in the ledger. While it is 0, requests pass
 	// without the lock and without a fingerprint.
 	suspects atomic.Int64
 	mutex    sync.Mutex
 	ledger   *Ledger
-	// examined counts the broken runs of each request that are being looked into, and
-	// settled is closed and replaced when one of them has been.
-	examining map[Fingerprint]int
-	examinationEnded  chan struct{}
+	// examining counts the broken runs of each request that are being examined, and
+	// examinationEnded is closed and replaced whenever one of them has been.
+	examining        map[Fingerprint]int
+	examinationEnded chan struct{}
 }
 
 var _ dispatch.Guard = (*Service)(nil)
 
-// NewService returns a service that records nothing in the store before Run.
+// NewService returns a service that writes nothing to the store before Run. The context
+// ends the examinations of broken runs.
 func NewService(ctx context.Context, config Config) *Service {
 	if config.Span <= 0 {
 		config.Span = DefaultSpan
@@ -72,12 +70,11 @@
 	return service
 }
 
-// forgetPause is the time between looks for ends to forget: while any are remembered, each
-// request is told by its fingerprint.
+// pruneInterval is the time between the prunings of the ledger. While it has any request,
+// each call costs a fingerprint.
 const pruneInterval = time.Minute
 
-// Run records quarantines in the store, and forgets what is long ago, until the context
-// ends.
+// Run writes quarantines to the store and prunes the ledger until the context ends.
 func (s *Service) Run(ctx context.Context) {
 	var duties sync.WaitGroup
 	duties.Go(func() { s.recorder.Run(ctx) })
@@ -87,7 +84,7 @@
 	duties.Wait()
 }
 
-// forget drops the ends that are long ago.
+// prune drops the requests that were not seen for suspectLifetime.
 func (s *Service) prune() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/callers/quarantine/sink.go
+++ b/internal/callers/quarantine/sink.go
@@ -6,7 +6,7 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// Replace takes a whole listing of the kind, as package watchcache hands it on.
+// Replace takes a whole listing of the kind from package watchcache.
 func (s *Service) Replace(objects []objectstore.Object, _ bool) {
 	for _, object := range objects {
 		if object.Name == ObjectName {
@@ -17,7 +17,7 @@
 	s.table.ApplyStored(nil, s.config.Clock())
 }
 
-// Apply takes changes of the kind, as package watchcache hands them on.
+// Apply takes changes of the kind from package watchcache.
 func (s *Service) Apply(changes []objectstore.Change, _ bool) {
 	for _, change := range changes {
 		switch {
@@ -30,13 +30,12 @@
 	}
 }
 
-// takeRecord takes the store's record. How old a quarantine is goes by the time of day,
-// of which only the rest of its time is kept, so that a wrong clock never makes it longer
-// than it is to be.
+// applyRecord takes the store's record. The age of a quarantine goes by the time of day;
+// with a wrong clock the rest is shorter or longer, but never longer than the span.
 func (s *Service) applyRecord(object objectstore.Object) {
 	began, err := decodeRecord(object.Spec)
 	if err != nil {
-		s.config.Logger.Error(err, "record of quarantined requests is not readable, or not in part", "revision", object.Revision)
+		s.config.Logger.Error(err, "record of quarantined requests cannot be read, or not in part", "revision", object.Revision)
 	}
 	if began == nil {
 		return
--- a/internal/callers/quarantine/table.go
+++ b/internal/callers/quarantine/table.go
@@ -11,7 +11,7 @@
 type held struct {
 	// until is when the quarantine ends, by this node's steady clock.
 	until time.Time
-	// stored tells that the store has listed it, so that its absence from a later
+	// stored is set once the store has listed it, so that its absence from a later
 	// listing means that it was lifted.
 	stored bool
 }
@@ -30,10 +30,10 @@
 	return table
 }
 
-// IsEmpty tells whether no request is in quarantine.
+// IsEmpty returns whether the table holds no request.
 func (t *Table) IsEmpty() bool { return len(*t.current.Load()) == 0 }
 
-// Len counts the requests in quarantine at an instant.
+// Len returns the number of requests in quarantine at a time.
 func (t *Table) Len(now time.Time) int {
 	count := 0
 	for _, entry := range *t.current.Load() {
@@ -44,7 +44,7 @@
 	return count
 }
 
-// Left is for how much longer a request is in quarantine, 0 where it is not.
+// TimeLeft returns the time until the quarantine of a request ends, 0 if there is none.
 func (t *Table) TimeLeft(request Fingerprint, now time.Time) time.Duration {
 	entry, found := (*t.current.Load())[request]
 	if !found {
@@ -53,7 +53,7 @@
 	return max(0, entry.until.Sub(now))
 }
 
-// Hold puts a request in quarantine until an instant and tells whether it was not in it.
+// Hold puts a request in quarantine until a time, and returns whether it was not in it.
 func (t *Table) Hold(request Fingerprint, until, now time.Time) bool {
 	isNew := false
 	t.change(now, func(next map[Fingerprint]held) {
@@ -65,10 +65,10 @@
 	return isNew
 }
 
-// Lift ends the quarantine of a request and tells whether it was in it.
+// Lift ends the quarantine of a request, and returns whether it was in it.
 func (t *Table) Lift(request Fingerprint, now time.Time) bool {
 	if _, held := (*t.current.Load())[request]; !held {
-		// Each whole answer asks for it: nothing is to be copied.
+		// The usual case, at each whole answer, copies nothing.
 		return false
 	}
 	lifted := false
@@ -79,14 +79,14 @@
 	return lifted
 }
 
-// TakeStored takes the requests that the store lists, with the end of each quarantine.
-// What the store listed before and lists no more is lifted; what this node has from its
-// peers alone stays.
+// ApplyStored takes the requests that the store lists, with the end of each quarantine. A
+// request that the store listed before and does not list now is lifted; one that this node
+// has from its peers alone stays.
 func (t *Table) ApplyStored(listed map[Fingerprint]time.Time, now time.Time) {
 	t.change(now, func(next map[Fingerprint]held) {
 		maps.DeleteFunc(next, func(request Fingerprint, entry held) bool {
-			_, stands := listed[request]
-			return entry.stored && !stands
+			_, isListed := listed[request]
+			return entry.stored && !isListed
 		})
 		for request, until := range listed {
 			if known, found := next[request]; found {
