--- a/cmd/pathtally-bench/main.go
+++ b/cmd/pathtally-bench/main.go
@@ -1,5 +1,6 @@
-// Command pathtally-bench measures: simulated faults, the load that
-// nodes bear, and where the time of steps went. Run it with -h for the subcommands.
+// Command pathtally-bench searches for broken promises under simulated faults,
+// and shows from log lines where the time of each trainer's step went. Run it
+// without arguments for the subcommands.
 package main
 
 import (
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -23,8 +23,6 @@
         random faults on a virtual clock; checks every promise
   pathtally-bench timeline [-json] [-plot steps.svg] FILE...
         where the time of each trainer's step went, from the nodes' log lines
-  pathtally-bench load -node 127.0.0.1:8001 -engine 127.0.0.1:9109 -rate 100 -for 10s
-        what a node adds to the latency of an engine, and its requests a core
 
 Each has -h. Exit codes: 0 done, 1 failed or a promise was broken, 2 usage.
 `
@@ -45,7 +43,7 @@
 
 // Run executes a command line.
 func Run(args []string, stdout, stderr io.Writer) int {
-	commands := map[string]func(*invocation) error{"sim": runSim, "load": runLoad, "timeline": runTimeline}
+	commands := map[string]func(*invocation) error{"sim": runSim, "timeline": runTimeline}
 	if len(args) == 0 || commands[args[0]] == nil {
 		fmt.Fprint(stderr, usageText)
 		return exitUsage
--- a/internal/standalone/loadgen/counts.go
+++ b/internal/standalone/loadgen/counts.go
@@ -29,7 +29,6 @@
 	mutex     sync.Mutex
 	counts    Counts
 	histogram *hdrhistogram.Histogram
-	firstByte *hdrhistogram.Histogram
 	notRun    []string
 	unsafe    map[string]int
 	codes     map[string]int64
@@ -38,7 +37,6 @@
 func newRecorder() *recorder {
 	return &recorder{
 		histogram: hdrhistogram.New(1, slowestMicros, significantFigures),
-		firstByte: hdrhistogram.New(1, slowestMicros, significantFigures),
 		unsafe:    map[string]int{},
 		codes:     map[string]int64{},
 	}
@@ -53,7 +51,7 @@
 	}
 }
 
-func (r *recorder) ended(request Request, verdict Verdict, elapsed, first time.Duration) {
+func (r *recorder) ended(request Request, verdict Verdict, elapsed time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if verdict.Code != "" {
@@ -63,7 +61,6 @@
 	case Answered:
 		r.counts.Answered++
 		_ = r.histogram.RecordValue(elapsed.Microseconds())
-		_ = r.firstByte.RecordValue(first.Microseconds())
 	case RefusedNotRun:
 		r.counts.RefusedNotRun++
 		if request.Key == "" {
--- a/internal/standalone/loadgen/generator.go
+++ b/internal/standalone/loadgen/generator.go
@@ -31,8 +31,6 @@
 	// Nodes returns the HTTP addresses to spread requests over.
 	Nodes func() []string
 	Seed  uint64
-	// MaxInFlight bounds the requests open at once.
-	MaxInFlight int
 }
 
 // Generator sends requests until its context ends.
@@ -43,19 +41,17 @@
 	running  sync.WaitGroup
 }
 
-const defaultMaxInFlight = 4096
+// maxInFlight bounds the requests open at once.
+const maxInFlight = 4096
 
 // New returns a generator that has not started.
 func New(config Config) *Generator {
-	if config.MaxInFlight == 0 {
-		config.MaxInFlight = defaultMaxInFlight
-	}
 	return &Generator{config: config, client: NewClient(), recorder: newRecorder()}
 }
 
 // Run sends until the context ends and then waits for the open requests.
 func (g *Generator) Run(ctx context.Context) error {
-	pool, err := ants.NewPool(g.config.MaxInFlight)
+	pool, err := ants.NewPool(maxInFlight)
 	if err != nil {
 		return err
 	}
@@ -113,8 +109,8 @@
 	begun := time.Now()
 	err := pool.Submit(func() {
 		defer g.running.Done()
-		verdict, first := Do(g.client, address, request)
-		g.recorder.ended(request, verdict, time.Since(begun), first)
+		verdict := Do(g.client, address, request)
+		g.recorder.ended(request, verdict, time.Since(begun))
 	})
 	if err != nil {
 		g.running.Done()
--- a/internal/standalone/loadgen/request.go
+++ b/internal/standalone/loadgen/request.go
@@ -44,8 +44,6 @@
 type Verdict struct {
 	Kind Kind
 	Code string
-	// RetryAfter tells whether a refusal said when to come back.
-	RetryAfter bool
 }
 
 const (
@@ -80,12 +78,11 @@
 	}
 }
 
-// Do sends a request to a node or straight to an engine and judges the answer.
-// It returns the time to the first byte of the body besides.
-func Do(client *fasthttp.Client, address string, request Request) (Verdict, time.Duration) {
+// Do sends a request to a node and judges the answer.
+func Do(client *fasthttp.Client, address string, request Request) Verdict {
 	body, err := json.Marshal(map[string]any{"model": request.Model, "prompt": request.Prompt, "max_tokens": request.MaxTokens, "stream": request.Stream})
 	if err != nil {
-		return Verdict{Kind: Wrong}, 0
+		return Verdict{Kind: Wrong}
 	}
 	call, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(call)
@@ -99,16 +96,14 @@
 		call.Header.Set("Idempotency-Key", request.Key)
 	}
 	call.SetBody(body)
-	begun := time.Now()
 	if err := client.DoTimeout(call, response, request.Deadline+callGrace); err != nil {
-		return connectionVerdict(err), 0
+		return connectionVerdict(err)
 	}
 	defer response.CloseBodyStream()
-	first := time.Since(begun)
 	if bytes.HasPrefix(response.Header.ContentType(), []byte("text/event-stream")) {
-		return judgeStream(response, request), first
+		return judgeStream(response, request)
 	}
-	return judgeWhole(response, request), first
+	return judgeWhole(response, request)
 }
 
 // connectionVerdict tells a connection that was never made, which harms
@@ -136,7 +131,7 @@
 	}
 	outcome := string(response.Header.Peek(headerOutcome))
 	if body.Error != nil {
-		verdict := Verdict{Kind: Unknown, Code: body.Error.Code, RetryAfter: len(response.Header.Peek(fasthttp.HeaderRetryAfter)) > 0}
+		verdict := Verdict{Kind: Unknown, Code: body.Error.Code}
 		if outcome == outcomeNotRun {
 			verdict.Kind = RefusedNotRun
 		}
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -103,7 +103,7 @@
 	d.waitReady(d.nodes[2])
 	client := loadgen.NewClient()
 	for i := range 5 {
-		verdict, _ := loadgen.Do(client, d.nodes[2].http, loadgen.Request{
+		verdict := loadgen.Do(client, d.nodes[2].http, loadgen.Request{
 			Model: "m", Group: "live", Prompt: fmt.Sprint("in the outage ", i), MaxTokens: 8, Key: fmt.Sprint("outage-", i), Deadline: 5 * time.Second,
 		})
 		if verdict.Kind != loadgen.Answered {
@@ -119,7 +119,7 @@
 	slow := newProxy(t, d.nodes[0].http)
 	slow.set(proxyFreeze)
 	go func() {
-		_, _ = loadgen.Do(loadgen.NewClient(), slow.address(), loadgen.Request{Model: "m", Group: "live", Prompt: "slow", MaxTokens: 60, Stream: true, Deadline: 5 * time.Second})
+		_ = loadgen.Do(loadgen.NewClient(), slow.address(), loadgen.Request{Model: "m", Group: "live", Prompt: "slow", MaxTokens: 60, Stream: true, Deadline: 5 * time.Second})
 	}()
 	stop := d.load(30, 0, d.addresses)
 	time.Sleep(time.Second)
@@ -144,7 +144,7 @@
 		if limit%(2*step) == 0 {
 			request.Key = fmt.Sprint("cut-", limit)
 		}
-		verdict, _ := loadgen.Do(client, d.nodes[0].http, request)
+		verdict := loadgen.Do(client, d.nodes[0].http, request)
 		outcomes[verdict.Kind]++
 		runs := d.runs(request.Prompt)
 		if verdict.Kind == loadgen.RefusedNotRun && runs > 0 {
