--- a/test/platform_harness_test.go
+++ b/test/platform_deployment_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"os"
@@ -222,12 +221,7 @@
 
 func (d *platformDeployment) eventually(what string, check func() bool) {
 	d.t.Helper()
-	for end := time.Now().Add(startLimit); time.Now().Before(end); time.Sleep(look) {
-		if check() {
-			return
-		}
-	}
-	d.t.Fatalf("not so in the end: %s", what)
+	eventually(d.t, what, check)
 }
 
 func (d *platformDeployment) waitReady(node *platformNode) {
@@ -241,164 +235,3 @@
 		return response.StatusCode == http.StatusOK
 	})
 }
-
-// reply is an answer as a caller gets it.
-type reply struct {
-	status int
-	header http.Header
-	body   string
-}
-
-// call is one request of a caller, on a connection of its own unless it has a
-// client.
-type call struct {
-	client  *http.Client
-	address string
-	method  string
-	host    string
-	target  string
-	id      string
-	body    []byte
-	header  http.Header
-	// limit bounds how long the caller waits.
-	limit time.Duration
-}
-
-// do sends a call and reads the whole answer.
-func (c call) do() (reply, error) {
-	request, err := http.NewRequest(c.method, "http://"+c.address+c.target, bytes.NewReader(c.body))
-	if err != nil {
-		return reply{}, err
-	}
-	request.Host = c.host
-	for name, values := range c.header {
-		request.Header[name] = values
-	}
-	request.Header.Set("Pathtally-Request-Id", c.id)
-	client := c.client
-	if client == nil {
-		client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}, Timeout: c.limit}
-	}
-	response, err := client.Do(request)
-	if err != nil {
-		return reply{}, err
-	}
-	defer response.Body.Close()
-	read, err := io.ReadAll(response.Body)
-	return reply{status: response.StatusCode, header: response.Header, body: string(read)}, err
-}
-
-// send makes one request of a caller on a connection of its own.
-func (d *platformDeployment) send(node *platformNode, method, host, target, id string, body []byte, header http.Header) (reply, error) {
-	return call{address: node.http, method: method, host: host, target: target, id: id, body: body, header: header, limit: startLimit}.do()
-}
-
-// draftItem is an item of a batch job as a trainer sends it.
-func draftItem(job string, number int) map[string]any {
-	id := fmt.Sprintf("%s.%d", job, number)
-	return map[string]any{
-		"id": id, "path": "/drafts/run?x=1", "body": []byte("prompt of " + id), "group": fmt.Sprint(number / 4), "tokens": 200,
-		"headers": map[string]string{"Pathtally-Model": draftModel, "Pathtally-Token-Usage": "100,100", "Pathtally-Prefix-Hash": "a1:100"},
-		"scorer":  map[string]any{"id": "score." + id, "host": liveHost, "path": "/score/" + id, "body": []byte("text")},
-	}
-}
-
-// submit hands in a batch job until a node takes it.
-func (d *platformDeployment) submit(node *platformNode, job string, items int, least int64) {
-	d.t.Helper()
-	d.submitAs(node, nil, job, items, least)
-}
-
-// submitAs hands in a batch job with headers of its caller's.
-func (d *platformDeployment) submitAs(node *platformNode, header http.Header, job string, items int, least int64) {
-	d.t.Helper()
-	body := d.payload(job, items, least)
-	d.eventually("the batch job is taken", func() bool {
-		answer, err := d.send(node, http.MethodPost, draftHost, "/drafts/"+job, job, body, header)
-		return err == nil && answer.status == http.StatusAccepted
-	})
-}
-
-// payload is a batch job as a trainer sends it.
-func (d *platformDeployment) payload(job string, items int, least int64) []byte {
-	d.t.Helper()
-	var requests []map[string]any
-	for number := range items {
-		requests = append(requests, draftItem(job, number))
-	}
-	body, err := json.Marshal(map[string]any{"step": 0, "model": draftModel, "minVersion": least, "desired": items / 4, "requests": requests})
-	if err != nil {
-		d.t.Fatal(err)
-	}
-	return body
-}
-
-// listed is a result as a trainer reads it.
-type listed struct {
-	ID       string
-	State    string
-	Message  string
-	Versions []int64
-	Score    string
-}
-
-// read reads a job from a node until all results are there.
-func (d *platformDeployment) read(node func() *platformNode, job string, items int) []listed {
-	d.t.Helper()
-	return d.readAs(node, http.Header{}, job, items)
-}
-
-// readAs reads a job with headers of its caller's.
-func (d *platformDeployment) readAs(node func() *platformNode, header http.Header, job string, items int) []listed {
-	d.t.Helper()
-	header = header.Clone()
-	header.Set("Pathtally-Wait-Ms", "200")
-	var results []listed
-	d.eventually("all results are read", func() bool {
-		answer, err := d.send(node(), http.MethodGet, draftHost, fmt.Sprintf("/-/lots/%s?sinceRev=%d", job, len(results)), "reader", nil,
-			header)
-		if err != nil || answer.status != http.StatusOK {
-			return false
-		}
-		var page struct {
-			Total     int
-			NextToken int
-			Results   []listed
-		}
-		if err := json.Unmarshal([]byte(answer.body), &page); err != nil {
-			d.t.Fatalf("page of results: %v", err)
-		}
-		if page.Total != items || page.NextToken != len(results)+len(page.Results) {
-			d.t.Fatalf("page: total %d of %d, next %d after %d with %d", page.Total, items, page.NextToken, len(results), len(page.Results))
-		}
-		results = append(results, page.Results...)
-		return len(results) == items
-	})
-	return results
-}
-
-// check judges a job's results by what the replicas made.
-func (d *platformDeployment) check(results []listed, items int, least int64) {
-	d.t.Helper()
-	seen := map[string]bool{}
-	for _, result := range results {
-		if seen[result.ID] {
-			d.t.Errorf("item %s is listed twice", result.ID)
-		}
-		seen[result.ID] = true
-		if result.State != "succeeded" || result.Message != replica.Text(result.ID) || result.Score == "" {
-			d.t.Errorf("item %s: %s, text %q, score %q", result.ID, result.State, result.Message, result.Score)
-		}
-		for _, version := range result.Versions {
-			if version < least {
-				d.t.Errorf("item %s was made by version %d, the least is %d", result.ID, version, least)
-			}
-		}
-		if len(result.Versions) == 0 {
-			d.t.Errorf("item %s names no version", result.ID)
-		}
-	}
-	if len(seen) != items {
-		d.t.Errorf("%d items are listed, want %d", len(seen), items)
-	}
-}
--- a/test/proxy_test.go
+++ b/test/proxy_test.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	proxyLook   = 5 * time.Millisecond
-	proxyBuffer = 4 << 10
+	proxyPollInterval = 5 * time.Millisecond
+	proxyBuffer       = 4 << 10
 )
 
 // proxy forwards TCP connections to a target and injects faults.
@@ -176,10 +176,10 @@
 		if err != nil {
 			return
 		}
-		tail = p.look(append(tail, buffer[:count]...))
+		tail = p.countMarkers(append(tail, buffer[:count]...))
 		time.Sleep(time.Duration(p.delay.Load()))
 		for proxyMode(p.mode.Load()) == proxyFreeze {
-			time.Sleep(proxyLook)
+			time.Sleep(proxyPollInterval)
 		}
 		if p.isSilent(from) || (answers && proxyMode(p.mode.Load()) == proxyOneWay) {
 			continue
@@ -198,9 +198,9 @@
 	}
 }
 
-// look looks for the marker and returns the end of the bytes, in which the next marker
-// may have begun.
-func (p *proxy) look(seen []byte) []byte {
+// countMarkers counts the markers in the bytes and returns their end, in which the next
+// marker may have begun.
+func (p *proxy) countMarkers(seen []byte) []byte {
 	if p.marker == "" {
 		return nil
 	}
--- a/test/soak_world_test.go
+++ b/test/soak_world_test.go
@@ -270,7 +270,7 @@
 	process := &platformNode{program: start(w.t, 0, "pathtally", "node", "-settings", path)}
 	go process.collect()
 	var started struct{ HTTP, Readiness, Metrics, Peer string }
-	for end := time.Now().Add(startLimit); ; time.Sleep(look) {
+	for end := time.Now().Add(startLimit); ; time.Sleep(pollInterval) {
 		line := process.find(`"node started"`)
 		if line != nil && json.Unmarshal(line, &started) == nil {
 			break
@@ -327,7 +327,7 @@
 
 func (w *soakWorld) awaitReady(node *soakNode) {
 	w.t.Helper()
-	for end := time.Now().Add(startLimit); !w.isReady(node); time.Sleep(look) {
+	for end := time.Now().Add(startLimit); !w.isReady(node); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			w.record.fail("RECOVER", "%s does not become ready", node.name)
 			return
--- a/test/faults_test.go
+++ b/test/standalone_faults_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestKilledNodeKeepsPromises(t *testing.T) {
-	d := deploy(t)
+	d := deployStandalone(t)
 	stop := d.load(40, 0.6, d.addresses)
 	time.Sleep(time.Second)
 	d.nodes[1].signal(syscall.SIGKILL)
@@ -33,7 +33,7 @@
 }
 
 func TestPausedNodeDispatchesNothingTwice(t *testing.T) {
-	d := deploy(t)
+	d := deployStandalone(t)
 	stop := d.load(40, 0.8, d.addresses)
 	for range 2 {
 		d.nodes[2].signal(syscall.SIGSTOP)
@@ -49,7 +49,7 @@
 }
 
 func TestSchedulerKilledBetweenStepsLosesNothing(t *testing.T) {
-	d := deploy(t)
+	d := deployStandalone(t)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -75,7 +75,7 @@
 		"one-way":     func(p *proxy) { p.set(proxyOneWay) },
 		"reset after": func(p *proxy) { p.resetAfter.Store(700) },
 	}
-	d := deploy(t)
+	d := deployStandalone(t)
 	for name, inject := range modes {
 		t.Run(name, func(t *testing.T) {
 			stop := d.load(40, 0.3, d.addresses)
@@ -95,7 +95,7 @@
 }
 
 func TestPlatformOutageKeepsServing(t *testing.T) {
-	d := deploy(t)
+	d := deployStandalone(t)
 	d.platformProxy.set(proxyCut)
 	d.nodes[2].signal(syscall.SIGKILL)
 	<-d.nodes[2].exited
@@ -115,7 +115,7 @@
 }
 
 func TestSlowCallerDoesNotHoldOthers(t *testing.T) {
-	d := deploy(t)
+	d := deployStandalone(t)
 	slow := newProxy(t, d.nodes[0].http)
 	slow.set(proxyFreeze)
 	go func() {
@@ -132,7 +132,7 @@
 // number of bytes. Whatever the node says, it must be true.
 func TestDispatchCutAtEveryByte(t *testing.T) {
 	const step, longest = 7, 700
-	d := deploy(t)
+	d := deployStandalone(t)
 	client := loadgen.NewClient()
 	outcomes := map[loadgen.Kind]int{}
 	for limit := int64(0); limit < longest; limit += step {
@@ -166,7 +166,7 @@
 // TestDrainedEngineMovesItsStreams drains an engine that is in the middle of
 // streams; they go on at another one.
 func TestDrainedEngineMovesItsStreams(t *testing.T) {
-	d := deploy(t)
+	d := deployStandalone(t)
 	stop := d.load(150, 0.3, d.addresses)
 	time.Sleep(time.Second)
 	if code, _, err := fasthttp.Post(nil, "http://"+d.engines.address(0)+"/drain", nil); err != nil || code != fasthttp.StatusOK {
@@ -190,7 +190,7 @@
 
 // TestRollingStopOfAllNodes stops and replaces every node in turn under load.
 func TestRollingStopOfAllNodes(t *testing.T) {
-	d := deploy(t)
+	d := deployStandalone(t)
 	var stopping atomic.Int32
 	stopping.Store(-1)
 	others := func() []string {
--- a/test/path_test.go
+++ b/test/standalone_path_test.go
@@ -16,7 +16,7 @@
 	"github.com/pathtally/pathtally/internal/standalone/standin/trainer"
 )
 
-func (d *deployment) train(steps string) trainer.Counts {
+func (d *standaloneDeployment) train(steps string) trainer.Counts {
 	d.t.Helper()
 	p := start(d.t, 1, "pathtally-standin", "trainer", "-name", "trainer", "-model", "m", "-nodes", strings.Join(d.addresses(), ","),
 		"-platform", d.platform.address(0), "-steps", steps, "-train-time", "200ms", "-max-tokens", "120")
@@ -35,7 +35,7 @@
 }
 
 func TestWholePathThroughProcesses(t *testing.T) {
-	d := deploy(t)
+	d := deployStandalone(t)
 	stop := d.load(30, 0.3, d.addresses)
 	checkCounts(t, d.train("3"), 3)
 	generator := stop()
@@ -55,7 +55,7 @@
 }
 
 func TestRivalAppliesHaveOneWinner(t *testing.T) {
-	d := deploy(t)
+	d := deployStandalone(t)
 	platform := d.platform.address(0)
 	type end struct {
 		output string
@@ -96,7 +96,7 @@
 }
 
 func TestLostAnswerOfApplyIsSettled(t *testing.T) {
-	d := deploy(t)
+	d := deployStandalone(t)
 	platform := d.platform.address(0)
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	request.SetRequestURI("http://" + platform + "/switches")
@@ -121,7 +121,7 @@
 }
 
 func TestPlannedStopCutsNothing(t *testing.T) {
-	d := deploy(t)
+	d := deployStandalone(t)
 	stop := d.load(60, 0.2, func() []string { return d.addresses()[1:] })
 	onlyStopped := d.load(90, 0.2, func() []string { return d.addresses()[:1] })
 	time.Sleep(time.Second)
@@ -145,8 +145,8 @@
 
 // What apply -wait says is in force can serve at once, at every node.
 func TestAppliedMeansServing(t *testing.T) {
-	d := deployUnconfigured(t)
-	for number := range nodes {
+	d := deployStandaloneUnconfigured(t)
+	for number := range standaloneNodes {
 		d.startNode(number)
 	}
 	d.pathtally(0, "apply", "-f", d.folder, "-platform", d.platform.address(0), "-wait", "-node-address", d.nodes[0].http)
