--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -11,13 +11,13 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,62}[a-z0-9])?$`)
 
-// allowedSpan is what a span of time may be.
+// allowedSpan describes the durations that are valid.
 const allowedSpan = "a duration of 0 or more"
 
-// value is a setting as it is written.
+// value is a setting and its text.
 type value struct{ setting, text string }
 
-// Check returns everything that is wrong with the settings.
+// Check returns a finding for each setting that cannot be used.
 func (s *Settings) Check() Errors {
 	findings := s.checkNames()
 	if s.ObjectStore != "" && s.Platform != "" {
