--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -116,7 +116,7 @@
 	}
 	if i.settings.WarmUpOverage > 0 {
 		i.slowStart = i.newSlowStart()
-		i.directory.SetSlowStart(i.slowStart.asker)
+		i.directory.SetSlowStart(i.slowStart.client)
 	}
 }
 
--- a/internal/instance/duties.go
+++ b/internal/instance/duties.go
@@ -38,7 +38,7 @@
 		i.run(func() { i.usage.Run(ctx) })
 	}
 	if i.slowStart != nil {
-		i.run(func() { i.slowStart.asker.Run(ctx) })
+		i.run(func() { i.slowStart.client.Run(ctx) })
 		i.run(func() { i.slowStart.allotter.Run(ctx) })
 	}
 }
--- a/internal/instance/slowstart.go
+++ b/internal/instance/slowstart.go
@@ -32,10 +32,10 @@
 // slowStart joins what bounds the requests to warming replicas to the node.
 type slowStart struct {
 	instance *Instance
-	asker    *slowstart.Asker
+	client   *slowstart.Client
 	allotter *slowstart.Allotter
 	// turn counts the nodes that were asked in vain: the next question goes to the
-	// next node. It belongs to the asker's goroutine.
+	// next node. It belongs to the client's goroutine.
 	turn int
 }
 
@@ -47,7 +47,7 @@
 
 func (i *Instance) newSlowStart() *slowStart {
 	made := &slowStart{instance: i}
-	made.asker = slowstart.NewAsker(slowstart.AskerConfig{
+	made.client = slowstart.NewClient(slowstart.ClientConfig{
 		Ask: made.ask, Clock: i.clock, Allotted: i.jobs.LookAgain, Logger: i.logger, Registry: i.registry,
 	})
 	made.allotter = slowstart.NewAllotter(slowstart.AllotterConfig{
--- a/internal/jobs/batch/pool.go
+++ b/internal/jobs/batch/pool.go
@@ -111,7 +111,7 @@
 	}
 	condition := placement.Condition{Failing: state.failures.failing(p.now), Unproven: state.unproven, SinceEvent: p.now.Sub(state.observed)}
 	made := placement.NewReplica(endpoint.Name, endpoint.Slots, p.loads[endpoint.Name], p.paces, condition)
-	if left := endpoint.State.SlowStart.Left(); left < made.Most {
+	if left := endpoint.State.SlowStart.PermitsLeft(); left < made.Most {
 		made.Most = min(made.Most, made.Load+left)
 	}
 	p.byName[endpoint.Name], p.endpoints[endpoint.Name] = made, endpoint
--- a/internal/jobs/batch/replicas_test.go
+++ b/internal/jobs/batch/replicas_test.go
@@ -144,7 +144,7 @@
 // alone until it is warm.
 func TestItemsGoToOthersWhileAReplicaWarmsUp(t *testing.T) {
 	service, waiting := placing(2)
-	asker := slowstart.NewAsker(slowstart.AskerConfig{Clock: time.Now, Logger: klog.Background(), Registry: prometheus.NewRegistry()})
+	asker := slowstart.NewClient(slowstart.ClientConfig{Clock: time.Now, Logger: klog.Background(), Registry: prometheus.NewRegistry()})
 	isListed := func(string) bool { return true }
 	gate := &service.config.Directory.View().Endpoints[replicaName(0)].State.SlowStart
 	asker.SetWarming([]slowstart.Warming{{Replica: replicaName(0), Gate: gate, Until: time.Now().Add(time.Hour)}}, isListed)
--- a/internal/replicas/routing/filter_slowstart.go
+++ b/internal/replicas/routing/filter_slowstart.go
@@ -10,7 +10,7 @@
 	if query.Rollout && query.Waiting {
 		return endpoint.State.SlowStart.Open()
 	}
-	return endpoint.State.SlowStart.Left() > 0
+	return endpoint.State.SlowStart.PermitsLeft() > 0
 }
 
 // Reason implements Filter.
--- a/internal/replicas/routing/slowstart_test.go
+++ b/internal/replicas/routing/slowstart_test.go
@@ -18,9 +18,9 @@
 	for _, endpoint := range plan.Endpoints() {
 		warming = append(warming, slowstart.Warming{Replica: endpoint.Name, Gate: &endpoint.State.SlowStart, Until: time.Now().Add(time.Hour)})
 	}
-	asker := slowstart.NewAsker(slowstart.AskerConfig{Clock: time.Now, Logger: klog.Background(), Registry: prometheus.NewRegistry()})
+	client := slowstart.NewClient(slowstart.ClientConfig{Clock: time.Now, Logger: klog.Background(), Registry: prometheus.NewRegistry()})
 	isListed := func(string) bool { return true }
-	asker.SetWarming(warming[1:], isListed)
+	client.SetWarming(warming[1:], isListed)
 	for random := range uint64(50) {
 		picked, err := plan.Pick(&Query{Random: random})
 		if err != nil || picked.Name != warming[0].Replica {
@@ -30,7 +30,7 @@
 	if warming[1].Gate.Wanted() {
 		t.Error("an allotment is wanted although a replica is warm")
 	}
-	asker.SetWarming(warming, isListed)
+	client.SetWarming(warming, isListed)
 	if _, err := plan.Pick(&Query{}); !errors.Is(err, ErrNoEngineAvailable) || !warming[1].Gate.Wanted() {
 		t.Errorf("%v with all replicas warming; an allotment is wanted: %v", err, warming[1].Gate.Wanted())
 	}
--- a/internal/replicas/slowstart/allotment.go
+++ b/internal/replicas/slowstart/allotment.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// allotment is a number of requests to one replica that this node may send until an
-// instant of its boot-time clock.
+// allotment is a number of permits for one replica that this node may use until a time of
+// its boot-time clock.
 type allotment struct {
 	until time.Time
 	left  atomic.Int64
 }
 
-// newAllotment returns an allotment of which nothing has been used.
+// newAllotment returns an allotment with all its permits.
 func newAllotment(count int, until time.Time) *allotment {
 	made := &allotment{until: until}
 	made.left.Store(int64(count))
 	return made
 }
 
-// take uses one of the requests, if the allotment stands at an instant.
+// take uses one permit, and returns false if none is left or they have expired.
 func (a *allotment) take(now time.Time) bool {
 	if !now.Before(a.until) {
 		return false
@@ -35,7 +35,7 @@
 	}
 }
 
-// remaining is how many requests may be sent at an instant.
+// remaining returns the number of permits left, 0 once they have expired.
 func (a *allotment) remaining(now time.Time) int {
 	if !now.Before(a.until) {
 		return 0
--- a/internal/replicas/slowstart/allotter.go
+++ b/internal/replicas/slowstart/allotter.go
@@ -14,75 +14,76 @@
 const (
 	// dutyName names the allotting among the duties of the lease.
 	dutyName = "slow-start"
-	// leaseCheckInterval is the time between looks whether the lease is about to run out.
+	// leaseCheckInterval is the time between checks of whether the lease is due for renewal.
 	leaseCheckInterval = 100 * time.Millisecond
-	// askedRecently is for how long after a question the lease is kept: askers ask
-	// again within some tenths of a second as long as anything warms up.
-	askedRecently = time.Second
+	// leaseKeepTime is how long the lease is kept after the newest request for permits.
+	// While anything warms up, clients send one each requestInterval.
+	leaseKeepTime = time.Second
 )
 
 // AllotterConfig is what an Allotter needs.
 type AllotterConfig struct {
 	Limits Limits
 	Lease  Lease
-	// Rate is how many requests a second a replica bears while it warms up, 0 for a
-	// replica that is not known or has no bound.
-	Rate     func(replica string) float64
+	// Rate returns how many requests a second a replica can take while it warms up, 0 for
+	// a replica that is not known or has no bound.
+	Rate func(replica string) float64
+	// Clock is the boot-time clock.
 	Clock    func() time.Time
 	Logger   klog.Logger
 	Registry prometheus.Registerer
 }
 
-// Allotter answers the questions of all nodes while its own holds the duty lease. It
-// is safe for use by many goroutines.
+// Allotter allots permits to all nodes while its own holds the duty lease. It is safe for
+// use by many goroutines.
 type Allotter struct {
-	config  AllotterConfig
-	metrics *allotterMetrics
-	asked   chan struct{}
+	config    AllotterConfig
+	metrics   *allotterMetrics
+	requested chan struct{}
 
 	mutex  sync.Mutex
 	ledger *Ledger
-	// askedAt is when the last question came.
-	askedAt time.Time
-	summary summary
+	// requestedAt is when the newest request came.
+	requestedAt time.Time
+	summary     summary
 }
 
-// NewAllotter returns an allotter that goes for the lease only in Run.
+// NewAllotter returns an allotter that acquires the lease only in Run.
 func NewAllotter(config AllotterConfig) *Allotter {
-	return &Allotter{config: config, metrics: newAllotterMetrics(config.Registry), asked: make(chan struct{}, 1), ledger: NewLedger()}
+	return &Allotter{config: config, metrics: newAllotterMetrics(config.Registry), requested: make(chan struct{}, 1), ledger: NewLedger()}
 }
 
-// Allot answers a question that has just come. Nothing is allotted unless this node
-// has held the lease for so long that whatever others have allotted has run out.
+// Allot answers a request for permits that has just come. Nothing is allotted unless this
+// node has held the lease for a Window, so that all permits of earlier holders have expired.
 func (a *Allotter) Allot(wanted []wire.ReplicaCount) []wire.ReplicaCount {
 	select {
-	case a.asked <- struct{}{}:
+	case a.requested <- struct{}{}:
 	default:
 	}
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	// The instant comes before the look at the lease, which then held at it as well.
+	// The time is taken before the lease is checked, so that the lease was held at it.
 	received := a.config.Clock()
-	a.askedAt = received
+	a.requestedAt = received
 	since, valid := a.config.Lease.Held()
 	mayAllot := valid && received.Sub(since) >= Window
 	var allotted []wire.ReplicaCount
 	for _, want := range wanted {
 		count := 0
 		if mayAllot {
-			count = a.ledger.Allot(want.Replica, received, int(want.Count), a.config.Limits.most(a.config.Rate(want.Replica)))
+			count = a.ledger.Allot(want.Replica, received, int(want.Count), a.config.Limits.perWindow(a.config.Rate(want.Replica)))
 		}
 		if count > 0 {
 			allotted = append(allotted, wire.ReplicaCount{Replica: want.Replica, Count: uint32(count)})
 		}
-		a.count(int(want.Count), count)
+		a.record(int(want.Count), count)
 	}
 	return allotted
 }
 
-// count adds what became of one replica's part of a question to the summary and the
-// metrics. The mutex must be held.
-func (a *Allotter) count(wanted, allotted int) {
+// record adds one replica's part of a request to the summary and the metrics. The mutex
+// must be held.
+func (a *Allotter) record(wanted, allotted int) {
 	a.summary.questions++
 	a.summary.allotted += allotted
 	a.summary.refused += wanted - allotted
@@ -90,36 +91,36 @@
 	a.metrics.refused.Add(float64(wanted - allotted))
 }
 
-// Run keeps the lease while questions come, until the context ends.
+// Run keeps the lease while requests for permits come, until the context ends.
 func (a *Allotter) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-a.asked:
-			a.keep(ctx)
+		case <-a.requested:
+			a.keepLease(ctx)
 		}
 	}
 }
 
-// keep keeps the lease until no question has come for a while.
-func (a *Allotter) keep(ctx context.Context) {
+// keepLease keeps the lease until no request has come for leaseKeepTime.
+func (a *Allotter) keepLease(ctx context.Context) {
 	defer a.config.Lease.Idle(dutyName)
-	for ctx.Err() == nil && a.wasAsked() {
+	for ctx.Err() == nil && a.wasRequested() {
 		pause := leaseCheckInterval
 		if ready, again := a.config.Lease.Ready(ctx, dutyName); !ready {
-			pause = min(max(again, leaseCheckInterval), askedRecently)
+			pause = min(max(again, leaseCheckInterval), leaseKeepTime)
 		}
 		wait(ctx, pause)
 	}
 	a.report()
 }
 
-// wasAsked tells whether a question has come of late.
-func (a *Allotter) wasAsked() bool {
+// wasRequested returns whether a request has come within leaseKeepTime.
+func (a *Allotter) wasRequested() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return a.config.Clock().Sub(a.askedAt) < askedRecently
+	return a.config.Clock().Sub(a.requestedAt) < leaseKeepTime
 }
 
 // report logs what was allotted since the last report.
--- /dev/null
+++ b/internal/replicas/slowstart/client_gates.go
@@ -0,0 +1,96 @@
+package slowstart
+
+import "time"
+
+// idleCheckInterval is the time between checks while nothing warms up. A replica that
+// begins to warm up wakes the client before.
+const idleCheckInterval = time.Minute
+
+// warmingGate is the closed gate of a replica that is warming up.
+type warmingGate struct {
+	gate   *Gate
+	counts *gateCounts
+}
+
+// SetWarming takes all replicas that are warming up. On return their gates are closed. The
+// gates of other listed replicas are open. That of a replica that is no longer listed stays
+// closed to requests that picked it before, until it would have been warm.
+func (c *Client) SetWarming(warming []Warming, isListed func(replica string) bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	named := make(map[string]bool, len(warming))
+	for _, replica := range warming {
+		named[replica.Replica] = true
+		c.closeGate(replica)
+	}
+	for replica, entry := range c.gates {
+		if named[replica] {
+			continue
+		}
+		if isListed(replica) {
+			entry.gate.bounds.Store(nil)
+		}
+		c.dropGate(replica, entry)
+	}
+	c.metrics.warming.Set(float64(len(c.gates)))
+	if len(c.gates) > 0 {
+		// Run must learn when the next replica is warm.
+		c.wake()
+	}
+}
+
+// closeGate closes the gate of a replica, or changes until when it is closed. The mutex
+// must be held.
+func (c *Client) closeGate(replica Warming) {
+	entry := c.gates[replica.Replica]
+	if entry != nil && entry.gate != replica.Gate {
+		c.dropGate(replica.Replica, entry)
+		entry = nil
+	}
+	if entry == nil {
+		entry = &warmingGate{gate: replica.Gate, counts: &gateCounts{}}
+		c.gates[replica.Replica] = entry
+		entry.gate.bounds.Store(&bounds{until: replica.Until, clock: c.config.Clock, counts: entry.counts, wake: c.wake})
+		c.config.Logger.Info("replica warms up", "replica", replica.Replica, "forMs", replica.Until.Sub(c.config.Clock()).Milliseconds())
+		return
+	}
+	if current := entry.gate.bounds.Load(); !current.until.Equal(replica.Until) {
+		next := *current
+		next.until = replica.Until
+		entry.gate.bounds.Store(&next)
+	}
+}
+
+// dropGate removes a gate from those of the client. The mutex must be held.
+func (c *Client) dropGate(replica string, entry *warmingGate) {
+	delete(c.gates, replica)
+	used := entry.counts.used.Load()
+	c.metrics.used.Add(float64(used))
+	c.config.Logger.Info("replica is warm or gone", "replica", replica, "sentMeanwhile", used)
+}
+
+// untilNextWarm returns the time until the next replica is warm, idleCheckInterval at most.
+func (c *Client) untilNextWarm() time.Duration {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	now := c.config.Clock()
+	next := idleCheckInterval
+	for _, entry := range c.gates {
+		next = min(next, entry.gate.bounds.Load().until.Sub(now))
+	}
+	return max(0, next)
+}
+
+// releaseWarm opens the gates of the replicas that are warm by now.
+func (c *Client) releaseWarm() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	now := c.config.Clock()
+	for replica, entry := range c.gates {
+		if !now.Before(entry.gate.bounds.Load().until) {
+			entry.gate.bounds.Store(nil)
+			c.dropGate(replica, entry)
+		}
+	}
+	c.metrics.warming.Set(float64(len(c.gates)))
+}
--- a/internal/replicas/slowstart/gate.go
+++ b/internal/replicas/slowstart/gate.go
@@ -5,29 +5,30 @@
 	"sync/atomic"
 )
 
-// Gate bounds what this node sends to one replica. The zero Gate lets everything
-// pass. It is safe for use by many goroutines; the request path meets no lock in it.
+// Gate bounds what this node sends to one replica. The zero Gate is open. It is safe for
+// use by many goroutines and takes no lock.
 type Gate struct {
-	// bounds is nil for a replica that is warm. It is replaced, never changed.
+	// bounds is nil if the gate is open. It is replaced, never changed.
 	bounds atomic.Pointer[bounds]
 }
 
-// Open tells whether a request could be sent now. A pick that finds the gate closed
-// is what has this node ask for an allotment.
+// Open returns whether a request may be sent now. If not, it records the demand, so that
+// the Client asks for a permit.
 func (g *Gate) Open() bool {
 	bounds := g.bounds.Load()
 	return bounds == nil || bounds.open()
 }
 
-// Take takes the permit for one request that is sent at once; false means that
-// it must not be sent.
+// Take takes the permit for a request that is sent at once. If there is none, it records
+// the demand and returns false: the request must not be sent.
 func (g *Gate) Take() bool {
 	bounds := g.bounds.Load()
 	return bounds == nil || bounds.take()
 }
 
-// Left is how many requests could be sent now: very many to a warm replica.
-func (g *Gate) Left() int {
+// PermitsLeft returns how many requests may be sent now, math.MaxInt if the gate is open.
+// It records no demand.
+func (g *Gate) PermitsLeft() int {
 	bounds := g.bounds.Load()
 	if bounds == nil {
 		return math.MaxInt
@@ -35,8 +36,8 @@
 	return bounds.left()
 }
 
-// Wanted tells whether a request has found the gate closed since it was last asked
-// about.
+// Wanted returns whether a request has been kept back since the Client last asked for
+// permits.
 func (g *Gate) Wanted() bool {
 	bounds := g.bounds.Load()
 	return bounds != nil && bounds.counts.demand.Load() > 0
--- a/internal/replicas/slowstart/gate_test.go
+++ b/internal/replicas/slowstart/gate_test.go
@@ -17,9 +17,9 @@
 
 var errNobody = merry.New("nobody is there")
 
-// runAsker runs an asker with one warming replica against whoever answers.
-func runAsker(ctx context.Context, answer func([]wire.ReplicaCount) ([]wire.ReplicaCount, error)) (*Asker, *Gate) {
-	asker := NewAsker(AskerConfig{
+// runClient runs a client with one warming replica against whoever answers.
+func runClient(ctx context.Context, answer func([]wire.ReplicaCount) ([]wire.ReplicaCount, error)) (*Client, *Gate) {
+	client := NewClient(ClientConfig{
 		Ask: func(_ context.Context, wanted []wire.ReplicaCount) ([]wire.ReplicaCount, time.Duration, error) {
 			allotted, err := answer(wanted)
 			return allotted, Span, err
@@ -27,9 +27,9 @@
 		Clock: time.Now, Allotted: func() {}, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
 	})
 	gate := &Gate{}
-	asker.SetWarming([]Warming{{Replica: "r", Gate: gate, Until: time.Now().Add(3 * time.Second)}}, isListed)
-	go asker.Run(ctx)
-	return asker, gate
+	client.SetWarming([]Warming{{Replica: "r", Gate: gate, Until: time.Now().Add(3 * time.Second)}}, isListed)
+	go client.Run(ctx)
+	return client, gate
 }
 
 func TestWithoutAnAllotterTheGateStaysClosedUntilTheReplicaIsWarm(t *testing.T) {
@@ -37,7 +37,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		questions := 0
-		_, gate := runAsker(ctx, func([]wire.ReplicaCount) ([]wire.ReplicaCount, error) {
+		_, gate := runClient(ctx, func([]wire.ReplicaCount) ([]wire.ReplicaCount, error) {
 			questions++
 			return nil, errNobody
 		})
@@ -49,7 +49,7 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		synctest.Wait()
-		if most := int(3*time.Second/askInterval) + 1; questions == 0 || questions > most {
+		if most := int(3*time.Second/requestInterval) + 1; questions == 0 || questions > most {
 			t.Errorf("%d questions, want 1 to %d", questions, most)
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -64,7 +64,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		once := false
-		_, gate := runAsker(ctx, func(wanted []wire.ReplicaCount) ([]wire.ReplicaCount, error) {
+		_, gate := runClient(ctx, func(wanted []wire.ReplicaCount) ([]wire.ReplicaCount, error) {
 			if once {
 				return nil, nil
 			}
@@ -73,7 +73,7 @@
 		})
 		gate.Open()
 		synctest.Wait()
-		if left := gate.Left(); left != 2 || !gate.Take() {
+		if left := gate.PermitsLeft(); left != 2 || !gate.Take() {
 			t.Errorf("%d requests may be sent, want 2", left)
 		}
 		time.Sleep(Span)
@@ -84,19 +84,19 @@
 }
 
 func TestAReplicaWithoutARateIsAllottedNothing(t *testing.T) {
-	if most := worldLimits.most(0); most != 0 {
+	if most := worldLimits.perWindow(0); most != 0 {
 		t.Errorf("%d requests may be allotted", most)
 	}
 	// As at a deployment with 7.7 requests a second, 1.5 times as many and 5 more.
-	if most, bound := worldLimits.most(worldRate), worldLimits.bound(worldRate); most != 13 || bound != 16 {
+	if most, bound := worldLimits.perWindow(worldRate), worldLimits.perSecond(worldRate); most != 13 || bound != 16 {
 		t.Errorf("%d requests may be allotted of %d, want 13 of 16", most, bound)
 	}
 }
 
 func TestASlowRateIsAllottedNoMoreThanTheBound(t *testing.T) {
-	limits := Limits{Overage: 1, Slack: margin}
-	if most := limits.most(0.1); most != 0 {
-		t.Errorf("%d requests may be allotted where %d may come, less %d", most, limits.bound(0.1), margin)
+	limits := Limits{Overage: 1, Slack: reservedRequests}
+	if most := limits.perWindow(0.1); most != 0 {
+		t.Errorf("%d requests may be allotted where %d may come, less %d", most, limits.perSecond(0.1), reservedRequests)
 	}
 }
 
@@ -104,8 +104,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		asker, gate := runAsker(ctx, func([]wire.ReplicaCount) ([]wire.ReplicaCount, error) { return nil, errNobody })
-		asker.SetWarming(nil, func(string) bool { return false })
+		client, gate := runClient(ctx, func([]wire.ReplicaCount) ([]wire.ReplicaCount, error) { return nil, errNobody })
+		client.SetWarming(nil, func(string) bool { return false })
 		if gate.Take() {
 			t.Error("a request passed to a replica that has left while it warmed up")
 		}
@@ -116,8 +116,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		asker, gate := runAsker(ctx, func([]wire.ReplicaCount) ([]wire.ReplicaCount, error) { return nil, errNobody })
-		asker.SetWarming(nil, isListed)
+		client, gate := runClient(ctx, func([]wire.ReplicaCount) ([]wire.ReplicaCount, error) { return nil, errNobody })
+		client.SetWarming(nil, isListed)
 		if !gate.Take() {
 			t.Error("a warm replica gets nothing")
 		}
--- a/internal/replicas/slowstart/ledger.go
+++ b/internal/replicas/slowstart/ledger.go
@@ -2,60 +2,61 @@
 
 import "time"
 
-// entry is what was allotted at an instant of the allotter's boot-time clock.
-type entry struct {
+// ledgerEntry is a number of permits and when the request for them was received, by the
+// allotter's boot-time clock.
+type ledgerEntry struct {
 	at    time.Time
 	count int
 }
 
-// Ledger holds what has been allotted of each replica. It is not safe for use by
-// many goroutines.
+// Ledger holds the permits allotted for each replica. It is not safe for use by many
+// goroutines.
 type Ledger struct {
-	// window is for how long an entry counts.
+	// window is how long an entry counts.
 	window  time.Duration
-	entries map[string][]entry
+	entries map[string][]ledgerEntry
 }
 
-// NewLedger returns a ledger with nothing in it.
-func NewLedger() *Ledger { return &Ledger{window: Window, entries: map[string][]entry{}} }
+// NewLedger returns an empty ledger whose entries count for Window.
+func NewLedger() *Ledger { return &Ledger{window: Window, entries: map[string][]ledgerEntry{}} }
 
-// Allot notes up to a wanted number of requests to a replica and returns how many,
-// so that no window holds more than a number of them. Instants never go back.
+// Allot records up to a wanted number of permits for a replica and returns how many, so
+// that no window has more than most of them. Times must not go back.
 func (l *Ledger) Allot(replica string, at time.Time, wanted, most int) int {
-	allotted := min(wanted, most-l.alive(replica, at))
+	allotted := min(wanted, most-l.inWindow(replica, at))
 	if allotted <= 0 {
 		return 0
 	}
-	l.entries[replica] = append(l.entries[replica], entry{at: at, count: allotted})
+	l.entries[replica] = append(l.entries[replica], ledgerEntry{at: at, count: allotted})
 	return allotted
 }
 
-// alive is how many requests to a replica count at an instant.
-func (l *Ledger) alive(replica string, at time.Time) int {
-	l.forget(replica, at)
+// inWindow returns how many permits for a replica count at a time.
+func (l *Ledger) inWindow(replica string, at time.Time) int {
+	l.dropExpired(replica, at)
 	total := 0
-	for _, noted := range l.entries[replica] {
-		total += noted.count
+	for _, entry := range l.entries[replica] {
+		total += entry.count
 	}
 	return total
 }
 
-// forget drops what counts no more at an instant.
-func (l *Ledger) forget(replica string, at time.Time) {
-	noted := l.entries[replica]
-	for len(noted) > 0 && at.Sub(noted[0].at) > l.window {
-		noted = noted[1:]
+// dropExpired drops the entries of a replica that do not count at a time.
+func (l *Ledger) dropExpired(replica string, at time.Time) {
+	entries := l.entries[replica]
+	for len(entries) > 0 && at.Sub(entries[0].at) > l.window {
+		entries = entries[1:]
 	}
-	if len(noted) == 0 {
+	if len(entries) == 0 {
 		delete(l.entries, replica)
 		return
 	}
-	l.entries[replica] = noted
+	l.entries[replica] = entries
 }
 
-// Prune drops everything that counts no more at an instant.
+// Prune drops all entries that do not count at a time.
 func (l *Ledger) Prune(at time.Time) {
 	for replica := range l.entries {
-		l.forget(replica, at)
+		l.dropExpired(replica, at)
 	}
 }
--- a/internal/replicas/slowstart/metrics.go
+++ b/internal/replicas/slowstart/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// allotterMetrics count what this node has allotted to all.
+// allotterMetrics count the permits that this node allotted to all nodes.
 type allotterMetrics struct {
 	allotted prometheus.Counter
 	refused  prometheus.Counter
@@ -17,16 +17,16 @@
 	return made
 }
 
-// askerMetrics count what this node does with warming replicas.
-type askerMetrics struct {
+// clientMetrics count the permits that this node requested, got and used.
+type clientMetrics struct {
 	warming prometheus.Gauge
 	asked   prometheus.Counter
 	got     prometheus.Counter
 	used    prometheus.Counter
 }
 
-func newAskerMetrics(registry prometheus.Registerer) *askerMetrics {
-	made := &askerMetrics{
+func newClientMetrics(registry prometheus.Registerer) *clientMetrics {
+	made := &clientMetrics{
 		warming: prometheus.NewGauge(prometheus.GaugeOpts{Name: "pathtally_warming_replicas", Help: "Replicas that warm up, as this node knows."}),
 		asked:   prometheus.NewCounter(prometheus.CounterOpts{Name: "pathtally_warmup_asked_total", Help: "Requests to warming replicas that this node has asked for."}),
 		got:     prometheus.NewCounter(prometheus.CounterOpts{Name: "pathtally_warmup_got_total", Help: "Requests to warming replicas that this node was allotted."}),
--- a/internal/replicas/slowstart/model_test.go
+++ b/internal/replicas/slowstart/model_test.go
@@ -32,7 +32,7 @@
 		played.run(modelSpan)
 		for _, sent := range played.sent {
 			total += len(sent)
-			if most := busiest(sent); most > worldLimits.bound(worldRate) {
+			if most := busiest(sent); most > worldLimits.perSecond(worldRate) {
 				return seed, most, total
 			}
 		}
@@ -41,7 +41,7 @@
 }
 
 // TestNoSecondHasMoreThanTheBound plays several nodes with the product's ledgers,
-// askers and gates.
+// clients and gates.
 func TestNoSecondHasMoreThanTheBound(t *testing.T) {
 	seed, most, total := overrun(planted{})
 	if most > 0 {
--- a/internal/replicas/slowstart/model_world_test.go
+++ b/internal/replicas/slowstart/model_world_test.go
@@ -23,7 +23,7 @@
 	longestWay  = 900 * time.Millisecond
 	longestSend = 100 * time.Millisecond
 	worldRate   = 7.7
-	// mostAsked is the largest number that askers of the model want at a time.
+	// mostAsked is the largest number that clients of the model want at a time.
 	mostAsked = 8
 )
 
@@ -32,9 +32,9 @@
 // planted is a fault that the check has to find.
 type planted struct {
 	name string
-	// fromAnswer has askers count the span from the answer, atOnce new holders allot
+	// fromAnswer has clients count the span from the answer, atOnce new holders allot
 	// at once, forgets allotters lose their ledger while they hold the lease, twice
-	// former holders go on, unused askers use what has run out, and short ledgers count
+	// former holders go on, unused clients use what has run out, and short ledgers count
 	// what was asked for within the second alone.
 	fromAnswer, atOnce, forgets, twice, unused, short bool
 }
@@ -79,7 +79,7 @@
 	world    *world
 	node     *modelNode
 	allotter *Allotter
-	asker    *Asker
+	client   *Client
 	gates    map[string]*Gate
 }
 
@@ -107,14 +107,14 @@
 		Limits: worldLimits, Lease: made, Rate: func(string) float64 { return worldRate }, Clock: clock, Logger: quiet, Registry: prometheus.NewRegistry(),
 	})
 	if w.fault.short {
-		made.allotter.ledger.window = second
+		made.allotter.ledger.window = boundPeriod
 	}
-	made.asker = NewAsker(AskerConfig{Clock: clock, Allotted: func() {}, Logger: quiet, Registry: prometheus.NewRegistry()})
+	made.client = NewClient(ClientConfig{Clock: clock, Allotted: func() {}, Logger: quiet, Registry: prometheus.NewRegistry()})
 	var warming []Warming
 	for replica, gate := range made.gates {
 		warming = append(warming, Warming{Replica: replica, Gate: gate, Until: clock().Add(time.Hour)})
 	}
-	made.asker.SetWarming(warming, isListed)
+	made.client.SetWarming(warming, isListed)
 	if w.holder != nil && w.holder == node.process {
 		// The same node need not wait for itself.
 		w.holder, w.since = made, w.now
@@ -147,7 +147,7 @@
 		for _, node := range w.nodes {
 			w.send(node.process, burst)
 			if w.now >= node.nextAsk {
-				node.nextAsk = w.now + askInterval
+				node.nextAsk = w.now + requestInterval
 				w.ask(node.process)
 			}
 		}
@@ -221,12 +221,12 @@
 
 // ask sends a process's question to the node that it takes for the holder.
 func (w *world) ask(from *process) {
-	wanted := from.asker.question()
+	wanted := from.client.takeWanted()
 	if len(wanted) == 0 {
 		return
 	}
 	for i := range wanted {
-		// The bound is the allotter's business: askers may want any number.
+		// The bound is the allotter's business: clients may want any number.
 		wanted[i].Count = 1 + uint32(w.random.IntN(mostAsked))
 	}
 	sent := from.node.at(w.now)
@@ -260,7 +260,7 @@
 	if w.fault.unused {
 		span = time.Minute
 	}
-	from.asker.answered(sent, span, allotted)
+	from.client.addAllotments(sent, span, allotted)
 }
 
 // forever is a lease that everybody holds.
--- a/internal/replicas/slowstart/summary.go
+++ b/internal/replicas/slowstart/summary.go
@@ -1,8 +1,8 @@
 package slowstart
 
-// summary adds up what was asked of an allotter, for one line in the log.
+// summary adds up the requests for permits between two log lines.
 type summary struct {
-	// questions counts the replicas asked for, in all questions.
+	// questions counts the replicas named in all requests.
 	questions int
 	allotted  int
 	refused   int
--- a/internal/replicas/slowstart/warming.go
+++ b/internal/replicas/slowstart/warming.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Warming is a replica that warms up.
+// Warming is a replica that is warming up.
 type Warming struct {
 	Replica string
 	Gate    *Gate
