--- a/internal/command/instance.go
+++ b/internal/command/instance.go
@@ -10,6 +10,7 @@
 	"k8s.io/klog/v2"
 
 	"github.com/pathtally/pathtally/internal/instance"
+	"github.com/pathtally/pathtally/internal/logging"
 	"github.com/pathtally/pathtally/internal/settings"
 	"github.com/pathtally/pathtally/platform"
 )
@@ -20,7 +21,7 @@
 
 // runInstance runs a node on a metadata store until a signal.
 func runInstance(context *invocation, loaded, given settings.Settings, path string, level slog.Level) error {
-	flush := instance.SetupLogging(context.stdout, level)
+	flush := logging.Setup(context.stdout, level)
 	defer flush()
 	running, err := instance.Start(loaded, platform.NewAdapter(loaded.ObjectStore))
 	if err != nil {
--- a/internal/instance/adapter.go
+++ b/internal/instance/adapter.go
@@ -6,24 +6,12 @@
 	"github.com/pathtally/pathtally/internal/callers/dispatch"
 	"github.com/pathtally/pathtally/internal/callers/exchange"
 	"github.com/pathtally/pathtally/internal/callers/ingress"
-	"github.com/pathtally/pathtally/internal/duties/autoscale"
-	"github.com/pathtally/pathtally/internal/duties/usage"
 	"github.com/pathtally/pathtally/internal/duties/weightorders"
 	"github.com/pathtally/pathtally/internal/jobs/batch"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// Kinds are the names under which the platform keeps what a node watches.
-type Kinds struct {
-	Configuration     string
-	ConfigurationName string
-	Replicas          string
-	Versions          string
-	Retirements       string
-	Evacuations       string
-}
-
 // Adapter is what a node needs of the platform that it runs on.
 type Adapter struct {
 	Store   objectstore.Store
@@ -43,10 +31,3 @@
 	// the named duties that it takes.
 	Duties func(address string, named []string) Duties
 }
-
-// Duties are what the platform takes of one node for the whole deployment; nil
-// for what it does not.
-type Duties struct {
-	Usage    usage.Platform
-	Replicas autoscale.Platform
-}
--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -4,7 +4,6 @@
 	"context"
 	"net"
 	"strconv"
-	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
 
@@ -12,6 +11,7 @@
 	"github.com/pathtally/pathtally/internal/callers/exchange"
 	"github.com/pathtally/pathtally/internal/callers/forward"
 	"github.com/pathtally/pathtally/internal/callers/ingress"
+	"github.com/pathtally/pathtally/internal/callers/quarantine"
 	"github.com/pathtally/pathtally/internal/cluster/peering"
 	"github.com/pathtally/pathtally/internal/cluster/transport"
 	"github.com/pathtally/pathtally/internal/duties/autoscale"
@@ -27,104 +27,114 @@
 // nonceBase is the number base in which the lease names a process.
 const nonceBase = 36
 
-// assemble joins the parts of the node. Each step needs those before it.
-func (i *Instance) assemble(ctx context.Context, peerListener net.Listener, duties Duties) {
-	self := batch.Owner{Node: i.settings.Node, Address: i.settings.AdvertisedPeer(), Incarnation: uint64(i.started.UnixNano())}
-	dispatcher := i.assembleForwarding()
-	i.assemblePeers(ctx, peerListener, self)
-	i.assembleStore(self)
-	i.quarantine = i.newQuarantine(ctx)
-	dispatcher.SetGuard(i.quarantine)
-	journal := batch.NewJournal(i.store)
-	journal.ReadApart(func() bool { return i.directory.View().Configuration.DeclaresHomes() })
-	i.jobs = batch.NewService(ctx, batch.Config{
-		Self: self, Journal: journal, Codec: i.adapter.Jobs, Directory: i.directory, Dispatcher: dispatcher,
-		Forwarder: i.forwarder, Peers: i.transport, Table: i.peers, Region: i.settings.Region, Clock: i.clock, Logger: i.logger, Registry: i.registry,
+// assemble makes the parts of the node. Each step needs those before it.
+func (p *parts) assemble(ctx context.Context, peerListener net.Listener, duties Duties) {
+	p.self = batch.Owner{Node: p.settings.Node, Address: p.settings.AdvertisedPeer(), Incarnation: uint64(p.started.UnixNano())}
+	dispatcher := p.assembleForwarding()
+	p.assemblePeers(ctx, peerListener)
+	p.assembleStore()
+	p.assembleQuarantine(ctx)
+	dispatcher.SetGuard(p.quarantine)
+	journal := batch.NewJournal(p.store)
+	journal.ReadApart(func() bool { return p.directory.View().Configuration.DeclaresHomes() })
+	p.jobs = batch.NewService(ctx, batch.Config{
+		Self: p.self, Journal: journal, Codec: p.adapter.Jobs, Directory: p.directory, Dispatcher: dispatcher,
+		Forwarder: p.forwarder, Peers: p.transport, Table: p.peers, Region: p.settings.Region, Clock: p.clock, Logger: p.logger, Registry: p.registry,
 	})
-	i.assembleDuties(self, duties)
-	i.assembleIngress()
+	p.assembleDuties(duties)
+	p.assembleIngress()
+	close(p.assembled)
 }
 
 // assembleForwarding makes what brings requests to replicas.
-func (i *Instance) assembleForwarding() *dispatch.Dispatcher {
-	i.directory = directory.NewTable(i.settings.Node, i.settings.Zone, i.settings.Regions, i.logger)
-	i.directory.SetClock(i.clock)
+func (p *parts) assembleForwarding() *dispatch.Dispatcher {
+	p.directory = directory.NewTable(p.settings.Node, p.settings.Zone, p.settings.Regions, p.logger)
+	p.directory.SetClock(p.clock)
 	unreadable := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "pathtally_unreadable_replica_entries_total", Help: "Changes of replicas' entries that named no replica to use, by reason.",
 	}, []string{"reason"})
-	i.registry.MustRegister(unreadable)
-	i.directory.OnUnreadable(func(reason string) { unreadable.WithLabelValues(reason).Inc() })
-	i.pool = exchange.NewPool(nil)
-	i.pool.Metrics = exchange.NewMetrics(i.registry)
-	dispatcher := dispatch.New(i.pool, i.adapter.Headers, dispatch.NewMetrics(i.registry))
-	i.forwarder = forward.New(forward.Config{
-		Zone: i.settings.Zone, Directory: i.directory, Dispatcher: dispatcher, Logger: i.logger, Metrics: forward.NewMetrics(i.registry),
-		Prompt: i.adapter.Headers.Prompt, VersionField: i.adapter.Jobs.VersionField(), Meter: (*usageMeter)(i),
+	p.registry.MustRegister(unreadable)
+	p.directory.OnUnreadable(func(reason string) { unreadable.WithLabelValues(reason).Inc() })
+	p.pool = exchange.NewPool(nil)
+	p.pool.Metrics = exchange.NewMetrics(p.registry)
+	dispatcher := dispatch.New(p.pool, p.adapter.Headers, dispatch.NewMetrics(p.registry))
+	p.forwarder = forward.New(forward.Config{
+		Zone: p.settings.Zone, Directory: p.directory, Dispatcher: dispatcher, Logger: p.logger, Metrics: forward.NewMetrics(p.registry),
+		Prompt: p.adapter.Headers.Prompt, VersionField: p.adapter.Jobs.VersionField(), Meter: usageMeter{parts: p},
 	})
 	return dispatcher
 }
 
 // assemblePeers makes the list of the other nodes and listens to them.
-func (i *Instance) assemblePeers(ctx context.Context, listener net.Listener, self batch.Owner) {
-	i.transport = transport.Listen(listener, transport.Config{
-		Hello: wire.Hello{Protocol: wire.ProtocolVersion, Node: self.Node, Address: self.Address, Incarnation: self.Incarnation},
+func (p *parts) assemblePeers(ctx context.Context, listener net.Listener) {
+	p.transport = transport.Listen(listener, transport.Config{
+		Hello: wire.Hello{Protocol: wire.ProtocolVersion, Node: p.self.Node, Address: p.self.Address, Incarnation: p.self.Incarnation},
 		Post:  func(call func()) { go call() },
 		Handler: func(_ string, message wire.Message, reply func(wire.Message)) {
-			// Peers may speak to this node before all of it is there.
-			<-i.assembled
-			i.handle(ctx, message, reply)
+			// Peers may send messages before all parts are there.
+			<-p.assembled
+			p.handle(ctx, message, reply)
 		},
-		Traffic: transport.NewTraffic(i.registry),
+		Traffic: transport.NewTraffic(p.registry),
 	})
-	i.peers = peering.NewTable(peering.Config{
-		Node: self.Node, Address: self.Address, Zone: i.settings.Zone, Incarnation: self.Incarnation, Capacity: i.settings.Capacity(), Seeds: i.settings.Seeds,
-		Store: i.adapter.Store, Peers: i.transport, Logger: i.logger, FillHeartbeat: i.fillHeartbeat, OnHeartbeat: i.receiveHeartbeat,
-		Watchers: i.watchers,
+	p.peers = peering.NewTable(peering.Config{
+		Node: p.self.Node, Address: p.self.Address, Zone: p.settings.Zone, Incarnation: p.self.Incarnation, Capacity: p.settings.Capacity(), Seeds: p.settings.Seeds,
+		Store: p.adapter.Store, Peers: p.transport, Logger: p.logger, FillHeartbeat: p.fillHeartbeat, OnHeartbeat: p.receiveHeartbeat,
+		Watchers: p.watchers,
 	})
+	p.lookup = &peerLookup{peers: p.peers, directory: p.directory, settings: p.settings}
 }
 
 // assembleStore makes the copies of the metadata store and the way to it.
-func (i *Instance) assembleStore(self batch.Owner) {
-	i.source = watchcache.NewSource(watchcache.Config{
-		Self: watchcache.Node{Name: self.Node, Address: self.Address, Zone: i.settings.Zone, Capacity: i.settings.Capacity()}, Regions: i.settings.Regions, Store: i.adapter.Store, Peers: i.transport,
-		Nodes: i.followable, Joined: i.peers.JoinAttempted, ProbeKind: peering.Kind, ProbeName: self.Node, Clock: i.clock, Logger: i.logger, Registry: i.registry,
+func (p *parts) assembleStore() {
+	p.source = watchcache.NewSource(watchcache.Config{
+		Self: watchcache.Node{Name: p.self.Node, Address: p.self.Address, Zone: p.settings.Zone, Capacity: p.settings.Capacity()}, Regions: p.settings.Regions, Store: p.adapter.Store, Peers: p.transport,
+		Nodes: p.lookup.storeNodes, Joined: p.peers.JoinAttempted, ProbeKind: peering.Kind, ProbeName: p.self.Node, Clock: p.clock, Logger: p.logger, Registry: p.registry,
 	})
-	i.store = storerelay.New(storerelay.Config{
-		Own: i.adapter.Store, Peers: i.transport, Through: i.source.CurrentPeer, Others: i.helpers, Region: i.regionAt, Logger: i.logger, Registry: i.registry,
+	p.store = storerelay.New(storerelay.Config{
+		Own: p.adapter.Store, Peers: p.transport, Through: p.source.CurrentPeer, Others: p.lookup.storeHelpers, Region: p.lookup.regionAt, Logger: p.logger, Registry: p.registry,
+	})
+}
+
+// assembleQuarantine makes what keeps requests that end replicas from further ones.
+func (p *parts) assembleQuarantine(ctx context.Context) {
+	p.quarantine = quarantine.NewService(ctx, quarantine.Config{
+		Node: p.settings.Node, Span: p.settings.Quarantine.Std(), Prober: p.pool, Store: p.store, Peers: p.transport, Logger: p.logger,
+		Registry: p.registry, Clock: p.clock, Nodes: p.peers.Nodes, Address: p.lookup.address,
 	})
 }
 
 // assembleDuties makes the lease and what is done under it.
-func (i *Instance) assembleDuties(self batch.Owner, duties Duties) {
-	i.lease = lease.NewLease(self.Node, strconv.FormatUint(self.Incarnation, nonceBase), i.settings.DutyLease.Std(), i.store, i.clock)
-	i.duty = lease.NewKeeper(lease.Config{
-		Node: self.Node, Lease: i.lease, Clock: i.clock, Logger: i.logger, Nodes: i.peers.Nodes, Silence: i.silence, Announce: i.peers.Announce,
+func (p *parts) assembleDuties(duties Duties) {
+	p.lease = lease.NewLease(p.self.Node, strconv.FormatUint(p.self.Incarnation, nonceBase), p.settings.DutyLease.Std(), p.store, p.clock)
+	p.keeper = lease.NewKeeper(lease.Config{
+		Node: p.self.Node, Lease: p.lease, Clock: p.clock, Logger: p.logger, Nodes: p.peers.Nodes, Silence: p.lookup.silence, Announce: p.peers.Announce,
 	})
-	i.weights = weightorders.NewCoordinator(weightorders.Config{
-		Keeper: i.duty, Directory: i.directory, Replicas: i.adapter.Orders(i.pool), Logger: i.logger, Registry: i.registry,
-		RunningItems: i.jobs.Load, Tolerance: i.jobs.Tolerance, Demand: i.jobs.Demand, OnChange: i.jobs.NoteVersion, Announce: i.peers.HeartbeatSoon,
+	p.weights = weightorders.NewCoordinator(weightorders.Config{
+		Keeper: p.keeper, Directory: p.directory, Replicas: p.adapter.Orders(p.pool), Logger: p.logger, Registry: p.registry,
+		RunningItems: p.jobs.Load, Tolerance: p.jobs.Tolerance, Demand: p.jobs.Demand, OnChange: p.jobs.NoteVersion, Announce: p.peers.HeartbeatSoon,
 	})
 	if duties.Usage != nil {
-		i.usage = i.newUsage(self, duties.Usage)
+		p.usage = p.newUsage(duties.Usage)
 	}
-	if policy := autoscale.Policy(i.settings.ReplicaPolicy); duties.Replicas != nil && policy != autoscale.PolicyNone {
-		i.autoscale = autoscale.NewService(autoscale.Config{
-			Policy: policy, Keeper: i.duty, Store: i.store, Platform: duties.Replicas, Directory: i.directory, Logger: i.logger,
-			Registry: i.registry, Work: i.jobs.OpenWork,
+	if policy := autoscale.Policy(p.settings.ReplicaPolicy); duties.Replicas != nil && policy != autoscale.PolicyNone {
+		p.autoscale = autoscale.NewService(autoscale.Config{
+			Policy: policy, Keeper: p.keeper, Store: p.store, Platform: duties.Replicas, Directory: p.directory, Logger: p.logger,
+			Registry: p.registry, Work: p.jobs.OpenWork,
 		})
 	}
-	if i.settings.WarmUpOverage > 0 {
-		i.slowStart = i.newSlowStart()
-		i.directory.SetSlowStart(i.slowStart.asker)
+	if p.settings.WarmUpOverage > 0 {
+		p.slowStart = p.newSlowStart()
+		p.directory.SetSlowStart(p.slowStart.asker)
 	}
 }
 
 // assembleIngress makes what answers callers.
-func (i *Instance) assembleIngress() {
-	i.handler = ingress.NewHandler(ingress.Config{
-		Directory: i.directory, Forwarder: i.forwarder, Headers: i.adapter.Headers, Logger: i.logger,
-		Jobs: &batch.Front{Service: i.jobs, Headers: i.adapter.Headers}, BodyBytes: i.bodyBytes(),
-		Metrics: ingress.NewMetrics(i.registry), ConfigurationAge: i.source.Age,
-		KeyBound: func() time.Duration { return i.current.Load().KeyBound.Std() },
+func (p *parts) assembleIngress() {
+	p.handler = ingress.NewHandler(ingress.Config{
+		Directory: p.directory, Forwarder: p.forwarder, Headers: p.adapter.Headers, Logger: p.logger,
+		Jobs: &batch.Front{Service: p.jobs, Headers: p.adapter.Headers}, BodyBytes: bodyBytes(p.settings.MemoryMB),
+		Metrics: ingress.NewMetrics(p.registry), ConfigurationAge: p.source.Age,
+		KeyBound: p.live.keyBound,
 	})
 }
--- a/internal/instance/connections.go
+++ b/internal/instance/connections.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/callers/exchange"
+	"github.com/pathtally/pathtally/internal/cluster/peering"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
@@ -18,21 +19,31 @@
 	// node may have whatever its share is: few nodes use one replica at a time,
 	// and those that do would open new ones over and over.
 	connectionsPerSlot = 3
-	// boundsPause is the least time between two renewals of the bounds.
-	boundsPause = time.Second
+	// minBoundsInterval is the least time between two changes of the bounds.
+	minBoundsInterval = time.Second
+	// unboundedConnections stands for no bound, and maxResting bounds the connections
+	// that rest for one replica in any case.
+	unboundedConnections = 1 << 20
+	maxResting           = 32
 )
 
-// boundConnections keeps the bounds of the connections to replicas current,
-// until the context ends. Connections to replicas that are gone are closed. A change
-// is in force at once unless the one before it is as young as boundsPause: until then
-// connections to a new replica do not rest.
-func (i *Instance) boundConnections(ctx context.Context) {
+// connectionBounder keeps the bounds of the connections to replicas current. Connections
+// to replicas that are gone are closed.
+type connectionBounder struct {
+	directory *directory.Table
+	peers     *peering.Table
+	pool      *exchange.Pool
+}
+
+// run works until the context ends. A change is in force at once unless the one before it
+// is younger than minBoundsInterval: until then connections to a new replica do not rest.
+func (b *connectionBounder) run(ctx context.Context) {
 	for {
-		changed := i.directory.Changed()
+		changed := b.directory.Changed()
 		// A starting node knows no replica yet: bounds would close what it opens.
-		if view := i.directory.View(); view.Configuration != nil && len(view.Replicas) > 0 {
-			i.pool.SetBounds(connectionBounds(view, len(i.peers.Nodes())))
-			objectstore.Sleep(ctx, boundsPause)
+		if view := b.directory.View(); view.Configuration != nil && len(view.Replicas) > 0 {
+			b.pool.SetBounds(connectionBounds(view, len(b.peers.Nodes())))
+			objectstore.Sleep(ctx, minBoundsInterval)
 		}
 		select {
 		case <-ctx.Done():
@@ -52,19 +63,12 @@
 		}
 		if most <= 0 {
 			// The service names no bound.
-			bounds[replica.Address] = exchange.Bound{Open: unboundedConnections, Resting: defaultResting}
+			bounds[replica.Address] = exchange.Bound{Open: unboundedConnections, Resting: maxResting}
 			continue
 		}
 		share := int(connectionShare * float64(most) / float64(max(1, nodes)))
 		bound := min(most, max(share, connectionsPerSlot*max(1, replica.Slots)))
-		bounds[replica.Address] = exchange.Bound{Open: bound, Resting: min(bound, defaultResting)}
+		bounds[replica.Address] = exchange.Bound{Open: bound, Resting: min(bound, maxResting)}
 	}
 	return bounds
 }
-
-const (
-	// unboundedConnections stands for no bound, and defaultResting bounds the
-	// connections that rest for one replica in any case.
-	unboundedConnections = 1 << 20
-	defaultResting       = 32
-)
--- a/internal/instance/connections_test.go
+++ b/internal/instance/connections_test.go
@@ -46,7 +46,7 @@
 func TestConnectionsToANewReplicaRestAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		node := &Instance{
+		node := &connectionBounder{
 			directory: directory.NewTable("node", "zone", nil, klog.Background()),
 			peers:     peering.NewTable(peering.Config{Node: "node"}),
 			pool: exchange.NewPool(func(context.Context, string) (net.Conn, error) {
@@ -55,7 +55,7 @@
 				return near, nil
 			}),
 		}
-		go node.boundConnections(ctx)
+		go node.run(ctx)
 		ask := func(address string) {
 			answer, err := node.pool.Send(ctx, address, &exchange.Request{Method: http.MethodGet, Target: "/", Host: "host", Header: http.Header{}}, false)
 			if err != nil {
--- a/internal/instance/evacuations_test.go
+++ b/internal/instance/evacuations_test.go
@@ -13,18 +13,18 @@
 	table := directory.NewTable("node", "a", nil, klog.Background())
 	table.SetReplicas([]*directory.Replica{{ID: "one", Service: "s", Zone: "a", State: directory.ReplicaReady}}, 0)
 	table.SetEvacuations([]string{"a"})
-	watch := &evacuationWatch{logger: klog.Background(), age: func() time.Duration { return 0 }, oldest: time.Second, empty: map[string]bool{}}
+	watch := &evacuationWatch{logger: klog.Background(), age: func() time.Duration { return 0 }, maxAge: time.Second, empty: map[string]bool{}}
 	state := table.View().Endpoints["one"].State
 	state.InFlight.Add(1)
-	if pause := watch.look(table.View()); pause != evacuationLook || watch.empty["a"] {
-		t.Errorf("with a request there the next look is in %v", pause)
+	if pause := watch.check(table.View()); pause != evacuationPollInterval || watch.empty["a"] {
+		t.Errorf("with a request there the next check is in %v", pause)
 	}
 	state.InFlight.Add(-1)
-	if pause := watch.look(table.View()); pause != evacuationPause || !watch.empty["a"] {
-		t.Errorf("without a request there the next look is in %v", pause)
+	if pause := watch.check(table.View()); pause != evacuationIdleInterval || !watch.empty["a"] {
+		t.Errorf("without a request there the next check is in %v", pause)
 	}
 	table.SetEvacuations(nil)
-	watch.look(table.View())
+	watch.check(table.View())
 	if watch.empty["a"] {
 		t.Error("the next evacuation of the zone begins as an empty one")
 	}
@@ -32,7 +32,7 @@
 
 func TestDoubtAboutEvacuationsIsToldOnceAndEnds(t *testing.T) {
 	age := 2 * time.Second
-	watch := &evacuationWatch{logger: klog.Background(), age: func() time.Duration { return age }, oldest: time.Second, empty: map[string]bool{}}
+	watch := &evacuationWatch{logger: klog.Background(), age: func() time.Duration { return age }, maxAge: time.Second, empty: map[string]bool{}}
 	watch.logAge()
 	if !watch.isStale {
 		t.Error("word older than the bound is taken as current")
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -10,71 +9,30 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/callers/exchange"
-	"github.com/pathtally/pathtally/internal/callers/forward"
-	"github.com/pathtally/pathtally/internal/callers/ingress"
-	"github.com/pathtally/pathtally/internal/callers/quarantine"
 	"github.com/pathtally/pathtally/internal/clock"
-	"github.com/pathtally/pathtally/internal/cluster/peering"
-	"github.com/pathtally/pathtally/internal/cluster/transport"
-	"github.com/pathtally/pathtally/internal/duties/autoscale"
-	"github.com/pathtally/pathtally/internal/duties/lease"
-	"github.com/pathtally/pathtally/internal/duties/usage"
-	"github.com/pathtally/pathtally/internal/duties/weightorders"
-	"github.com/pathtally/pathtally/internal/jobs/batch"
-	"github.com/pathtally/pathtally/internal/replicas/directory"
+	"github.com/pathtally/pathtally/internal/logging"
 	"github.com/pathtally/pathtally/internal/settings"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
-	"github.com/pathtally/pathtally/internal/store/storerelay"
-	"github.com/pathtally/pathtally/internal/store/watchcache"
 )
 
 // Instance is one running node.
 type Instance struct {
-	settings settings.Settings
-	// current are the settings with the changes since the start.
-	current     atomic.Pointer[settings.Settings]
-	reloadMutex sync.Mutex
-
-	adapter Adapter
-	// clock counts suspensions of the machine; what proves something by time reads it.
-	clock     clock.Clock
+	name string
+	live *liveSettings
+	// reloading is held during a reload.
+	reloading sync.Mutex
 	logger    klog.Logger
-	registry  *prometheus.Registry
-	directory *directory.Table
-	source    *watchcache.Source
-	store     *storerelay.Relay
-	pool      *exchange.Pool
-	forwarder *forward.Forwarder
-	// quarantine keeps requests that crash replicas from further ones.
-	quarantine *quarantine.Service
-	handler    *ingress.Handler
-	front      *http.Server
-	transport  *transport.Transport
-	peers      *peering.Table
-	jobs       *batch.Service
-	lease      *lease.Lease
-	duty       *lease.Keeper
-	weights    *weightorders.Coordinator
-	// usage is nil where the platform takes no reports of it.
-	usage *usage.Service
-	// autoscale is nil where no replicas are ordered.
-	autoscale *autoscale.Service
-	// slowStart is nil where what replicas get while they warm up is not bounded.
-	slowStart *slowStart
-
-	// assembled is closed once all parts of the node are there.
-	assembled chan struct{}
+	// parts is nil on an idle node, which serves nothing.
+	parts *parts
 
 	cancel   context.CancelFunc
-	duties   sync.WaitGroup
 	stopping atomic.Bool
 	stopOnce sync.Once
 	drained  chan struct{}
-	started  time.Time
 }
 
-// Start opens the addresses of the settings and starts the node.
+// Start opens the addresses of the settings and starts the node. Its error is a
+// *settings.ListenError, or that of the machine's clock.
 func Start(configured settings.Settings, adapter Adapter) (*Instance, error) {
 	var duties Duties
 	if configured.DutyAPI != "" {
@@ -90,27 +48,47 @@
 			return nil, err
 		}
 	}
+	ctx, cancel := context.WithCancel(context.Background())
 	instance := &Instance{
-		settings: configured, adapter: adapter, clock: counting, logger: nodeLogger(configured.Node, configured.Zone),
-		registry: prometheus.NewRegistry(), drained: make(chan struct{}), assembled: make(chan struct{}), started: time.Now(),
+		name: configured.Node, live: newLiveSettings(configured), logger: logging.NodeLogger(configured.Node, configured.Zone),
+		cancel: cancel, drained: make(chan struct{}),
 	}
-	instance.adapter.Store = objectstore.NewMetered(adapter.Store, instance.registry)
-	instance.current.Store(&instance.settings)
-	ctx, cancel := context.WithCancel(context.Background())
-	instance.cancel = cancel
 	if configured.Idle {
 		instance.logger.Info("node started", "idle", true)
 		return instance, nil
 	}
-	instance.boundMemory()
-	instance.assemble(ctx, opened.peer, duties)
-	close(instance.assembled)
+	boundMemory(configured.MemoryMB)
+	registry := prometheus.NewRegistry()
+	adapter.Store = objectstore.NewMetered(adapter.Store, registry)
+	instance.parts = &parts{
+		settings: configured, live: instance.live, adapter: adapter, clock: counting, logger: instance.logger, registry: registry,
+		started: time.Now(), assembled: make(chan struct{}),
+	}
+	instance.parts.assemble(ctx, opened.peer, duties)
 	instance.serve(opened)
-	instance.runDuties(ctx)
+	instance.parts.run(ctx)
 	instance.logger.Info("node started", "http", configured.HTTP, "readiness", configured.Readiness, "metrics", configured.Metrics,
 		"peer", configured.Peer, "objectStore", configured.ObjectStore)
 	return instance, nil
 }
 
 // Name returns the node's name.
-func (i *Instance) Name() string { return i.settings.Node }
+func (i *Instance) Name() string { return i.name }
+
+// Reload takes changed settings. Times and seeds come into force; a change of name, place
+// or addresses needs a new start and is logged as such.
+func (i *Instance) Reload(changed settings.Settings) {
+	i.reloading.Lock()
+	defer i.reloading.Unlock()
+	next, needsRestart := i.live.reload(changed)
+	i.logger.Info("settings reloaded", "grace", next.Grace.Std().String(), "dutyLease", next.DutyLease.Std().String(),
+		"drain", next.Drain.Std().String(), "keyBound", next.KeyBound.Std().String(), "seeds", len(next.Seeds), "needsRestart", needsRestart)
+	if i.parts == nil {
+		return
+	}
+	i.parts.lease.SetTerm(next.DutyLease.Std())
+	i.parts.peers.SetSeeds(next.Seeds)
+}
+
+// Drained is closed when a planned stop has ended.
+func (i *Instance) Drained() <-chan struct{} { return i.drained }
--- a/internal/instance/readiness.go
+++ b/internal/instance/readiness.go
@@ -2,19 +2,24 @@
 
 import "net/http"
 
-// Ready tells whether the node takes callers.
-func (i *Instance) Ready() bool { return !i.stopping.Load() && len(i.lacking()) == 0 }
+// Ready reports whether the node takes callers.
+func (i *Instance) Ready() bool { return !i.stopping.Load() && len(i.parts.lacking()) == 0 }
 
 // lacking names what the node does not know yet and cannot serve without.
-func (i *Instance) lacking() []string {
-	view := i.directory.View()
+func (p *parts) lacking() []string {
+	view := p.directory.View()
 	var lacking []string
-	for _, part := range []struct {
+	for _, required := range []struct {
 		name  string
 		known bool
-	}{{"configuration", view.Configuration != nil}, {"replicas", view.ReplicasKnown}, {"evacuations", !view.EvacuationsAwaited}, {"batch jobs", i.jobs.Recovered()}} {
-		if !part.known {
-			lacking = append(lacking, part.name)
+	}{
+		{"configuration", view.Configuration != nil},
+		{"replicas", view.ReplicasKnown},
+		{"evacuations", !view.EvacuationsAwaited},
+		{"batch jobs", p.jobs.Recovered()},
+	} {
+		if !required.known {
+			lacking = append(lacking, required.name)
 		}
 	}
 	return lacking
--- a/internal/instance/retirements.go
+++ b/internal/instance/retirements.go
@@ -15,21 +15,21 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// retirementTurn is what each further node waits for those before it to
-// answer a retirement.
-const retirementTurn = 600 * time.Millisecond
+// retirementRankDelay is what each further node waits for those before it in rank to
+// answer a retirement. It is also the time between two attempts.
+const retirementRankDelay = 600 * time.Millisecond
 
 // RetirementCodec reads and writes the status of a retirement.
 type RetirementCodec interface {
-	// Retired tells whether a status says that the machine may be taken away. The
-	// error is that of a status that cannot be read.
+	// Retired returns whether a status says that the machine may be removed. Its error
+	// is that of a status that cannot be read.
 	Retired(status []byte) (bool, error)
-	// Retirement is the status that says so.
+	// Retirement returns the status that says so.
 	Retirement() ([]byte, error)
 }
 
 // retirements answers requests to empty a machine. Nothing that lasts is kept
-// on any machine's disk, so each may be taken away at once.
+// on any machine's disk, so each may be removed at once.
 type retirements struct {
 	kind   string
 	store  objectstore.Store
@@ -84,9 +84,10 @@
 	go r.answer(object.Name)
 }
 
-// answer writes the status when it is this node's turn and none has before.
+// answer writes the status once the nodes before this one have had time to, unless one of
+// them has.
 func (r *retirements) answer(machine string) {
-	if !objectstore.Sleep(r.ctx, time.Duration(r.rank(machine))*retirementTurn) {
+	if !objectstore.Sleep(r.ctx, time.Duration(r.rank(machine))*retirementRankDelay) {
 		return
 	}
 	status, err := r.codec.Retirement()
@@ -106,14 +107,14 @@
 			r.forget(machine)
 			return
 		}
-		if !objectstore.Pause(r.ctx, retirementTurn) {
+		if !objectstore.Pause(r.ctx, retirementRankDelay) {
 			return
 		}
 	}
 }
 
-// forget has a retirement that is gone answered no more, and a later one of the same
-// machine answered anew.
+// forget ends the answering of a retirement that is gone. A later one of the same machine
+// is answered anew.
 func (r *retirements) forget(machine string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- /dev/null
+++ b/internal/instance/run.go
@@ -0,0 +1,52 @@
+package instance
+
+import (
+	"context"
+
+	"github.com/pathtally/pathtally/internal/callers/quarantine"
+	"github.com/pathtally/pathtally/internal/cluster/peering"
+	"github.com/pathtally/pathtally/internal/replicas/directory"
+	"github.com/pathtally/pathtally/internal/store/watchcache"
+)
+
+// run starts what works beside the requests, until the context ends.
+func (p *parts) run(ctx context.Context) {
+	p.followStore(ctx)
+	for _, loop := range p.loops() {
+		go loop(ctx)
+	}
+}
+
+// followStore names what the copy of the store passes on, and to which part.
+func (p *parts) followStore(ctx context.Context) {
+	kinds := p.adapter.Kinds
+	decoder := p.adapter.Decoder
+	p.source.Add(kinds.Configuration, directory.ConfigurationSink{Table: p.directory, Decoder: decoder, Name: kinds.ConfigurationName}, watchcache.PromptWait)
+	p.source.Add(kinds.Replicas, directory.ReplicaSink{Table: p.directory, Decoder: decoder, KeepMissing: p.live.keepMissing}, watchcache.PromptWait)
+	p.source.Add(kinds.Versions, directory.VersionSink{Table: p.directory, Decoder: decoder}, watchcache.PromptWait)
+	p.followEvacuations()
+	p.source.Add(quarantine.Kind, p.quarantine, watchcache.LongWait)
+	p.source.Add(peering.Kind, p.peers, watchcache.LongWait)
+	p.source.Add(kinds.Retirements, &retirements{
+		kind: kinds.Retirements, store: p.store, codec: p.adapter.Retirements, node: p.settings.Node, nodes: p.peers.Nodes,
+		logger: p.logger, ctx: ctx, pending: map[string]bool{},
+	}, watchcache.LongWait)
+}
+
+// loops lists what runs for the life of the node.
+func (p *parts) loops() []func(context.Context) {
+	bounder := &connectionBounder{directory: p.directory, peers: p.peers, pool: p.pool}
+	loops := []func(context.Context){
+		p.source.Run, p.peers.Join, bounder.run, p.logCatchUp, p.logEvacuations, p.quarantine.Run, p.jobs.Run, p.weights.Run,
+	}
+	if p.autoscale != nil {
+		loops = append(loops, p.autoscale.Run)
+	}
+	if p.usage != nil {
+		loops = append(loops, p.usage.Run)
+	}
+	if p.slowStart != nil {
+		loops = append(loops, p.slowStart.asker.Run, p.slowStart.allotter.Run)
+	}
+	return loops
+}
--- a/internal/instance/servers.go
+++ b/internal/instance/servers.go
@@ -1,73 +1,43 @@
 package instance
 
 import (
+	"errors"
 	"net"
 	"net/http"
 	"time"
 
 	"github.com/prometheus/client_golang/prometheus/promhttp"
-
-	"github.com/pathtally/pathtally/internal/settings"
+	"k8s.io/klog/v2"
 )
 
 const (
-	// headerTime and idleTime are laxer than any limits that operators set:
+	// headerTimeout and idleTimeout are laxer than any limits that operators set:
 	// the handler enforces those.
-	headerTime = 10 * time.Second
-	idleTime   = 2 * time.Minute
-	// headerBytes bounds a request's headers before any limit is known.
-	headerBytes = 64 << 10
+	headerTimeout = 10 * time.Second
+	idleTimeout   = 2 * time.Minute
+	// maxHeaderBytes bounds a request's headers before any limit is known.
+	maxHeaderBytes = 64 << 10
 )
 
-// listeners are the open addresses of a node; those not set are nil.
-type listeners struct {
-	front, peer, readiness, metrics net.Listener
-}
-
-// open opens the addresses of the settings and writes those that the system
-// chose back into them.
-func (l *listeners) open(configured *settings.Settings) error {
-	for _, wanted := range []struct {
-		setting  string
-		address  *string
-		listener *net.Listener
-	}{
-		{"http", &configured.HTTP, &l.front}, {"peer", &configured.Peer, &l.peer},
-		{"readiness", &configured.Readiness, &l.readiness}, {"metrics", &configured.Metrics, &l.metrics},
-	} {
-		if *wanted.address == "" {
-			continue
-		}
-		listener, err := net.Listen("tcp", *wanted.address)
-		if err != nil {
-			l.close()
-			return &settings.ListenError{Setting: wanted.setting, Address: *wanted.address, Cause: err}
-		}
-		*wanted.listener, *wanted.address = listener, listener.Addr().String()
-	}
-	return nil
-}
-
-func (l *listeners) close() {
-	for _, listener := range []net.Listener{l.front, l.peer, l.readiness, l.metrics} {
-		if listener != nil {
-			listener.Close()
-		}
-	}
-}
-
 // serve answers on the open addresses.
 func (i *Instance) serve(opened *listeners) {
-	i.front = newServer(i.handler)
-	go i.front.Serve(opened.front)
+	i.parts.server = newServer(i.parts.handler)
+	go serveOn(i.parts.server, opened.http, i.logger)
 	if opened.readiness != nil {
-		go newServer(http.HandlerFunc(i.serveReadiness)).Serve(opened.readiness)
+		go serveOn(newServer(http.HandlerFunc(i.serveReadiness)), opened.readiness, i.logger)
 	}
 	if opened.metrics != nil {
-		go newServer(promhttp.HandlerFor(i.registry, promhttp.HandlerOpts{})).Serve(opened.metrics)
+		go serveOn(newServer(promhttp.HandlerFor(i.parts.registry, promhttp.HandlerOpts{})), opened.metrics, i.logger)
+	}
+}
+
+// serveOn answers on one address until the server is closed.
+func serveOn(server *http.Server, listener net.Listener, logger klog.Logger) {
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+		logger.Error(err, "address is no longer served", "address", listener.Addr().String())
 	}
 }
 
 func newServer(handler http.Handler) *http.Server {
-	return &http.Server{Handler: handler, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, MaxHeaderBytes: headerBytes}
+	return &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 }
--- a/internal/instance/slowstart.go
+++ b/internal/instance/slowstart.go
@@ -7,16 +7,19 @@
 
 	"github.com/ansel1/merry/v2"
 
+	"github.com/pathtally/pathtally/internal/cluster/peering"
+	"github.com/pathtally/pathtally/internal/cluster/transport"
 	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/environment"
+	"github.com/pathtally/pathtally/internal/jobs/batch"
 	"github.com/pathtally/pathtally/internal/replicas/slowstart"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
 const (
-	// allotterTime bounds a question to the allotter, some ways between zones: a later
-	// answer is worth little.
-	allotterTime = 300 * time.Millisecond
+	// allotterTimeout bounds a question to the allotter, several round trips between zones:
+	// a later answer is of little use.
+	allotterTimeout = 300 * time.Millisecond
 	// allotterFollowers is how many nodes besides the last holder of the duty lease
 	// are asked in turn while nobody answers.
 	allotterFollowers = 2
@@ -29,14 +32,18 @@
 // errForeignReply means that a peer answered with another message than was asked for.
 var errForeignReply = merry.Sentinel("peer answered something else")
 
-// slowStart joins what bounds the requests to warming replicas to the node.
+// slowStart asks the allotter, one node for the whole deployment, how many requests this
+// node may send to warming replicas, and answers other nodes while it is the allotter.
 type slowStart struct {
-	instance *Instance
-	asker    *slowstart.Asker
-	allotter *slowstart.Allotter
-	// turn counts the nodes that were asked in vain: the next question goes to the
+	self      batch.Owner
+	peers     *peering.Table
+	transport *transport.Transport
+	keeper    *lease.Keeper
+	asker     *slowstart.Asker
+	allotter  *slowstart.Allotter
+	// failures counts the nodes that were asked in vain: the next question goes to the
 	// next node. It belongs to the asker's goroutine.
-	turn int
+	failures int
 }
 
 // allotterLease is the duty lease as the allotter sees it.
@@ -45,15 +52,15 @@
 	*lease.Lease
 }
 
-func (i *Instance) newSlowStart() *slowStart {
-	made := &slowStart{instance: i}
+func (p *parts) newSlowStart() *slowStart {
+	made := &slowStart{self: p.self, peers: p.peers, transport: p.transport, keeper: p.keeper}
 	made.asker = slowstart.NewAsker(slowstart.AskerConfig{
-		Ask: made.ask, Clock: i.clock, Allotted: i.jobs.LookAgain, Logger: i.logger, Registry: i.registry,
+		Ask: made.ask, Clock: p.clock, Allotted: p.jobs.LookAgain, Logger: p.logger, Registry: p.registry,
 	})
 	made.allotter = slowstart.NewAllotter(slowstart.AllotterConfig{
-		Limits: slowstart.Limits{Overage: i.settings.WarmUpOverage, Slack: i.settings.WarmUpSlack},
-		Lease:  allotterLease{Keeper: i.duty, Lease: i.lease}, Clock: i.clock, Logger: i.logger, Registry: i.registry,
-		Rate: func(replica string) float64 { return i.directory.View().WarmUpRate(replica) },
+		Limits: slowstart.Limits{Overage: p.settings.WarmUpOverage, Slack: p.settings.WarmUpSlack},
+		Lease:  allotterLease{Keeper: p.keeper, Lease: p.lease}, Clock: p.clock, Logger: p.logger, Registry: p.registry,
+		Rate: func(replica string) float64 { return p.directory.View().WarmUpRate(replica) },
 	})
 	return made
 }
@@ -69,30 +76,29 @@
 	if len(named) == 0 {
 		return nil, 0, errNoAllotter
 	}
-	first := s.turn%len(named) == 0
-	answer, err := s.askNode(ctx, named[s.turn%len(named)], wanted)
+	first := s.failures%len(named) == 0
+	answer, err := s.askNode(ctx, named[s.failures%len(named)], wanted)
 	if err != nil {
-		s.turn++
+		s.failures++
 		return nil, 0, err
 	}
 	if !first && len(answer.Granted) == 0 {
-		s.turn++
+		s.failures++
 	}
 	return answer.Granted, time.Duration(answer.SpanMs) * time.Millisecond, nil
 }
 
 // askNode asks one node, which may be this one.
 func (s *slowStart) askNode(ctx context.Context, node string, wanted []wire.ReplicaCount) (*wire.PermitGrant, error) {
-	self := s.instance.settings.Node
-	question := &wire.PermitAsk{Node: self, Incarnation: uint64(s.instance.started.UnixNano()), Wanted: wanted}
-	if node == self {
+	question := &wire.PermitAsk{Node: s.self.Node, Incarnation: s.self.Incarnation, Wanted: wanted}
+	if node == s.self.Node {
 		return s.answer(question), nil
 	}
-	peer, known := s.instance.peers.Get(node)
+	peer, known := s.peers.Get(node)
 	if !known {
 		return nil, errNoAllotter
 	}
-	reply, err := environment.Ask(ctx, s.instance.transport, peer.Address, question, allotterTime)
+	reply, err := environment.Ask(ctx, s.transport, peer.Address, question, allotterTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -106,14 +112,14 @@
 // allotters names the nodes that may allot, the likeliest first: the holder of the
 // duty lease unless it gave it up, then those that would follow it.
 func (s *slowStart) allotters() []string {
-	seen := s.instance.duty.LastObserved()
-	named := s.instance.duty.Informed(allotterFollowers)
-	if seen.Holder == "" {
+	last := s.keeper.LastObserved()
+	named := s.keeper.Informed(allotterFollowers)
+	if last.Holder == "" {
 		return named
 	}
-	named = slices.DeleteFunc(named, func(node string) bool { return node == seen.Holder })
-	if seen.Released {
+	named = slices.DeleteFunc(named, func(node string) bool { return node == last.Holder })
+	if last.Released {
 		return named
 	}
-	return slices.Insert(named, 0, seen.Holder)
+	return slices.Insert(named, 0, last.Holder)
 }
--- a/internal/instance/stop.go
+++ b/internal/instance/stop.go
@@ -7,23 +7,20 @@
 
 const (
 	// leaveTime is how long a stopping node goes on taking requests: by then
-	// callers have been told to go elsewhere (docs/OPERATIONS.md).
+	// callers know that it is unready (docs/OPERATIONS.md).
 	leaveTime = 3 * time.Second
 	// quietTime is how long no request must have come before a stopping node
 	// ends early.
 	quietTime = 1200 * time.Millisecond
-	// graceMargin is kept of the grace for closing, and closeTime is the part of it
+	// graceMargin is kept of the grace for closing, and closeTimeout the part of it
 	// that the requests left get to end and the last counts to be pushed.
-	graceMargin = 900 * time.Millisecond
-	closeTime   = graceMargin / 2
-	// defaultGrace holds where the settings name none. Those that were loaded from
-	// a file or flags always name one.
-	defaultGrace = 8 * time.Second
+	graceMargin  = 900 * time.Millisecond
+	closeTimeout = graceMargin / 2
 	// handOverTime is what is kept of the grace for others to take over the batch
 	// jobs that this node has not finished by then.
 	handOverTime = 2500 * time.Millisecond
-	// stopLook is the time between looks at what is still in progress.
-	stopLook = 50 * time.Millisecond
+	// stopPollInterval is the time between checks of what is still in progress.
+	stopPollInterval = 50 * time.Millisecond
 )
 
 // Stop is the planned stop: the node calls itself unready, serves what still
@@ -34,8 +31,8 @@
 		begun := time.Now()
 		i.logger.Info("planned stop begun")
 		i.stopping.Store(true)
-		if !i.settings.Idle {
-			i.leave(begun)
+		if i.parts != nil {
+			i.parts.leave(begun)
 		}
 		i.cancel()
 		i.logger.Info("planned stop ended", "tookMs", time.Since(begun).Milliseconds())
@@ -43,42 +40,46 @@
 	})
 }
 
-// leave waits until callers are gone and closes the front. Batch jobs are run
-// on for most of the grace: a takeover costs more than a late end.
-func (i *Instance) leave(begun time.Time) {
-	i.handler.Closing.Store(true)
-	i.source.Leave()
-	i.handOverDuties()
-	grace := spanOr(i.current.Load().Grace.Std(), defaultGrace)
-	limit, handOver := begun.Add(grace-graceMargin), begun.Add(grace-handOverTime)
+// leave waits until callers are gone and closes the server.
+func (p *parts) leave(begun time.Time) {
+	p.handler.Closing.Store(true)
+	p.source.Leave()
+	p.handOverDuties()
+	grace := p.live.grace()
+	limit := begun.Add(grace - graceMargin)
+	p.awaitCallers(begun, begun.Add(grace-handOverTime), limit)
+	ctx, cancel := context.WithDeadline(context.Background(), limit.Add(closeTimeout))
+	defer cancel()
+	if err := p.server.Shutdown(ctx); err != nil {
+		p.logger.Info("requests cut by the planned stop", "error", err.Error())
+	}
+	if p.usage != nil {
+		// What was served while the node left.
+		p.usage.Flush(ctx)
+	}
+}
+
+// awaitCallers waits until nothing is in progress or the limit. Batch jobs run on until
+// handOver, most of the grace: a takeover costs more than a late end.
+func (p *parts) awaitCallers(begun, handOver, limit time.Time) {
 	given := false
 	for time.Now().Before(limit) {
-		if !given && (i.jobs.OpenJobs() == 0 || time.Now().After(handOver)) {
-			i.jobs.Leave()
+		if !given && (p.jobs.OpenJobs() == 0 || time.Now().After(handOver)) {
+			p.jobs.Leave()
 			given = true
 		}
-		if given && time.Since(begun) > leaveTime && i.handler.Active.Load() == 0 && i.handler.IdleTime() > quietTime {
-			break
+		if given && time.Since(begun) > leaveTime && p.handler.Active.Load() == 0 && p.handler.IdleTime() > quietTime {
+			return
 		}
-		time.Sleep(stopLook)
-	}
-	ctx, cancel := context.WithDeadline(context.Background(), limit.Add(closeTime))
-	defer cancel()
-	i.front.Shutdown(ctx)
-	if i.usage != nil {
-		// What was served while the node left.
-		i.usage.Flush(ctx)
+		time.Sleep(stopPollInterval)
 	}
 }
 
 // handOverDuties ends what this node does for the whole deployment, so that
 // another need not wait for the lease to run out.
-func (i *Instance) handOverDuties() {
-	go i.duty.Release(context.Background())
-	if i.usage != nil {
-		go i.usage.Flush(context.Background())
+func (p *parts) handOverDuties() {
+	go p.keeper.Release(context.Background())
+	if p.usage != nil {
+		go p.usage.Flush(context.Background())
 	}
 }
-
-// Drained is closed when a planned stop has ended.
-func (i *Instance) Drained() <-chan struct{} { return i.drained }
--- a/internal/instance/usage.go
+++ b/internal/instance/usage.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/duties/usage"
-	"github.com/pathtally/pathtally/internal/jobs/batch"
 )
 
 const (
@@ -15,27 +14,24 @@
 )
 
 // newUsage returns the service that counts and reports usage.
-func (i *Instance) newUsage(self batch.Owner, platform usage.Platform) *usage.Service {
+func (p *parts) newUsage(platform usage.Platform) *usage.Service {
 	return usage.NewService(usage.Config{
-		Node: self.Node, Incarnation: self.Incarnation,
-		Window: spanOr(i.settings.UsageWindow.Std(), defaultUsageWindow), Late: spanOr(i.settings.UsageLate.Std(), defaultUsageLate),
-		Keeper: i.duty, Store: i.store, Platform: platform, Peers: i.transport, Logger: i.logger, Registry: i.registry,
-		Nodes: i.peers.Nodes, Peer: i.peerProcess, Changed: i.peers.HeartbeatSoon,
+		Node: p.self.Node, Incarnation: p.self.Incarnation,
+		Window: durationOr(p.settings.UsageWindow.Std(), defaultUsageWindow), Late: durationOr(p.settings.UsageLate.Std(), defaultUsageLate),
+		Keeper: p.keeper, Store: p.store, Platform: platform, Peers: p.transport, Logger: p.logger, Registry: p.registry,
+		Nodes: p.peers.Nodes, Peer: p.lookup.process, Changed: p.peers.HeartbeatSoon,
 	})
 }
 
-// peerProcess tells where a node is, and which of its processes was heard last.
-func (i *Instance) peerProcess(node string) (address string, incarnation uint64, known bool) {
-	peer, known := i.peers.Get(node)
-	return peer.Address, peer.Incarnation, known
+// usageMeter counts the requests of a node that reports usage. The parts are assembled by
+// the first request.
+type usageMeter struct {
+	parts *parts
 }
 
-// usageMeter counts the requests of a node that reports usage.
-type usageMeter Instance
-
 // Began implements forward.Meter.
-func (m *usageMeter) Began(tenant string, at time.Time) {
-	if m.usage != nil {
-		m.usage.Began(tenant, at)
+func (m usageMeter) Began(tenant string, at time.Time) {
+	if m.parts.usage != nil {
+		m.parts.usage.Began(tenant, at)
 	}
 }
