--- a/internal/instance/messages.go
+++ b/internal/instance/messages.go
@@ -20,7 +20,7 @@
 		reply(p.store.Answer(ctx, message))
 		return
 	case *wire.CrashReport:
-		p.quarantine.Take(message)
+		p.quarantine.ReceiveReport(message)
 		return
 	case *wire.UsagePush:
 		if p.usage != nil {
