--- a/internal/command/await.go
+++ b/internal/command/await.go
@@ -9,36 +9,17 @@
 	"github.com/pathtally/pathtally/internal/standalone/process"
 )
 
-// NotInForceError means that a generation was written but has not reached
-// every node in time.
-type NotInForceError struct {
-	Generation uint64
-	Behind     []string
-}
-
-// Error names the nodes that are behind.
-func (e *NotInForceError) Error() string {
-	return fmt.Sprintf("generation %d is written but not in force yet on %v", e.Generation, e.Behind)
-}
-
-// NotServingError means that a generation is in force but engines that it
-// declares cannot serve yet, as some node sees them.
-type NotServingError struct {
-	Generation uint64
-	// Engines are the engines, each with the node that sees it so.
-	Engines []string
-}
-
-// Error names the engines.
-func (e *NotServingError) Error() string {
-	return fmt.Sprintf("generation %d is in force, but these engines cannot serve yet: %v", e.Generation, e.Engines)
-}
+const (
+	// waitLimit bounds how long apply waits for engines that serve.
+	waitLimit        = 30 * time.Second
+	waitPollInterval = 100 * time.Millisecond
+)
 
 // awaitServing returns when a generation is in force at every node and each
 // node sees the declared engines serve on the declared weights.
-func awaitServing(context *invocation, address string, generation uint64, set *v1.Set) error {
+func awaitServing(call *invocation, address string, generation uint64, set *v1.Set) error {
 	var failure error = &NotInForceError{Generation: generation, Behind: []string{address}}
-	for limit := time.Now().Add(waitLimit); time.Now().Before(limit); time.Sleep(waitLook) {
+	for limit := time.Now().Add(waitLimit); time.Now().Before(limit); time.Sleep(waitPollInterval) {
 		statuses, err := clusterStatus(address)
 		if err != nil {
 			continue
@@ -51,7 +32,7 @@
 			failure = &NotServingError{Generation: generation, Engines: waiting}
 			continue
 		}
-		fmt.Fprintf(context.stdout, "in force on %d nodes\n", len(statuses))
+		fmt.Fprintf(call.stdout, "in force on %d nodes\n", len(statuses))
 		return nil
 	}
 	return failure
--- /dev/null
+++ b/internal/command/clusterstatus.go
@@ -0,0 +1,52 @@
+package command
+
+import (
+	"encoding/json"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"github.com/pathtally/pathtally/internal/standalone/process"
+)
+
+// statusTimeout bounds one question to a node.
+const statusTimeout = 2 * time.Second
+
+// nodeStatus asks one node for its status.
+func nodeStatus(address string) (process.Status, error) {
+	var status process.Status
+	code, body, err := fasthttp.GetTimeout(nil, "http://"+address+"/status", statusTimeout)
+	if err == nil && code != fasthttp.StatusOK {
+		err = &httpStatusError{code: code}
+	}
+	if err == nil {
+		err = json.Unmarshal(body, &status)
+	}
+	if err != nil {
+		return status, &StatusError{Address: address, Cause: err}
+	}
+	return status, nil
+}
+
+// clusterStatus asks one node, and then every node that it knows as alive.
+func clusterStatus(address string) ([]process.Status, error) {
+	first, err := nodeStatus(address)
+	if err != nil {
+		return nil, err
+	}
+	statuses := []process.Status{first}
+	for _, member := range first.Members {
+		if member.State != "alive" || member.ID == first.Node {
+			continue
+		}
+		status, err := nodeStatus(member.HTTP)
+		if err != nil {
+			return nil, err
+		}
+		statuses = append(statuses, status)
+	}
+	slices.SortFunc(statuses, func(a, b process.Status) int { return strings.Compare(a.Node, b.Node) })
+	return statuses, nil
+}
--- a/internal/command/exit.go
+++ b/internal/command/exit.go
@@ -18,12 +18,6 @@
 	ExitUnknown
 )
 
-// UsageError is a command line that cannot be understood.
-type UsageError struct{ Message string }
-
-// Error gives the message.
-func (e *UsageError) Error() string { return e.Message }
-
 // exitCode maps an error to the exit code of the command.
 func exitCode(err error) ExitCode {
 	var usage *UsageError
--- a/internal/command/get.go
+++ b/internal/command/get.go
@@ -21,11 +21,11 @@
 	formJSON  = "json"
 )
 
-func runGet(context *invocation) error {
-	platform := context.flags.String("platform", defaultPlatform, "address of the object API")
-	selector := context.flags.String("l", "", "label selector")
-	form := context.flags.String("o", formTable, "yaml, json or table")
-	words, err := context.parse()
+func runGet(call *invocation) error {
+	platform := call.flags.String("platform", defaultPlatform, "address of the object API")
+	selector := call.flags.String("l", "", "label selector")
+	form := call.flags.String("o", formTable, "yaml, json or table")
+	words, err := call.parse()
 	if err != nil {
 		return usageError(err)
 	}
@@ -59,15 +59,9 @@
 	if len(words) == 2 && len(found) == 0 {
 		return &NotFoundError{Key: v1.Key{Kind: kind, Name: words[1]}}
 	}
-	return printObjects(context.stdout, *form, found)
+	return printObjects(call.stdout, *form, found)
 }
 
-// NotFoundError is an object or a node that does not exist.
-type NotFoundError struct{ Key v1.Key }
-
-// Error names what was looked for.
-func (e *NotFoundError) Error() string { return fmt.Sprintf("%s not found", e.Key) }
-
 // kindOf accepts a kind in any case, singular or plural.
 func kindOf(word string) (v1.Kind, error) {
 	for _, kind := range v1.Kinds {
--- a/internal/command/node.go
+++ b/internal/command/node.go
@@ -3,9 +3,6 @@
 import (
 	"fmt"
 	"log/slog"
-	"os"
-	"os/signal"
-	"syscall"
 
 	"github.com/pathtally/pathtally/internal/settings"
 	"github.com/pathtally/pathtally/internal/standalone/process"
@@ -13,13 +10,13 @@
 
 // runNode runs a node until a signal: SIGTERM and SIGINT begin the planned
 // stop, a second one ends it at once.
-func runNode(context *invocation) error {
+func runNode(call *invocation) error {
 	var given settings.Settings
-	given.Register(context.flags)
-	path := context.flags.String("settings", "", "settings file (YAML); each setting is also a flag, which goes first")
-	check := context.flags.Bool("check", false, "check the settings and exit")
-	verbose := context.flags.Bool("v", false, "log more")
-	words, err := context.parse()
+	given.Register(call.flags)
+	path := call.flags.String("settings", "", "settings file (YAML); each setting is also a flag, which goes first")
+	check := call.flags.Bool("check", false, "check the settings and exit")
+	verbose := call.flags.Bool("v", false, "log more")
+	words, err := call.parse()
 	if err != nil {
 		return usageError(err)
 	}
@@ -31,7 +28,7 @@
 		return err
 	}
 	if *check {
-		fmt.Fprintln(context.stdout, "settings are valid")
+		fmt.Fprintln(call.stdout, "settings are valid")
 		return nil
 	}
 	level := slog.LevelInfo
@@ -39,37 +36,14 @@
 		level = slog.LevelDebug
 	}
 	if loaded.ObjectStore != "" || loaded.Idle {
-		return runInstance(context, loaded, given, *path, level)
+		return runInstance(call, loaded, given, *path, level)
 	}
-	process.SetupLogging(context.stderr, level)
+	process.SetupLogging(call.stderr, level)
 	running, err := process.Start(loaded)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(context.stdout, "node %s: peer %s http %s\n", running.Name(), running.PeerAddress(), running.HTTPAddress())
+	fmt.Fprintf(call.stdout, "node %s: peer %s http %s\n", running.Name(), running.PeerAddress(), running.HTTPAddress())
 	waitForStop(running)
 	return nil
 }
-
-// stoppable is a running node.
-type stoppable interface {
-	Stop()
-	Drained() <-chan struct{}
-}
-
-// waitForStop begins the planned stop at the first signal and returns when it
-// has ended, or at the second signal.
-func waitForStop(running stoppable) {
-	signals := make(chan os.Signal, 2)
-	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	select {
-	case <-signals:
-		go running.Stop()
-	case <-running.Drained():
-		return
-	}
-	select {
-	case <-signals:
-	case <-running.Drained():
-	}
-}
