--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -1,4 +1,3 @@
-// Package bench is the command line of the measuring tool.
 package bench
 
 import (
@@ -11,13 +10,14 @@
 	"github.com/pathtally/pathtally/internal/standalone/process"
 )
 
+// Exit codes of the program.
 const (
 	exitDone = iota
 	exitFailed
 	exitUsage
 )
 
-const usageText = `pathtally-bench measures.
+const usageText = `pathtally-bench checks and measures.
 
   pathtally-bench sim -seeds 1000 [-from N] [-trace]
         random faults on a virtual clock; checks every promise
@@ -27,12 +27,6 @@
 Each has -h. Exit codes: 0 done, 1 failed or a promise was broken, 2 usage.
 `
 
-// FailedError means that a run ended but found something broken.
-type FailedError struct{ What string }
-
-// Error says what was found.
-func (e *FailedError) Error() string { return e.What }
-
 // invocation is one call of a subcommand.
 type invocation struct {
 	flags  *flag.FlagSet
@@ -41,17 +35,22 @@
 	stderr io.Writer
 }
 
-// Run executes a command line.
+// subcommands are the commands by name.
+var subcommands = map[string]func(call *invocation) error{
+	"sim":      runSim,
+	"timeline": runTimeline,
+}
+
+// Run executes a command line and returns the exit code of the program.
 func Run(args []string, stdout, stderr io.Writer) int {
-	commands := map[string]func(*invocation) error{"sim": runSim, "timeline": runTimeline}
-	if len(args) == 0 || commands[args[0]] == nil {
+	if len(args) == 0 || subcommands[args[0]] == nil {
 		fmt.Fprint(stderr, usageText)
 		return exitUsage
 	}
 	process.SetupLogging(io.Discard, slog.LevelInfo)
 	flags := flag.NewFlagSet(args[0], flag.ContinueOnError)
 	flags.SetOutput(stderr)
-	err := commands[args[0]](&invocation{flags: flags, args: args[1:], stdout: stdout, stderr: stderr})
+	err := subcommands[args[0]](&invocation{flags: flags, args: args[1:], stdout: stdout, stderr: stderr})
 	if errors.Is(err, flag.ErrHelp) {
 		return exitDone
 	}
--- a/internal/bench/timeline.go
+++ b/internal/bench/timeline.go
@@ -8,14 +8,13 @@
 	"slices"
 	"text/tabwriter"
 
-	"gonum.org/v1/plot"
-	"gonum.org/v1/plot/plotter"
-	"gonum.org/v1/plot/vg"
-
 	"github.com/pathtally/pathtally/internal/timeline"
 )
 
-// runTimeline tells of the steps in the log files that it is given.
+// minPartSeconds is the least part of a step's time that is printed.
+const minPartSeconds = 0.05
+
+// runTimeline prints the steps found in the log files.
 func runTimeline(call *invocation) error {
 	asJSON := call.flags.Bool("json", false, "write JSON instead of a table")
 	chart := call.flags.String("plot", "", "draw the steps into this file, SVG or PNG by its ending")
@@ -42,12 +41,6 @@
 	return writeTimeline(call.stdout, read)
 }
 
-// UsageError is a command line that cannot be taken.
-type UsageError struct{ What string }
-
-// Error says what is wrong.
-func (e *UsageError) Error() string { return e.What }
-
 // readTimeline reads the log files of one deployment.
 func readTimeline(paths []string) (*timeline.Timeline, error) {
 	var sources []io.Reader
@@ -62,8 +55,8 @@
 	return timeline.Read(io.MultiReader(sources...))
 }
 
-// writeTimeline writes a line for each step and what it waited for, and then the
-// figures of the day.
+// writeTimeline prints a line for each step with what it waited for, and then the
+// median over all steps.
 func writeTimeline(out io.Writer, read *timeline.Timeline) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "step\taccepted\tevent\t50%\t90%\t95%\t100%\tdesired\tended\tnamed\tloaded\tall loaded\ttakeovers\tmoves\tagain\tbound\tratio\twaited for\tlate\t")
@@ -84,7 +77,7 @@
 	return err
 }
 
-// ratiosOf are the ratios of all steps that have one, in rising order.
+// ratiosOf returns the ratios of all steps that have one, in rising order.
 func ratiosOf(read *timeline.Timeline) []float64 {
 	var ratios []float64
 	for _, step := range read.Steps {
@@ -103,44 +96,9 @@
 	}
 	text := fmt.Sprintf("%s: %s, %d events at %s", last.Cause, last.Item, last.Events, last.Replica)
 	for _, part := range last.Parts {
-		if part.Seconds >= leastPart {
+		if part.Seconds >= minPartSeconds {
 			text += fmt.Sprintf(", %s %.2f", part.Cause, part.Seconds)
 		}
 	}
 	return text
 }
-
-// leastPart is the least part of a step's time that is written, in seconds.
-const leastPart = 0.05
-
-// plotSteps draws when each step was listed, ended and could have ended.
-func plotSteps(read *timeline.Timeline, path string) error {
-	chart := plot.New()
-	chart.Title.Text = "steps"
-	chart.X.Label.Text, chart.Y.Label.Text = "accepted, s", "seconds since the acceptance"
-	chart.Y.Min = 0
-	for number, series := range []struct {
-		name string
-		of   func(*timeline.Step) float64
-	}{
-		{"half listed", func(step *timeline.Step) float64 { return step.Listed50 }},
-		{"95% listed", func(step *timeline.Step) float64 { return step.Listed95 }},
-		{"ended", func(step *timeline.Step) float64 { return step.Ended }},
-		{"bound", func(step *timeline.Step) float64 { return step.Bound }},
-	} {
-		points := plotter.XYs{}
-		for _, step := range read.Steps {
-			if value := series.of(step); value > 0 {
-				points = append(points, plotter.XY{X: step.Accepted, Y: value})
-			}
-		}
-		line, dots, err := plotter.NewLinePoints(points)
-		if err != nil {
-			return err
-		}
-		line.Color, dots.Color = colours[number%len(colours)], colours[number%len(colours)]
-		chart.Add(line, dots)
-		chart.Legend.Add(series.name, line)
-	}
-	return chart.Save(16*vg.Centimeter, 10*vg.Centimeter, path)
-}
--- a/internal/timeline/holdup.go
+++ b/internal/timeline/holdup.go
@@ -34,17 +34,17 @@
 	Cause Cause `json:"cause"`
 }
 
-// How runs end early, as package batch says it in the log.
+// Errors of runs that end early, as package batch logs them.
 const (
-	// oldWeights is told of a replica with older weights than allowed.
+	// oldWeights is the error of a run at a replica with too old weights.
 	oldWeights = "weights are older than allowed"
-	// moved begins what is told of a run that goes on at another replica; the reason
+	// moved begins the error of a run that goes on at another replica; the reason
 	// follows.
 	moved = "run was moved"
 )
 
 // holdup finds the item that a step waited for at its end.
-func (s *Step) holdup(leastPace float64) *Holdup {
+func (s *Step) holdup(pace float64) *Holdup {
 	var last *record
 	for i := range s.finished {
 		if s.end > 0 && s.finished[i].at > s.end {
@@ -58,13 +58,13 @@
 		return nil
 	}
 	found := &Holdup{Item: last.Request, Group: last.Group, Replica: last.Replica, Events: last.length()}
-	found.Parts = s.parts(*last, leastPace)
+	found.Parts = s.parts(*last, pace)
 	found.Cause = largest(found.Parts)
 	return found
 }
 
 // parts splits the time from the acceptance to the end by cause.
-func (s *Step) parts(last record, leastPace float64) []Part {
+func (s *Step) parts(last record, pace float64) []Part {
 	runs := s.runsOf(last)
 	start, takeover := s.Accepted, 0.0
 	if len(s.owners) > 1 && runs[0].began() >= s.owners[len(s.owners)-1] {
@@ -82,7 +82,7 @@
 			between += max(0, run.began()-runs[i-1].ended())
 		}
 	}
-	length := float64(last.length()-runs[0].FromEvent) * leastPace
+	length := float64(last.length()-runs[0].FromEvent) * pace
 	listing := 0.0
 	if s.end > 0 {
 		listing = s.end - last.at
@@ -93,7 +93,7 @@
 	}
 }
 
-// runsOf are the runs of an item under the owner that finished it, in order.
+// runsOf returns the runs of an item under the owner that finished it, in order.
 func (s *Step) runsOf(last record) []record {
 	taken := s.owners[len(s.owners)-1]
 	var runs []record
@@ -105,7 +105,7 @@
 	return append(runs, last)
 }
 
-// largest is the cause that explains most of a step's time.
+// largest returns the cause that explains most of a step's time.
 func largest(parts []Part) Cause {
 	length, others := 0.0, 0.0
 	best := Part{Cause: CauseLength}
--- a/internal/timeline/record.go
+++ b/internal/timeline/record.go
@@ -9,21 +9,22 @@
 	"time"
 )
 
-// The messages that are read; they are those of packages batch, directory and
-// weightorders.
+// The messages that are read, as packages batch, directory and weightorders log
+// them.
 const (
-	messageTakenUp  = "batch job started"
-	messageTaken    = "batch job taken over"
-	messageEnded    = "batch job ended"
-	messageLate     = "batch job was late"
-	messageListed   = "results listed"
-	messageFinished = "item finished"
-	messageEarly    = "run ended early"
-	messageNamed    = "weight version named"
-	messageLoaded   = "replica brought to version"
+	messageStarted   = "batch job started"
+	messageTakenOver = "batch job taken over"
+	messageEnded     = "batch job ended"
+	messageLate      = "batch job was late"
+	messageListed    = "results listed"
+	messageFinished  = "item finished"
+	messageEarly     = "run ended early"
+	messageNamed     = "weight version named"
+	messageLoaded    = "replica brought to version"
 )
 
-// record is one log line, as far as it is read. Spans are in milliseconds.
+// record holds the fields read of one log line. Fields ending in Ms are in
+// milliseconds.
 type record struct {
 	// at is when it was written, in seconds from the first line read.
 	at float64
@@ -52,15 +53,15 @@
 	Events    int     `json:"events"`
 }
 
-// longestLine bounds one line of a log, in bytes.
-const longestLine = 1 << 20
+// maxLineBytes bounds one line of a log.
+const maxLineBytes = 1 << 20
 
-// readRecords reads the log lines in a stream; lines of other kinds are passed
-// over. A number in front of a line, as the users' bench writes it, is its time
-// in seconds; without one the time in the line counts.
+// readRecords reads the log lines in a stream and skips lines of other forms. A
+// number in front of a line is its time in seconds; without one the time in the
+// line counts.
 func readRecords(source io.Reader) ([]record, error) {
 	lines := bufio.NewScanner(source)
-	lines.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), longestLine)
+	lines.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLineBytes)
 	var records []record
 	var begun time.Time
 	for lines.Scan() {
--- a/internal/timeline/step.go
+++ b/internal/timeline/step.go
@@ -1,7 +1,7 @@
 package timeline
 
 // Step is the timeline of one batch job. Times are in seconds from its
-// acceptance, 0 where something did not happen or the log does not tell.
+// acceptance, 0 where something did not happen or is not in the log.
 type Step struct {
 	Job        string `json:"job"`
 	Number     int    `json:"step"`
@@ -9,7 +9,7 @@
 	MinVersion int64  `json:"minVersion"`
 	Items      int    `json:"items"`
 	Desired    int    `json:"desired"`
-	// Accepted is when it was taken up first, in seconds of the log.
+	// Accepted is when an owner first started it, in seconds of the log.
 	Accepted   float64 `json:"accepted"`
 	FirstRun   float64 `json:"firstRun"`
 	FirstEvent float64 `json:"firstEvent"`
@@ -33,7 +33,8 @@
 	RunAgain int `json:"runAgain"`
 	// Last is what the step waited for at its end, nil if nothing finished.
 	Last *Holdup `json:"last,omitempty"`
-	// Late is why its owner found it late at its end, empty where it was not.
+	// Late is the reason that its owner logged for a late end, empty where the end
+	// was not late.
 	Late string `json:"late,omitempty"`
 	// Bound is the shortest time that the step could have taken.
 	Bound float64 `json:"bound"`
@@ -45,13 +46,13 @@
 	end      float64
 }
 
-// listing is that some results were listed.
+// listing is the time at which a number of results was listed.
 type listing struct {
 	at      float64
 	results int
 }
 
-// Ratio is the time that the step took as a multiple of its bound, 0 where
+// Ratio returns the time that the step took as a multiple of its bound, 0 where
 // either is not known.
 func (s *Step) Ratio() float64 {
 	if s.Bound == 0 || s.Ended == 0 {
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// line writes a log line as the users' bench prints it.
+// line writes a log line with its time in front.
 func line(at float64, message, fields string) string {
 	return fmt.Sprintf("%9.4f edge-1 {\"time\":\"2026-01-05T22:12:00Z\",\"level\":\"INFO\",\"msg\":%q,%s}\n", at, message, fields)
 }
@@ -20,7 +20,7 @@
 		return line(at, messageFinished, fmt.Sprintf(
 			`"request":%q,"job":"job","group":%q,"replica":"r1","events":%d,"fromEvent":0,"firstMs":50,"tookMs":%d,"rewardMs":%d`, item, group, events, took, reward))
 	}
-	return line(10, messageTakenUp, `"request":"job","step":3,"model":"m","minVersion":2,"items":3,"desired":1`) +
+	return line(10, messageStarted, `"request":"job","step":3,"model":"m","minVersion":2,"items":3,"desired":1`) +
 		finished(10.6, "a", "g1", 11, 550, 50) +
 		finished(11.1, "b", "g1", 21, 1050, 50) +
 		line(11.2, messageListed, `"request":"job","results":2`) +
