--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -90,7 +90,7 @@
 		Nodes: i.followable, Joined: i.peers.JoinAttempted, ProbeKind: peering.Kind, ProbeName: self.Node, Clock: i.clock, Logger: i.logger, Registry: i.registry,
 	})
 	i.store = storerelay.New(storerelay.Config{
-		Own: i.adapter.Store, Peers: i.transport, Through: i.source.CurrentPeer, Others: i.helpers, Region: i.regionAt, Logger: i.logger, Registry: i.registry,
+		Own: i.adapter.Store, Peers: i.transport, CurrentPeer: i.source.CurrentPeer, LargeCallHelpers: i.helpers, Region: i.regionAt, Logger: i.logger, Registry: i.registry,
 	})
 }
 
--- /dev/null
+++ b/internal/store/storerelay/call.go
@@ -0,0 +1,103 @@
+package storerelay
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/ansel1/merry/v2"
+
+	"github.com/pathtally/pathtally/internal/environment"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
+	"github.com/pathtally/pathtally/internal/wire"
+)
+
+// relayTimeout bounds a call through a helper.
+const relayTimeout = 1800 * time.Millisecond
+
+// errRelayed is the cause of errors that a helper has reported.
+var errRelayed = merry.Sentinel("call made through another node failed")
+
+// do makes a call on this node's own connection, or through a helper: at once if calls of
+// its own have failed recently, else if the store refuses it. The reply is nil if the call
+// was made on the own connection. A call without an answer is not repeated: it may have been
+// done.
+func (r *Relay) do(ctx context.Context, call *wire.StoreCall, own func() error) (*wire.StoreReply, error) {
+	if r.ownAccess.hasFailedRecently() {
+		if helpers := r.helpersFor(ctx, call); len(helpers) > 0 {
+			return r.callThroughAny(ctx, helpers, call)
+		}
+	}
+	err := own()
+	var refused *objectstore.RefusedError
+	var unanswered *objectstore.UnansweredError
+	switch {
+	case ctx.Err() != nil:
+		return nil, err
+	case errors.As(err, &unanswered):
+		r.recordFailure()
+		return nil, err
+	case errors.As(err, &refused):
+		r.recordFailure()
+		if helpers := r.helpersFor(ctx, call); len(helpers) > 0 {
+			return r.callThroughAny(ctx, helpers, call)
+		}
+		return nil, err
+	}
+	r.recordAnswer()
+	return nil, err
+}
+
+// callThroughAny makes a call through the first helper that doesn't refuse it.
+func (r *Relay) callThroughAny(ctx context.Context, helpers []string, call *wire.StoreCall) (*wire.StoreReply, error) {
+	return r.inFlight.do(ctx, call, func() (reply *wire.StoreReply, err error) {
+		err = &objectstore.RefusedError{Cause: errRelayed}
+		for _, address := range helpers {
+			if !r.mayGive(ctx, address, call) {
+				if ctx.Err() != nil {
+					return nil, &objectstore.UnansweredError{Cause: merry.Wrap(ctx.Err())}
+				}
+				r.helpers.exclude(address)
+				continue
+			}
+			reply, err = r.callThrough(ctx, address, call)
+			var refused *objectstore.RefusedError
+			if !errors.As(err, &refused) {
+				return reply, err
+			}
+			r.helpers.exclude(address)
+		}
+		return reply, err
+	})
+}
+
+// callThrough makes a call through a helper. It returns an *objectstore.UnansweredError if
+// the helper doesn't reply, else the error of the helper's call.
+func (r *Relay) callThrough(ctx context.Context, address string, call *wire.StoreCall) (*wire.StoreReply, error) {
+	message, err := environment.Ask(ctx, r.config.Peers, address, call, relayTimeout)
+	reply, isReply := message.(*wire.StoreReply)
+	if err != nil || !isReply {
+		r.relayed.WithLabelValues("silent").Inc()
+		if ctx.Err() == nil {
+			r.helpers.exclude(address)
+		}
+		return nil, &objectstore.UnansweredError{Cause: merry.Wrap(environment.ErrPeerUnreachable, merry.WithCause(err))}
+	}
+	r.relayed.WithLabelValues(outcomeLabel(wire.StoreOutcome(reply.Outcome))).Inc()
+	return reply, errorOf(reply)
+}
+
+// recordFailure records that the store refused or did not answer a call of this node.
+func (r *Relay) recordFailure() {
+	if r.ownAccess.recordFailure() {
+		address, known := r.config.CurrentPeer()
+		r.config.Logger.Info("store does not answer this node's calls", "throughPeer", known, "peer", address)
+	}
+}
+
+// recordAnswer records that the store answered a call of this node.
+func (r *Relay) recordAnswer() {
+	if r.ownAccess.recordAnswer() {
+		r.config.Logger.Info("store answers this node's calls again")
+	}
+}
--- a/internal/store/storerelay/choose_helper.go
+++ b/internal/store/storerelay/choose_helper.go
@@ -3,57 +3,84 @@
 import (
 	"context"
 	"slices"
+	"time"
 
 	"github.com/pathtally/pathtally/internal/environment"
 	"github.com/pathtally/pathtally/internal/replicas/homes"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// helpersFor returns the addresses of the nodes through which a call may be made, in
-// the order in which they are tried; none unless the store is known to answer one. A
-// node whose region may not have the body that the call carries is left out: the call
-// is then made on this node's own way alone, and fails as it does there.
+const (
+	// largeCallSize is the content, in bytes, from which on a call goes through another
+	// helper than the current peer, whose link is busy with its followers.
+	largeCallSize = 64 << 10
+	// maxHelpers is the most helpers that one call is offered to.
+	maxHelpers = 3
+	// helperProbeTimeout bounds the probe of a helper before a large call: a silent helper
+	// would cost the call its whole timeout.
+	helperProbeTimeout = 200 * time.Millisecond
+)
+
+// isLarge reports whether a call carries so much content that it goes through other helpers.
+func isLarge(call *wire.StoreCall) bool { return len(call.Content) >= largeCallSize }
+
+// helpersFor returns the addresses of the helpers for a call in the order in which they are
+// tried; none if no node is known that the store answers, or if none of the candidates may
+// hold the body that the call carries. The call is then left to this node's own connection.
 func (r *Relay) helpersFor(ctx context.Context, call *wire.StoreCall) []string {
-	followed, known := r.config.Through()
+	current, known := r.config.CurrentPeer()
 	if !known {
 		return nil
 	}
-	addresses := []string{followed}
-	if len(call.Content) >= largeCall && r.config.Others != nil {
-		addresses = append(r.config.Others(), followed)
+	candidates := []string{current}
+	if isLarge(call) && r.config.LargeCallHelpers != nil {
+		candidates = append(r.config.LargeCallHelpers(), current)
 	}
+	allowed := r.withinHomes(ctx, candidates)
+	if len(allowed) == 0 && r.ownAccess.hasFailedRecently() {
+		r.relayed.WithLabelValues("outside homes").Inc()
+	}
+	return chooseHelpers(allowed, r.helpers.isExcluded)
+}
+
+// withinHomes returns the candidates that may hold the body that the context's call carries.
+func (r *Relay) withinHomes(ctx context.Context, candidates []string) []string {
 	bounds := homes.BoundsOf(ctx)
-	inside := addresses
-	if bounds.Homes().Bound() {
-		inside = slices.DeleteFunc(slices.Clone(addresses), func(address string) bool { return !bounds.AllowsNode(r.config.Region(address)) })
-		if len(inside) == 0 && r.isTroubled() {
-			r.relayed.WithLabelValues("outside homes").Inc()
-		}
-	}
-	fit := slices.DeleteFunc(slices.Clone(inside), r.helpers.isAvoided)
-	if len(fit) == 0 && len(inside) > 0 {
-		fit = inside[len(inside)-1:]
-	}
-	return fit[:min(len(fit), helpersTried)]
+	if !bounds.Homes().Bound() {
+		return candidates
+	}
+	return slices.DeleteFunc(slices.Clone(candidates), func(address string) bool {
+		return !bounds.AllowsNode(r.config.Region(address))
+	})
+}
+
+// chooseHelpers returns the first candidates that are not excluded, at most maxHelpers. If
+// all are excluded, it returns the last one, the current peer.
+func chooseHelpers(candidates []string, isExcluded func(address string) bool) []string {
+	chosen := slices.DeleteFunc(slices.Clone(candidates), isExcluded)
+	if len(chosen) == 0 && len(candidates) > 0 {
+		chosen = candidates[len(candidates)-1:]
+	}
+	return chosen[:min(len(chosen), maxHelpers)]
 }
 
-// carries tells whether a node may be given a large call: the one that is followed, one
-// that the store has answered of late, or one that is answered a question now. Asking
-// first costs a fifth of a second where a node is silent; the call would cost its whole
-// time.
-func (r *Relay) carries(ctx context.Context, address string, call *wire.StoreCall) bool {
-	if followed, _ := r.config.Through(); len(call.Content) < largeCall || address == followed || r.helpers.isAnswered(address) {
+// mayGive reports whether a helper may be given a call: any helper a small one, and a large
+// one to the current peer, to a helper that the store has answered recently, and to one that
+// is answered by the store now.
+func (r *Relay) mayGive(ctx context.Context, address string, call *wire.StoreCall) bool {
+	current, _ := r.config.CurrentPeer()
+	if !isLarge(call) || address == current || r.helpers.isAnswering(address) {
 		return true
 	}
-	question := &wire.StoreCall{Verb: uint8(wire.StoreGet), Kind: call.Kind, Name: call.Name, MayBeStale: true}
-	message, err := environment.Ask(ctx, r.config.Peers, address, question, questionTime)
+	probe := &wire.StoreCall{Verb: uint8(wire.StoreGet), Kind: call.Kind, Name: call.Name, MayBeStale: true}
+	message, err := environment.Ask(ctx, r.config.Peers, address, probe, helperProbeTimeout)
 	reply, isReply := message.(*wire.StoreReply)
 	if err != nil || !isReply {
 		return false
 	}
 	switch wire.StoreOutcome(reply.Outcome) {
 	case wire.StoreDone, wire.StoreNotFound:
-		r.helpers.note(address)
+		r.helpers.recordAnswering(address)
 		return true
 	}
 	return false
--- /dev/null
+++ b/internal/store/storerelay/config.go
@@ -0,0 +1,26 @@
+package storerelay
+
+import (
+	"github.com/prometheus/client_golang/prometheus"
+	"k8s.io/klog/v2"
+
+	"github.com/pathtally/pathtally/internal/environment"
+	"github.com/pathtally/pathtally/internal/store/objectstore"
+)
+
+// Config holds the dependencies of a Relay.
+type Config struct {
+	// Own is this node's own connection to the store.
+	Own   objectstore.Store
+	Peers environment.Peers
+	// CurrentPeer returns the address of a node that the store answers now, if one is
+	// known.
+	CurrentPeer func() (address string, known bool)
+	// LargeCallHelpers returns the addresses of further nodes that may be given large calls,
+	// the preferred one first; nil for none.
+	LargeCallHelpers func() []string
+	// Region returns the region of the node at an address, "" if it is not known.
+	Region   func(address string) string
+	Logger   klog.Logger
+	Registry prometheus.Registerer
+}
--- /dev/null
+++ b/internal/store/storerelay/helper_history.go
@@ -0,0 +1,57 @@
+package storerelay
+
+import (
+	"sync"
+	"time"
+)
+
+const (
+	// helperExclusion is how long a helper that refused a call or didn't reply is excluded.
+	helperExclusion = 3 * time.Second
+	// answeringTTL is how long a helper that the store has answered counts as such.
+	answeringTTL = 2 * time.Second
+)
+
+// helperHistory remembers which helpers failed recently and which were answered by the
+// store. It is safe for concurrent use.
+type helperHistory struct {
+	mutex sync.Mutex
+	// excludedUntil and answeringUntil are by address.
+	excludedUntil  map[string]time.Time
+	answeringUntil map[string]time.Time
+}
+
+// exclude excludes a helper for helperExclusion.
+func (h *helperHistory) exclude(address string) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	if h.excludedUntil == nil {
+		h.excludedUntil = map[string]time.Time{}
+	}
+	h.excludedUntil[address] = time.Now().Add(helperExclusion)
+	delete(h.answeringUntil, address)
+}
+
+// recordAnswering records that the store has answered a helper.
+func (h *helperHistory) recordAnswering(address string) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	if h.answeringUntil == nil {
+		h.answeringUntil = map[string]time.Time{}
+	}
+	h.answeringUntil[address] = time.Now().Add(answeringTTL)
+}
+
+// isAnswering reports whether the store has answered a helper within answeringTTL.
+func (h *helperHistory) isAnswering(address string) bool {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	return time.Now().Before(h.answeringUntil[address])
+}
+
+// isExcluded reports whether a helper is excluded.
+func (h *helperHistory) isExcluded(address string) bool {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	return time.Now().Before(h.excludedUntil[address])
+}
--- a/internal/store/storerelay/helpers_test.go
+++ b/internal/store/storerelay/large_calls_test.go
@@ -18,17 +18,17 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// link carries calls to other nodes at so many bytes a second each, and to silent ones
-// nothing.
+// link delivers calls to other nodes at linkBytes a second each, and none to silent ones.
 type link struct {
 	mutex sync.Mutex
 	store *metastore.Store
-	// free is when each node's link has carried all that was sent.
+	// free is when each node's link has delivered all that was sent.
 	free   map[string]time.Time
 	silent map[string]bool
 	sent   map[string]int
 }
 
+// linkBytes is the rate of a link in bytes a second.
 const linkBytes = 1 << 20
 
 func (*link) Send(string, wire.Message)        {}
@@ -62,11 +62,11 @@
 	}()
 }
 
-// over returns a relay of a node that the store refuses, before such a link.
+// over returns a relay over a link, of a node that the store refuses.
 func over(l *link, others ...string) *Relay {
 	return New(Config{
-		Own: &gate{Store: l.store, fail: refusal}, Peers: l, Through: func() (string, bool) { return "reader", true },
-		Others: func() []string { return others }, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
+		Own: &gate{Store: l.store, fail: refusal}, Peers: l, CurrentPeer: func() (string, bool) { return "reader", true },
+		LargeCallHelpers: func() []string { return others }, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
 	})
 }
 
@@ -79,8 +79,8 @@
 	return json.RawMessage(`"` + string(bytes.Repeat([]byte("x"), 600<<10)) + `"`)
 }
 
-// Three owners of batch jobs that the store turned away wrote their results through one
-// node, each up to four times at once; none arrived in time for six seconds.
+// Symptom: three owners of batch jobs that the store refuses write their results through
+// one node, each up to four times at once, and none arrives in time for six seconds.
 func TestLargeObjectsOfSeveralNodesArriveThroughOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLink()
@@ -98,7 +98,7 @@
 		if took := time.Since(began); took > 2*time.Second {
 			t.Errorf("it took %s", took)
 		}
-		time.Sleep(2 * relayTime)
+		time.Sleep(2 * relayTimeout)
 	})
 }
 
@@ -117,6 +117,6 @@
 		if l.sent["second"] == 0 || l.sent["first"] != before {
 			t.Errorf("sent %v", l.sent)
 		}
-		time.Sleep(2 * relayTime)
+		time.Sleep(2 * relayTimeout)
 	})
 }
--- a/internal/store/storerelay/relay_test.go
+++ b/internal/store/storerelay/relay_test.go
@@ -16,7 +16,7 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// gate is one node's way to the store.
+// gate is one node's connection to the store.
 type gate struct {
 	*metastore.Store
 	fail  error
@@ -55,7 +55,7 @@
 	return g.Store.List(ctx, kind, after, freshness)
 }
 
-// pair is a node with a way of its own and one that it may call through.
+// pair is a node with a connection of its own, and one that it may call through.
 type pair struct {
 	own, other *gate
 	relay      *Relay
@@ -81,7 +81,7 @@
 	made := &pair{own: &gate{Store: store}, other: &gate{Store: store}, reachable: true, known: true}
 	relayOver := func(own objectstore.Store) *Relay {
 		return New(Config{
-			Own: own, Peers: made, Through: func() (string, bool) { return "other", made.known }, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
+			Own: own, Peers: made, CurrentPeer: func() (string, bool) { return "other", made.known }, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
 		})
 	}
 	made.relay, made.helper = relayOver(made.own), relayOver(made.other)
@@ -119,12 +119,11 @@
 		t.Errorf("list: %+v, %v", page, err)
 	}
 	if p.own.calls != 1 {
-		t.Errorf("%d calls on the way that had just failed", p.own.calls)
+		t.Errorf("%d calls on the connection that had just failed", p.own.calls)
 	}
 }
 
-// A call without an answer may have been done, so it is not made once more
-// behind the caller's back.
+// A call without an answer may have been done, so the relay doesn't repeat it.
 func TestUnansweredCallIsNotRepeated(t *testing.T) {
 	p := newPair()
 	p.own.fail = silence
@@ -168,7 +167,7 @@
 	return errors.As(err, &unanswered)
 }
 
-// Two nodes that the store turns away do not send a call to and fro.
+// Two nodes that the store refuses do not send a call back and forth.
 func TestCallsMakeOneHop(t *testing.T) {
 	p := newPair()
 	p.own.fail, p.other.fail = refusal, refusal
