--- a/internal/cluster/peering/heartbeat.go
+++ b/internal/cluster/peering/heartbeat.go
@@ -8,24 +8,27 @@
 )
 
 const (
-	// activeTime is for how long a peer counts as active after a heartbeat that
-	// said so: a holder of the duty lease tells everybody at each renewal, every
-	// 2.1 s, and an owner of batch jobs its active peers every 0.3 s.
-	activeTime = 3 * time.Second
-	// heartbeatGap is the least time between two heartbeats that changes cause:
-	// with many replicas, loads of weights begin and end some 50 times a second.
-	heartbeatGap = 50 * time.Millisecond
-	// defaultMostTold is up to how many peers all hear of rare changes: with some of them
-	// a second, that is as many messages as heartbeats are.
-	defaultMostTold = 128
+	// activeTimeout is how long a peer counts as active after a heartbeat that said so. It
+	// is longer than the time between two heartbeats of a holder of the duty lease.
+	activeTimeout = 3 * time.Second
+	// minHeartbeatInterval is the least time between two heartbeats sent because of changes,
+	// which may come many times a second while replicas load weights.
+	minHeartbeatInterval = 50 * time.Millisecond
 )
 
-// isActive tells whether the sender of a heartbeat runs batch jobs or gives
-// orders to replicas, so that it has to hear of others that do.
+// isActive reports whether the sender of a heartbeat runs batch jobs or holds the duty lease,
+// so that it has to get the heartbeats of others that do.
 func isActive(heartbeat *wire.NodeBeat) bool { return len(heartbeat.Jobs) > 0 || heartbeat.Lease > 0 }
 
+// newHeartbeat returns this node's heartbeat as of now.
 func (t *Table) newHeartbeat() *wire.NodeBeat {
-	heartbeat := &wire.NodeBeat{Node: t.config.Node, Address: t.config.Address, Zone: t.config.Zone, Incarnation: t.config.Incarnation, Capacity: t.config.Capacity}
+	heartbeat := &wire.NodeBeat{
+		Node:        t.config.Node,
+		Address:     t.config.Address,
+		Zone:        t.config.Zone,
+		Incarnation: t.config.Incarnation,
+		Capacity:    t.config.Capacity,
+	}
 	t.config.FillHeartbeat(heartbeat)
 	return heartbeat
 }
@@ -41,7 +44,7 @@
 func (t *Table) AnnouncesToAll() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return len(t.peers) <= t.config.MostTold
+	return len(t.peers) <= t.config.MaxBroadcastPeers
 }
 
 // Announce sends this node's heartbeat because of a rare change: to all peers if
@@ -51,37 +54,39 @@
 		t.Broadcast()
 		return
 	}
-	t.sendTo(concerned)
+	t.sendToWatchersAnd(concerned)
 }
 
-// Heartbeat sends this node's heartbeat to its watchers and to the peers that
-// are active. Their number does not grow with the number of nodes.
-func (t *Table) Heartbeat() { t.sendTo(nil) }
+// Heartbeat sends this node's heartbeat to its watchers and to the active peers, whose
+// number doesn't grow with the number of nodes.
+func (t *Table) Heartbeat() { t.sendToWatchersAnd(nil) }
 
-// sendTo sends this node's heartbeat to its watchers, to the peers that are active, and
-// to some more.
-func (t *Table) sendTo(more []string) {
-	hearing := map[string]bool{}
+// sendToWatchersAnd sends this node's heartbeat to its watchers, to the active peers, and to
+// some more nodes.
+func (t *Table) sendToWatchersAnd(more []string) {
+	recipients := map[string]bool{}
 	for _, node := range more {
-		hearing[node] = true
+		recipients[node] = true
 	}
 	if t.config.Watchers != nil {
 		for _, watcher := range t.config.Watchers() {
-			hearing[watcher] = true
+			recipients[watcher] = true
 		}
 	}
-	t.send(t.addresses(func(peer *Peer) bool { return hearing[peer.Node] || time.Since(peer.LastActive) < activeTime }))
+	t.send(t.addresses(func(peer *Peer) bool {
+		return recipients[peer.Node] || time.Since(peer.LastActive) < activeTimeout
+	}))
 }
 
 // HeartbeatSoon sends a heartbeat because its content has changed: at once, or up to
-// heartbeatGap later if one has just been sent.
+// minHeartbeatInterval later if one has just been sent.
 func (t *Table) HeartbeatSoon() {
 	t.mutex.Lock()
 	if t.heartbeatDue {
 		t.mutex.Unlock()
 		return
 	}
-	pause := heartbeatGap - time.Since(t.lastHeartbeat)
+	pause := minHeartbeatInterval - time.Since(t.lastHeartbeat)
 	t.heartbeatDue = pause > 0
 	t.mutex.Unlock()
 	if pause <= 0 {
@@ -96,6 +101,7 @@
 	})
 }
 
+// send sends this node's heartbeat to some addresses.
 func (t *Table) send(addresses []string) {
 	t.mutex.Lock()
 	t.lastHeartbeat = time.Now()
@@ -105,7 +111,7 @@
 	}
 }
 
-// addresses are those of the peers that a condition holds for, in order.
+// addresses returns the addresses of the peers for which a condition holds, in order.
 func (t *Table) addresses(wanted func(*Peer) bool) []string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/cluster/peering/join.go
+++ b/internal/cluster/peering/join.go
@@ -2,55 +2,41 @@
 
 import (
 	"context"
-	"encoding/json"
-	"errors"
 	"time"
 
 	"github.com/pathtally/pathtally/internal/store/objectstore"
-	"github.com/pathtally/pathtally/internal/wire"
 )
 
 const (
-	// Kind is the kind of the nodes' entries in the metadata store.
-	Kind = "nodes"
-	// greetTime bounds a greeting.
-	greetTime = 800 * time.Millisecond
-	// wholeList is up to how many nodes a greeting is answered with all of them, and
-	// beyond that with those of the greeting node's zone: the others come with the
-	// copies of the store, and an answer stays some kilobytes long.
-	wholeList = 256
-	// joinPause is the time between tries to write and read the entries.
-	joinPause = 500 * time.Millisecond
-	// greetRounds is how often a seed that has not answered is greeted, and
-	// greetPause the time between.
-	greetRounds = 4
-	greetPause  = time.Second
-	// settleTime is how long a node that is new waits before it reads the entries
-	// of the others: the machines of a deployment start within 0.3 s of each
-	// other, and what is missed then costs a watch event each.
-	settleTime = 400 * time.Millisecond
+	// joinRetryInterval is about how long a node waits between two attempts to join.
+	joinRetryInterval = 500 * time.Millisecond
+	// newNodeDelay is how long a new node waits before it learns of the others, so that the
+	// nodes of a deployment that start together have written their entries.
+	newNodeDelay = 400 * time.Millisecond
+	// newSeedDelay is the same for a new seed, whose list other nodes take over.
+	newSeedDelay = 700 * time.Millisecond
 )
 
-// Join writes this node's entry and learns of the others, until the context ends or both
-// is done. Later entries come through the table's sink. While the store is away, the
-// seeds are greeted.
+// Join writes this node's entry and learns of the others. It returns when both is done or
+// the context ends. Later entries come through the table's sink. While the store is
+// unavailable, it greets the seeds.
 func (t *Table) Join(ctx context.Context) {
 	for ctx.Err() == nil {
 		joined := t.tryJoin(ctx)
 		t.mutex.Lock()
-		t.joined, t.tried = joined, true
+		t.joined, t.joinAttempted = joined, true
 		t.mutex.Unlock()
 		if joined {
 			return
 		}
-		objectstore.Pause(ctx, joinPause)
+		objectstore.Pause(ctx, joinRetryInterval)
 		t.greetSeeds(ctx)
 	}
 }
 
-// tryJoin tells whether this node's entry is written and the others' are known: from a
-// seed, or from the store where this node is one or none answers. Read by every node,
-// the entries of all are what a store that serves a thousand nodes spends a start on.
+// tryJoin writes this node's entry and learns of the others from a seed, or from the store
+// if this node is a seed or none answers, and reports whether it has done both. In a large
+// deployment the store could not serve a listing to every starting node.
 func (t *Table) tryJoin(ctx context.Context) bool {
 	isNew, err := t.register(ctx)
 	if err != nil {
@@ -61,7 +47,7 @@
 		t.mutex.Lock()
 		t.isNew = true
 		t.mutex.Unlock()
-		if !objectstore.Sleep(ctx, t.settleTime()) {
+		if !objectstore.Sleep(ctx, t.joinDelay()) {
 			return false
 		}
 	}
@@ -75,91 +61,32 @@
 	return true
 }
 
-// settleTime is how long this node, if it is new, waits before it learns of the others.
-func (t *Table) settleTime() time.Duration {
+// joinDelay returns how long this node, if it is new, waits before it learns of the others.
+func (t *Table) joinDelay() time.Duration {
 	if t.isSeed() {
-		return seedSettleTime
+		return newSeedDelay
 	}
-	return settleTime
+	return newNodeDelay
 }
 
-// greetSeeds greets the seeds, which know others, until the store is read.
-func (t *Table) greetSeeds(ctx context.Context) {
-	for _, seed := range t.knownSeeds() {
-		if seed != t.config.Address {
-			t.greet(ctx, seed, 0)
-		}
-	}
-}
-
-// greet tells a node of this one and learns whom it knows.
-func (t *Table) greet(ctx context.Context, address string, round int) {
-	t.config.Peers.Call(address, t.newHeartbeat(), greetTime, func(reply wire.Message, err error) {
-		if ctx.Err() != nil {
-			return
-		}
-		if heartbeat, ok := reply.(*wire.NodeBeat); ok && err == nil {
-			t.Receive(ctx, heartbeat)
-			return
-		}
-		if round+1 < greetRounds && !t.Joined() {
-			time.AfterFunc(greetPause, func() { t.greet(ctx, address, round+1) })
-		}
-	})
-}
-
-// AnswerGreeting answers another node's greeting with a heartbeat that lists all known
-// peers, or only those in the greeting node's zone if there are more than wholeList.
-func (t *Table) AnswerGreeting(ctx context.Context, heartbeat *wire.NodeBeat) *wire.NodeBeat {
-	t.Receive(ctx, heartbeat)
-	answer := t.newHeartbeat()
+// IsNew reports whether the deployment did not know this node when it joined.
+func (t *Table) IsNew() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	answer.PeersKnown = t.joined
-	all := len(t.peers) <= wholeList
-	for _, peer := range t.peers {
-		if all || peer.Zone == heartbeat.Zone {
-			answer.Peers = append(answer.Peers, peer.address())
-		}
-	}
-	return answer
+	return t.isNew
 }
 
-// register writes this node's entry and tells whether there was none. The entry
-// of a node that was started anew is replaced, so that its peers learn of the
-// new process.
-func (t *Table) register(ctx context.Context) (isNew bool, err error) {
-	spec, err := json.Marshal(entry{Address: t.config.Address, Zone: t.config.Zone, Incarnation: t.config.Incarnation, Capacity: t.config.Capacity})
-	if err != nil {
-		return false, &EntryError{Node: t.config.Node, Cause: err}
-	}
-	_, err = t.config.Store.Create(ctx, Kind, t.config.Node, spec)
-	var conflict *objectstore.ConflictError
-	if !errors.As(err, &conflict) {
-		return err == nil, err
-	}
-	standing, err := decodeEntry(conflict.Current)
-	if err != nil {
-		t.config.Logger.Error(err, "own node entry is replaced")
-	} else if standing.Address == t.config.Address && standing.Incarnation == t.config.Incarnation {
-		return false, nil
-	}
-	_, err = t.config.Store.Replace(ctx, Kind, t.config.Node, spec, objectstore.Unconditional)
-	return false, err
+// Joined reports whether this node's entry is written and the other nodes are known.
+func (t *Table) Joined() bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.joined
 }
 
-// readEntries reads the entries of all nodes.
-func (t *Table) readEntries(ctx context.Context) error {
-	after := ""
-	for {
-		page, err := t.config.Store.List(ctx, Kind, after, objectstore.Linearizable)
-		if err != nil {
-			return err
-		}
-		t.Replace(page.Objects, false)
-		if !page.More || len(page.Objects) == 0 {
-			return nil
-		}
-		after = page.Objects[len(page.Objects)-1].Name
-	}
+// JoinAttempted reports whether this node has joined or has at least once failed to. After
+// a failure it knows only the nodes that it has greeted.
+func (t *Table) JoinAttempted() bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.joined || t.joinAttempted
 }
--- a/internal/cluster/peering/peer.go
+++ b/internal/cluster/peering/peer.go
@@ -11,10 +11,9 @@
 	Node    string
 	Address string
 	Zone    string
-	// Incarnation is when its process started; a greater one is newer. 0 is
-	// unknown.
+	// Incarnation is when its process started, 0 for unknown. A greater one is newer.
 	Incarnation uint64
-	// Capacity is how many thousandths of a core it has, 0 for unknown.
+	// Capacity is its processor time in thousandths of a core, 0 for unknown.
 	Capacity uint32
 	// LastHeartbeat is when its last heartbeat was received; zero for never.
 	LastHeartbeat time.Time
@@ -23,7 +22,7 @@
 	LastActive time.Time
 }
 
-// address is what greetings tell of a peer.
+// address returns the form of a peer in the answer to a greeting.
 func (p *Peer) address() wire.PeerAddress {
 	return wire.PeerAddress{Node: p.Node, Address: p.Address, Zone: p.Zone, Capacity: p.Capacity, Incarnation: p.Incarnation}
 }
--- /dev/null
+++ b/internal/cluster/peering/registration.go
@@ -0,0 +1,46 @@
+package peering
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+
+	"github.com/pathtally/pathtally/internal/store/objectstore"
+)
+
+// Kind is the kind of the nodes' entries in the metadata store.
+const Kind = "nodes"
+
+// register writes this node's entry and reports whether there was none. It replaces the
+// entry of an earlier process, so that the peers learn of the new one.
+func (t *Table) register(ctx context.Context) (isNew bool, err error) {
+	spec, err := json.Marshal(entry{
+		Address:     t.config.Address,
+		Zone:        t.config.Zone,
+		Incarnation: t.config.Incarnation,
+		Capacity:    t.config.Capacity,
+	})
+	if err != nil {
+		return false, &EntryError{Node: t.config.Node, Cause: err}
+	}
+	_, err = t.config.Store.Create(ctx, Kind, t.config.Node, spec)
+	var conflict *objectstore.ConflictError
+	if !errors.As(err, &conflict) {
+		return err == nil, err
+	}
+	existing, err := decodeEntry(conflict.Current)
+	if err != nil {
+		t.config.Logger.Error(err, "own node entry is replaced")
+	} else if existing.Address == t.config.Address && existing.Incarnation == t.config.Incarnation {
+		return false, nil
+	}
+	_, err = t.config.Store.Replace(ctx, Kind, t.config.Node, spec, objectstore.Unconditional)
+	return false, err
+}
+
+// readEntries reads the entries of all nodes.
+func (t *Table) readEntries(ctx context.Context) error {
+	return objectstore.ListPages(ctx, t.config.Store, Kind, objectstore.Linearizable, func(page objectstore.Page) {
+		t.Replace(page.Objects, false)
+	})
+}
--- a/internal/cluster/peering/seeds.go
+++ b/internal/cluster/peering/seeds.go
@@ -12,66 +12,63 @@
 )
 
 const (
-	// seedTime bounds the question to a seed for the list of nodes: hundreds of nodes
-	// that start together ask the same three, which answer some hundred a second.
-	seedTime = time.Second
-	// seedHedge is after how long without an answer the next seed is asked too: seeds may
-	// be gone for good, and a starting node is to be ready within some seconds.
-	seedHedge = 300 * time.Millisecond
-	// seedRounds is how often a seed that has not read the list itself is asked, and
-	// seedPause the time between: the machines of a deployment start within 0.3 s of
-	// each other, and a seed needs seedSettleTime and two calls to the store.
-	seedRounds = 8
-	seedPause  = 150 * time.Millisecond
-	// seedSettleTime is how long a new seed, whose list others take over, waits before it
-	// reads the entries of the others: until those that started last have written theirs.
-	seedSettleTime = 700 * time.Millisecond
+	// seedTimeout bounds a round of questions to the seeds for the list of nodes. Hundreds
+	// of starting nodes may ask the same few seeds.
+	seedTimeout = time.Second
+	// seedHedgeDelay is how long to wait for a seed before the next one is asked as well:
+	// a seed may be gone for good.
+	seedHedgeDelay = 300 * time.Millisecond
+	// seedAttempts is how often seeds that have not read the list themselves are asked. With
+	// seedRetryInterval it leaves a starting seed newSeedDelay and two calls to the store.
+	seedAttempts      = 8
+	seedRetryInterval = 150 * time.Millisecond
 )
 
-// isSeed tells whether other nodes join through this one.
+// isSeed reports whether other nodes join through this one.
 func (t *Table) isSeed() bool { return slices.Contains(t.knownSeeds(), t.config.Address) }
 
+// knownSeeds returns the addresses of the seeds.
 func (t *Table) knownSeeds() []string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.seeds
 }
 
-// learnFromSeeds asks a seed for the list of nodes, and others in turn where it does not
-// answer. False means that this node is a seed or that none knows the list.
+// learnFromSeeds gets the list of nodes from a seed. It reports false if this node is a seed
+// or no seed knows the list.
 func (t *Table) learnFromSeeds(ctx context.Context) bool {
 	seeds := t.knownSeeds()
 	if len(seeds) == 0 || t.isSeed() {
 		return false
 	}
 	seeds = rendezvous.RankNames(t.config.Node, seeds)
-	for range seedRounds {
+	for range seedAttempts {
 		known, answering := t.askSeeds(ctx, seeds)
 		if known || len(answering) == 0 {
 			return known
 		}
 		seeds = answering
-		if !objectstore.Sleep(ctx, seedPause) {
+		if !objectstore.Sleep(ctx, seedRetryInterval) {
 			return false
 		}
 	}
 	return false
 }
 
-// seedAnswer is the answer of the seed in a place; its beat is nil for none.
+// seedAnswer is the answer of a seed; its heartbeat is nil if the seed didn't answer.
 type seedAnswer struct {
-	place int
-	beat  *wire.NodeBeat
+	// place is the seed's index among those that are asked.
+	place     int
+	heartbeat *wire.NodeBeat
 }
 
-// askSeeds asks seeds for the list of nodes until one answers. It tells whether that one
-// knows the list, and returns it with those behind it. The next seed is asked beside one
-// that does not answer soon.
+// askSeeds asks seeds in order until one answers, the next one also while a seed is slow. It
+// reports whether the answering seed knows the list, and returns it with those behind it.
 func (t *Table) askSeeds(ctx context.Context, seeds []string) (known bool, answering []string) {
-	ctx, cancel := context.WithTimeout(ctx, seedTime)
+	ctx, cancel := context.WithTimeout(ctx, seedTimeout)
 	defer cancel()
 	answers := make(chan seedAnswer, len(seeds))
-	hedge := time.NewTicker(seedHedge)
+	hedge := time.NewTicker(seedHedgeDelay)
 	defer hedge.Stop()
 	asked, silent := 0, 0
 	askNext := func() {
@@ -86,9 +83,9 @@
 		case <-ctx.Done():
 			return false, nil
 		case answer := <-answers:
-			if answer.beat != nil {
-				t.Receive(ctx, answer.beat)
-				return answer.beat.PeersKnown, seeds[answer.place:]
+			if answer.heartbeat != nil {
+				t.Receive(answer.heartbeat)
+				return answer.heartbeat.PeersKnown, seeds[answer.place:]
 			}
 			silent++
 			askNext()
@@ -101,10 +98,10 @@
 
 // askSeed asks one seed for the list of nodes.
 func (t *Table) askSeed(ctx context.Context, seed string, place int, answers chan<- seedAnswer) {
-	reply, err := environment.Ask(ctx, t.config.Peers, seed, t.newHeartbeat(), seedTime)
+	reply, err := environment.Ask(ctx, t.config.Peers, seed, t.newHeartbeat(), seedTimeout)
 	heartbeat, isBeat := reply.(*wire.NodeBeat)
 	if err != nil || !isBeat {
 		heartbeat = nil
 	}
-	answers <- seedAnswer{place: place, beat: heartbeat}
+	answers <- seedAnswer{place: place, heartbeat: heartbeat}
 }
--- a/internal/cluster/peering/start_test.go
+++ b/internal/cluster/peering/start_test.go
@@ -1,7 +1,6 @@
 package peering
 
 import (
-	"context"
 	"fmt"
 	"sync"
 	"testing"
@@ -32,7 +31,7 @@
 		done(nil, environment.ErrPeerUnreachable)
 		return
 	}
-	answer := table.AnswerGreeting(context.Background(), message.(*wire.NodeBeat))
+	answer := table.AnswerGreeting(message.(*wire.NodeBeat))
 	n.mutex.Lock()
 	n.answers++
 	n.peers += len(answer.Peers)
@@ -40,9 +39,9 @@
 	done(answer, nil)
 }
 
-// startCosts are the listings of nodes that the store serves and the addresses that one
-// seed tells when some nodes in five zones start together.
-func startCosts(t *testing.T, count int) (lists, told int) {
+// startCosts returns the listings of nodes that the store serves and the addresses that one
+// seed sends when some nodes in five zones start together.
+func startCosts(t *testing.T, count int) (lists, sent int) {
 	synctest.Test(t, func(t *testing.T) {
 		store := metastore.New()
 		joined := &network{tables: map[string]*Table{}}
@@ -71,9 +70,9 @@
 				t.Errorf("%s has not joined", table.config.Node)
 			}
 		}
-		lists, told = int(store.Calls("list")), joined.peers/len(seeds)
+		lists, sent = int(store.Calls("list")), joined.peers/len(seeds)
 	})
-	return lists, told
+	return lists, sent
 }
 
 // Symptom: with 985 machines the store answers nobody for the first seconds, and three
@@ -83,13 +82,13 @@
 // times, which answers with all that it knows.
 func TestAStartCostsTheStoreNoListingByEveryNode(t *testing.T) {
 	fewLists, _ := startCosts(t, 50)
-	manyLists, told := startCosts(t, 400)
+	manyLists, sent := startCosts(t, 400)
 	// The three seeds read all pages, of which 400 nodes have eight times as many.
 	if manyLists > 8*fewLists || fewLists > 3 {
 		t.Errorf("%d pages read by 400 nodes, %d by 50", manyLists, fewLists)
 	}
-	// Each node is told of its zone at most some times.
-	if bound := 400 / 3 * 400 / 5 * 4; told > bound {
-		t.Errorf("a seed tells %d addresses, want %d at the most", told, bound)
+	// Each node gets the nodes of its zone at most a few times.
+	if bound := 400 / 3 * 400 / 5 * 4; sent > bound {
+		t.Errorf("a seed sends %d addresses, want %d at the most", sent, bound)
 	}
 }
--- a/internal/cluster/peering/table_test.go
+++ b/internal/cluster/peering/table_test.go
@@ -64,9 +64,9 @@
 	})
 }
 
-// hear has a table take the heartbeat of a peer.
-func hear(table *Table, node string, jobs ...string) {
-	table.Receive(context.Background(), &wire.NodeBeat{Node: node, Address: "address-of-" + node, Zone: "zone", Incarnation: 1, Jobs: jobs})
+// receiveHeartbeat makes a table receive the heartbeat of a peer.
+func receiveHeartbeat(table *Table, node string, jobs ...string) {
+	table.Receive(&wire.NodeBeat{Node: node, Address: "address-of-" + node, Zone: "zone", Incarnation: 1, Jobs: jobs})
 }
 
 // With hundreds of nodes a heartbeat to everybody from each owner of jobs was
@@ -75,9 +75,9 @@
 	network := &recorder{}
 	table := newTestTable("self", metastore.New(), network, "node-7", "node-unknown")
 	for number := range 300 {
-		hear(table, fmt.Sprintf("node-%d", number))
+		receiveHeartbeat(table, fmt.Sprintf("node-%d", number))
 	}
-	hear(table, "node-3", "job")
+	receiveHeartbeat(table, "node-3", "job")
 	table.Heartbeat()
 	if got, want := network.last(), []string{"address-of-node-3", "address-of-node-7"}; !slices.Equal(got, want) {
 		t.Errorf("heartbeat sent to %v, want %v", got, want)
@@ -91,8 +91,8 @@
 func TestAnInactivePeerHearsNoMoreHeartbeats(t *testing.T) {
 	network := &recorder{}
 	table := newTestTable("self", metastore.New(), network)
-	hear(table, "owner", "job")
-	table.peers["owner"].LastActive = time.Now().Add(-activeTime)
+	receiveHeartbeat(table, "owner", "job")
+	table.peers["owner"].LastActive = time.Now().Add(-activeTimeout)
 	table.Heartbeat()
 	if got := network.count(); got != 0 {
 		t.Errorf("%d heartbeats sent to %v", got, network.last())
@@ -102,13 +102,13 @@
 func TestChangesCloseTogetherAreOneHeartbeat(t *testing.T) {
 	network := &recorder{}
 	table := newTestTable("self", metastore.New(), network, "watcher")
-	hear(table, "watcher")
+	receiveHeartbeat(table, "watcher")
 	for range 1000 {
 		table.HeartbeatSoon()
 	}
 	first := network.count()
 	if first == 0 {
-		t.Fatal("the first change is not told at once")
+		t.Fatal("the first change is not reported at once")
 	}
 	table.mutex.Lock()
 	due := table.heartbeatDue
@@ -117,7 +117,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	if due && network.count() == first {
-		t.Error("the last change is never told")
+		t.Error("the last change is never reported")
 	}
 	if network.count() > 500 {
 		t.Errorf("%d heartbeats for 1000 changes", network.count())
@@ -158,10 +158,10 @@
 
 func TestAGreetedNodeTellsWhomItKnows(t *testing.T) {
 	table := newTestTable("seed", metastore.New(), &recorder{})
-	hear(table, "other")
-	answer := table.AnswerGreeting(context.Background(), &wire.NodeBeat{Node: "new", Address: "address-of-new", Zone: "zone", Incarnation: 1})
+	receiveHeartbeat(table, "other")
+	answer := table.AnswerGreeting(&wire.NodeBeat{Node: "new", Address: "address-of-new", Zone: "zone", Incarnation: 1})
 	learner := newTestTable("new", metastore.New(), &recorder{})
-	learner.Receive(context.Background(), answer)
+	learner.Receive(answer)
 	if got, want := learner.Nodes(), []string{"new", "other", "seed"}; !slices.Equal(got, want) {
 		t.Errorf("knows %v, want %v", got, want)
 	}
@@ -208,7 +208,7 @@
 	if table.Membership() != before {
 		t.Error("a new address counts as a new member")
 	}
-	hear(table, "a") // an older process's heartbeat that was late
+	receiveHeartbeat(table, "a") // an older process's heartbeat that was late
 	if peer, _ := table.Get("a"); peer.Address != "a2" || !peer.LastHeartbeat.IsZero() {
 		t.Errorf("after an old heartbeat: %+v", peer)
 	}
--- a/internal/instance/peers.go
+++ b/internal/instance/peers.go
@@ -12,7 +12,7 @@
 // handle answers a message of another node.
 func (i *Instance) handle(ctx context.Context, message wire.Message, reply func(wire.Message)) {
 	if beat, isBeat := message.(*wire.NodeBeat); isBeat {
-		reply(i.peers.AnswerGreeting(ctx, beat))
+		reply(i.peers.AnswerGreeting(beat))
 		return
 	}
 	if poll, isPoll := message.(*wire.WatchPoll); isPoll {
--- a/internal/jobs/batch/harness_test.go
+++ b/internal/jobs/batch/harness_test.go
@@ -206,7 +206,7 @@
 
 func (n *testNode) take(message wire.Message, reply func(wire.Message)) {
 	if beat, isBeat := message.(*wire.NodeBeat); isBeat {
-		reply(n.table.AnswerGreeting(n.ctx, beat))
+		reply(n.table.AnswerGreeting(beat))
 		return
 	}
 	n.Answer(message, reply)
@@ -330,7 +330,7 @@
 	node.table = peering.NewTable(peering.Config{
 		Node: name, Address: name, Zone: c.places[name], Incarnation: self.Incarnation, Store: c.store, Peers: link{c.peers, name}, Logger: logger,
 		FillHeartbeat: func(beat *wire.NodeBeat) { node.FillHeartbeat(beat) }, OnHeartbeat: func(beat *wire.NodeBeat) { node.ReceiveHeartbeat(beat) },
-		Watchers: func() []string { return node.Watchers() }, MostTold: c.mostTold,
+		Watchers: func() []string { return node.Watchers() }, MaxBroadcastPeers: c.mostTold,
 	})
 	node.Service = NewService(ctx, Config{
 		Clock: clock.Steady,
--- a/internal/jobs/batch/runner_test.go
+++ b/internal/jobs/batch/runner_test.go
@@ -64,7 +64,7 @@
 	ranked := cluster.byRank()
 	largest := ranked[2].config.Self.Node
 	for _, node := range cluster.nodes {
-		node.table.Receive(t.Context(), &wire.NodeBeat{Node: largest, Address: ranked[2].config.Self.Address, Incarnation: ranked[2].config.Self.Incarnation, Capacity: 800})
+		node.table.Receive(&wire.NodeBeat{Node: largest, Address: ranked[2].config.Self.Address, Incarnation: ranked[2].config.Self.Incarnation, Capacity: 800})
 	}
 	for _, node := range cluster.nodes {
 		if first := node.runners("m")[0]; node != ranked[2] && first != largest {
