--- a/internal/instance/messages.go
+++ b/internal/instance/messages.go
@@ -11,7 +11,7 @@
 func (p *parts) handle(ctx context.Context, message wire.Message, reply func(wire.Message)) {
 	switch message := message.(type) {
 	case *wire.NodeBeat:
-		reply(p.peers.AnswerGreeting(ctx, message))
+		reply(p.peers.AnswerGreeting(message))
 		return
 	case *wire.WatchPoll:
 		reply(p.source.Answer(ctx, message))
