--- a/internal/callers/exchange/bounds.go
+++ b/internal/callers/exchange/bounds.go
@@ -1,27 +1,25 @@
 package exchange
 
-// unboundedResting bounds the connections that rest for an address of which no
-// bound is known.
-const unboundedResting = 32
+// defaultMaxIdle bounds the idle connections to an address before the first SetBounds.
+const defaultMaxIdle = 32
 
 // Bound is how many connections to one address this node may have.
 type Bound struct {
-	// Open counts all, Resting those without a request.
-	Open    int
-	Resting int
+	// Open bounds all connections, Idle those without a request.
+	Open int
+	Idle int
 }
 
-// restingBound is how many connections may rest for an address. The mutex must
-// be held.
-func (p *Pool) restingBound(address string) int {
+// maxIdle returns the bound on idle connections to an address. The mutex must be held.
+func (p *Pool) maxIdle(address string) int {
 	if p.bounds == nil {
-		return unboundedResting
+		return defaultMaxIdle
 	}
-	return p.bounds[address].Resting
+	return p.bounds[address].Idle
 }
 
-// reserve counts a new connection to an address unless its bound is reached, and
-// tells how many others there are.
+// reserve counts a new connection to an address unless its bound is reached, and returns
+// how many others there are.
 func (p *Pool) reserve(address string) (others int, reserved bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -34,7 +32,7 @@
 	return others, true
 }
 
-// release counts a connection as gone.
+// release counts a connection as closed.
 func (p *Pool) release(address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -44,18 +42,17 @@
 	}
 }
 
-// SetBounds says how many connections each address may have. Resting ones
-// beyond that are closed, and all that rest for an address not named.
+// SetBounds sets the bounds of each address. Idle connections beyond them are closed, and
+// all idle ones to addresses not named.
 func (p *Pool) SetBounds(bounds map[string]Bound) {
 	p.mutex.Lock()
 	p.bounds = bounds
 	var dropped []*connection
-	for address, resting := range p.idle {
-		// The last ones were used last and are the least likely to have been
-		// closed by the peer.
-		if surplus := len(resting) - bounds[address].Resting; surplus > 0 {
-			dropped = append(dropped, resting[:surplus]...)
-			p.idle[address] = resting[surplus:]
+	for address, idle := range p.idle {
+		// The last ones are the least likely to have been closed by the peer.
+		if surplus := len(idle) - bounds[address].Idle; surplus > 0 {
+			dropped = append(dropped, idle[:surplus]...)
+			p.idle[address] = idle[surplus:]
 		}
 		if len(p.idle[address]) == 0 {
 			delete(p.idle, address)
--- a/internal/callers/exchange/connection.go
+++ b/internal/callers/exchange/connection.go
@@ -18,9 +18,10 @@
 	address string
 	reader  *bufio.Reader
 	writer  *bufio.Writer
-	// restUntil is when the peer may close the connection while it rests.
-	restUntil time.Time
-	rested    time.Time
+	// idleUntil is when the peer may close the connection while it is idle, and idleSince
+	// when it last became idle.
+	idleUntil time.Time
+	idleSince time.Time
 }
 
 func newConnection(address string, raw net.Conn) *connection {
@@ -29,13 +30,13 @@
 	}
 }
 
-// sound tells why a connection that rested must not be used, or nil. Anything
+// checkIdle returns why an idle connection must not be used, nil if it may. Anything
 // readable on it is an answer that nobody waits for, or its end.
-func (c *connection) sound() error {
+func (c *connection) checkIdle() error {
 	if c.reader.Buffered() > 0 {
 		return ErrSurplus
 	}
-	if !c.restUntil.IsZero() && time.Now().After(c.restUntil) {
+	if !c.idleUntil.IsZero() && time.Now().After(c.idleUntil) {
 		return ErrClosedByPeer
 	}
 	socket, isSocket := c.Conn.(syscall.Conn)
@@ -46,22 +47,22 @@
 	if err != nil {
 		return err
 	}
-	var finding error
+	var problem error
 	err = raw.Read(func(descriptor uintptr) bool {
 		var one [1]byte
 		count, readErr := syscall.Read(int(descriptor), one[:])
 		switch {
 		case count > 0:
-			finding = ErrSurplus
+			problem = ErrSurplus
 		case count == 0 && readErr == nil:
-			finding = ErrClosedByPeer
+			problem = ErrClosedByPeer
 		case readErr != syscall.EAGAIN && readErr != syscall.EINTR:
-			finding = readErr
+			problem = readErr
 		}
 		return true
 	})
-	if finding != nil {
-		return finding
+	if problem != nil {
+		return problem
 	}
 	return err
 }
--- a/internal/callers/exchange/dial.go
+++ b/internal/callers/exchange/dial.go
@@ -7,23 +7,22 @@
 )
 
 const (
-	// dialTime bounds a new connection to a replica.
-	dialTime = 600 * time.Millisecond
-	// probeAfter is after how long without a word of the peer the system asks
-	// whether it is still there, probePause the time between two such questions,
-	// and probes how many without an answer end the connection.
-	probeAfter = 3 * time.Second
-	probePause = time.Second
-	probes     = 2
+	// dialTimeout bounds the opening of a connection to a replica.
+	dialTimeout = 600 * time.Millisecond
+	// TCP keepalive: the time without data before the first probe, the time between
+	// probes, and how many without an answer end the connection.
+	keepAliveIdle     = 3 * time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 2
 )
 
-// Dial opens a connection.
+// Dial opens a connection to an address.
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{
-		Timeout:         dialTime,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probePause, Count: probes},
+		Timeout:         dialTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 	}
 	return dialer.DialContext(ctx, "tcp", address)
 }
--- a/internal/callers/exchange/errors.go
+++ b/internal/callers/exchange/errors.go
@@ -7,16 +7,16 @@
 )
 
 var (
-	// ErrSurplus means that bytes arrived on a connection that owed none.
+	// ErrSurplus means that bytes came on an idle connection.
 	ErrSurplus = merry.Sentinel("surplus bytes on a connection")
-	// ErrTooManyConnections means that this node has as many connections to an
-	// address as it may have.
+	// ErrTooManyConnections means that the bound on connections to an address is
+	// reached.
 	ErrTooManyConnections = merry.Sentinel("too many connections to the address")
-	// ErrClosedByPeer means that a kept connection was found closed.
+	// ErrClosedByPeer means that an idle connection was found closed, or is about to be.
 	ErrClosedByPeer = merry.Sentinel("connection closed by the peer")
 )
 
-// NotSentError is a request of which no byte left this node: it has not run.
+// NotSentError is a request of which no byte was sent: it has not run.
 type NotSentError struct {
 	Address string
 	Cause   error
--- a/internal/callers/exchange/metrics.go
+++ b/internal/callers/exchange/metrics.go
@@ -2,13 +2,13 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics are the figures of a pool.
+// Metrics count the connections opened and reused by a pool.
 type Metrics struct {
 	dialed *prometheus.CounterVec
 	reused *prometheus.CounterVec
 }
 
-// NewMetrics returns the figures of a pool, kept in a registry.
+// NewMetrics registers the metrics of a pool.
 func NewMetrics(registry prometheus.Registerer) *Metrics {
 	made := &Metrics{
 		dialed: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -26,14 +26,14 @@
 const (
 	// reasonNone: there was no connection to the replica.
 	reasonNone = "none"
-	// reasonBusy: all of them carried a request.
+	// reasonBusy: all connections carried a request.
 	reasonBusy = "busy"
-	// reasonUnfit: those that rested were closed, too old or held surplus bytes.
+	// reasonUnfit: the idle ones were closed, idle for too long, or had surplus bytes.
 	reasonUnfit = "unfit"
 )
 
-// reasonOf is why a new connection is opened, by how many kept ones were found to be
-// of no use and how many others there are.
+// reasonOf returns why a new connection is opened, by the number of idle ones that could
+// not be used and the number of others.
 func reasonOf(unfit, others int) string {
 	switch {
 	case unfit > 0:
@@ -44,13 +44,13 @@
 	return reasonNone
 }
 
-func (m *Metrics) noteDialed(purpose Purpose, reason string) {
+func (m *Metrics) recordDialed(purpose Purpose, reason string) {
 	if m != nil {
 		m.dialed.WithLabelValues(string(purpose.Or(PurposeLive)), reason).Inc()
 	}
 }
 
-func (m *Metrics) noteReused(purpose Purpose) {
+func (m *Metrics) recordReused(purpose Purpose) {
 	if m != nil {
 		m.reused.WithLabelValues(string(purpose.Or(PurposeLive))).Inc()
 	}
--- a/internal/callers/exchange/pool.go
+++ b/internal/callers/exchange/pool.go
@@ -7,16 +7,15 @@
 	"time"
 )
 
-// youngTime is how recently a connection must have been used to carry a request
-// that must not run twice.
-const youngTime = 500 * time.Millisecond
+// maxYoungIdleTime is how long a connection may have been idle that carries a request which
+// must not run twice.
+const maxYoungIdleTime = 500 * time.Millisecond
 
-// Counts are totals of a pool.
+// Counts are totals of a pool since it was made; Open is the number now.
 type Counts struct {
 	Dialed atomic.Int64
 	Reused atomic.Int64
-	// Unsound counts kept connections that were found closed or with surplus
-	// bytes.
+	// Unsound counts idle connections that were found closed or with surplus bytes.
 	Unsound atomic.Int64
 	Open    atomic.Int64
 }
@@ -26,11 +25,11 @@
 	dial  Dial
 	mutex sync.Mutex
 	idle  map[string][]*connection
-	// open counts the connections to each address, resting ones included.
+	// open counts the connections to each address, idle ones included.
 	open   map[string]int
 	bounds map[string]Bound
 	Counts Counts
-	// Metrics are nil for none. They are set before the first request.
+	// Metrics is nil for none. It must be set before the first request.
 	Metrics *Metrics
 }
 
@@ -42,11 +41,12 @@
 	return &Pool{dial: dial, idle: map[string][]*connection{}, open: map[string]int{}}
 }
 
-// Send sends a request to an address and reads the head of its answer. Young
-// asks for a connection on which a request can hardly cross the peer's close.
-// The error is a *NotSentError or a *BrokenError.
+// Send sends a request to an address and reads the head of its answer. Young asks for a
+// connection that the peer is not about to close: a new one, or one idle for no more than
+// maxYoungIdleTime. The end of the context breaks the exchange. The error is a *NotSentError
+// or a *BrokenError.
 func (p *Pool) Send(ctx context.Context, address string, request *Request, young bool) (*Response, error) {
-	conn, err := p.take(ctx, address, request.Purpose, young)
+	conn, err := p.acquire(ctx, address, request.Purpose, young)
 	if err != nil {
 		return nil, &NotSentError{Address: address, Cause: err}
 	}
@@ -64,12 +64,12 @@
 	return response, nil
 }
 
-// take returns a sound kept connection or a new one.
-func (p *Pool) take(ctx context.Context, address string, purpose Purpose, young bool) (*connection, error) {
-	kept, unfit := p.takeKept(address, young)
-	if kept != nil {
-		p.Metrics.noteReused(purpose)
-		return kept, nil
+// acquire returns an idle connection that can be used, or a new one.
+func (p *Pool) acquire(ctx context.Context, address string, purpose Purpose, young bool) (*connection, error) {
+	idle, unfit := p.takeIdle(address, young)
+	if idle != nil {
+		p.Metrics.recordReused(purpose)
+		return idle, nil
 	}
 	others, reserved := p.reserve(address)
 	if !reserved {
@@ -81,23 +81,23 @@
 		return nil, err
 	}
 	p.Counts.Dialed.Add(1)
-	p.Metrics.noteDialed(purpose, reasonOf(unfit, others))
+	p.Metrics.recordDialed(purpose, reasonOf(unfit, others))
 	return newConnection(address, raw), nil
 }
 
-// takeKept returns a sound kept connection, nil for none. Those that are found
-// to be of no use are closed and counted.
-func (p *Pool) takeKept(address string, young bool) (kept *connection, unfit int) {
+// takeIdle returns the idle connection used last that is young enough and sound, nil for
+// none. Those that are not are closed, and counted as unfit.
+func (p *Pool) takeIdle(address string, young bool) (idle *connection, unfit int) {
 	for ; ; unfit++ {
-		conn := p.pop(address)
+		conn := p.popIdle(address)
 		if conn == nil {
 			return nil, unfit
 		}
-		if young && time.Since(conn.rested) > youngTime {
+		if young && time.Since(conn.idleSince) > maxYoungIdleTime {
 			p.discard(conn)
 			continue
 		}
-		if conn.sound() == nil {
+		if conn.checkIdle() == nil {
 			p.Counts.Reused.Add(1)
 			return conn, unfit
 		}
--- a/internal/callers/exchange/pool_test.go
+++ b/internal/callers/exchange/pool_test.go
@@ -267,7 +267,7 @@
 	}
 	address := script(t, answer, answer, answer)
 	pool := NewPool(nil)
-	pool.SetBounds(map[string]Bound{address: {Open: 2, Resting: 1}})
+	pool.SetBounds(map[string]Bound{address: {Open: 2, Idle: 1}})
 	type ended struct {
 		body string
 		err  error
--- a/internal/callers/exchange/probe.go
+++ b/internal/callers/exchange/probe.go
@@ -6,21 +6,21 @@
 	"syscall"
 )
 
-// Liveness is what a new connection shows of the process at an address.
+// Liveness is what the opening of a connection shows of the process at an address.
 type Liveness string
 
 // The kinds of liveness.
 const (
-	// Alive: the connection was taken.
+	// Alive means that the connection was accepted.
 	Alive Liveness = "alive"
-	// Ended: the machine answered that nobody listens there.
+	// Ended means that the machine refused it: no process listens there.
 	Ended Liveness = "ended"
-	// Unknown: no answer, or no connection may be opened.
+	// Unknown means no answer, or that the bound on connections is reached.
 	Unknown Liveness = "unknown"
 )
 
-// Probe opens a new connection to an address to see whether anybody listens there. The
-// connection rests for further requests.
+// Probe opens a new connection to an address to check whether a process listens there. The
+// connection is kept for further requests.
 func (p *Pool) Probe(ctx context.Context, address string) Liveness {
 	others, reserved := p.reserve(address)
 	if !reserved {
@@ -35,7 +35,7 @@
 		return Unknown
 	}
 	p.Counts.Dialed.Add(1)
-	p.Metrics.noteDialed(PurposeProbe, reasonOf(0, others))
-	p.rest(newConnection(address, raw), nil)
+	p.Metrics.recordDialed(PurposeProbe, reasonOf(0, others))
+	p.keep(newConnection(address, raw), nil)
 	return Alive
 }
--- a/internal/callers/exchange/purpose.go
+++ b/internal/callers/exchange/purpose.go
@@ -1,6 +1,6 @@
 package exchange
 
-// Purpose is what a request is for.
+// Purpose is what a request is for, as a label of the metrics.
 type Purpose string
 
 // The purposes of requests.
@@ -13,11 +13,11 @@
 	// PurposeReport asks a replica for its weights, and PurposeOrder orders others.
 	PurposeReport Purpose = "report"
 	PurposeOrder  Purpose = "order"
-	// PurposeProbe looks whether a replica has ended under a run.
+	// PurposeProbe checks whether a replica has ended under a run.
 	PurposeProbe Purpose = "probe"
 )
 
-// Or is the purpose, or another one where none is named.
+// Or returns the purpose, or another one if it is empty.
 func (p Purpose) Or(other Purpose) Purpose {
 	if p == "" {
 		return other
--- a/internal/callers/exchange/request.go
+++ b/internal/callers/exchange/request.go
@@ -14,7 +14,7 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Purpose is what the request is for, in the pool's figures.
+	// Purpose is for the metrics; empty means PurposeLive.
 	Purpose Purpose
 }
 
--- a/internal/instance/connections.go
+++ b/internal/instance/connections.go
@@ -52,12 +52,12 @@
 		}
 		if most <= 0 {
 			// The service names no bound.
-			bounds[replica.Address] = exchange.Bound{Open: unboundedConnections, Resting: defaultResting}
+			bounds[replica.Address] = exchange.Bound{Open: unboundedConnections, Idle: defaultResting}
 			continue
 		}
 		share := int(connectionShare * float64(most) / float64(max(1, nodes)))
 		bound := min(most, max(share, connectionsPerSlot*max(1, replica.Slots)))
-		bounds[replica.Address] = exchange.Bound{Open: bound, Resting: min(bound, defaultResting)}
+		bounds[replica.Address] = exchange.Bound{Open: bound, Idle: min(bound, defaultResting)}
 	}
 	return bounds
 }
--- a/internal/instance/connections_test.go
+++ b/internal/instance/connections_test.go
@@ -23,12 +23,12 @@
 		most, nodes, replica int
 		want                 exchange.Bound
 	}{
-		{"few nodes", 150, 9, 8, exchange.Bound{Open: 24, Resting: 24}},
-		{"many nodes", 490, 67, 6, exchange.Bound{Open: 18, Resting: 18}},
-		{"very many nodes", 100, 350, 6, exchange.Bound{Open: 18, Resting: 18}},
-		{"one node", 400, 1, 8, exchange.Bound{Open: 320, Resting: 32}},
-		{"fewer connections than slots", 4, 1, 8, exchange.Bound{Open: 4, Resting: 4}},
-		{"no bound", 0, 9, 8, exchange.Bound{Open: unboundedConnections, Resting: 32}},
+		{"few nodes", 150, 9, 8, exchange.Bound{Open: 24, Idle: 24}},
+		{"many nodes", 490, 67, 6, exchange.Bound{Open: 18, Idle: 18}},
+		{"very many nodes", 100, 350, 6, exchange.Bound{Open: 18, Idle: 18}},
+		{"one node", 400, 1, 8, exchange.Bound{Open: 320, Idle: 32}},
+		{"fewer connections than slots", 4, 1, 8, exchange.Bound{Open: 4, Idle: 4}},
+		{"no bound", 0, 9, 8, exchange.Bound{Open: unboundedConnections, Idle: 32}},
 	} {
 		view := &directory.View{
 			Configuration: &directory.Configuration{Services: map[string]directory.Service{"s": {Name: "s", MaxConnections: test.most}}},
