--- a/internal/callers/admission/budget.go
+++ b/internal/callers/admission/budget.go
@@ -3,16 +3,16 @@
 import "sync/atomic"
 
 const (
-	// budgetUnit is what one retry costs.
+	// budgetUnit is the price of one retry.
 	budgetUnit = 1000
-	// budgetFloor lets a quiet node retry a little at all.
-	budgetFloor = 10 * budgetUnit
-	// budgetCeiling bounds how much a long success can save up.
-	budgetCeiling = 100 * budgetUnit
+	// initialBudget allows some retries before the first success.
+	initialBudget = 10 * budgetUnit
+	// maxBudget bounds what successes can save up.
+	maxBudget = 100 * budgetUnit
 )
 
-// RetryBudget lets retries through while they are a small share of recent
-// successes, so that a failing target is not buried under them. It is safe
+// RetryBudget allows retries while they are a small share of the successes, so that a
+// failing target is not overloaded by them. It is safe
 // for use by many goroutines.
 type RetryBudget struct {
 	balance atomic.Int64
@@ -23,24 +23,24 @@
 // success.
 func NewRetryBudget(percent float64) *RetryBudget {
 	budget := &RetryBudget{}
-	budget.balance.Store(budgetFloor)
+	budget.balance.Store(initialBudget)
 	budget.SetPercent(percent)
 	return budget
 }
 
-// SetPercent changes the share.
+// SetPercent changes the share, in percent.
 func (b *RetryBudget) SetPercent(percent float64) {
 	b.percent.Store(int64(percent * budgetUnit / 100))
 }
 
 // Succeeded earns the share of one success.
 func (b *RetryBudget) Succeeded() {
-	if b.balance.Load() < budgetCeiling {
+	if b.balance.Load() < maxBudget {
 		b.balance.Add(b.percent.Load())
 	}
 }
 
-// Spend pays for one retry, or tells that there is nothing left.
+// Spend pays for one retry, and returns false if the budget is spent.
 func (b *RetryBudget) Spend() bool {
 	for {
 		balance := b.balance.Load()
--- a/internal/callers/admission/errors.go
+++ b/internal/callers/admission/errors.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Reason says which bound refused a request.
+// Reason is the bound that refused a request.
 type Reason string
 
 // The reasons of a refusal.
@@ -18,13 +18,23 @@
 	ReasonRetries  Reason = "retry budget spent"
 )
 
+// queueRetryAfter is the Retry-After of refusals but those by the rate.
+const queueRetryAfter = time.Second
+
 // RefusedError is a request that was not started.
 type RefusedError struct {
-	Reason     Reason
+	Reason Reason
+	// RetryAfter is the time after which the caller should try again.
 	RetryAfter time.Duration
 }
 
-// Error gives the reason and when to come back.
+// newRefusal returns a refusal for any reason but ReasonRate, whose Retry-After is the time
+// until the rate allows the request.
+func newRefusal(reason Reason) *RefusedError {
+	return &RefusedError{Reason: reason, RetryAfter: queueRetryAfter}
+}
+
+// Error gives the reason and the Retry-After.
 func (e *RefusedError) Error() string {
 	return fmt.Sprintf("refused: %s; come back in %s", e.Reason, e.RetryAfter)
 }
--- a/internal/callers/admission/gate.go
+++ b/internal/callers/admission/gate.go
@@ -11,7 +11,7 @@
 	"golang.org/x/time/rate"
 )
 
-// Bounds are what a Gate enforces.
+// Bounds are what a Gate enforces, in requests.
 type Bounds struct {
 	RequestsPerSecond float64
 	Burst             int
@@ -19,9 +19,6 @@
 	MaxQueue          int
 }
 
-// retryAfterQueue is the advice to a request that found the queue full.
-const retryAfterQueue = time.Second
-
 // Gate admits the requests of one traffic group on one node. It is safe for
 // use by many goroutines.
 type Gate struct {
@@ -41,7 +38,7 @@
 	return gate
 }
 
-// SetBounds changes the bounds; requests in flight stay.
+// SetBounds changes the bounds. Requests in flight go on.
 func (g *Gate) SetBounds(bounds Bounds) {
 	if *g.bounds.Load() == bounds {
 		return
@@ -54,14 +51,14 @@
 	g.admitWaiting()
 }
 
-// InFlight and Queued are for the metrics.
+// InFlight returns the number of requests in flight.
 func (g *Gate) InFlight() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.inFlight
 }
 
-// Queued is the number of requests waiting.
+// Queued returns the number of requests waiting.
 func (g *Gate) Queued() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -90,19 +87,21 @@
 	}
 }
 
+// enterOrQueue admits a request (nil, nil), queues it, or refuses it.
 func (g *Gate) enterOrQueue(priority int) (*waiter, error) {
 	bounds := g.bounds.Load()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.stopping {
-		return nil, &RefusedError{Reason: ReasonStopping, RetryAfter: retryAfterQueue}
-	}
-	if g.inFlight < bounds.MaxInFlight && len(g.queue) == 0 {
+	switch decideEntry(bounds, g.stopping, g.inFlight, len(g.queue)) {
+	case entryStopping:
+		return nil, newRefusal(ReasonStopping)
+	case entryAdmitted:
 		g.inFlight++
 		return nil, nil
-	}
-	if len(g.queue) >= bounds.MaxQueue && !g.shedBelow(priority) {
-		return nil, &RefusedError{Reason: ReasonQueue, RetryAfter: retryAfterQueue}
+	case entryQueueFull:
+		if !g.displaceBelow(priority) {
+			return nil, newRefusal(ReasonQueue)
+		}
 	}
 	g.sequence++
 	added := &waiter{priority: priority, sequence: g.sequence, answer: make(chan error, 1)}
@@ -110,9 +109,9 @@
 	return added, nil
 }
 
-// shedBelow makes room by refusing the least urgent waiter, if it is less
-// urgent than the newcomer.
-func (g *Gate) shedBelow(priority int) bool {
+// displaceBelow makes room in the queue by refusing the least urgent waiter, if its priority
+// is lower than the given one. The mutex must be held.
+func (g *Gate) displaceBelow(priority int) bool {
 	least := -1
 	for i, candidate := range g.queue {
 		if candidate.priority < priority && (least < 0 || g.queue.Less(least, i)) {
@@ -123,24 +122,25 @@
 		return false
 	}
 	victim := heap.Remove(&g.queue, least).(*waiter)
-	victim.answer <- &RefusedError{Reason: ReasonShed, RetryAfter: retryAfterQueue}
+	victim.answer <- newRefusal(ReasonShed)
 	return true
 }
 
+// abandon ends the wait of a request whose context has ended.
 func (g *Gate) abandon(ctx context.Context, waiting *waiter) error {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if waiting.index >= 0 {
 		heap.Remove(&g.queue, waiting.index)
 	} else if err := <-waiting.answer; err == nil {
-		// Admitted while giving up: hand the place on.
+		// It was admitted meanwhile and gives its place to the next.
 		g.inFlight--
 		g.admitWaiting()
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return &RefusedError{Reason: ReasonDeadline, RetryAfter: retryAfterQueue}
+		return newRefusal(ReasonDeadline)
 	}
-	return &RefusedError{Reason: ReasonStopping, RetryAfter: retryAfterQueue}
+	return newRefusal(ReasonStopping)
 }
 
 // Leave gives back the place of a request that entered.
@@ -151,17 +151,19 @@
 	g.admitWaiting()
 }
 
-// Stop refuses whoever comes or waits from now on.
+// Stop refuses all that wait, and all that come from now on.
 func (g *Gate) Stop() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.stopping = true
 	for len(g.queue) > 0 {
 		waiting := heap.Pop(&g.queue).(*waiter)
-		waiting.answer <- &RefusedError{Reason: ReasonStopping, RetryAfter: retryAfterQueue}
+		waiting.answer <- newRefusal(ReasonStopping)
 	}
 }
 
+// admitWaiting admits waiters, the most urgent first, while there is room. The mutex must
+// be held.
 func (g *Gate) admitWaiting() {
 	bounds := g.bounds.Load()
 	for len(g.queue) > 0 && g.inFlight < bounds.MaxInFlight {
--- a/internal/callers/admission/gate_test.go
+++ b/internal/callers/admission/gate_test.go
@@ -89,7 +89,7 @@
 	for budget.Spend() {
 		earned++
 	}
-	if spent != budgetFloor/budgetUnit || earned != 10 {
+	if spent != initialBudget/budgetUnit || earned != 10 {
 		t.Errorf("spent %d at the start and %d after 100 successes", spent, earned)
 	}
 }
--- a/internal/callers/eventstream/reader.go
+++ b/internal/callers/eventstream/reader.go
@@ -1,62 +1,39 @@
-// Package eventstream reads the events of a text/event-stream answer and
-// refuses whatever would join a text wrongly: a gap, a repeat, an event that
-// was cut short.
 package eventstream
 
 import (
 	"bufio"
 	"errors"
-	"fmt"
 	"io"
 	"strconv"
 	"strings"
-
-	"github.com/ansel1/merry/v2"
 )
 
-// ErrTorn means that the stream ended in the middle of an event.
-var ErrTorn = merry.Sentinel("stream ended in the middle of an event")
-
-// MalformedError is an event that cannot be read or does not follow the last.
-type MalformedError struct {
-	Reason string
-	Line   string
-}
-
-// Error gives the reason and the line.
-func (e *MalformedError) Error() string { return fmt.Sprintf("%s: %q", e.Reason, e.Line) }
-
-// longestLine bounds one line of an event, in bytes.
-const longestLine = 1 << 20
-
-// bufferBytes is the size of the read buffer.
-const bufferBytes = 4 << 10
-
-// Event is one event.
-type Event struct {
-	ID   int
-	Data string
-	// Version is the weight version from this event on, 0 where it stays.
-	Version int64
-	// Raw is the event as it came, with the empty line that ends it.
-	Raw string
-}
+const (
+	// maxLineBytes bounds one line of an event.
+	maxLineBytes = 1 << 20
+	// readBufferBytes is the size of the read buffer.
+	readBufferBytes = 4 << 10
+	// quotedLineBytes is how much of a line that is too long the error quotes.
+	quotedLineBytes = 64
+)
 
-// Reader reads the events of one stream.
+// Reader reads the events of one stream. It is not safe for use by many goroutines.
 type Reader struct {
 	lines *bufio.Reader
-	// versionField is the name of the line that tells a change of version.
+	// versionField is the name of the line that gives a new weight version.
 	versionField string
-	last         int
+	// last is the id of the event returned last.
+	last int
 }
 
-// NewReader returns a reader of a stream whose first event follows another.
+// NewReader returns a reader of a stream whose first event follows the one with the id
+// after, 0 for the beginning. VersionField names the line that gives a weight version.
 func NewReader(source io.Reader, versionField string, after int) *Reader {
-	return &Reader{lines: bufio.NewReaderSize(source, bufferBytes), versionField: versionField, last: after}
+	return &Reader{lines: bufio.NewReaderSize(source, readBufferBytes), versionField: versionField, last: after}
 }
 
-// Next returns the next event, io.EOF at the end of a whole stream, or why
-// there is none.
+// Next returns the next event. The error is io.EOF after a whole event, ErrTorn within one,
+// a *MalformedError, or that of the source.
 func (r *Reader) Next() (Event, error) {
 	event := Event{}
 	begun, hasData := false, false
@@ -84,7 +61,7 @@
 	}
 }
 
-// add adds a line to an event, and tells whether it is one of data.
+// add adds a line to an event, and returns whether it is a line of data.
 func (r *Reader) add(event *Event, line string, hasData bool) (isData bool, err error) {
 	event.Raw += line + "\n"
 	name, text, isField := strings.Cut(line, ":")
@@ -111,7 +88,7 @@
 	return false, nil
 }
 
-// accept checks that an event follows the last one.
+// accept returns an event that has data and follows the last one.
 func (r *Reader) accept(event Event, hasData bool) (Event, error) {
 	if event.ID != r.last+1 || !hasData {
 		return Event{}, &MalformedError{Reason: "event does not follow the last", Line: strconv.Itoa(event.ID)}
@@ -120,7 +97,7 @@
 	return event, nil
 }
 
-// line reads a line without its end.
+// line returns the next line without its end.
 func (r *Reader) line() (string, error) {
 	var long []byte
 	for {
@@ -137,8 +114,8 @@
 			}
 			return "", err
 		}
-		if long = append(long, part...); len(long) > longestLine {
-			return "", &MalformedError{Reason: "line is too long", Line: string(long[:64])}
+		if long = append(long, part...); len(long) > maxLineBytes {
+			return "", &MalformedError{Reason: "line is too long", Line: string(long[:quotedLineBytes])}
 		}
 	}
 }
