--- a/internal/callers/forward/decide.go
+++ b/internal/callers/forward/decide.go
@@ -106,7 +106,7 @@
 // decision is what to do next and why.
 type decision struct {
 	step step
-	// refusal is the general reason told to the caller with stepRefuse.
+	// refusal is the general reason for the caller, with stepRefuse.
 	refusal string
 	reason  reason
 }
--- a/internal/callers/forward/refusal.go
+++ b/internal/callers/forward/refusal.go
@@ -17,7 +17,7 @@
 	outsideHomeRetryAfter = 2 * time.Second
 )
 
-// refusalReasons are what callers are told where one filter refused all replicas. The
+// refusalReasons are the texts for callers where one filter refused all replicas. The
 // filters that are missing here leave the general reason.
 var refusalReasons = map[routing.Reason]string{
 	routing.ReasonEvacuated:   ReasonEvacuated,
--- a/internal/callers/quarantine/policy.go
+++ b/internal/callers/quarantine/policy.go
@@ -69,7 +69,7 @@
 }
 
 // onReportedEnds returns the reaction to another node's report of ends. Known is the number
-// of ends with those reported. A node that reports enough has told all nodes.
+// of ends with those reported. A node that reports enough has reported them to all nodes.
 func onReportedEnds(reported, known int) reaction {
 	switch {
 	case reported >= endsToQuarantine:
