--- a/internal/callers/tenancy/key.go
+++ b/internal/callers/tenancy/key.go
@@ -4,7 +4,7 @@
 
 // LongestKey bounds a key, in bytes. Those that operators hand out have some
 // tens; longer ones are refused before they are digested.
-const LongestKey = 256
+const MaxKeyBytes = 256
 
 // redacted stands for a key wherever one would be printed.
 const redacted = "[redacted]"
@@ -28,6 +28,6 @@
 
 // digestOf digests a key without allocating.
 func digestOf(key Key) digest {
-	var buffer [LongestKey]byte
+	var buffer [MaxKeyBytes]byte
 	return sha256.Sum256(buffer[:copy(buffer[:], key)])
 }
--- a/internal/callers/tenancy/table.go
+++ b/internal/callers/tenancy/table.go
@@ -66,7 +66,7 @@
 func (t *Table) addKeys(tenant *Tenant, keys []Key, shared map[digest]bool) []*DeclarationError {
 	var findings []*DeclarationError
 	for _, key := range keys {
-		if len(key) == 0 || len(key) > LongestKey {
+		if len(key) == 0 || len(key) > MaxKeyBytes {
 			findings = append(findings, &DeclarationError{Tenant: tenant.Name, Problem: problemMalformed})
 			continue
 		}
@@ -83,7 +83,7 @@
 
 // Lookup returns the tenant that holds a key, or nil.
 func (t *Table) Lookup(key Key) *Tenant {
-	if t == nil || len(key) == 0 || len(key) > LongestKey {
+	if t == nil || len(key) == 0 || len(key) > MaxKeyBytes {
 		return nil
 	}
 	return t.byKey[digestOf(key)]
--- a/internal/callers/tenancy/table_test.go
+++ b/internal/callers/tenancy/table_test.go
@@ -26,7 +26,7 @@
 			t.Errorf("a key of %s identifies %v", want, tenant)
 		}
 	}
-	for _, key := range []Key{"", "d", "A", Key(strings.Repeat("x", LongestKey+1))} {
+	for _, key := range []Key{"", "d", "A", Key(strings.Repeat("x", MaxKeyBytes+1))} {
 		if tenant := table.Lookup(key); tenant != nil {
 			t.Errorf("a key of nobody identifies %s", tenant.Name)
 		}
--- a/internal/duties/autoscale/decide.go
+++ b/internal/duties/autoscale/decide.go
@@ -6,27 +6,9 @@
 	"slices"
 )
 
-// Reason is why a number of replicas is wanted.
-type Reason string
-
-// The reasons.
-const (
-	ReasonWork    Reason = "open items want slots"
-	ReasonShare   Reason = "too much of the slots is in use"
-	ReasonBase    Reason = "as many as there were"
-	ReasonReplace Reason = "replicas of another zone get no work"
-)
-
-// Wanted is how many replicas a zone is to hold.
-type Wanted struct {
-	Zone     string
-	Replicas int
-	Reason   Reason
-}
-
 // Decide returns how many replicas each zone is to hold, by zone. Base is how many
 // the zones held before anything was ordered: never fewer than that are wanted, and
-// what closed zones held is wanted in the others. Further replicas go where they are
+// what evacuated zones held is wanted in the others. Further replicas go where they are
 // cheapest, spread so that no zone has more than its share of them.
 func Decide(policy Policy, view *View, base map[string]int) []Wanted {
 	zones := zonesOf(base, view)
@@ -35,7 +17,7 @@
 	lost := 0
 	for _, zone := range zones {
 		wanted[zone] = &Wanted{Zone: zone, Replicas: base[zone], Reason: ReasonBase}
-		if view.Closed[zone] {
+		if view.Evacuated[zone] {
 			lost += base[zone]
 		} else if !view.Full[zone] {
 			open = append(open, zone)
@@ -54,7 +36,7 @@
 	return decided
 }
 
-// target is how many replicas the work wants in all.
+// target returns how many replicas the work needs in all.
 func target(policy Policy, view *View) (int, Reason) {
 	slots := float64(max(1, view.Slots))
 	switch policy {
@@ -86,7 +68,7 @@
 	}
 }
 
-// price is what a replica costs in a zone; one that names none costs the unit.
+// price returns what a replica costs in a zone; one that names none costs the unit.
 func price(view *View, zone string) float64 {
 	if named, known := view.Scaling.ZonePrices[zone]; known {
 		return named
--- a/internal/duties/autoscale/decide_test.go
+++ b/internal/duties/autoscale/decide_test.go
@@ -11,7 +11,7 @@
 func fleet() (*View, map[string]int) {
 	base := map[string]int{"a": 4, "b": 4, "c": 4}
 	return &View{
-		Service: "model", Slots: 8, Present: base, Closed: map[string]bool{},
+		Service: "model", Slots: 8, Present: base, Evacuated: map[string]bool{},
 		Scaling: directory.Scaling{Least: 1, Most: 10, ZonePrices: map[string]float64{"a": 1, "b": 0.8, "c": 1.25}},
 	}, base
 }
@@ -28,12 +28,12 @@
 		{"steps that overlap want a slot for each item", PolicyWork, func(view *View) { view.Open = 116 }, "a 5, b 6, c 5"},
 		{"slots in use beyond the target", PolicySlots, func(view *View) { view.Running = 96 }, "a 5, b 6, c 5"},
 		{"no zone holds more than its bound", PolicyWork, func(view *View) { view.Open = 10000 }, "a 10, b 10, c 10"},
-		{"the others make up for a closed zone", PolicyWork, func(view *View) { view.Closed["b"] = true }, "a 6, b 4, c 6"},
+		{"the others make up for a closed zone", PolicyWork, func(view *View) { view.Evacuated["b"] = true }, "a 6, b 4, c 6"},
 		{"a zone with none to give keeps what it has", PolicyWork, func(view *View) {
 			view.Open, view.Full = 116, map[string]bool{"b": true}
 		}, "a 6, b 4, c 6"},
 		{"nobody makes up where all are closed", PolicyWork, func(view *View) {
-			view.Closed = map[string]bool{"a": true, "b": true, "c": true}
+			view.Evacuated = map[string]bool{"a": true, "b": true, "c": true}
 		}, "a 4, b 4, c 4"},
 	} {
 		view, base := fleet()
@@ -53,7 +53,7 @@
 
 func TestDecidedReasons(t *testing.T) {
 	view, base := fleet()
-	view.Closed["a"] = true
+	view.Evacuated["a"] = true
 	for _, one := range Decide(PolicyWork, view, base) {
 		want := ReasonReplace
 		if one.Zone == "a" {
--- a/internal/duties/autoscale/ledger.go
+++ b/internal/duties/autoscale/ledger.go
@@ -13,9 +13,9 @@
 // ledgerKind is the kind of the objects that hold what was ordered, one a service.
 const ledgerKind = "replicaorders"
 
-// standing is what holds for a service: how many replicas each zone held before
+// record is the stored orders of a service: how many replicas each zone held before
 // anything was ordered, and how many were ordered last.
-type standing struct {
+type record struct {
 	Base    map[string]int `json:"base"`
 	Ordered map[string]int `json:"ordered"`
 }
@@ -24,7 +24,7 @@
 type ledger struct {
 	store   objectstore.Store
 	service string
-	known   standing
+	known   record
 	// revision is that of the stored object, 0 while there is none.
 	revision uint64
 	// read is set while known is what the store is believed to hold.
@@ -38,7 +38,7 @@
 	}
 	object, err := l.store.Get(ctx, ledgerKind, l.service, objectstore.Linearizable)
 	if errors.Is(err, objectstore.ErrNotFound) {
-		l.known, l.revision, l.read = standing{Base: map[string]int{}, Ordered: map[string]int{}}, 0, true
+		l.known, l.revision, l.read = record{Base: map[string]int{}, Ordered: map[string]int{}}, 0, true
 		return nil
 	}
 	if err != nil {
@@ -49,7 +49,7 @@
 
 // take decodes what the store holds.
 func (l *ledger) take(object objectstore.Object) error {
-	var stored standing
+	var stored record
 	if err := json.Unmarshal(object.Spec, &stored); err != nil {
 		return merry.Wrap(err)
 	}
@@ -63,9 +63,9 @@
 	return nil
 }
 
-// write makes a standing lasting before it is acted on. On an error what stands has
-// to be read anew.
-func (l *ledger) write(ctx context.Context, next standing) error {
+// write stores a record before it is acted on. On an error what is stored has to be read
+// anew.
+func (l *ledger) write(ctx context.Context, next record) error {
 	spec, err := json.Marshal(next)
 	if err != nil {
 		return merry.Wrap(err)
--- a/internal/duties/autoscale/metrics.go
+++ b/internal/duties/autoscale/metrics.go
@@ -8,9 +8,9 @@
 
 // Outcomes of orders, as metrics name them.
 const (
-	outcomeTaken      = "taken"
-	outcomeNoneToHave = "none_to_have"
-	outcomeFailed     = "failed"
+	outcomeTaken         = "taken"
+	outcomeNoneAvailable = "none_to_have"
+	outcomeFailed        = "failed"
 )
 
 // metrics show how many replicas there are and were ordered, and count orders.
@@ -51,8 +51,8 @@
 	switch {
 	case err == nil:
 		m.orders.WithLabelValues(outcomeTaken).Inc()
-	case errors.Is(err, ErrNoneToHave):
-		m.orders.WithLabelValues(outcomeNoneToHave).Inc()
+	case errors.Is(err, ErrNoneAvailable):
+		m.orders.WithLabelValues(outcomeNoneAvailable).Inc()
 	default:
 		m.orders.WithLabelValues(outcomeFailed).Inc()
 	}
--- a/internal/duties/autoscale/peak.go
+++ b/internal/duties/autoscale/peak.go
@@ -18,7 +18,7 @@
 // add takes the work of now and forgets what is too old to plan for.
 func (p *peak) add(now time.Time, running, open int) {
 	p.samples = append(p.samples, sample{at: now, running: running, open: open})
-	p.samples = slices.DeleteFunc(p.samples, func(old sample) bool { return now.Sub(old.at) > peakMemory })
+	p.samples = slices.DeleteFunc(p.samples, func(old sample) bool { return now.Sub(old.at) > peakPeriod })
 }
 
 // greatest returns the most items that ran, and the most that ran or waited, at any
--- a/internal/duties/autoscale/plan.go
+++ b/internal/duties/autoscale/plan.go
@@ -11,79 +11,77 @@
 type plan struct {
 	ledger ledger
 	peak   peak
-	// mostSeen is the greatest number of replicas seen in each zone before anything was
+	// maxSeen is the greatest number of replicas seen in each zone before anything was
 	// ordered.
-	mostSeen map[string]int
+	maxSeen map[string]int
 	// orderedAt is when a zone's last order was sent, and fullUntil until when it
-	// is taken to have none to give.
+	// counts as having none to give.
 	orderedAt map[string]time.Time
 	fullUntil map[string]time.Time
-	// taken is how many replicas of each zone the platform has taken an order for
-	// from this process: an order that it may not have taken is sent again.
-	taken map[string]int
+	// accepted is how many replicas of each zone the platform has accepted an order for
+	// from this process: an order that it may not have accepted is sent again.
+	accepted map[string]int
 	// fewerSince is since when a zone has been wanted smaller, without a break.
 	fewerSince map[string]time.Time
 }
 
 func newPlan(store objectstore.Store, service string) *plan {
 	return &plan{
-		ledger: ledger{store: store, service: service}, mostSeen: map[string]int{},
+		ledger: ledger{store: store, service: service}, maxSeen: map[string]int{},
 		orderedAt: map[string]time.Time{}, fullUntil: map[string]time.Time{}, fewerSince: map[string]time.Time{},
-		taken: map[string]int{},
+		accepted: map[string]int{},
 	}
 }
 
-// base is how many replicas each zone held before anything was ordered.
+// base returns how many replicas each zone held before anything was ordered.
 func (p *plan) base() map[string]int {
-	base := maps.Clone(p.mostSeen)
+	base := maps.Clone(p.maxSeen)
 	for zone, count := range p.ledger.known.Base {
 		base[zone] = max(base[zone], count)
 	}
 	return base
 }
 
-// changes are the wanted numbers that are worth an order now.
-func (p *plan) changes(wanted []Wanted, now time.Time) []Wanted {
+// due returns the wanted numbers that are ordered now.
+func (p *plan) due(wanted []Wanted, now time.Time) []Wanted {
 	var due []Wanted
 	for _, want := range wanted {
-		standing := p.standing(want.Zone)
-		if want.Replicas >= standing {
-			delete(p.fewerSince, want.Zone)
-		} else if p.fewerSince[want.Zone].IsZero() {
-			p.fewerSince[want.Zone] = now
-		}
-		if p.isDue(want, standing, now) {
+		if isDue(p.facts(want, now)) {
 			due = append(due, want)
 		}
 	}
 	return due
 }
 
-// standing is how many replicas a zone was last ordered to hold, or held before that.
-func (p *plan) standing(zone string) int {
-	if ordered := p.ledger.known.Ordered[zone]; ordered > 0 {
-		return ordered
+// facts is what decides whether a wanted number is ordered now. It records since when
+// fewer replicas have been wanted.
+func (p *plan) facts(want Wanted, now time.Time) zoneFacts {
+	zone := zoneFacts{
+		wanted: want.Replicas, current: p.current(want.Zone), isFull: now.Before(p.fullUntil[want.Zone]),
+		isUnconfirmed: p.isUnconfirmed(want.Zone), sinceOrder: now.Sub(p.orderedAt[want.Zone]),
 	}
-	return p.base()[zone]
+	if zone.wanted >= zone.current {
+		delete(p.fewerSince, want.Zone)
+		return zone
+	}
+	if p.fewerSince[want.Zone].IsZero() {
+		p.fewerSince[want.Zone] = now
+	}
+	zone.fewerFor = now.Sub(p.fewerSince[want.Zone])
+	return zone
 }
 
-// isDue tells whether a wanted number is worth an order now. Fewer replicas than stand
-// have to be wanted for a while first.
-func (p *plan) isDue(want Wanted, standing int, now time.Time) bool {
-	switch {
-	case now.Before(p.fullUntil[want.Zone]), now.Sub(p.orderedAt[want.Zone]) < leastGap:
-		return false
-	case p.isUnsettled(want.Zone):
-		return true
-	case want.Replicas >= standing:
-		return want.Replicas-standing >= leastChange
+// current returns how many replicas a zone was last ordered to hold, or held before that.
+func (p *plan) current(zone string) int {
+	if ordered := p.ledger.known.Ordered[zone]; ordered > 0 {
+		return ordered
 	}
-	return standing-want.Replicas >= leastChange && now.Sub(p.fewerSince[want.Zone]) >= shrinkAfter
+	return p.base()[zone]
 }
 
-// isUnsettled tells whether the last order for a zone may not have been taken. A
-// further holder sends what stands once more: it changes nothing where it was taken.
-func (p *plan) isUnsettled(zone string) bool {
+// isUnconfirmed reports whether the last order for a zone may not have been accepted. The
+// next holder of the lease repeats it: that changes nothing if it was.
+func (p *plan) isUnconfirmed(zone string) bool {
 	ordered := p.ledger.known.Ordered[zone]
-	return ordered > 0 && p.taken[zone] != ordered
+	return ordered > 0 && p.accepted[zone] != ordered
 }
--- a/internal/duties/autoscale/service.go
+++ b/internal/duties/autoscale/service.go
@@ -6,9 +6,6 @@
 	"maps"
 	"time"
 
-	"github.com/prometheus/client_golang/prometheus"
-	"k8s.io/klog/v2"
-
 	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
@@ -17,28 +14,16 @@
 const (
 	// dutyName names the orders among the duties of the lease.
 	dutyName = "replica-orders"
-	// lookPeriod is the time between looks at the fleet and the work: short beside
-	// the time between two steps of a trainer.
-	lookPeriod = 500 * time.Millisecond
-	// orderTime bounds one order, and storeTime one call about the ledger.
-	orderTime = 900 * time.Millisecond
-	storeTime = 900 * time.Millisecond
+	// pollInterval is the time between two decisions: short beside the time between two
+	// steps of a trainer.
+	pollInterval = 500 * time.Millisecond
+	// orderTimeout bounds one order, and storeTimeout one access to the ledger.
+	orderTimeout = 900 * time.Millisecond
+	storeTimeout = 900 * time.Millisecond
+	// fullZoneDelay is how long a zone that had no replicas to give is not asked.
+	fullZoneDelay = 10 * time.Second
 )
 
-// Config is what a Service needs.
-type Config struct {
-	Policy    Policy
-	Keeper    *lease.Keeper
-	Store     objectstore.Store
-	Platform  Platform
-	Directory *directory.Table
-	Logger    klog.Logger
-	Registry  prometheus.Registerer
-	// Work is how many items run at a service's replicas, and how many run or wait,
-	// on all nodes.
-	Work func(service string) (running, open int)
-}
-
 // Service orders replicas while this node holds the duty lease. Run alone uses it.
 type Service struct {
 	config   Config
@@ -53,13 +38,13 @@
 
 // Run works until the context ends.
 func (s *Service) Run(ctx context.Context) {
-	for objectstore.Sleep(ctx, lookPeriod) {
-		s.look(ctx, time.Now())
+	for objectstore.Sleep(ctx, pollInterval) {
+		s.step(ctx, time.Now())
 	}
 }
 
-// look decides on each service whose replicas can be ordered.
-func (s *Service) look(ctx context.Context, now time.Time) {
+// step decides on each service whose replicas can be ordered.
+func (s *Service) step(ctx context.Context, now time.Time) {
 	view := s.config.Directory.View()
 	if view.Configuration == nil {
 		return
@@ -71,13 +56,13 @@
 		}
 		plan := s.plan(name)
 		seen := s.viewOf(view, &service, plan, now)
-		if !s.config.Keeper.IsCandidate() || !s.knows(ctx, plan) {
+		if !s.config.Keeper.IsCandidate() || !s.loadLedger(ctx, plan) {
 			continue
 		}
-		for _, change := range plan.changes(Decide(s.config.Policy, seen, plan.base()), now) {
+		for _, change := range plan.due(Decide(s.config.Policy, seen, plan.base()), now) {
 			due = true
 			if ready, _ := s.config.Keeper.Ready(ctx, dutyName); ready {
-				s.change(ctx, plan, name, change, now)
+				s.placeOrder(ctx, plan, name, change, now)
 			}
 		}
 	}
@@ -86,10 +71,10 @@
 	}
 }
 
-// knows tells whether this node has read what was ordered before. It is read once, and
-// anew after another node has written it.
-func (s *Service) knows(ctx context.Context, plan *plan) bool {
-	ctx, cancel := context.WithTimeout(ctx, storeTime)
+// loadLedger reads what was ordered before, unless it is known, and returns whether that
+// succeeded. It is read anew after another node has written it.
+func (s *Service) loadLedger(ctx context.Context, plan *plan) bool {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if err := plan.ledger.load(ctx); err != nil {
 		s.config.Logger.Info("orders of replicas not read", "service", plan.ledger.service, "error", err.Error())
@@ -100,20 +85,20 @@
 
 // plan returns what is known of a service, which is nothing at first.
 func (s *Service) plan(service string) *plan {
-	standing := s.services[service]
-	if standing == nil {
-		standing = newPlan(s.config.Store, service)
-		s.services[service] = standing
+	current := s.services[service]
+	if current == nil {
+		current = newPlan(s.config.Store, service)
+		s.services[service] = current
 	}
-	return standing
+	return current
 }
 
-// viewOf makes the view of a service, and notes in the plan what it shows.
+// viewOf returns the view of a service, and records in the plan what it shows.
 func (s *Service) viewOf(view *directory.View, service *directory.Service, plan *plan, now time.Time) *View {
 	running, open := s.config.Work(service.Name)
 	plan.peak.add(now, running, open)
 	seen := &View{
-		Service: service.Name, Scaling: *service.Scaling, Slots: service.Engine.Slots, Present: map[string]int{}, Closed: map[string]bool{}, Full: map[string]bool{},
+		Service: service.Name, Scaling: *service.Scaling, Slots: service.Engine.Slots, Present: map[string]int{}, Evacuated: map[string]bool{}, Full: map[string]bool{},
 	}
 	seen.Running, seen.Open = plan.peak.greatest()
 	for _, replica := range view.Replicas {
@@ -126,21 +111,21 @@
 	}
 	for _, endpoint := range view.Endpoints {
 		if endpoint.Model == service.Name && endpoint.State.Evacuated() {
-			seen.Closed[endpoint.Zone] = true
+			seen.Evacuated[endpoint.Zone] = true
 		}
 	}
 	for zone, count := range seen.Present {
 		if plan.ledger.known.Ordered[zone] == 0 {
-			plan.mostSeen[zone] = max(plan.mostSeen[zone], count)
+			plan.maxSeen[zone] = max(plan.maxSeen[zone], count)
 		}
 	}
 	s.metrics.show(seen, plan)
 	return seen
 }
 
-// change notes a wanted number in the ledger and orders it.
-func (s *Service) change(ctx context.Context, plan *plan, service string, want Wanted, now time.Time) {
-	if err := s.note(ctx, plan, want); err != nil {
+// placeOrder records a wanted number in the ledger and orders it.
+func (s *Service) placeOrder(ctx context.Context, plan *plan, service string, want Wanted, now time.Time) {
+	if err := s.recordOrder(ctx, plan, want); err != nil {
 		s.config.Logger.Info("replicas not ordered", "service", service, "zone", want.Zone, "replicas", want.Replicas, "error", err.Error())
 		return
 	}
@@ -148,24 +133,24 @@
 	err := s.order(ctx, service, want)
 	s.metrics.count(err)
 	switch {
-	case errors.Is(err, ErrNoneToHave):
-		plan.fullUntil[want.Zone] = now.Add(refusedPause)
+	case errors.Is(err, ErrNoneAvailable):
+		plan.fullUntil[want.Zone] = now.Add(fullZoneDelay)
 	case err == nil:
-		plan.taken[want.Zone] = want.Replicas
+		plan.accepted[want.Zone] = want.Replicas
 		s.config.Logger.Info("replicas ordered", "service", service, "zone", want.Zone, "replicas", want.Replicas, "reason", want.Reason)
 		return
 	}
 	s.config.Logger.Info("order of replicas not taken", "service", service, "zone", want.Zone, "replicas", want.Replicas, "error", err.Error())
 }
 
-// note makes an order lasting before it is sent.
-func (s *Service) note(ctx context.Context, plan *plan, want Wanted) error {
-	ctx, cancel := context.WithTimeout(ctx, storeTime)
+// recordOrder stores an order before it is sent.
+func (s *Service) recordOrder(ctx context.Context, plan *plan, want Wanted) error {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if err := plan.ledger.load(ctx); err != nil {
 		return err
 	}
-	next := standing{Base: plan.base(), Ordered: maps.Clone(plan.ledger.known.Ordered)}
+	next := record{Base: plan.base(), Ordered: maps.Clone(plan.ledger.known.Ordered)}
 	if next.Ordered[want.Zone] == want.Replicas {
 		return nil
 	}
@@ -179,7 +164,7 @@
 	if !valid {
 		return lease.ErrFenced
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderTime)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	err := s.config.Platform.Order(ctx, Order{
 		Service: service, Zone: want.Zone, Replicas: want.Replicas, Holder: permit.Holder, Token: permit.Token,
--- a/internal/duties/autoscale/service_test.go
+++ b/internal/duties/autoscale/service_test.go
@@ -40,7 +40,7 @@
 	}
 	m.token = max(m.token, order.Token)
 	if m.empty[order.Zone] {
-		return ErrNoneToHave
+		return ErrNoneAvailable
 	}
 	m.orders[order.Zone] = order.Replicas
 	if m.mute {
@@ -134,11 +134,11 @@
 			t.Errorf("ordered %s", got)
 		}
 		w.setOpen(0)
-		time.Sleep(peakMemory + shrinkAfter/2)
+		time.Sleep(peakPeriod + shrinkDelay/2)
 		if got := w.market.standing(); got != "map[a:7 b:6 c:6]" {
 			t.Errorf("given back at once: %s", got)
 		}
-		time.Sleep(shrinkAfter)
+		time.Sleep(shrinkDelay)
 		if got := w.market.standing(); got != "map[a:4 b:4 c:4]" {
 			t.Errorf("not given back: %s", got)
 		}
@@ -154,13 +154,13 @@
 		w.start(first, "first")
 		time.Sleep(5 * time.Second)
 		stop()
-		standing := w.market.standing()
+		current := w.market.standing()
 		w.start(ctx, "second")
 		for range 40 {
-			time.Sleep(lookPeriod)
+			time.Sleep(pollInterval)
 			_, stale := w.market.taken()
-			if got := w.market.standing(); got != standing || stale != 0 {
-				t.Fatalf("ordered %s after %s, %d with an old token", got, standing, stale)
+			if got := w.market.standing(); got != current || stale != 0 {
+				t.Fatalf("ordered %s after %s, %d with an old token", got, current, stale)
 			}
 		}
 		w.setOpen(180)
@@ -197,9 +197,9 @@
 		if calls, _ := w.market.taken(); calls != 3 {
 			t.Errorf("%d orders of three zones", calls)
 		}
-		time.Sleep(leastGap)
+		time.Sleep(minOrderInterval)
 		w.market.setMute(false)
-		time.Sleep(3 * leastGap)
+		time.Sleep(3 * minOrderInterval)
 		if calls, _ := w.market.taken(); calls != 9 {
 			t.Errorf("%d orders once the third of each was answered", calls)
 		}
--- a/internal/duties/autoscale/view.go
+++ b/internal/duties/autoscale/view.go
@@ -10,11 +10,12 @@
 	Slots int
 	// Present counts the replicas of each zone that serve or warm up.
 	Present map[string]int
-	// Closed are the zones whose replicas get no work, since they are evacuated, and
-	// Full those that had no further replica to give a moment ago.
-	Closed map[string]bool
-	Full   map[string]bool
-	// Running is how many items run, and Open how many run or wait, at the peak of late.
+	// Evacuated are the zones whose replicas get no work, and Full those that had no
+	// further replica to give a moment ago.
+	Evacuated map[string]bool
+	Full      map[string]bool
+	// Running is how many items ran, and Open how many ran or waited, at the recent
+	// peaks.
 	Running int
 	Open    int
 }
--- a/internal/duties/usage/clock.go
+++ b/internal/duties/usage/clock.go
@@ -12,17 +12,17 @@
 	// slewBound is up to which difference the time of day is followed as it is
 	// kept right, and slewStep by how much at each look. Machines are kept within
 	// some milliseconds of true time.
-	slewBound = 100 * time.Millisecond
+	maxSlewOffset = 100 * time.Millisecond
 	slewStep  = 5 * time.Millisecond
 	// lastingStep is after how long a step of the time of day is taken for a
 	// correction. Clocks that jump for seconds are back before.
-	lastingStep = time.Minute
+	lastingStepAge = time.Minute
 	// peerBound is from which difference on what peers take for the time goes
 	// before this node's own, and leastPeers how many must have told.
-	peerBound  = 250 * time.Millisecond
-	leastPeers = 3
+	maxPeerOffset  = 250 * time.Millisecond
+	minPeers = 3
 	// peerMemory is for how long a peer's word counts.
-	peerMemory = 30 * time.Second
+	peerOffsetAge = 30 * time.Second
 )
 
 // Clock estimates true time. It goes by the steady clock from the time of day at
@@ -64,12 +64,12 @@
 }
 
 // Look compares the clock with the time of day. It is called about once a second.
-func (c *Clock) Look(steady, timeOfDay time.Time) {
+func (c *Clock) Compare(steady, timeOfDay time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	ahead := time.Duration(timeOfDay.UnixNano()) - c.unix - steady.Sub(c.start)
 	switch {
-	case ahead.Abs() <= slewBound:
+	case ahead.Abs() <= maxSlewOffset:
 		if !c.stepAt.IsZero() {
 			c.logger.Info("time of day is right again")
 		}
@@ -78,29 +78,29 @@
 	case c.stepAt.IsZero():
 		c.stepAt = steady
 		c.logger.Info("time of day has been stepped, going by the steady clock", "aheadMs", ahead.Milliseconds())
-	case steady.Sub(c.stepAt) > lastingStep:
+	case steady.Sub(c.stepAt) > lastingStepAge:
 		c.adopt(ahead, "the step lasts")
 	}
 }
 
 // Heard takes a peer's word of the time: by how much it is ahead of this clock.
-func (c *Clock) Heard(peer string, offset time.Duration, steady time.Time) {
+func (c *Clock) ObservePeer(peer string, offset time.Duration, steady time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.peers[peer] = peerOffset{offset: offset, at: steady}
 	var offsets []time.Duration
-	for name, told := range c.peers {
-		if steady.Sub(told.at) > peerMemory {
+	for name, reported := range c.peers {
+		if steady.Sub(reported.at) > peerOffsetAge {
 			delete(c.peers, name)
 			continue
 		}
-		offsets = append(offsets, told.offset)
+		offsets = append(offsets, reported.offset)
 	}
-	if len(offsets) < leastPeers {
+	if len(offsets) < minPeers {
 		return
 	}
 	slices.Sort(offsets)
-	if median := offsets[len(offsets)/2]; median.Abs() > peerBound {
+	if median := offsets[len(offsets)/2]; median.Abs() > maxPeerOffset {
 		c.adopt(median, "most peers differ")
 	}
 }
--- a/internal/duties/usage/clock_test.go
+++ b/internal/duties/usage/clock_test.go
@@ -22,7 +22,7 @@
 			if second >= 5 && second < 15 {
 				timeOfDay = timeOfDay.Add(step)
 			}
-			clock.Look(start.Add(passed), timeOfDay)
+			clock.Compare(start.Add(passed), timeOfDay)
 			if got := clock.Unix(start.Add(passed)) - 1_000_000*time.Second; got != passed {
 				t.Fatalf("step of %s: %s after %s", step, got, passed)
 			}
@@ -35,7 +35,7 @@
 	const step = 3 * time.Second
 	for second := range 120 {
 		passed := time.Duration(second) * time.Second
-		clock.Look(start.Add(passed), time.Unix(1_000_000, 0).Add(passed+step))
+		clock.Compare(start.Add(passed), time.Unix(1_000_000, 0).Add(passed+step))
 	}
 	if got := clock.Unix(start) - 1_000_000*time.Second; got != step {
 		t.Errorf("moved by %s, want %s", got, step)
@@ -47,7 +47,7 @@
 	for second := range 200 {
 		passed := time.Duration(second) * time.Second
 		// Two thousandths too slow.
-		clock.Look(start.Add(passed), time.Unix(1_000_000, 0).Add(passed+passed/500))
+		clock.Compare(start.Add(passed), time.Unix(1_000_000, 0).Add(passed+passed/500))
 	}
 	behind := 200*time.Second/500 - (clock.Unix(start) - 1_000_000*time.Second)
 	if behind.Abs() > 10*time.Millisecond {
@@ -67,7 +67,7 @@
 	} {
 		clock, start := clockAt()
 		for number, offset := range test.offsets {
-			clock.Heard(string(rune('a'+number)), offset, start)
+			clock.ObservePeer(string(rune('a'+number)), offset, start)
 		}
 		if got := clock.Unix(start) - 1_000_000*time.Second; got != test.want {
 			t.Errorf("%s: moved by %s, want %s", test.name, got, test.want)
--- a/internal/duties/usage/collector.go
+++ b/internal/duties/usage/collector.go
@@ -24,7 +24,7 @@
 func newCollector() *collector { return &collector{windows: map[int64]map[source]Counts{}} }
 
 // take takes a push. Counts only rise, so that the greatest is the newest.
-func (c *collector) take(push *wire.UsagePush) {
+func (c *collector) add(push *wire.UsagePush) {
 	from := source{node: push.Node, incarnation: push.Incarnation}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -39,8 +39,8 @@
 			counts = Counts{}
 			sources[from] = counts
 		}
-		for _, told := range window.Counts {
-			counts[told.Tenant] = max(counts[told.Tenant], told.Count)
+		for _, reported := range window.Counts {
+			counts[reported.Tenant] = max(counts[reported.Tenant], reported.Count)
 		}
 	}
 }
--- a/internal/duties/usage/collector_test.go
+++ b/internal/duties/usage/collector_test.go
@@ -33,7 +33,7 @@
 		collected := newCollector()
 		for _, number := range random.Perm(len(pushes)) {
 			for range 1 + random.IntN(2) {
-				collected.take(pushes[number])
+				collected.add(pushes[number])
 			}
 		}
 		if got, sources := collected.sum(7); !maps.Equal(got, want) || sources != 4 {
@@ -45,7 +45,7 @@
 func TestOldWindowsAreForgotten(t *testing.T) {
 	collected := newCollector()
 	for window := range int64(10) {
-		collected.take(pushOf("one", 1, window, "t", 1))
+		collected.add(pushOf("one", 1, window, "t", 1))
 	}
 	collected.forget(5)
 	if _, sources := collected.sum(4); sources != 0 {
--- a/internal/duties/usage/counter.go
+++ b/internal/duties/usage/counter.go
@@ -43,13 +43,13 @@
 	number := c.numberAt(at)
 	c.mutex.Lock()
 	c.version++
-	standing := c.tallies[number]
-	if standing == nil {
-		standing = &tally{counts: Counts{}}
-		c.tallies[number] = standing
+	current := c.tallies[number]
+	if current == nil {
+		current = &tally{counts: Counts{}}
+		c.tallies[number] = current
 	}
-	standing.counts[tenant]++
-	standing.changed = c.version
+	current.counts[tenant]++
+	current.changed = c.version
 	c.mutex.Unlock()
 	select {
 	case c.wake <- struct{}{}:
@@ -70,9 +70,9 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	windows = map[int64]Counts{}
-	for number, standing := range c.tallies {
-		if standing.changed > version {
-			windows[number] = maps.Clone(standing.counts)
+	for number, current := range c.tallies {
+		if current.changed > version {
+			windows[number] = maps.Clone(current.counts)
 		}
 	}
 	return windows, c.version
--- a/internal/duties/usage/ledger.go
+++ b/internal/duties/usage/ledger.go
@@ -17,7 +17,7 @@
 	// ledgerLength is how many windows the ledger holds: those whose reports may
 	// yet be repeated by a further holder of the lease, a minute of windows of the
 	// usual length. Older ones are never reported again.
-	ledgerLength = 12
+	maxSettledWindows = 12
 )
 
 // ErrTooOld means that a window is older than all that the ledger holds, so that
@@ -53,19 +53,19 @@
 			return nil, err
 		}
 	}
-	if standing, found := l.find(window); found {
-		return standing, nil
+	if current, found := l.find(window); found {
+		return current, nil
 	}
-	if len(l.known.Settled) == ledgerLength && window < l.known.Settled[0].Window {
+	if len(l.known.Settled) == maxSettledWindows && window < l.known.Settled[0].Window {
 		return nil, ErrTooOld
 	}
 	return l.append(ctx, entry{Window: window, Counts: counts})
 }
 
 func (l *ledger) find(window int64) (Counts, bool) {
-	for _, standing := range l.known.Settled {
-		if standing.Window == window {
-			return standing.Counts, true
+	for _, current := range l.known.Settled {
+		if current.Window == window {
+			return current.Counts, true
 		}
 	}
 	return nil, false
@@ -98,7 +98,7 @@
 func (l *ledger) append(ctx context.Context, added entry) (Counts, error) {
 	next := ledgerSpec{Settled: append(slices.Clone(l.known.Settled), added)}
 	slices.SortFunc(next.Settled, func(a, b entry) int { return int(a.Window - b.Window) })
-	if excess := len(next.Settled) - ledgerLength; excess > 0 {
+	if excess := len(next.Settled) - maxSettledWindows; excess > 0 {
 		next.Settled = next.Settled[excess:]
 	}
 	spec, err := json.Marshal(next)
--- a/internal/duties/usage/ledger_test.go
+++ b/internal/duties/usage/ledger_test.go
@@ -65,7 +65,7 @@
 	store := metastore.New()
 	settled := &ledger{store: store}
 	ctx := context.Background()
-	for window := range int64(ledgerLength + 3) {
+	for window := range int64(maxSettledWindows + 3) {
 		if _, err := settled.settle(ctx, window, Counts{}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/duties/usage/pusher.go
+++ b/internal/duties/usage/pusher.go
@@ -21,20 +21,20 @@
 	// pushPeriod is the least time between two pushes of a node: what a killed
 	// node has not pushed is lost, and a quarter of a second of one node's
 	// requests is little beside the tolerance of a deployment's reports.
-	pushPeriod = 250 * time.Millisecond
+	minPushInterval = 250 * time.Millisecond
 	// pushesTaken is how many pushes a second one receiver should have to take.
 	// In deployments of hundreds of nodes each pushes the less often.
-	pushesTaken = 100
+	maxReceivedPushes = 100
 	// pushTime bounds one push; one without an answer is made again. Between its
 	// end and the settling of a window there is time for five.
-	pushTime = 500 * time.Millisecond
+	pushTimeout = 500 * time.Millisecond
 	// flushTime bounds the pushes of a planned stop, and flushLook is the time
 	// between looks at them.
-	flushTime = time.Second
-	flushLook = 10 * time.Millisecond
+	flushTimeout = time.Second
+	flushPollInterval = 10 * time.Millisecond
 	// receiverLook is how often a node that counts nothing looks whether there are
 	// other receivers.
-	receiverLook = time.Second
+	receiverPollInterval = time.Second
 )
 
 // receiver is a process that is told of counts.
@@ -65,7 +65,7 @@
 func (p *pusher) run(ctx context.Context) {
 	for {
 		behind := p.push(ctx)
-		if !objectstore.Sleep(ctx, p.period()) {
+		if !objectstore.Sleep(ctx, p.pushInterval()) {
 			return
 		}
 		if behind {
@@ -75,17 +75,17 @@
 		case <-ctx.Done():
 			return
 		case <-p.counter.wake:
-		case <-time.After(receiverLook):
+		case <-time.After(receiverPollInterval):
 		}
 	}
 }
 
 // flush pushes until all receivers know everything, but not for long.
 func (p *pusher) flush(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, flushTime)
+	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
 	for p.push(ctx) {
-		if !objectstore.Sleep(ctx, flushLook) {
+		if !objectstore.Sleep(ctx, flushPollInterval) {
 			return false
 		}
 	}
@@ -93,8 +93,8 @@
 }
 
 // period is the time between two pushes.
-func (p *pusher) period() time.Duration {
-	return max(pushPeriod, time.Duration(len(p.config.Nodes()))*time.Second/pushesTaken)
+func (p *pusher) pushInterval() time.Duration {
+	return max(minPushInterval, time.Duration(len(p.config.Nodes()))*time.Second/maxReceivedPushes)
 }
 
 // receivers are the processes that have to know, this one left out.
@@ -135,7 +135,7 @@
 func (p *pusher) pushTo(ctx context.Context, to receiver, known uint64) {
 	windows, version := p.counter.since(known)
 	sent := time.Now()
-	message, err := environment.Ask(ctx, p.config.Peers, to.address, p.message(windows, sent), pushTime)
+	message, err := environment.Ask(ctx, p.config.Peers, to.address, p.message(windows, sent), pushTimeout)
 	answered := time.Now()
 	taken, isTaken := message.(*wire.UsageTaken)
 	p.mutex.Lock()
@@ -146,7 +146,7 @@
 	p.mutex.Unlock()
 	if err == nil && isTaken {
 		halfway := sent.Add(answered.Sub(sent) / 2)
-		p.clock.Heard(to.node, time.Duration(taken.UnixMs)*time.Millisecond-p.clock.Unix(halfway), answered)
+		p.clock.ObservePeer(to.node, time.Duration(taken.UnixMs)*time.Millisecond-p.clock.Unix(halfway), answered)
 	}
 }
 
--- a/internal/duties/usage/service.go
+++ b/internal/duties/usage/service.go
@@ -33,7 +33,7 @@
 	Nodes func() []string
 	Peer  func(node string) (address string, incarnation uint64, known bool)
 	// Changed tells the peers that follow the reports of a further one.
-	Changed func()
+	HeartbeatSoon func()
 }
 
 // Service counts, pushes and reports. It is safe for use by many goroutines.
@@ -82,8 +82,8 @@
 }
 
 // Take answers another node's push.
-func (s *Service) Take(push *wire.UsagePush) *wire.UsageTaken {
-	s.collector.take(push)
+func (s *Service) ReceivePush(push *wire.UsagePush) *wire.UsageTaken {
+	s.collector.add(push)
 	return &wire.UsageTaken{UnixMs: s.clock.Unix(time.Now()).Milliseconds()}
 }
 
@@ -91,18 +91,18 @@
 func (s *Service) Run(ctx context.Context) {
 	var duties sync.WaitGroup
 	duties.Go(func() { s.pusher.run(ctx) })
-	duties.Go(func() { s.watchClock(ctx) })
+	duties.Go(func() { s.compareClock(ctx) })
 	duties.Go(func() { s.report(ctx) })
 	duties.Wait()
 }
 
 // clockLook is the time between looks at the time of day.
-const clockLook = time.Second
+const clockPollInterval = time.Second
 
-func (s *Service) watchClock(ctx context.Context) {
-	for objectstore.Sleep(ctx, clockLook) {
+func (s *Service) compareClock(ctx context.Context) {
+	for objectstore.Sleep(ctx, clockPollInterval) {
 		now := time.Now()
-		s.clock.Look(now, now)
+		s.clock.Compare(now, now)
 	}
 }
 
--- a/internal/duties/usage/service_test.go
+++ b/internal/duties/usage/service_test.go
@@ -48,9 +48,9 @@
 		b.t.Errorf("token %d of %s after %d", report.Token, report.Holder, b.token)
 	}
 	b.token = report.Token
-	standing, known := b.reports[report.Window]
-	if known && !maps.Equal(standing.Counts, report.Counts) {
-		b.t.Errorf("window %d is reported as %v and as %v", report.Window, standing.Counts, report.Counts)
+	current, known := b.reports[report.Window]
+	if known && !maps.Equal(current.Counts, report.Counts) {
+		b.t.Errorf("window %d is reported as %v and as %v", report.Window, current.Counts, report.Counts)
 	}
 	if !known {
 		late := time.Duration(time.Now().UnixNano()) - time.Duration(report.Window+1)*testWindow
@@ -107,7 +107,7 @@
 			done(nil, merry.New("no answer"))
 			return
 		}
-		done(to.service.Take(message.(*wire.UsagePush)), nil)
+		done(to.service.ReceivePush(message.(*wire.UsagePush)), nil)
 	}()
 }
 
@@ -150,13 +150,13 @@
 		Node: name, Incarnation: incarnation, Window: testWindow, Late: testLate, Keeper: node.keeper, Store: store, Platform: platform,
 		Peers: node, Logger: klog.Background(), Registry: prometheus.NewRegistry(), Nodes: func() []string { return names },
 		Peer: func(other string) (string, uint64, bool) {
-			standing := n.copies()[other]
-			if standing == nil {
+			current := n.copies()[other]
+			if current == nil {
 				return other, 0, true
 			}
-			return other, standing.incarnation, true
+			return other, current.incarnation, true
 		},
-		Changed: func() { node.tell() },
+		HeartbeatSoon: func() { node.tell() },
 	})
 	n.mutex.Lock()
 	n.nodes[name] = node
--- a/internal/instance/messages.go
+++ b/internal/instance/messages.go
@@ -24,7 +24,7 @@
 		return
 	case *wire.UsagePush:
 		if p.usage != nil {
-			reply(p.usage.Take(message))
+			reply(p.usage.ReceivePush(message))
 			return
 		}
 	case *wire.PermitAsk:
