--- a/internal/duties/usage/clock.go
+++ b/internal/duties/usage/clock.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// slewBound is up to which difference the time of day is followed as it is
-	// kept right, and slewStep by how much at each look. Machines are kept within
-	// some milliseconds of true time.
+	// maxSlewOffset is up to which difference the time of day is followed, and slewStep by
+	// how much at each comparison. Machines are kept within some milliseconds of true
+	// time.
 	maxSlewOffset = 100 * time.Millisecond
-	slewStep  = 5 * time.Millisecond
-	// lastingStep is after how long a step of the time of day is taken for a
+	slewStep      = 5 * time.Millisecond
+	// lastingStepAge is after how long a step of the time of day counts as a
 	// correction. Clocks that jump for seconds are back before.
 	lastingStepAge = time.Minute
-	// peerBound is from which difference on what peers take for the time goes
-	// before this node's own, and leastPeers how many must have told.
-	maxPeerOffset  = 250 * time.Millisecond
-	minPeers = 3
-	// peerMemory is for how long a peer's word counts.
+	// maxPeerOffset is beyond which difference the peers' estimate replaces this node's
+	// own, and minPeers how many of them must have sent theirs.
+	maxPeerOffset = 250 * time.Millisecond
+	minPeers      = 3
+	// peerOffsetAge is how long a peer's estimate counts.
 	peerOffsetAge = 30 * time.Second
 )
 
-// Clock estimates true time. It goes by the steady clock from the time of day at
+// Clock estimates true time. It follows the steady clock from the time of day at
 // the start of the process, so that steps of the time of day do not move it: they
-// are told in the log and followed only when they last, or when peers agree. It is
-// safe for use by many goroutines.
+// are logged, and followed only when they last or when peers agree. It is safe for
+// use by many goroutines.
 type Clock struct {
 	logger klog.Logger
 
@@ -47,7 +47,7 @@
 	at     time.Time
 }
 
-// NewClock returns a clock that goes by the time of day as it is now.
+// NewClock returns a clock that starts from the time of day now.
 func NewClock(logger klog.Logger) *Clock { return newClockAt(time.Now(), time.Now(), logger) }
 
 // newClockAt returns a clock for a steady instant and the time of day then.
@@ -55,15 +55,15 @@
 	return &Clock{logger: logger, start: steady, unix: time.Duration(timeOfDay.UnixNano()), peers: map[string]peerOffset{}}
 }
 
-// Unix is what the clock takes for the time at an instant of the steady clock, as
-// a span since the start of 1970.
+// Unix returns the estimated time at an instant of the steady clock, as a duration since
+// the start of 1970.
 func (c *Clock) Unix(at time.Time) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.unix + at.Sub(c.start)
 }
 
-// Look compares the clock with the time of day. It is called about once a second.
+// Compare compares the clock with the time of day. It is called about once a second.
 func (c *Clock) Compare(steady, timeOfDay time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -83,7 +83,7 @@
 	}
 }
 
-// Heard takes a peer's word of the time: by how much it is ahead of this clock.
+// ObservePeer takes a peer's estimate: by how much it is ahead of this clock.
 func (c *Clock) ObservePeer(peer string, offset time.Duration, steady time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/duties/usage/collector.go
+++ b/internal/duties/usage/collector.go
@@ -14,8 +14,8 @@
 	incarnation uint64
 }
 
-// collector keeps what all nodes have told of their counts. It is safe for use by
-// many goroutines.
+// collector keeps the counts that all nodes have pushed. It is safe for use by many
+// goroutines.
 type collector struct {
 	mutex   sync.Mutex
 	windows map[int64]map[source]Counts
@@ -23,7 +23,7 @@
 
 func newCollector() *collector { return &collector{windows: map[int64]map[source]Counts{}} }
 
-// take takes a push. Counts only rise, so that the greatest is the newest.
+// add adds a push. Counts only rise, so that the greatest is the newest.
 func (c *collector) add(push *wire.UsagePush) {
 	from := source{node: push.Node, incarnation: push.Incarnation}
 	c.mutex.Lock()
@@ -45,7 +45,7 @@
 	}
 }
 
-// sum adds up a window, and tells how many processes have counted in it.
+// sum adds up a window, and returns how many processes have counted in it.
 func (c *collector) sum(number int64) (total Counts, sources int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -58,7 +58,7 @@
 	return total, len(c.windows[number])
 }
 
-// first is the oldest window after one that something is known of.
+// first returns the oldest window after one of which there are counts.
 func (c *collector) first(after int64) (number int64, known bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/duties/usage/counter.go
+++ b/internal/duties/usage/counter.go
@@ -6,9 +6,6 @@
 	"time"
 )
 
-// Counts are numbers of requests by tenant.
-type Counts map[string]uint64
-
 // tally is what this process has counted in one window.
 type tally struct {
 	counts Counts
@@ -16,7 +13,7 @@
 	changed uint64
 }
 
-// Counter counts the requests that this node brings to replicas. It is safe for
+// Counter counts the requests that this node sends to replicas. It is safe for
 // use by many goroutines.
 type Counter struct {
 	clock  *Clock
@@ -57,10 +54,10 @@
 	}
 }
 
-// numberAt is the number of the window that an instant lies in.
+// numberAt returns the number of the window that an instant lies in.
 func (c *Counter) numberAt(at time.Time) int64 { return int64(c.clock.Unix(at) / c.window) }
 
-// sinceEnd is how long before an instant a window ended; negative while it lasts.
+// sinceEnd returns how long before an instant a window ended; negative while it lasts.
 func (c *Counter) sinceEnd(number int64, at time.Time) time.Duration {
 	return c.clock.Unix(at) - time.Duration(number+1)*c.window
 }
@@ -78,7 +75,7 @@
 	return windows, c.version
 }
 
-// newest is the version now.
+// newest returns the version now.
 func (c *Counter) newest() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/duties/usage/ledger.go
+++ b/internal/duties/usage/ledger.go
@@ -14,14 +14,14 @@
 const (
 	ledgerKind = "usage"
 	ledgerName = "settled"
-	// ledgerLength is how many windows the ledger holds: those whose reports may
-	// yet be repeated by a further holder of the lease, a minute of windows of the
-	// usual length. Older ones are never reported again.
+	// maxSettledWindows is how many windows the ledger holds: those whose reports the
+	// next holder of the lease may repeat, a minute of windows of the usual length.
+	// Older ones are never reported again.
 	maxSettledWindows = 12
 )
 
-// ErrTooOld means that a window is older than all that the ledger holds, so that
-// it cannot be told whether another sum has been settled for it.
+// ErrTooOld means that a window is older than all that the ledger holds, so that another
+// sum may have been settled for it.
 var ErrTooOld = merry.Sentinel("window is older than the ledger")
 
 // entry is a window whose sum is settled.
@@ -45,8 +45,8 @@
 	read     bool
 }
 
-// settle returns the sum that stands for a window: the given one unless another
-// has been settled before. An error means that none is known to stand.
+// settle returns the settled sum of a window: the given one unless another was settled
+// before. An error means that none is known to be settled.
 func (l *ledger) settle(ctx context.Context, window int64, counts Counts) (Counts, error) {
 	if !l.read {
 		if err := l.load(ctx); err != nil {
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// append writes a further window. Where another node has written meanwhile, what
-// stands is known afterwards and the caller tries again.
+// append writes a further window. Where another node has written meanwhile, what is
+// stored is known afterwards and the caller tries again.
 func (l *ledger) append(ctx context.Context, added entry) (Counts, error) {
 	next := ledgerSpec{Settled: append(slices.Clone(l.known.Settled), added)}
 	slices.SortFunc(next.Settled, func(a, b entry) int { return int(a.Window - b.Window) })
@@ -116,7 +116,7 @@
 	case errors.As(err, &conflict):
 		return nil, errors.Join(err, l.take(conflict.Current))
 	case err != nil:
-		// It may have been done, or may be done yet.
+		// The write may have been applied, or may be applied yet.
 		l.read = false
 		return nil, err
 	}
--- a/internal/duties/usage/pusher.go
+++ b/internal/duties/usage/pusher.go
@@ -13,38 +13,36 @@
 )
 
 const (
-	// followers is how many of the nodes that would hold the lease next are told
-	// of all counts, besides the holder. With half of all nodes killed at once,
-	// one time in 16 none of the four is left, and then those that are still
-	// there push all they have to the next.
+	// followers is how many of the nodes that would hold the lease next receive all
+	// counts, besides the holder. Where all of these are lost at once, the others push
+	// what they have to the next.
 	followers = 3
-	// pushPeriod is the least time between two pushes of a node: what a killed
-	// node has not pushed is lost, and a quarter of a second of one node's
-	// requests is little beside the tolerance of a deployment's reports.
+	// minPushInterval is the least time between two pushes of a node: what a killed node
+	// has not pushed is lost, which must be little beside the tolerance of the reports.
 	minPushInterval = 250 * time.Millisecond
-	// pushesTaken is how many pushes a second one receiver should have to take.
-	// In deployments of hundreds of nodes each pushes the less often.
+	// maxReceivedPushes is how many pushes a second one receiver should get. In
+	// deployments of hundreds of nodes each node pushes less often.
 	maxReceivedPushes = 100
-	// pushTime bounds one push; one without an answer is made again. Between its
-	// end and the settling of a window there is time for five.
+	// pushTimeout bounds one push; one without an answer is repeated. Between the end of
+	// a window and its settling there is time for five.
 	pushTimeout = 500 * time.Millisecond
-	// flushTime bounds the pushes of a planned stop, and flushLook is the time
-	// between looks at them.
-	flushTimeout = time.Second
+	// flushTimeout bounds the pushes of a planned stop, and flushPollInterval is the
+	// time between checks of them.
+	flushTimeout      = time.Second
 	flushPollInterval = 10 * time.Millisecond
-	// receiverLook is how often a node that counts nothing looks whether there are
-	// other receivers.
+	// receiverPollInterval is the time between two checks of a node that counts nothing
+	// whether there are other receivers.
 	receiverPollInterval = time.Second
 )
 
-// receiver is a process that is told of counts.
+// receiver is a process that counts are pushed to.
 type receiver struct {
 	node        string
 	address     string
 	incarnation uint64
 }
 
-// pusher tells other nodes what this one has counted.
+// pusher pushes the counts of this node to others.
 type pusher struct {
 	config  Config
 	counter *Counter
@@ -80,7 +78,8 @@
 	}
 }
 
-// flush pushes until all receivers know everything, but not for long.
+// flush pushes until all receivers know everything, at most for flushTimeout, and returns
+// whether they do.
 func (p *pusher) flush(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
@@ -92,12 +91,12 @@
 	return true
 }
 
-// period is the time between two pushes.
+// pushInterval returns the time between two pushes.
 func (p *pusher) pushInterval() time.Duration {
 	return max(minPushInterval, time.Duration(len(p.config.Nodes()))*time.Second/maxReceivedPushes)
 }
 
-// receivers are the processes that have to know, this one left out.
+// receivers returns the processes that counts are pushed to, this one left out.
 func (p *pusher) receivers() []receiver {
 	var named []receiver
 	for _, node := range p.config.Keeper.Informed(followers) {
@@ -110,7 +109,7 @@
 }
 
 // push begins a push to each receiver that lacks something and has none under
-// way, and tells whether any lacks something. One that does not answer holds up no
+// way, and returns whether any lacks something. One that does not answer delays no
 // other.
 func (p *pusher) push(ctx context.Context) (behind bool) {
 	receivers := p.receivers()
@@ -131,7 +130,7 @@
 	return behind
 }
 
-// pushTo tells one receiver what it lacks.
+// pushTo pushes to one receiver what it lacks.
 func (p *pusher) pushTo(ctx context.Context, to receiver, known uint64) {
 	windows, version := p.counter.since(known)
 	sent := time.Now()
--- a/internal/duties/usage/report.go
+++ b/internal/duties/usage/report.go
@@ -8,56 +8,58 @@
 
 	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
-	"github.com/pathtally/pathtally/internal/wire"
 )
 
 const (
 	// dutyName names the reports among the duties of the lease.
 	dutyName = "usage"
-	// settleTime is how long after its end a window's sum is settled, or
-	// settlePart of the time until its report is due where that is less. By then
-	// requests that began in it have been answered and pushed; what is left is for
-	// a further node to take the lease, which takes 5.7 s and more.
+	// maxSettleDelay is how long after its end a window's sum is settled, or settleShare
+	// of the time until its report is due where that is less. By then requests that
+	// began in it have been answered and pushed; the rest is for another node to take
+	// the lease over.
 	maxSettleDelay = 2500 * time.Millisecond
-	settleShare = 0.25
-	// givenUpAfter is how many times the lateness that is allowed a report is
-	// tried for. The platform wants it then still, for what it bills.
+	settleShare    = 0.25
+	// giveUpFactor is for how many times its allowed lateness a report is retried. The
+	// platform still wants it then, for billing.
 	giveUpFactor = 3
-	// reportTime bounds one report, and reportPause is the time before one that
+	// reportTimeout bounds one report, and reportRetryDelay is the time before one that
 	// the platform did not take is sent again.
-	reportTimeout  = 900 * time.Millisecond
+	reportTimeout    = 900 * time.Millisecond
 	reportRetryDelay = 300 * time.Millisecond
-	// listenTime is for how long a node must have been one that others push their
-	// counts to before it settles a window. They learn of a holder that was none by
-	// its word to all, look each second, and push within a quarter.
+	// listenPeriod is how long a node must have been one that others push to before it
+	// settles a window. Others learn of a new holder from its announcement, check their
+	// receivers each second, and push within a quarter.
 	listenPeriod = 1500 * time.Millisecond
-	// windowLook is the time between looks for windows to report.
+	// windowPollInterval is the time between checks for windows to report.
 	windowPollInterval = 200 * time.Millisecond
 )
 
-// report reports windows while this node holds the lease, until the context
-// ends.
+// report reports windows while this node holds the lease, until the context ends.
 func (s *Service) report(ctx context.Context) {
-	for {
-		pause := windowPollInterval
-		s.recordInformed()
-		if number, due := s.next(); !due || !s.config.Keeper.IsCandidate() {
-			s.config.Keeper.Idle(dutyName)
-		} else if ready, again := s.config.Keeper.Ready(ctx, dutyName); ready {
-			s.recordInformed()
-			if pause = s.listenFor(); pause <= 0 {
-				pause = s.reportOne(ctx, number)
-			}
-		} else {
-			pause = again
-		}
-		if !objectstore.Sleep(ctx, pause) {
-			return
-		}
+	for objectstore.Sleep(ctx, s.reportStep(ctx)) {
 	}
 }
 
-// noteInformed notes since when this node is one that others push to.
+// reportStep reports the window that is due, if any, and returns the time until the next
+// step.
+func (s *Service) reportStep(ctx context.Context) time.Duration {
+	s.recordInformed()
+	number, due := s.nextWindow()
+	if !due || !s.config.Keeper.IsCandidate() {
+		s.config.Keeper.Idle(dutyName)
+		return windowPollInterval
+	}
+	if ready, again := s.config.Keeper.Ready(ctx, dutyName); !ready {
+		return again
+	}
+	s.recordInformed()
+	if wait := s.listenFor(); wait > 0 {
+		return wait
+	}
+	return s.reportOne(ctx, number)
+}
+
+// recordInformed records since when this node is one that others push to.
 func (s *Service) recordInformed() {
 	switch informed := slices.Contains(s.config.Keeper.Informed(followers), s.config.Node); {
 	case !informed:
@@ -67,8 +69,8 @@
 	}
 }
 
-// listening is for how long this node has to wait for what others push; nothing
-// is left to wait for if it is not positive.
+// listenFor returns how long this node has to wait for what others push, not positive if
+// it need not.
 func (s *Service) listenFor() time.Duration {
 	if s.informedAt.IsZero() {
 		return windowPollInterval
@@ -76,30 +78,31 @@
 	return time.Until(s.informedAt.Add(listenPeriod))
 }
 
-// next is the oldest window that is to be reported now.
-func (s *Service) next() (number int64, due bool) {
+// nextWindow returns the oldest window not yet reported, and whether it is to be reported
+// now.
+func (s *Service) nextWindow() (number int64, due bool) {
 	s.collectOwn()
 	done := s.done.Load()
 	number, known := s.collector.first(done)
 	if done > 0 && (!known || number > done+1) && s.ranThrough(done+1) {
-		// Nobody has counted anything in the next window, and this node would
-		// have heard.
+		// Nobody has counted anything in the next window: this node would have
+		// received it.
 		number, known = done+1, true
 	}
 	return number, known && s.counter.sinceEnd(number, time.Now()) >= s.settleDelay()
 }
 
-// settleAfter is how long after its end a window is settled.
+// settleDelay returns how long after its end a window is settled.
 func (s *Service) settleDelay() time.Duration {
 	return min(maxSettleDelay, time.Duration(settleShare*float64(s.config.Late)))
 }
 
-// ranThrough tells whether this node has been running for the whole of a window.
+// ranThrough reports whether this node has been running for the whole of a window.
 func (s *Service) ranThrough(number int64) bool {
 	return s.counter.sinceEnd(number, s.started) < -s.config.Window
 }
 
-// takeOwn takes this node's own counts as another's.
+// collectOwn adds this node's own counts to the pushed ones.
 func (s *Service) collectOwn() {
 	windows, _ := s.counter.since(0)
 	if len(windows) > 0 {
@@ -107,7 +110,7 @@
 	}
 }
 
-// reportOne settles and reports a window, and returns when to look again.
+// reportOne settles and reports a window, and returns the time until the next step.
 func (s *Service) reportOne(ctx context.Context, number int64) time.Duration {
 	late := s.counter.sinceEnd(number, time.Now())
 	if late > giveUpFactor*s.config.Late {
@@ -126,8 +129,7 @@
 		s.config.Logger.Info("usage of a window not settled", "window", number, "error", err.Error())
 		return reportRetryDelay
 	}
-	err = s.send(ctx, number, settled)
-	if err != nil {
+	if err := s.send(ctx, number, settled); err != nil {
 		s.metrics.reports.WithLabelValues(outcomeFailed).Inc()
 		s.config.Logger.Info("usage of a window not reported", "window", number, "lateMs", late.Milliseconds(), "error", err.Error())
 		return reportRetryDelay
@@ -150,40 +152,3 @@
 	permit.Done(!errors.Is(err, lease.ErrUnanswered))
 	return err
 }
-
-// finish ends the work on a window and forgets what is not needed any more.
-func (s *Service) finish(number int64, outcome string) {
-	s.metrics.reports.WithLabelValues(outcome).Inc()
-	s.ObserveDone(number)
-	s.config.HeartbeatSoon()
-	s.forgetSettled(number)
-}
-
-// forgetSettled drops the counts that no ledger holds any more once all windows
-// up to one are done.
-func (s *Service) forgetSettled(done int64) {
-	before := done - maxSettledWindows
-	s.collector.forget(before)
-	s.counter.forget(before)
-}
-
-// total is the number of requests of all tenants.
-func (c Counts) total() uint64 {
-	sum := uint64(0)
-	for _, count := range c {
-		sum += count
-	}
-	return sum
-}
-
-// FillHeartbeat adds to a heartbeat what has been reported.
-func (s *Service) FillHeartbeat(beat *wire.NodeBeat) { beat.UsageDone = s.Done() }
-
-// ReceiveHeartbeat learns from a heartbeat which windows have been reported, and drops old windows.
-func (s *Service) ReceiveHeartbeat(beat *wire.NodeBeat) {
-	if beat.UsageDone <= s.Done() {
-		return
-	}
-	s.ObserveDone(beat.UsageDone)
-	s.forgetSettled(beat.UsageDone)
-}
--- a/internal/duties/usage/service.go
+++ b/internal/duties/usage/service.go
@@ -6,35 +6,12 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/prometheus/client_golang/prometheus"
-	"k8s.io/klog/v2"
-
-	"github.com/pathtally/pathtally/internal/duties/lease"
-	"github.com/pathtally/pathtally/internal/environment"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// Config is what a Service needs.
-type Config struct {
-	Node        string
-	Incarnation uint64
-	// Window is the length of the windows, and Late how long after its end a
-	// window's report is due.
-	Window   time.Duration
-	Late     time.Duration
-	Keeper   *lease.Keeper
-	Store    objectstore.Store
-	Platform Platform
-	Peers    environment.Peers
-	Logger   klog.Logger
-	Registry prometheus.Registerer
-	// Nodes lists all nodes, and Peer tells where one is.
-	Nodes func() []string
-	Peer  func(node string) (address string, incarnation uint64, known bool)
-	// Changed tells the peers that follow the reports of a further one.
-	HeartbeatSoon func()
-}
+// clockPollInterval is the time between two comparisons with the time of day.
+const clockPollInterval = time.Second
 
 // Service counts, pushes and reports. It is safe for use by many goroutines.
 type Service struct {
@@ -67,21 +44,7 @@
 // Began counts a request of a tenant's that began to run at an instant.
 func (s *Service) Began(tenant string, at time.Time) { s.counter.Began(tenant, at) }
 
-// Done is the newest window up to which all have been reported or given up, 0
-// while none is known.
-func (s *Service) Done() int64 { return s.done.Load() }
-
-// ObserveDone takes another node's word of that.
-func (s *Service) ObserveDone(number int64) {
-	for {
-		known := s.done.Load()
-		if number <= known || s.done.CompareAndSwap(known, number) {
-			return
-		}
-	}
-}
-
-// Take answers another node's push.
+// ReceivePush answers another node's push.
 func (s *Service) ReceivePush(push *wire.UsagePush) *wire.UsageTaken {
 	s.collector.add(push)
 	return &wire.UsageTaken{UnixMs: s.clock.Unix(time.Now()).Milliseconds()}
@@ -96,9 +59,6 @@
 	duties.Wait()
 }
 
-// clockLook is the time between looks at the time of day.
-const clockPollInterval = time.Second
-
 func (s *Service) compareClock(ctx context.Context) {
 	for objectstore.Sleep(ctx, clockPollInterval) {
 		now := time.Now()
