--- a/internal/replicas/directory/starts.go
+++ b/internal/replicas/directory/starts.go
@@ -56,7 +56,7 @@
 func (t *Table) delayLateEntry(late *Replica) {
 	name := late.InstanceName()
 	known := t.starts[name]
-	t.logger.Info("late entry of an earlier start of a replica", "replica", known.id, "earlier", late.ID, "state", late.State)
+	t.logger.Info("late word of an earlier start of a replica", "replica", known.id, "earlier", late.ID, "state", late.State)
 	known.lateEntry = late
 	time.AfterFunc(lateEntryPeriod, func() { t.applyLateEntry(name, known, late) })
 }
--- a/internal/replicas/directory/table.go
+++ b/internal/replicas/directory/table.go
@@ -90,7 +90,7 @@
 	t.logger.Info("configuration in force", "version", configuration.Version, "revision", revision, "routes", len(configuration.Routes),
 		"tenants", configuration.Tenants.Len())
 	for _, finding := range configuration.TenantFindings {
-		t.logger.Error(finding, "tenant declaration ignored in part", "version", configuration.Version)
+		t.logger.Error(finding, "tenant declaration passed over in part", "version", configuration.Version)
 	}
 	t.logUnknownHomes(configuration)
 	t.publish(&next, nil)
