--- a/internal/callers/tenancy/errors.go
+++ b/internal/callers/tenancy/errors.go
@@ -22,7 +22,7 @@
 )
 
 // DeclarationError is a part of the declared tenants that cannot be used. The
-// rest of them is in force all the same.
+// rest of them is in force.
 type DeclarationError struct {
 	// Tenant is the name of the tenant concerned.
 	Tenant string
--- a/internal/callers/tenancy/key.go
+++ b/internal/callers/tenancy/key.go
@@ -2,15 +2,15 @@
 
 import "crypto/sha256"
 
-// LongestKey bounds a key, in bytes. Those that operators hand out have some
-// tens; longer ones are refused before they are digested.
+// MaxKeyBytes bounds a key. Those that operators hand out have some tens of bytes;
+// longer ones are rejected before they are digested.
 const MaxKeyBytes = 256
 
 // redacted stands for a key wherever one would be printed.
 const redacted = "[redacted]"
 
-// Key is an API key as a caller sends it. It must not be stored or logged; every
-// way of printing it that the language offers prints a placeholder.
+// Key is an API key as a caller sends it. It must not be stored or logged; however it is
+// printed, a placeholder appears.
 type Key string
 
 // String implements fmt.Stringer without the key.
--- a/internal/callers/tenancy/table.go
+++ b/internal/callers/tenancy/table.go
@@ -1,28 +1,11 @@
 package tenancy
 
-// Tenant is one of those that share a deployment.
-type Tenant struct {
-	Name string
-	// Priority ranks the tenant's requests, 0 the most urgent; nil leaves that
-	// to the route.
-	Priority *int
-	// Homes are the only regions in which the tenant's requests may be served; empty
-	// for all.
-	Homes []string
-}
-
-// Declared is a tenant with its keys, as an operator declares it.
-type Declared struct {
-	Tenant
-	Keys []Key
-}
-
 // Table finds tenants by their keys. It is immutable. A nil table is that of a
 // configuration that declares no tenants: nobody needs a key.
 type Table struct {
 	byKey  map[digest]*Tenant
 	byName map[string]*Tenant
-	// declaresHomes is set where some tenant has homes.
+	// declaresHomes says that some tenant has homes.
 	declaresHomes bool
 }
 
@@ -30,11 +13,11 @@
 const (
 	problemNoName    = "it has no name"
 	problemTwice     = "it is declared twice; the first declaration's priority holds"
-	problemMalformed = "one of its keys is empty or too long; that key is passed over"
+	problemMalformed = "one of its keys is empty or too long; that key is ignored"
 	problemSharedKey = "it shares a key with another tenant; that key identifies nobody"
 )
 
-// NewTable returns the table of the declared tenants, and what of them cannot be
+// NewTable returns the table of the declared tenants, and which parts of them cannot be
 // used. A key that two tenants hold identifies neither of them.
 func NewTable(declared []Declared) (*Table, []*DeclarationError) {
 	table := &Table{byKey: make(map[digest]*Tenant, len(declared)), byName: make(map[string]*Tenant, len(declared))}
@@ -61,8 +44,7 @@
 	return table, findings
 }
 
-// addKeys adds a tenant's keys; those that another tenant holds too are noted as
-// shared.
+// addKeys adds a tenant's keys, and records in shared those that another tenant holds too.
 func (t *Table) addKeys(tenant *Tenant, keys []Key, shared map[digest]bool) []*DeclarationError {
 	var findings []*DeclarationError
 	for _, key := range keys {
@@ -89,7 +71,7 @@
 	return t.byKey[digestOf(key)]
 }
 
-// Len is the number of tenants.
+// Len returns the number of tenants.
 func (t *Table) Len() int {
 	if t == nil {
 		return 0
@@ -105,7 +87,7 @@
 	return t.byName[name]
 }
 
-// PriorityOf is the rank of a tenant's requests: the tenant's own if it has one,
+// PriorityOf returns the rank of a tenant's requests: the tenant's own if it has one,
 // else that of the route.
 func (t *Table) PriorityOf(name string, route int) int {
 	if tenant := t.Named(name); tenant != nil && tenant.Priority != nil {
@@ -114,7 +96,7 @@
 	return route
 }
 
-// HomesOf are the only regions in which a tenant's requests may be served; empty for
+// HomesOf returns the only regions in which a tenant's requests may be served; empty for
 // all.
 func (t *Table) HomesOf(name string) []string {
 	if tenant := t.Named(name); tenant != nil {
@@ -123,10 +105,10 @@
 	return nil
 }
 
-// DeclaresHomes tells whether some tenant's requests may be served in some regions only.
+// DeclaresHomes reports whether some tenant's requests may be served in some regions only.
 func (t *Table) DeclaresHomes() bool { return t != nil && t.declaresHomes }
 
-// Homes lists the tenants that have homes, with them.
+// Homes returns the homes of the tenants that have some, by tenant.
 func (t *Table) Homes() map[string][]string {
 	homes := map[string][]string{}
 	if !t.DeclaresHomes() {
--- /dev/null
+++ b/internal/callers/tenancy/tenant.go
@@ -0,0 +1,18 @@
+package tenancy
+
+// Tenant is one of those that share a deployment.
+type Tenant struct {
+	Name string
+	// Priority ranks the tenant's requests, 0 the most urgent; nil leaves that
+	// to the route.
+	Priority *int
+	// Homes are the only regions in which the tenant's requests may be served; empty
+	// for all.
+	Homes []string
+}
+
+// Declared is a tenant with its keys, as an operator declares it.
+type Declared struct {
+	Tenant
+	Keys []Key
+}
--- a/internal/replicas/homes/context.go
+++ b/internal/replicas/homes/context.go
@@ -6,7 +6,7 @@
 type boundsKey struct{}
 
 // WithBounds returns a context for calls that carry a body with some bounds, in the
-// call or in its answer. Bounds that allow every region are left out.
+// request or in its answer. Bounds that allow every region are left out.
 func WithBounds(ctx context.Context, bounds Bounds) context.Context {
 	if !bounds.homes.Bound() {
 		return ctx
--- a/internal/replicas/homes/set.go
+++ b/internal/replicas/homes/set.go
@@ -5,7 +5,7 @@
 // Set is the regions in which a request may be served. It is immutable; the zero
 // Set is every region.
 type Set struct {
-	// bound is set where only some regions are allowed: of an empty list, none.
+	// bound says that only the listed regions are allowed: none where the list is empty.
 	bound bool
 	// regions are those of a configuration, which is not changed.
 	regions []string
@@ -15,7 +15,7 @@
 // two lists that share none allow nowhere.
 func Of(route, tenant []string) Set { return listed(route).And(listed(tenant)) }
 
-// listed is the set of a list as it is declared.
+// listed returns the set of a declared list.
 func listed(regions []string) Set {
 	if len(regions) == 0 {
 		return Set{}
@@ -23,19 +23,19 @@
 	return Set{bound: true, regions: regions}
 }
 
-// Bound tells whether some regions are not allowed.
+// Bound reports whether some regions are not allowed.
 func (s Set) Bound() bool { return s.bound }
 
-// Allows tells whether a region is allowed. An unknown region, "", is none of the
+// Allows reports whether a region is allowed. An unknown region, "", is none of the
 // allowed ones where only some are.
 func (s Set) Allows(region string) bool {
 	return !s.bound || (region != "" && slices.Contains(s.regions, region))
 }
 
-// Regions lists the allowed regions where only some are.
+// Regions returns the allowed regions where only some are.
 func (s Set) Regions() []string { return s.regions }
 
-// Nowhere is the set of no region.
+// Nowhere returns the set of no region.
 func Nowhere() Set { return Set{bound: true} }
 
 // And returns the regions that both sets allow.
