--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -126,7 +126,7 @@
 	}
 	if p.settings.WarmUpOverage > 0 {
 		p.slowStart = p.newSlowStart()
-		p.directory.SetSlowStart(p.slowStart.asker)
+		p.directory.SetSlowStart(p.slowStart.client)
 	}
 }
 
--- a/internal/instance/run.go
+++ b/internal/instance/run.go
@@ -46,7 +46,7 @@
 		loops = append(loops, p.usage.Run)
 	}
 	if p.slowStart != nil {
-		loops = append(loops, p.slowStart.asker.Run, p.slowStart.allotter.Run)
+		loops = append(loops, p.slowStart.client.Run, p.slowStart.allotter.Run)
 	}
 	return loops
 }
--- a/internal/instance/slowstart.go
+++ b/internal/instance/slowstart.go
@@ -39,10 +39,10 @@
 	peers     *peering.Table
 	transport *transport.Transport
 	keeper    *lease.Keeper
-	asker     *slowstart.Asker
+	client    *slowstart.Client
 	allotter  *slowstart.Allotter
 	// failures counts the nodes that were asked in vain: the next question goes to the
-	// next node. It belongs to the asker's goroutine.
+	// next node. It belongs to the client's goroutine.
 	failures int
 }
 
@@ -54,7 +54,7 @@
 
 func (p *parts) newSlowStart() *slowStart {
 	made := &slowStart{self: p.self, peers: p.peers, transport: p.transport, keeper: p.keeper}
-	made.asker = slowstart.NewAsker(slowstart.AskerConfig{
+	made.client = slowstart.NewClient(slowstart.ClientConfig{
 		Ask: made.ask, Clock: p.clock, Allotted: p.jobs.LookAgain, Logger: p.logger, Registry: p.registry,
 	})
 	made.allotter = slowstart.NewAllotter(slowstart.AllotterConfig{
