--- a/internal/duties/usage/ledger.go
+++ b/internal/duties/usage/ledger.go
@@ -14,14 +14,14 @@
 const (
 	ledgerKind = "usage"
 	ledgerName = "settled"
-	// ledgerLength is how many windows the ledger holds: those whose reports may
-	// yet be repeated by a further holder of the lease, a minute of windows of the
-	// usual length. Older ones are never reported again.
-	ledgerLength = 12
+	// maxSettledWindows is how many windows the ledger holds: those whose reports the
+	// next holder of the lease may repeat, a minute of windows of the usual length.
+	// Older ones are never reported again.
+	maxSettledWindows = 12
 )
 
-// ErrTooOld means that a window is older than all that the ledger holds, so that
-// it cannot be told whether another sum has been settled for it.
+// ErrTooOld means that a window is older than all that the ledger holds, so that another
+// sum may have been settled for it.
 var ErrTooOld = merry.Sentinel("window is older than the ledger")
 
 // entry is a window whose sum is settled.
@@ -45,27 +45,27 @@
 	read     bool
 }
 
-// settle returns the sum that stands for a window: the given one unless another
-// has been settled before. An error means that none is known to stand.
+// settle returns the settled sum of a window: the given one unless another was settled
+// before. An error means that none is known to be settled.
 func (l *ledger) settle(ctx context.Context, window int64, counts Counts) (Counts, error) {
 	if !l.read {
 		if err := l.load(ctx); err != nil {
 			return nil, err
 		}
 	}
-	if standing, found := l.find(window); found {
-		return standing, nil
+	if current, found := l.find(window); found {
+		return current, nil
 	}
-	if len(l.known.Settled) == ledgerLength && window < l.known.Settled[0].Window {
+	if len(l.known.Settled) == maxSettledWindows && window < l.known.Settled[0].Window {
 		return nil, ErrTooOld
 	}
 	return l.append(ctx, entry{Window: window, Counts: counts})
 }
 
 func (l *ledger) find(window int64) (Counts, bool) {
-	for _, standing := range l.known.Settled {
-		if standing.Window == window {
-			return standing.Counts, true
+	for _, current := range l.known.Settled {
+		if current.Window == window {
+			return current.Counts, true
 		}
 	}
 	return nil, false
@@ -93,12 +93,12 @@
 	return nil
 }
 
-// append writes a further window. Where another node has written meanwhile, what
-// stands is known afterwards and the caller tries again.
+// append writes a further window. Where another node has written meanwhile, what is
+// stored is known afterwards and the caller tries again.
 func (l *ledger) append(ctx context.Context, added entry) (Counts, error) {
 	next := ledgerSpec{Settled: append(slices.Clone(l.known.Settled), added)}
 	slices.SortFunc(next.Settled, func(a, b entry) int { return int(a.Window - b.Window) })
-	if excess := len(next.Settled) - ledgerLength; excess > 0 {
+	if excess := len(next.Settled) - maxSettledWindows; excess > 0 {
 		next.Settled = next.Settled[excess:]
 	}
 	spec, err := json.Marshal(next)
@@ -116,7 +116,7 @@
 	case errors.As(err, &conflict):
 		return nil, errors.Join(err, l.take(conflict.Current))
 	case err != nil:
-		// It may have been done, or may be done yet.
+		// The write may have been applied, or may be applied yet.
 		l.read = false
 		return nil, err
 	}
