--- a/internal/callers/quarantine/sink.go
+++ b/internal/callers/quarantine/sink.go
@@ -6,37 +6,36 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// Replace takes a whole listing of the kind, as package watchcache hands it on.
+// Replace takes a whole listing of the kind from package watchcache.
 func (s *Service) Replace(objects []objectstore.Object, _ bool) {
 	for _, object := range objects {
 		if object.Name == ObjectName {
-			s.takeRecord(object)
+			s.applyRecord(object)
 			return
 		}
 	}
-	s.table.TakeStored(nil, s.config.Clock())
+	s.table.ApplyStored(nil, s.config.Clock())
 }
 
-// Apply takes changes of the kind, as package watchcache hands them on.
+// Apply takes changes of the kind from package watchcache.
 func (s *Service) Apply(changes []objectstore.Change, _ bool) {
 	for _, change := range changes {
 		switch {
 		case change.Object.Name != ObjectName:
 		case change.Gone:
-			s.table.TakeStored(nil, s.config.Clock())
+			s.table.ApplyStored(nil, s.config.Clock())
 		default:
-			s.takeRecord(change.Object)
+			s.applyRecord(change.Object)
 		}
 	}
 }
 
-// takeRecord takes the store's record. How old a quarantine is goes by the time of day,
-// of which only the rest of its time is kept, so that a wrong clock never makes it longer
-// than it is to be.
-func (s *Service) takeRecord(object objectstore.Object) {
+// applyRecord takes the store's record. The age of a quarantine goes by the time of day;
+// with a wrong clock the rest is shorter or longer, but never longer than the span.
+func (s *Service) applyRecord(object objectstore.Object) {
 	began, err := decodeRecord(object.Spec)
 	if err != nil {
-		s.config.Logger.Error(err, "record of quarantined requests is not readable, or not in part", "revision", object.Revision)
+		s.config.Logger.Error(err, "record of quarantined requests cannot be read, or not in part", "revision", object.Revision)
 	}
 	if began == nil {
 		return
@@ -47,5 +46,5 @@
 		rest := min(s.config.Span, s.config.Span-now.Sub(at))
 		listed[request] = now.Add(rest)
 	}
-	s.table.TakeStored(listed, now)
+	s.table.ApplyStored(listed, now)
 }
--- a/internal/jobs/batch/pool.go
+++ b/internal/jobs/batch/pool.go
@@ -95,7 +95,7 @@
 	}
 	condition := placement.Condition{Failing: state.Failures.IsFailing(p.now), Unproven: state.Unproven, SinceEvent: p.now.Sub(state.ObservedAt)}
 	made := placement.NewReplica(endpoint.Name, endpoint.Slots, p.loads[endpoint.Name], p.paces, condition)
-	if left := endpoint.State.SlowStart.Left(); left < made.Most {
+	if left := endpoint.State.SlowStart.PermitsLeft(); left < made.Most {
 		made.Most = min(made.Most, made.Load+left)
 	}
 	p.byName[endpoint.Name], p.endpoints[endpoint.Name] = made, endpoint
