--- a/internal/jobs/batch/runner.go
+++ b/internal/jobs/batch/runner.go
@@ -20,9 +20,6 @@
 	offerTime = 150 * time.Millisecond
 	// runnersAsked is how many nodes are asked before this one runs a job itself.
 	runnersAsked = 2
-	// avoidTime is for how long a node that did not answer an offer is not asked
-	// again: the machines of a planned stop are back within some seconds.
-	avoidTime = 5 * time.Second
 	// runnerPart is the part of a caller's time for which the runner's answer is
 	// waited for: the rest is for this node to accept the job itself.
 	runnerPart = 0.5
@@ -79,7 +76,7 @@
 			return "", false
 		}
 		peer, known := s.config.Table.Get(candidate)
-		if !known || s.isAvoided(candidate) {
+		if !known || s.unansweredOffers.has(candidate) {
 			continue
 		}
 		asked++
@@ -87,7 +84,7 @@
 		if _, willing := reply.(*wire.Done); willing && err == nil {
 			return peer.Address, true
 		}
-		s.avoid(candidate)
+		s.unansweredOffers.add(candidate)
 	}
 	return "", false
 }
@@ -108,18 +105,6 @@
 	return ranked
 }
 
-func (s *Service) isAvoided(node string) bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return time.Now().Before(s.avoided[node])
-}
-
-func (s *Service) avoid(node string) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.avoided[node] = time.Now().Add(avoidTime)
-}
-
 // timeLeft is the time until a context's deadline, and backgroundTime where it
 // has none.
 func timeLeft(ctx context.Context) time.Duration {
@@ -148,7 +133,7 @@
 		reply(&wire.JobSubmitted{Outcome: wire.OutcomeNotRun, Detail: err.Error()})
 		return
 	}
-	ctx, cancel := context.WithTimeout(s.base, submitTime)
+	ctx, cancel := context.WithTimeout(s.base, submitTimeout)
 	defer cancel()
 	arrival := &Arrival{
 		ID: question.Job, Route: question.Route, Host: question.Host, Tenant: question.Tenant, Entry: question.Entry, Payload: question.Payload,
--- a/internal/jobs/batch/runner_test.go
+++ b/internal/jobs/batch/runner_test.go
@@ -92,7 +92,7 @@
 	cluster.setCut(ranked[1].config.Self.Node, true)
 	cluster.setCut(ranked[2].config.Self.Node, true)
 	ranked[3].mutex.Lock()
-	clear(ranked[3].avoided)
+	clear(ranked[3].unansweredOffers.until)
 	ranked[3].mutex.Unlock()
 	if err := cluster.hand(ranked[3], "past-two", 2); err != nil {
 		t.Fatal(err)
--- a/internal/jobs/batch/service.go
+++ b/internal/jobs/batch/service.go
@@ -4,7 +4,6 @@
 	"context"
 	"slices"
 	"sync"
-	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
 	"k8s.io/klog/v2"
@@ -70,9 +69,8 @@
 	// candidates are the replicas of each service among which items are placed.
 	candidates map[string]*candidateSet
 	// storedLoads are the jobs that are being read from the store, by id.
-	storedLoads map[string]*storedLoad
-	// avoided are nodes that did not answer an offer of a job, each until a time.
-	avoided map[string]time.Time
+	storedLoads      map[string]*storedLoad
+	unansweredOffers *unansweredOffers
 	// rewardBounds are the bounds on calls of scorers, by route.
 	rewardBounds map[string]*admission.Adaptive
 	leaving      bool
@@ -91,7 +89,7 @@
 		jobs: map[string]*job{}, known: map[string]*remoteJob{}, ends: ends.NewRegister(), pursued: map[string]bool{}, accepting: map[string]*acceptance{},
 		replicas: replicastate.NewTable(), attempts: map[*attempt]bool{},
 		tolerances: statistics.Tolerances{}, lengths: statistics.NewLengths(), eventRates: statistics.EventRates{},
-		demand: statistics.NewDemand(), avoided: map[string]time.Time{}, storedLoads: map[string]*storedLoad{},
+		demand: statistics.NewDemand(), unansweredOffers: newUnansweredOffers(), storedLoads: map[string]*storedLoad{},
 		candidates:   map[string]*candidateSet{},
 		rewardBounds: map[string]*admission.Adaptive{},
 		wake:         newSignal(), toTell: newSignal(), toWatch: newSignal(),
