--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -113,7 +113,7 @@
 	})
 	p.weights = weightorders.NewCoordinator(weightorders.Config{
 		Keeper: p.keeper, Directory: p.directory, Replicas: p.adapter.Orders(p.pool), Logger: p.logger, Registry: p.registry,
-		RunningItems: p.jobs.Load, Tolerance: p.jobs.Tolerance, Demand: p.jobs.Demand, OnChange: p.jobs.NoteVersion, Announce: p.peers.HeartbeatSoon,
+		RunningItems: p.jobs.Load, Tolerance: p.jobs.Tolerance, Demand: p.jobs.Demand, OnChange: p.jobs.LearnVersion, Announce: p.peers.HeartbeatSoon,
 	})
 	if duties.Usage != nil {
 		p.usage = p.newUsage(duties.Usage)
--- a/internal/instance/slowstart.go
+++ b/internal/instance/slowstart.go
@@ -55,7 +55,7 @@
 func (p *parts) newSlowStart() *slowStart {
 	made := &slowStart{self: p.self, peers: p.peers, transport: p.transport, keeper: p.keeper}
 	made.client = slowstart.NewClient(slowstart.ClientConfig{
-		Ask: made.ask, Clock: p.clock, Allotted: p.jobs.LookAgain, Logger: p.logger, Registry: p.registry,
+		Ask: made.ask, Clock: p.clock, Allotted: p.jobs.WakeScheduler, Logger: p.logger, Registry: p.registry,
 	})
 	made.allotter = slowstart.NewAllotter(slowstart.AllotterConfig{
 		Limits: slowstart.Limits{Overage: p.settings.WarmUpOverage, Slack: p.settings.WarmUpSlack},
--- a/internal/jobs/batch/accept.go
+++ b/internal/jobs/batch/accept.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// backgroundTime is how long a submission without an answer is pursued after
-// its caller has been told that it is uncertain.
-const backgroundTime = 30 * time.Second
+// backgroundTimeout bounds how long a submission whose outcome is uncertain is retried
+// after its caller has been answered.
+const backgroundTimeout = 30 * time.Second
 
 // acceptance is a submission on its way into the store.
 type acceptance struct {
@@ -19,11 +19,11 @@
 	err    error
 }
 
-// Submit makes a batch job lasting and has it run, by the node that runs the
-// jobs of its model if that one answers. A nil error means that the job is kept;
-// a *NotTakenError that nothing of it will run; ErrOtherTenant that the id stands
-// for another tenant's; an *UncertainError promises nothing. The same job is
-// taken once whoever submits it again.
+// Submit stores a batch job and has it run, by the node that runs the jobs of its model if
+// that one answers. A nil error means that the job is stored; a *journal.NotTakenError
+// that nothing of it will run; ErrOtherTenant that the id is another tenant's job's; a
+// *journal.UncertainError promises nothing. A job is accepted once, whoever submits it
+// again.
 func (s *Service) Submit(ctx context.Context, arrival *Arrival) error {
 	if s.isKnown(arrival.ID) {
 		return s.authorizeArrival(ctx, arrival)
@@ -42,14 +42,14 @@
 	return err
 }
 
-// isKnown tells whether a batch job is known to be kept.
+// isKnown tells whether a batch job is known to be stored.
 func (s *Service) isKnown(id string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.jobs[id] != nil || s.known[id] != nil
+	return s.jobs[id] != nil || s.remoteJobs[id] != nil
 }
 
-// submitHere makes a batch job lasting and runs it on this node.
+// submitHere stores a batch job and runs it on this node.
 func (s *Service) submitHere(ctx context.Context, arrival *Arrival) error {
 	if s.isKnown(arrival.ID) {
 		return s.authorizeArrival(ctx, arrival)
@@ -78,7 +78,7 @@
 	s.accepting[arrival.ID] = pending
 	deadline, bounded := ctx.Deadline()
 	if !bounded {
-		deadline = time.Now().Add(backgroundTime)
+		deadline = time.Now().Add(backgroundTimeout)
 	}
 	go s.accept(pending, deadline, arrival)
 	return pending
@@ -92,40 +92,40 @@
 	id, began := arrival.ID, time.Now()
 	record := s.recordOf(arrival)
 	ctx = s.within(ctx, record)
-	standing, made, err := s.config.Journal.Accept(ctx, id, record, arrival.Payload)
-	if err == nil && standing.Tenant != record.Tenant {
+	stored, made, err := s.config.Journal.Accept(ctx, id, record, arrival.Payload)
+	if err == nil && stored.Tenant != record.Tenant {
 		err = ErrOtherTenant
 	}
 	pending.err = err
 	if _, uncertain := err.(*journal.UncertainError); uncertain {
 		s.config.Logger.Info("batch job outcome unknown, retrying", "request", id, "error", err.Error())
 		close(pending.done)
-		longer, cancelLonger := context.WithTimeout(s.base, backgroundTime)
+		longer, cancelLonger := context.WithTimeout(s.base, backgroundTimeout)
 		defer cancelLonger()
-		standing, made, err = s.config.Journal.Accept(s.within(longer, record), id, record, arrival.Payload)
+		stored, made, err = s.config.Journal.Accept(s.within(longer, record), id, record, arrival.Payload)
 	} else {
 		defer close(pending.done)
 	}
 	s.mutex.Lock()
 	delete(s.accepting, id)
-	own := err == nil && standing.Owner == s.config.Self
+	own := err == nil && stored.Owner == s.config.Self
 	if err == nil && !own {
-		s.noteStanding(journal.StoredJob{ID: id, Record: standing})
+		s.learnStored(journal.StoredJob{ID: id, Record: stored})
 	}
 	s.mutex.Unlock()
 	if err != nil {
 		s.config.Logger.Info("batch job not accepted", "request", id, "error", err.Error())
 		return
 	}
-	s.config.Logger.Info("batch job accepted", "request", id, "owner", standing.Owner.Node, "items", len(arrival.Submission.Items),
-		"bytes", len(arrival.Payload), "tenant", standing.Tenant)
+	s.config.Logger.Info("batch job accepted", "request", id, "owner", stored.Owner.Node, "items", len(arrival.Submission.Items),
+		"bytes", len(arrival.Payload), "tenant", stored.Tenant)
 	switch {
-	case own && made && time.Since(began) < promptAnswer:
-		s.start(id, arrival.Submission, standing, journal.Listing{}, began)
+	case own && made && time.Since(began) < maxPromptAcceptance:
+		s.start(id, arrival.Submission, stored, journal.Listing{}, began)
 	case own:
 		// An earlier try made it, it was run here and forgotten, or it may have been
 		// taken over while the answer was on its way.
-		go s.takeUpAgain(id)
+		go s.resume(id)
 	}
 }
 
@@ -137,26 +137,25 @@
 	}
 }
 
-// promptAnswer is how long an acceptance may take for its record to stand as it was
-// made: nobody takes a job over before its owner has been silent for longer.
-const promptAnswer = ownership.OwnerTimeout
+// maxPromptAcceptance is how long an acceptance may take for its record to be unchanged
+// since: nobody takes a job over before its owner has been silent for as long.
+const maxPromptAcceptance = ownership.OwnerTimeout
 
-// takeUpAgain goes on with a job of this node's that is not held, unless it has
-// ended.
-func (s *Service) takeUpAgain(id string) {
-	standing, err := s.config.Journal.Read(s.base, id)
+// resume continues a job of this process that it does not hold, unless the job has ended.
+func (s *Service) resume(id string) {
+	stored, err := s.config.Journal.Read(s.base, id)
 	if err != nil {
 		// It is taken over like any job whose owner is silent.
 		s.mutex.Lock()
-		s.noteRemote(id, s.config.Self, 0, false)
+		s.learnRemote(id, s.config.Self, 0, false)
 		s.mutex.Unlock()
 		return
 	}
-	if standing.Ended || standing.Record.Owner != s.config.Self {
+	if stored.Ended || stored.Record.Owner != s.config.Self {
 		s.mutex.Lock()
-		s.noteStanding(standing)
+		s.learnStored(stored)
 		s.mutex.Unlock()
 		return
 	}
-	s.loadJob(s.base, standing)
+	s.loadJob(s.base, stored)
 }
--- a/internal/jobs/batch/peers.go
+++ b/internal/jobs/batch/answers.go
@@ -30,8 +30,8 @@
 }
 
 func (s *Service) answerRead(question *wire.JobRead) *wire.JobPage {
-	patience := time.Duration(question.WaitMs) * time.Millisecond
-	page, held := s.readHeld(s.base, question.Job, int(question.After), patience)
+	wait := time.Duration(question.WaitMs) * time.Millisecond
+	page, held := s.readHeld(s.base, question.Job, int(question.After), wait)
 	if !held {
 		ctx, cancel := context.WithTimeout(s.base, peerMargin)
 		defer cancel()
@@ -65,7 +65,7 @@
 		reply(&wire.Failure{Detail: "the job is not run here"})
 		return
 	}
-	ctx, cancel := context.WithTimeout(s.base, endTime)
+	ctx, cancel := context.WithTimeout(s.base, ownerEndTimeout)
 	defer cancel()
 	if err := s.End(ctx, question.Job); err != nil {
 		reply(&wire.Failure{Detail: err.Error()})
--- a/internal/jobs/batch/unsure_test.go
+++ b/internal/jobs/batch/append_answer_test.go
@@ -24,7 +24,7 @@
 	held.flushLater()
 	eventually(t, "the results are in the store", func() bool { return cluster.store.Has(journal.KindResults, journal.ChunkName("job", 0)) })
 	read := cluster.readBesideOwner()
-	time.Sleep(2 * appendGrace)
+	time.Sleep(2 * appendAnswerTimeout)
 	cluster.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Silent })
 	cluster.checkNothingGone("while the store answers nobody", read)
 	cluster.store.SetFault(nil)
--- a/internal/jobs/batch/arrival.go
+++ b/internal/jobs/batch/arrival.go
@@ -1,6 +1,6 @@
 package batch
 
-// Arrival is a batch job as it comes to a node, before it is kept.
+// Arrival is a batch job as it comes to a node, before it is stored.
 type Arrival struct {
 	// ID is the caller's id of the job.
 	ID string
--- a/internal/jobs/batch/attempt.go
+++ b/internal/jobs/batch/attempt.go
@@ -14,8 +14,8 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// attemptTime is the time that a replica is given for one run.
-const attemptTime = 20 * time.Second
+// runTimeout bounds one run of an item at a replica.
+const runTimeout = 20 * time.Second
 
 // attempt is one run of an item at a replica.
 type attempt struct {
@@ -27,8 +27,8 @@
 	priority int
 	// events counts the events of this run, and heard is when the last came,
 	// as a span since begun.
-	events atomic.Int64
-	heard  atomic.Int64
+	events    atomic.Int64
+	lastEvent atomic.Int64
 	// after is how many events the item had before this run.
 	after int
 	// first is how long the first event took, and longestGap the longest time
@@ -40,7 +40,9 @@
 }
 
 // idle is how long nothing has come.
-func (a *attempt) idle() time.Duration { return time.Since(a.begun) - time.Duration(a.heard.Load()) }
+func (a *attempt) idle() time.Duration {
+	return time.Since(a.begun) - time.Duration(a.lastEvent.Load())
+}
 
 // cut ends the run for a reason.
 func (a *attempt) cut(reason error) { a.cancel(reason) }
@@ -69,7 +71,7 @@
 		}
 		cancel(nil)
 		running.took = time.Since(running.begun)
-		s.ran(running, err)
+		s.runEnded(running, err)
 		if err == nil {
 			s.score(running, rewardAttempts)
 		}
@@ -81,7 +83,7 @@
 	work := running.item
 	call := &dispatch.Call{
 		ID: work.ID, Method: http.MethodPost, Target: work.Target, Host: host, Header: work.Header, Body: work.Body,
-		Deadline: time.Now().Add(attemptTime), AfterEvent: len(work.progress.events), Resumable: true, Rank: dispatch.RankOf(running.priority),
+		Deadline: time.Now().Add(runTimeout), AfterEvent: len(work.progress.events), Resumable: true, Rank: dispatch.RankOf(running.priority),
 		Tenant: work.job.record.Tenant, Purpose: exchange.PurposeItem,
 	}
 	answer, err := s.config.Dispatcher.Send(ctx, running.endpoint, call)
@@ -102,12 +104,12 @@
 		answer.Discard()
 		return err
 	}
-	return s.takeEvents(running, answer, version, singleVersion)
+	return s.receiveEvents(running, answer, version, singleVersion)
 }
 
-// takeEvents reads the events of an answer to its end. The version is the answer's
+// receiveEvents reads the events of an answer to its end. The version is the answer's
 // until an event names another.
-func (s *Service) takeEvents(running *attempt, answer *dispatch.Answer, version int64, singleVersion bool) error {
+func (s *Service) receiveEvents(running *attempt, answer *dispatch.Answer, version int64, singleVersion bool) error {
 	work := running.item
 	events := eventstream.NewReader(answer, s.config.Codec.VersionField(), len(work.progress.events))
 	for {
@@ -135,12 +137,12 @@
 			answer.Discard()
 			return ErrOldWeights
 		}
-		s.takeEvent(running, event.Data, version)
+		s.receiveEvent(running, event.Data, version)
 	}
 }
 
-// checkVersion tells why events of a weight version are not to be taken, where they
-// are not. Version 0 means that none was named.
+// checkVersion tells why events of a weight version must not be used, nil where they may.
+// Version 0 means that the replica named none.
 func checkVersion(version, least int64) error {
 	switch {
 	case version >= least:
@@ -168,11 +170,11 @@
 	work.startAnew()
 }
 
-// takeEvent takes the next event of an item's text and learns the replica's pace
-// from it.
-func (s *Service) takeEvent(running *attempt, event string, version int64) {
+// receiveEvent adds the next event to an item's text and learns the replica's pace from
+// it.
+func (s *Service) receiveEvent(running *attempt, event string, version int64) {
 	since := time.Since(running.begun)
-	interval := since - time.Duration(running.heard.Swap(int64(since)))
+	interval := since - time.Duration(running.lastEvent.Swap(int64(since)))
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	running.item.progress.add(event, version)
@@ -184,8 +186,8 @@
 	s.replicas.Get(running.endpoint.Name).Observe(interval, time.Now())
 }
 
-// ran ends a run: the item is done with, waits for another run, or failed.
-func (s *Service) ran(running *attempt, err error) {
+// runEnded ends a run: its item is finished, waits for another run, or has failed.
+func (s *Service) runEnded(running *attempt, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	work := running.item
@@ -194,7 +196,7 @@
 	state.Running--
 	work.running, work.lastRun = nil, running
 	work.events = max(work.events, len(work.progress.events))
-	defer s.nudge()
+	defer s.WakeScheduler()
 	if err == nil {
 		state.Failures.Observe(false, time.Now())
 		s.eventRates.Of(work.job.submission.Model).Observe(work.ExpectedTokens, len(work.progress.events))
@@ -202,8 +204,8 @@
 	if work.job.ended || work.job.displaced || err == nil {
 		return
 	}
-	s.judge(running, state, err)
-	s.config.Logger.Info("run ended early", append(running.account(), "error", err.Error())...)
+	s.handleRunError(running, state, err)
+	s.config.Logger.Info("run ended early", append(running.logFields(), "error", err.Error())...)
 	if work.done {
 		return
 	}
@@ -211,10 +213,9 @@
 	s.sortQueue()
 }
 
-// account tells of a run for the log: where it ran, how long after the job's
-// acceptance it began, and how its events came. Times are in milliseconds. It
-// is called once the run has ended.
-func (a *attempt) account() []any {
+// logFields describes a run that has ended for the log: where it ran, how long after the
+// start of the job here it began, and how its events came. Times are in milliseconds.
+func (a *attempt) logFields() []any {
 	work := a.item
 	return []any{
 		"request", work.ID, "job", work.job.id, "group", work.Group, "replica", a.endpoint.Name, "run", work.runs,
--- a/internal/jobs/batch/authorize.go
+++ b/internal/jobs/batch/authorize.go
@@ -21,14 +21,14 @@
 		holder, known = s.tenantOf(id)
 	}
 	if !known {
-		standing, err := s.config.Journal.Read(ctx, id)
+		stored, err := s.config.Journal.Read(ctx, id)
 		if err != nil {
 			return err
 		}
 		s.mutex.Lock()
-		s.noteStanding(standing)
+		s.learnStored(stored)
 		s.mutex.Unlock()
-		holder = standing.Record.Tenant
+		holder = stored.Record.Tenant
 	}
 	if holder != "" && holder != tenant {
 		s.config.Logger.Info("batch job asked for by another tenant", "request", id, "holder", holder, "tenant", tenant)
@@ -37,8 +37,7 @@
 	return nil
 }
 
-// authorizeArrival tells whether a job that is kept already may be handed in
-// again by a tenant.
+// authorizeArrival tells whether a tenant may submit a job again that is stored already.
 func (s *Service) authorizeArrival(ctx context.Context, arrival *Arrival) error {
 	err := s.Authorize(ctx, arrival.ID, arrival.Tenant)
 	switch {
@@ -50,23 +49,23 @@
 	return nil
 }
 
-// tenantOf tells whose a batch job is, if that is known here.
+// tenantOf returns a batch job's tenant, if it is known here.
 func (s *Service) tenantOf(id string) (tenant string, known bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if held := s.jobs[id]; held != nil {
 		return held.record.Tenant, true
 	}
-	if standing := s.known[id]; standing != nil && standing.tenantKnown {
-		return standing.tenant, true
+	if remote := s.remoteJobs[id]; remote != nil && remote.tenantKnown {
+		return remote.tenant, true
 	}
 	return "", false
 }
 
-// noteStanding records a batch job as the store has it. The mutex must be held.
-func (s *Service) noteStanding(standing journal.StoredJob) *remoteJob {
-	noted := s.noteRemote(standing.ID, standing.Record.Owner, standing.Record.Epoch, standing.Ended)
-	noted.tenant, noted.tenantKnown = standing.Record.Tenant, true
-	noted.noteOrigin(originOf(standing.Record))
-	return noted
+// learnStored records a job of another node as the store has it. The mutex must be held.
+func (s *Service) learnStored(stored journal.StoredJob) *remoteJob {
+	remote := s.learnRemote(stored.ID, stored.Record.Owner, stored.Record.Epoch, stored.Ended)
+	remote.tenant, remote.tenantKnown = stored.Record.Tenant, true
+	remote.learnOrigin(originOf(stored.Record))
+	return remote
 }
--- a/internal/jobs/batch/end.go
+++ b/internal/jobs/batch/end.go
@@ -9,12 +9,12 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// End ends a batch job: nothing more of it is run. With a nil error the store has the
-// end; a caller that gets another one repeats it.
+// End ends a batch job: nothing more of it is run. With a nil error the store has the end;
+// a caller that gets another one repeats the call.
 func (s *Service) End(ctx context.Context, id string) error {
 	s.mutex.Lock()
 	held := s.jobs[id]
-	kept := held != nil && held.endKept
+	kept := held != nil && held.endStored
 	s.mutex.Unlock()
 	switch {
 	case kept:
@@ -24,100 +24,100 @@
 	case s.endAtOwner(ctx, id):
 		return nil
 	}
-	standing, err := s.recordEnd(ctx, id)
+	stored, err := s.recordEnd(ctx, id)
 	if err != nil {
 		return err
 	}
-	s.noteEnded(id)
-	s.announce(id, standing.Record.Owner.Node)
+	s.endAndAnnounce(id)
+	s.announce(id, stored.Record.Owner.Node)
 	return nil
 }
 
-// endAtOwner has the owner of a job end it, and tells whether it has.
+// endAtOwner asks the owner of a job to end it, and tells whether it has.
 func (s *Service) endAtOwner(ctx context.Context, id string) bool {
 	owner, known := s.ownerOf(ctx, id)
 	if !known {
 		return false
 	}
-	message, err := environment.Ask(ctx, s.config.Peers, owner.Address, &wire.JobEnd{Job: id}, endTime)
+	message, err := environment.Ask(ctx, s.config.Peers, owner.Address, &wire.JobEnd{Job: id}, ownerEndTimeout)
 	if _, done := message.(*wire.Done); !done || err != nil {
 		return false
 	}
-	s.noteEnded(id)
+	s.endAndAnnounce(id)
 	return true
 }
 
 // endHeld ends a job that this node runs. No more of it runs from now on, whatever
 // the store answers.
 func (s *Service) endHeld(ctx context.Context, id string) error {
-	s.noteEnded(id)
-	err := s.keepEnd(ctx, id)
+	s.endAndAnnounce(id)
+	err := s.storeEnd(ctx, id)
 	if err != nil {
-		go s.pursueEnd(id)
+		go s.persistEnd(id)
 	}
 	return err
 }
 
-// keepEnd makes the end of a job lasting. The store's answer tells whose the job is: a
-// former owner that does not know of its successor must not answer from what it held.
-func (s *Service) keepEnd(ctx context.Context, id string) error {
+// storeEnd stores the end of a job. The store's answer names the owner: a former owner
+// that does not know its successor must not go on answering from memory.
+func (s *Service) storeEnd(ctx context.Context, id string) error {
 	began := time.Now()
-	standing, err := s.recordEnd(ctx, id)
+	stored, err := s.recordEnd(ctx, id)
 	if err != nil {
 		return err
 	}
 	s.mutex.Lock()
-	// The others are told of it from now on, however long it took.
+	// It is announced from now on, however long the write took.
 	s.ends.Announce(id, time.Now())
 	if held := s.jobs[id]; held != nil {
-		s.takeRecord(held, standing, began)
+		s.applyRecord(held, stored, began)
 	}
 	s.mutex.Unlock()
-	s.toTell.set()
-	s.announce(id, standing.Record.Owner.Node)
+	s.heartbeatWake.set()
+	s.announce(id, stored.Record.Owner.Node)
 	return nil
 }
 
-// pursueEnd makes an end lasting that the store did not take within its caller's time,
-// or that this node was only told of: the caller may not repeat it, and whoever takes
-// the job up later would run it on. It goes on when the job is another node's.
-func (s *Service) pursueEnd(id string) {
+// persistEnd stores an end that the store did not take within its caller's time, or that
+// another node announced: the caller may not repeat it, and a later owner would run the
+// job on. It goes on when the job has become another node's.
+func (s *Service) persistEnd(id string) {
 	s.mutex.Lock()
-	pursued := s.pursued[id]
-	s.pursued[id] = true
+	pursued := s.endsBeingPersisted[id]
+	s.endsBeingPersisted[id] = true
 	s.mutex.Unlock()
 	if pursued {
 		return
 	}
-	ctx, cancel := context.WithTimeout(s.base, backgroundTime)
+	ctx, cancel := context.WithTimeout(s.base, backgroundTimeout)
 	defer cancel()
-	if err := s.keepEnd(ctx, id); err != nil {
+	if err := s.storeEnd(ctx, id); err != nil {
 		s.config.Logger.Info("end of batch job given up", "request", id, "error", err.Error())
 	}
 	s.mutex.Lock()
-	delete(s.pursued, id)
+	delete(s.endsBeingPersisted, id)
 	s.mutex.Unlock()
 }
 
-// recordEnd has the store keep the end of a job, and returns the job as it stands.
+// recordEnd writes the end of a job to the store, and returns the job as stored then.
 func (s *Service) recordEnd(ctx context.Context, id string) (journal.StoredJob, error) {
 	began := time.Now()
-	standing, err := s.config.Journal.End(ctx, id)
+	stored, err := s.config.Journal.End(ctx, id)
 	took := time.Since(began).Milliseconds()
 	if err != nil {
 		s.config.Logger.Info("end of batch job not recorded", "request", id, "tookMs", took, "error", err.Error())
 		return journal.StoredJob{}, err
 	}
-	s.config.Logger.Info("end of batch job recorded", "request", id, "owner", standing.Record.Owner.Node, "tookMs", took)
-	return standing, nil
+	s.config.Logger.Info("end of batch job recorded", "request", id, "owner", stored.Record.Owner.Node, "tookMs", took)
+	return stored, nil
 }
 
-// noteEnded stops a job here and has the other nodes told.
-func (s *Service) noteEnded(id string) {
+// endAndAnnounce stops a job here and has its end announced to the other nodes.
+func (s *Service) endAndAnnounce(id string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.endLocally(id)
 	s.ends.Announce(id, time.Now())
-	s.toTell.set()
-	s.toWatch.set()
+	s.heartbeatWake.set()
+	s.ownerWatchWake.set()
 }
--- a/internal/jobs/batch/ends_test.go
+++ b/internal/jobs/batch/ends_test.go
@@ -46,15 +46,15 @@
 			eventually(t, "a node that hears of the end knows of it", func() bool {
 				successor.mutex.Lock()
 				defer successor.mutex.Unlock()
-				standing := successor.known["job"]
+				standing := successor.remoteJobs["job"]
 				return test.deaf || (standing != nil && standing.ended)
 			})
 			close(cluster.gate.Load().open)
 			eventually(t, "the takeover has come to its end", func() bool {
 				successor.mutex.Lock()
 				defer successor.mutex.Unlock()
-				standing := successor.known["job"]
-				return successor.jobs["job"] != nil || (standing != nil && !standing.taking)
+				standing := successor.remoteJobs["job"]
+				return successor.jobs["job"] != nil || (standing != nil && !standing.takingOver)
 			})
 			successor.mutex.Lock()
 			held := successor.jobs["job"]
@@ -62,7 +62,7 @@
 				t.Error("the job has been started after its end")
 			}
 			successor.mutex.Unlock()
-			time.Sleep(2 * lookPeriod)
+			time.Sleep(2 * scanInterval)
 			if again := engine.runCount(); again != begun {
 				t.Errorf("%d runs began after the end", again-begun)
 			}
@@ -120,12 +120,12 @@
 		t.Fatal(err)
 	}
 	// The end is told to all nodes once; that takes some microseconds here.
-	time.Sleep(lookPeriod)
+	time.Sleep(scanInterval)
 	close(gate.open)
 	if err := <-accepted; err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(2 * lookPeriod)
+	time.Sleep(2 * scanInterval)
 	if runs := engine.runCount(); runs != 0 {
 		t.Errorf("%d runs began after the end", runs)
 	}
--- a/internal/jobs/batch/epoch_test.go
+++ b/internal/jobs/batch/epoch_test.go
@@ -18,13 +18,13 @@
 func TestAHeartbeatOfAFormerOwnerChangesNothing(t *testing.T) {
 	cluster := newCluster(t, 1, startEngine(t, 1))
 	node := cluster.nodes[0]
-	beat := func(owner string, epoch uint32) *wire.NodeBeat {
+	heartbeat := func(owner string, epoch uint32) *wire.NodeBeat {
 		return &wire.NodeBeat{Node: owner, Address: owner, Incarnation: 1, Jobs: []string{"job"}, Work: []wire.JobWork{{Job: "job", Epoch: epoch}}}
 	}
 	heard := func() time.Time {
 		node.mutex.Lock()
 		defer node.mutex.Unlock()
-		return node.known["job"].heard
+		return node.remoteJobs["job"].lastHeartbeat
 	}
 	for _, test := range []struct {
 		from  string
@@ -44,7 +44,7 @@
 			before = heard()
 		}
 		time.Sleep(time.Millisecond)
-		node.ReceiveHeartbeat(beat(test.from, test.epoch))
+		node.ReceiveHeartbeat(heartbeat(test.from, test.epoch))
 		if owner, _ := node.knownOwner("job"); owner.Node != test.owner {
 			t.Errorf("after a heartbeat of %s in epoch %d the owner is %s, want %s", test.from, test.epoch, owner.Node, test.owner)
 		}
@@ -69,13 +69,13 @@
 	node.mutex.Unlock()
 	for epoch, doubted := range map[uint32]bool{1: false, 3: true} {
 		node.mutex.Lock()
-		held.doubtedAt = time.Time{}
+		held.suspectedAt = time.Time{}
 		node.mutex.Unlock()
 		node.ReceiveHeartbeat(&wire.NodeBeat{
 			Node: "node-8", Address: "node-8", Incarnation: 1, Jobs: []string{"job"}, Work: []wire.JobWork{{Job: "job", Epoch: epoch}},
 		})
 		node.mutex.Lock()
-		if got := !held.doubtedAt.IsZero(); got != doubted {
+		if got := !held.suspectedAt.IsZero(); got != doubted {
 			t.Errorf("a claim of epoch %d makes the job doubtful: %v", epoch, got)
 		}
 		node.mutex.Unlock()
--- a/internal/jobs/batch/failing.go
+++ b/internal/jobs/batch/failing.go
@@ -11,9 +11,9 @@
 // after three times as many.
 const maxFailuresFactor = 2
 
-// noteFailure takes a replica's word that an item failed there, and gives the item
-// up once that is certain to be the item's own. The mutex must be held.
-func (s *Service) noteFailure(running *attempt, state *replicastate.State) {
+// recordFailure records that a replica answered that an item failed there, and gives the
+// item up once that is certain to be the item's own fault. The mutex must be held.
+func (s *Service) recordFailure(running *attempt, state *replicastate.State) {
 	work, replica, now := running.item, running.endpoint.Name, time.Now()
 	wasFailing := state.Failures.IsFailing(now)
 	if !slices.Contains(work.failedAt, replica) {
@@ -26,7 +26,7 @@
 	if isFailing && !wasFailing {
 		s.config.Logger.Info("replica fails its runs", "replica", replica, "rate", state.Failures.At(now))
 	}
-	work.notBefore = now.Add(failurePause)
+	work.retryAt = now.Add(failurePause)
 	work.failures++
 	if !isFailing {
 		work.ownFailures++
--- a/internal/jobs/batch/harness_test.go
+++ b/internal/jobs/batch/harness_test.go
@@ -206,8 +206,8 @@
 }
 
 func (n *testNode) take(message wire.Message, reply func(wire.Message)) {
-	if beat, isBeat := message.(*wire.NodeBeat); isBeat {
-		reply(n.table.AnswerGreeting(beat))
+	if heartbeat, isBeat := message.(*wire.NodeBeat); isBeat {
+		reply(n.table.AnswerGreeting(heartbeat))
 		return
 	}
 	n.Answer(message, reply)
@@ -330,7 +330,7 @@
 	self := journal.Owner{Node: name, Address: name, Incarnation: uint64(time.Now().UnixNano())}
 	node.table = peering.NewTable(peering.Config{
 		Node: name, Address: name, Zone: c.places[name], Incarnation: self.Incarnation, Store: c.store, Peers: link{c.peers, name}, Logger: logger,
-		FillHeartbeat: func(beat *wire.NodeBeat) { node.FillHeartbeat(beat) }, OnHeartbeat: func(beat *wire.NodeBeat) { node.ReceiveHeartbeat(beat) },
+		FillHeartbeat: func(heartbeat *wire.NodeBeat) { node.FillHeartbeat(heartbeat) }, OnHeartbeat: func(heartbeat *wire.NodeBeat) { node.ReceiveHeartbeat(heartbeat) },
 		Watchers: func() []string { return node.Watchers() }, MaxBroadcastPeers: c.mostTold,
 	})
 	node.Service = NewService(ctx, Config{
--- a/internal/jobs/batch/heartbeat.go
+++ b/internal/jobs/batch/heartbeat.go
@@ -12,101 +12,101 @@
 )
 
 const (
-	// beatPeriod is the time between heartbeats of a node that runs jobs.
-	beatPeriod = 300 * time.Millisecond
-	// idleBeats is how many beats go out after the last job has closed, so
-	// that all have heard of its end.
-	idleBeats = 3
+	// heartbeatInterval is the time between heartbeats of a node that runs jobs.
+	heartbeatInterval = 300 * time.Millisecond
+	// idleHeartbeats is how many heartbeats follow the end of the last job, so that all
+	// nodes learn of it.
+	idleHeartbeats = 3
 )
 
 // FillHeartbeat adds what this node runs to its heartbeat.
-func (s *Service) FillHeartbeat(beat *wire.NodeBeat) {
-	beat.Uses = s.Uses()
+func (s *Service) FillHeartbeat(heartbeat *wire.NodeBeat) {
+	heartbeat.Uses = s.Uses()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for id, held := range s.jobs {
 		if held.open() {
-			beat.Jobs = append(beat.Jobs, id)
+			heartbeat.Jobs = append(heartbeat.Jobs, id)
 		}
 	}
-	slices.Sort(beat.Jobs)
-	for _, id := range beat.Jobs {
-		beat.Work = append(beat.Work, s.workOf(s.jobs[id]))
+	slices.Sort(heartbeat.Jobs)
+	for _, id := range heartbeat.Jobs {
+		heartbeat.Work = append(heartbeat.Work, s.workOf(s.jobs[id]))
 	}
-	beat.Leaving = s.leaving
-	beat.Tolerances = s.tolerances.Announced()
-	beat.Lengths = s.lengths.Announced(time.Now())
-	beat.Ended = s.ends.Announced(time.Now())
+	heartbeat.Leaving = s.leaving
+	heartbeat.Tolerances = s.tolerances.Announced()
+	heartbeat.Lengths = s.lengths.Announced(time.Now())
+	heartbeat.Ended = s.ends.Announced(time.Now())
 }
 
 // ReceiveHeartbeat takes another node's heartbeat.
-func (s *Service) ReceiveHeartbeat(beat *wire.NodeBeat) {
+func (s *Service) ReceiveHeartbeat(heartbeat *wire.NodeBeat) {
 	s.mutex.Lock()
-	s.replicas.LearnUses(beat, time.Now())
-	s.toWatch.set()
-	for _, told := range beat.Tolerances {
-		s.tolerances.Limit(told.Model, told.Versions)
+	s.replicas.LearnUses(heartbeat, time.Now())
+	s.ownerWatchWake.set()
+	for _, announced := range heartbeat.Tolerances {
+		s.tolerances.Limit(announced.Model, announced.Versions)
 	}
-	s.lengths.Learn(beat.Lengths, time.Now())
-	for _, work := range beat.Work {
+	s.lengths.Learn(heartbeat.Lengths, time.Now())
+	for _, work := range heartbeat.Work {
 		s.demand.Learn(work, time.Now())
 	}
-	contested := s.takeRunning(beat)
-	s.takeOrigins(beat.Work)
-	contested = append(contested, s.takeEnded(beat)...)
+	contested := s.learnRunningJobs(heartbeat)
+	s.learnOrigins(heartbeat.Work)
+	contested = append(contested, s.learnEnds(heartbeat)...)
 	s.mutex.Unlock()
-	for _, version := range beat.Versions {
-		s.NoteVersion(version)
+	for _, version := range heartbeat.Versions {
+		s.LearnVersion(version)
 	}
 	for _, held := range contested {
 		go s.confirmOwner(held)
 	}
-	s.nudge()
+	s.WakeScheduler()
 }
 
-// takeRunning notes which jobs a heartbeat's sender runs, and returns those of this
-// node's that it may own instead. The mutex must be held.
-func (s *Service) takeRunning(beat *wire.NodeBeat) []*job {
+// learnRunningJobs records which jobs a heartbeat's sender runs, and returns those of this
+// node that the sender may own instead. The mutex must be held.
+func (s *Service) learnRunningJobs(heartbeat *wire.NodeBeat) []*job {
 	var contested []*job
-	owner := journal.Owner{Node: beat.Node, Address: beat.Address, Incarnation: beat.Incarnation}
-	epochs := epochsOf(beat)
-	for _, id := range beat.Jobs {
+	owner := journal.Owner{Node: heartbeat.Node, Address: heartbeat.Address, Incarnation: heartbeat.Incarnation}
+	epochs := epochsOf(heartbeat)
+	for _, id := range heartbeat.Jobs {
 		if held := s.jobs[id]; held != nil {
-			if !beat.Leaving && !ownership.IsEarlierEpoch(epochs[id], held.record.Epoch) {
-				held.doubt()
+			if !heartbeat.Leaving && !ownership.IsEarlierEpoch(epochs[id], held.record.Epoch) {
+				held.markSuspect()
 				contested = append(contested, held)
 			}
 			continue
 		}
-		if standing := s.noteRemote(id, owner, epochs[id], false); standing.owner == owner {
-			standing.heard, standing.leaving = time.Now(), beat.Leaving
+		if remote := s.learnRemote(id, owner, epochs[id], false); remote.owner == owner {
+			remote.lastHeartbeat, remote.leaving = time.Now(), heartbeat.Leaving
 		}
 	}
 	return contested
 }
 
-// takeOrigins notes whose the jobs of other nodes are and where they come from. The
-// mutex must be held.
-func (s *Service) takeOrigins(works []wire.JobWork) {
+// learnOrigins records the tenants and origins of the jobs of other nodes. The mutex must
+// be held.
+func (s *Service) learnOrigins(works []wire.JobWork) {
 	for _, work := range works {
-		if standing := s.known[work.Job]; standing != nil {
-			standing.tenant, standing.tenantKnown = work.Tenant, true
+		if remote := s.remoteJobs[work.Job]; remote != nil {
+			remote.tenant, remote.tenantKnown = work.Tenant, true
 			if len(work.Routes) > 0 {
-				standing.noteOrigin(origin{routes: work.Routes, tenant: work.Tenant, entry: work.Entry})
+				remote.learnOrigin(origin{routes: work.Routes, tenant: work.Tenant, entry: work.Entry})
 			}
 		}
 	}
 }
 
-// takeEnded ends the jobs that a heartbeat says have ended, and returns those of this
-// node's whose ends it has not kept itself. The mutex must be held.
-func (s *Service) takeEnded(beat *wire.NodeBeat) []*job {
+// learnEnds ends the jobs that a heartbeat announces as ended, and returns those of this
+// node whose ends the store is not known to have. The mutex must be held.
+func (s *Service) learnEnds(heartbeat *wire.NodeBeat) []*job {
 	var contested []*job
-	for _, id := range beat.Ended {
-		s.logUnheldEnd(id, beat.Node)
-		if held := s.jobs[id]; held != nil && !held.endKept {
+	for _, id := range heartbeat.Ended {
+		s.logUnheldEnd(id, heartbeat.Node)
+		if held := s.jobs[id]; held != nil && !held.endStored {
 			// Whoever ended it took another node for the owner.
-			held.doubt()
+			held.markSuspect()
 			contested = append(contested, held)
 		}
 		s.endLocally(id)
@@ -114,11 +114,11 @@
 	return contested
 }
 
-// epochsOf are the epochs in which a heartbeat's sender runs its jobs, where it tells
+// epochsOf are the epochs in which a heartbeat's sender runs its jobs, where it names
 // them.
-func epochsOf(beat *wire.NodeBeat) map[string]int {
-	epochs := make(map[string]int, len(beat.Work))
-	for _, work := range beat.Work {
+func epochsOf(heartbeat *wire.NodeBeat) map[string]int {
+	epochs := make(map[string]int, len(heartbeat.Work))
+	for _, work := range heartbeat.Work {
 		epochs[work.Job] = int(work.Epoch)
 	}
 	return epochs
@@ -127,19 +127,19 @@
 // logUnheldEnd logs the end of a job that this node is taking over: there is no
 // job yet that it could stop. The mutex must be held.
 func (s *Service) logUnheldEnd(id, from string) {
-	standing := s.known[id]
-	if s.jobs[id] != nil || standing == nil || !standing.taking || standing.ended {
+	remote := s.remoteJobs[id]
+	if s.jobs[id] != nil || remote == nil || !remote.takingOver || remote.ended {
 		return
 	}
 	s.config.Logger.Info("end heard of while the batch job is taken over", "request", id, "from", from)
 }
 
-// endLocally stops a job that its caller has ended, and keeps one that this node is
-// about to take up from being started. The mutex must be held.
+// endLocally stops a job whose caller has ended it, and keeps one that this node is about
+// to start from being started. The mutex must be held.
 func (s *Service) endLocally(id string) {
 	s.ends.Learn(id, time.Now())
-	if standing := s.known[id]; standing != nil {
-		standing.ended = true
+	if remote := s.remoteJobs[id]; remote != nil {
+		remote.ended = true
 	}
 	held := s.jobs[id]
 	if held == nil || held.ended {
@@ -155,31 +155,31 @@
 		"chunks", held.chunks, "appending", !held.appendingSince.IsZero())
 }
 
-// beat sends heartbeats while this node has something to tell, and waits for that
-// otherwise: most nodes of a large deployment never run a job.
-func (s *Service) beat(ctx context.Context) {
+// sendHeartbeats sends heartbeats while this node has something to announce, and waits for
+// that otherwise: most nodes of a large deployment never run a job.
+func (s *Service) sendHeartbeats(ctx context.Context) {
 	quiet := 0
 	for {
-		if quiet > idleBeats {
-			if !s.toTell.wait(ctx) {
+		if quiet > idleHeartbeats {
+			if !s.heartbeatWake.wait(ctx) {
 				return
 			}
-		} else if !objectstore.Sleep(ctx, beatPeriod) {
+		} else if !objectstore.Sleep(ctx, heartbeatInterval) {
 			return
 		}
-		if s.OpenJobs() > 0 || s.tellsEnds() {
+		if s.OpenJobs() > 0 || s.announcesEnds() {
 			quiet = 0
 		} else {
 			quiet++
 		}
-		if quiet <= idleBeats {
+		if quiet <= idleHeartbeats {
 			s.config.Table.Heartbeat()
 		}
 	}
 }
 
-// tellsEnds tells whether an end of late is to be told to the other nodes.
-func (s *Service) tellsEnds() bool {
+// announcesEnds tells whether there is a recent end to announce.
+func (s *Service) announcesEnds() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.ends.Announced(time.Now())) > 0
--- a/internal/jobs/batch/homes.go
+++ b/internal/jobs/batch/homes.go
@@ -25,8 +25,8 @@
 	return origin{routes: append([]string{record.Route}, record.Scorers...), tenant: record.Tenant, entry: record.Entry}
 }
 
-// noteOrigin records where a job of another node's comes from.
-func (f *remoteJob) noteOrigin(from origin) {
+// learnOrigin records where a job of another node comes from.
+func (f *remoteJob) learnOrigin(from origin) {
 	if f.origin == nil {
 		// The rank depends on it.
 		f.membership = 0
@@ -69,11 +69,11 @@
 
 // bodyHomes are the regions whose nodes may have the body of a tenant's request.
 func bodyHomes(configuration *directory.Configuration, route, tenant string) homes.Set {
-	standing := configuration.Named(route)
-	if standing == nil || (tenant != "" && configuration.Tenants.Named(tenant) == nil) {
+	declared := configuration.Named(route)
+	if declared == nil || (tenant != "" && configuration.Tenants.Named(tenant) == nil) {
 		return homes.Nowhere()
 	}
-	return configuration.HomesOf(standing, tenant)
+	return configuration.HomesOf(declared, tenant)
 }
 
 // within returns a context for the store's calls that carry bodies of a job.
@@ -114,27 +114,26 @@
 	return s.config.Directory.RegionOf(peer.Zone)
 }
 
-// isOutsider tells whether this node may not have the bodies of a job of another
-// node's, as far as it is known where that comes from. The mutex must be held.
-func (s *Service) isOutsider(standing *remoteJob) bool {
-	return standing.origin != nil && !s.boundsOf(*standing.origin).AllowsNode(s.config.Region)
+// isOutsider tells whether this node may not have the bodies of another node's job, as far
+// as the job's origin is known. The mutex must be held.
+func (s *Service) isOutsider(remote *remoteJob) bool {
+	return remote.origin != nil && !s.boundsOf(*remote.origin).AllowsNode(s.config.Region)
 }
 
-// logWaiting says once of a job that no other node known may take it over. Its origin
-// is known, since every node may take over a job whose origin is not. The mutex must be
-// held.
-func (s *Service) logWaiting(id string, standing *remoteJob) {
-	if standing.waitLogged || standing.ended || s.config.Directory.View().Configuration == nil {
+// logWaiting logs once that no other node known may take a job over. The job's origin is
+// known, since every node may take over a job whose origin is not. The mutex must be held.
+func (s *Service) logWaiting(id string, remote *remoteJob) {
+	if remote.waitLogged || remote.ended || s.config.Directory.View().Configuration == nil {
 		return
 	}
-	standing.waitLogged = true
+	remote.waitLogged = true
 	s.config.Logger.Info("batch job waits for a node in its allowed regions, should its owner fall silent", "request", id,
-		"owner", standing.owner.Node, "allowed", s.boundsOf(*standing.origin).Homes().Regions(), "entry", standing.origin.entry)
+		"owner", remote.owner.Node, "allowed", s.boundsOf(*remote.origin).Homes().Regions(), "entry", remote.origin.entry)
 }
 
-// logKept says of which jobs this node cannot give away, since no other node known may
-// have them: they go on once there is one. The mutex must be held.
-func (s *Service) logKept() {
+// logJobsWithoutSuccessor logs the jobs that this node cannot give away, since no other
+// node known may have them: they wait until there is one. The mutex must be held.
+func (s *Service) logJobsWithoutSuccessor() {
 	nodes := s.config.Table.Nodes()
 	for id, held := range s.jobs {
 		from := originOf(held.record)
--- a/internal/jobs/batch/homes_test.go
+++ b/internal/jobs/batch/homes_test.go
@@ -131,7 +131,7 @@
 			t.Errorf("a node outside runs the job: %v, and has read %d payloads", node.runs("job"), reads[number].count(journal.KindPayloads))
 		}
 		node.mutex.Lock()
-		if !node.known["job"].waitLogged {
+		if !node.remoteJobs["job"].waitLogged {
 			t.Error("nothing is said of a job that waits")
 		}
 		node.mutex.Unlock()
@@ -144,7 +144,7 @@
 	checkWhole(t, "job", c.readAll(c.nodes[1], "job", 4), 4, 3)
 	c.nodes[1].mutex.Lock()
 	defer c.nodes[1].mutex.Unlock()
-	if kept := len(c.nodes[1].known["job"].results); kept > 0 {
+	if kept := len(c.nodes[1].remoteJobs["job"].results); kept > 0 {
 		t.Errorf("a node outside keeps %d results", kept)
 	}
 }
@@ -168,10 +168,10 @@
 	eventually(t, "the watcher has heard of the job", func() bool {
 		watcher.mutex.Lock()
 		defer watcher.mutex.Unlock()
-		return watcher.known["job"] != nil && watcher.known["job"].origin != nil
+		return watcher.remoteJobs["job"] != nil && watcher.remoteJobs["job"].origin != nil
 	})
 	watcher.mutex.Lock()
-	if rank := watcher.cachedRank("job", watcher.known["job"]); rank != 0 {
+	if rank := watcher.cachedRank("job", watcher.remoteJobs["job"]); rank != 0 {
 		t.Errorf("the only node inside has rank %d", rank)
 	}
 	watcher.mutex.Unlock()
@@ -222,7 +222,7 @@
 	eventually(t, "the former home is full", func() bool { return former.total() == 8 })
 	c.homes = []string{"west"}
 	c.configure(c.nodes[0].config.Directory, 2)
-	c.nodes[0].nudge()
+	c.nodes[0].WakeScheduler()
 	eventually(t, "the others run in the new home", func() bool { return next.total() >= 4 })
 	if next.total() > 4 {
 		t.Errorf("%d items went to the new home while 8 ran in the former one", next.total())
--- a/internal/jobs/batch/job.go
+++ b/internal/jobs/batch/job.go
@@ -13,7 +13,7 @@
 	id         string
 	submission *Submission
 	record     journal.Record
-	// takenUp is when this node took the job up.
+	// takenUp is when this node started the job.
 	takenUp time.Time
 	// givenUpAt is when items may be given up, zero for never.
 	givenUpAt time.Time
@@ -45,19 +45,19 @@
 
 	ended   bool
 	endedAt time.Time
-	// endKept tells that the store has the end.
-	endKept bool
+	// endStored tells that the store has the end.
+	endStored bool
 	// displaced is set once another node owns the job, and suspect while that
 	// may be so: the results here may then lack some that have been read.
 	displaced bool
 	suspect   bool
-	// doubtedAt is when the job became suspect last: a look that began before shows
-	// nothing.
-	doubtedAt time.Time
-	// confirmedAt is when the last look at the record that was answered began, and
-	// lookedAt when the last one of all did.
+	// suspectedAt is when the job became suspect last: a read of the record that began
+	// before shows nothing.
+	suspectedAt time.Time
+	// confirmedAt is when the last read of the record that was answered began, and
+	// lastReadAt when the last one of all did.
 	confirmedAt time.Time
-	lookedAt    time.Time
+	lastReadAt  time.Time
 	// changed is closed at each change that a waiting reader has to see.
 	changed chan struct{}
 	// ctx is that of the job's runs: it ends with the job.
@@ -72,9 +72,9 @@
 // group counts the items of a group that have no result yet.
 type group struct {
 	open int
-	// carried is set where an earlier job ended without the group, so that the trainer
+	// inherited is set where an earlier job ended without the group, so that the trainer
 	// waits for it in any case.
-	carried bool
+	inherited bool
 }
 
 // item is the state of one item on its way. The service's mutex guards it.
@@ -114,7 +114,7 @@
 	waited  time.Duration
 	lastRun *attempt
 	// notBefore is when the item may run again.
-	notBefore time.Time
+	retryAt time.Time
 }
 
 // open tells whether the job still has work.
@@ -122,13 +122,13 @@
 
 // mayBeLost tells whether another node may take the job over: it is open, or the
 // store does not have its end.
-func (j *job) mayBeLost() bool { return j.open() || (j.ended && !j.endKept && !j.displaced) }
+func (j *job) mayBeLost() bool { return j.open() || (j.ended && !j.endStored && !j.displaced) }
 
 // allListed tells whether every item has a result in the store.
 func (j *job) allListed() bool { return len(j.listed) >= len(j.items) }
 
-// doubt makes the job suspect until a look at its record that begins from now on.
-func (j *job) doubt() { j.suspect, j.doubtedAt = true, time.Now() }
+// markSuspect makes the job suspect until a read of its record that begins from now on.
+func (j *job) markSuspect() { j.suspect, j.suspectedAt = true, time.Now() }
 
 // notify wakes the readers that wait.
 func (j *job) notify() {
@@ -136,13 +136,12 @@
 	j.changed = make(chan struct{})
 }
 
-// appendGrace is for how long results on their way into the store are taken for not
-// there yet. Readers are promised that what was read stays from a second later on, and
-// an append takes 10 to 30 ms.
-const appendGrace = 100 * time.Millisecond
+// appendAnswerTimeout is how long results on their way into the store are taken for not
+// there yet. Readers are promised that what was read stays from a second later on.
+const appendAnswerTimeout = 100 * time.Millisecond
 
-// isCertain tells whether what is held may be answered from: not where another node
-// may own the job, nor where an append that the end met has no answer yet. The mutex
+// isCertain tells whether the job may be answered from memory: not where another node may
+// own it, nor where an append that was under way at its end has no answer yet. The mutex
 // must be held.
 func (j *job) isCertain() bool {
 	return j != nil && !j.suspect && !(j.ended && !j.appendingSince.IsZero())
@@ -151,7 +150,7 @@
 // isAppending tells whether the store may have results that are not listed here. The
 // mutex must be held.
 func (j *job) isAppending() bool {
-	return !j.appendingSince.IsZero() && time.Since(j.appendingSince) > appendGrace
+	return !j.appendingSince.IsZero() && time.Since(j.appendingSince) > appendAnswerTimeout
 }
 
 // flushLater has the publisher append what is finished.
--- a/internal/jobs/batch/leave.go
+++ b/internal/jobs/batch/leave.go
@@ -3,29 +3,29 @@
 import "time"
 
 const (
-	// leaveSaving bounds how long the saving of texts and of ends is waited for before
-	// jobs are given away, and leaveLook is the time between looks at it.
-	leaveSaving = time.Second
-	leaveLook   = 10 * time.Millisecond
+	// leaveSaveTimeout bounds the wait for texts and ends to be stored before jobs are
+	// given away, and leavePollInterval is the time between checks of it.
+	leaveSaveTimeout  = time.Second
+	leavePollInterval = 10 * time.Millisecond
 )
 
 // Leave gives the jobs of this node away: others take them over at once, with
 // the texts so far.
 func (s *Service) Leave() {
 	s.flushTexts()
-	for began := time.Now(); s.isSaving() && time.Since(began) < leaveSaving; {
-		time.Sleep(leaveLook)
+	for began := time.Now(); s.isSaving() && time.Since(began) < leaveSaveTimeout; {
+		time.Sleep(leavePollInterval)
 	}
 	s.mutex.Lock()
 	s.leaving = true
-	s.logKept()
+	s.logJobsWithoutSuccessor()
 	s.mutex.Unlock()
-	s.config.Table.Announce(s.concernedByLeave())
+	s.config.Table.Announce(s.nodesKnowingOpenJobs())
 }
 
-// concernedByLeave names the nodes that know of open jobs here. Those that would offer
-// this node a job learn it from its answer.
-func (s *Service) concernedByLeave() []string {
+// nodesKnowingOpenJobs names the nodes that know of open jobs here. Those that would offer
+// this node a job learn from its answer that it leaves.
+func (s *Service) nodesKnowingOpenJobs() []string {
 	var open []string
 	s.mutex.Lock()
 	for id, held := range s.jobs {
@@ -51,12 +51,11 @@
 	}
 }
 
-// isSaving tells whether a flush of texts has not come to its end, or an end is being
-// made lasting.
+// isSaving tells whether texts or ends are on their way into the store.
 func (s *Service) isSaving() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if len(s.pursued) > 0 {
+	if len(s.endsBeingPersisted) > 0 {
 		return true
 	}
 	for _, held := range s.jobs {
--- a/internal/jobs/batch/listing.go
+++ b/internal/jobs/batch/listing.go
@@ -53,8 +53,8 @@
 // has asked for before. The mutex must be held.
 func (j *job) hasDesiredIf(isSettled func(*item) bool) bool {
 	open := map[*group]int{}
-	for _, standing := range j.groups {
-		open[standing] = standing.open
+	for _, counted := range j.groups {
+		open[counted] = counted.open
 	}
 	for _, waited := range j.items {
 		if !waited.done && waited.group != nil && isSettled(waited) {
@@ -62,10 +62,10 @@
 		}
 	}
 	whole := 0
-	for standing, left := range open {
+	for counted, left := range open {
 		if left == 0 {
 			whole++
-		} else if standing.carried {
+		} else if counted.inherited {
 			return false
 		}
 	}
@@ -77,8 +77,8 @@
 // must be held.
 func (j *job) nearlyWhole() bool {
 	whole := 0
-	for _, standing := range j.groups {
-		if standing.open == 0 {
+	for _, counted := range j.groups {
+		if counted.open == 0 {
 			whole++
 		}
 	}
--- a/internal/jobs/batch/locate.go
+++ b/internal/jobs/batch/locate.go
@@ -15,7 +15,7 @@
 	// that it does not know, and locateTime bounds their answer. The store is asked
 	// where none of them knows.
 	locatorsAsked = 3
-	locateTime    = 150 * time.Millisecond
+	locateTimeout = 150 * time.Millisecond
 )
 
 // locatorsOf names the nodes that hear of a job's start and end.
@@ -23,13 +23,14 @@
 	return ownership.LocatorsOf(id, s.config.Table.Nodes())
 }
 
-// announce tells the nodes that a job concerns of its start or end, and some more.
+// announce sends a heartbeat about a job's start or end to the job's locators and to some
+// more nodes.
 func (s *Service) announce(id string, more ...string) {
 	s.config.Table.Announce(append(s.locatorsOf(id), more...))
 }
 
-// ownerOf tells which other node runs a job, as this node or one that hears of the job
-// knows. False leaves the question to the store.
+// ownerOf returns which other node runs a job, as this node or a locator knows. False
+// leaves the question to the store.
 func (s *Service) ownerOf(ctx context.Context, id string) (journal.Owner, bool) {
 	if owner, known := s.knownOwner(id); known {
 		return owner, true
@@ -37,15 +38,15 @@
 	return s.locate(ctx, id)
 }
 
-// knownOwner tells which other node runs a job, if this node knows.
+// knownOwner returns which other node runs a job, if this node knows.
 func (s *Service) knownOwner(id string) (journal.Owner, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	standing := s.known[id]
-	if standing == nil {
+	remote := s.remoteJobs[id]
+	if remote == nil {
 		return journal.Owner{}, false
 	}
-	return standing.owner, true
+	return remote.owner, true
 }
 
 // locate asks the nodes that hear of a job who runs it, where not all nodes do.
@@ -53,7 +54,7 @@
 	if s.config.Table.AnnouncesToAll() {
 		return journal.Owner{}, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, locateTime)
+	ctx, cancel := context.WithTimeout(ctx, locateTimeout)
 	defer cancel()
 	answers := make(chan *wire.JobFound, locatorsAsked)
 	asked := 0
@@ -67,7 +68,7 @@
 	}
 	for range asked {
 		if found := <-answers; found != nil && found.Known {
-			return s.noteFound(id, found), true
+			return s.learnFound(id, found), true
 		}
 	}
 	return journal.Owner{}, false
@@ -75,7 +76,7 @@
 
 // askLocator asks one node who runs a job; nil if it does not answer.
 func (s *Service) askLocator(ctx context.Context, address, id string) *wire.JobFound {
-	reply, err := environment.Ask(ctx, s.config.Peers, address, &wire.JobFind{Job: id}, locateTime)
+	reply, err := environment.Ask(ctx, s.config.Peers, address, &wire.JobFind{Job: id}, locateTimeout)
 	found, ok := reply.(*wire.JobFound)
 	if err != nil || !ok {
 		return nil
@@ -83,19 +84,19 @@
 	return found
 }
 
-// noteFound records what another node knows of a job, and returns its owner.
-func (s *Service) noteFound(id string, found *wire.JobFound) journal.Owner {
+// learnFound records what another node knows of a job, and returns its owner.
+func (s *Service) learnFound(id string, found *wire.JobFound) journal.Owner {
 	owner := journal.Owner{Node: found.Owner.Node, Address: found.Owner.Address, Incarnation: found.Owner.Incarnation}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.jobs[id] != nil {
 		return owner
 	}
-	standing := s.noteRemote(id, owner, int(found.Epoch), found.Ended)
+	remote := s.learnRemote(id, owner, int(found.Epoch), found.Ended)
 	if found.TenantKnown {
-		standing.tenant, standing.tenantKnown = found.Tenant, true
+		remote.tenant, remote.tenantKnown = found.Tenant, true
 	}
-	return standing.owner
+	return remote.owner
 }
 
 // answerFind answers another node's question who runs a job.
@@ -108,13 +109,13 @@
 			Tenant: held.record.Tenant, TenantKnown: true,
 		}
 	}
-	standing := s.known[question.Job]
-	if standing == nil || standing.owner.Node == "" {
+	remote := s.remoteJobs[question.Job]
+	if remote == nil || remote.owner.Node == "" {
 		return &wire.JobFound{}
 	}
 	return &wire.JobFound{
-		Known: true, Owner: addressOf(standing.owner), Epoch: uint32(standing.epoch), Ended: standing.ended,
-		Tenant: standing.tenant, TenantKnown: standing.tenantKnown,
+		Known: true, Owner: addressOf(remote.owner), Epoch: uint32(remote.epoch), Ended: remote.ended,
+		Tenant: remote.tenant, TenantKnown: remote.tenantKnown,
 	}
 }
 
--- a/internal/jobs/batch/locate_test.go
+++ b/internal/jobs/batch/locate_test.go
@@ -31,7 +31,7 @@
 	var knowing []*testNode
 	for _, node := range c.nodes {
 		node.mutex.Lock()
-		if node.jobs[id] != nil || node.known[id] != nil {
+		if node.jobs[id] != nil || node.remoteJobs[id] != nil {
 			knowing = append(knowing, node)
 		}
 		node.mutex.Unlock()
@@ -61,8 +61,8 @@
 		t.Fatal(err)
 	}
 	eventually(t, "locators know of the job", func() bool { return len(large.knowing("job")) > ownership.Locators/2 })
-	if told := len(large.knowing("job")); told > ownership.Locators+1 {
-		t.Errorf("%d nodes were told, want %d at the most", told, ownership.Locators+1)
+	if announced := len(large.knowing("job")); announced > ownership.Locators+1 {
+		t.Errorf("%d nodes were told, want %d at the most", announced, ownership.Locators+1)
 	}
 	looks := large.store.Calls("get")
 	checkWhole(t, "job", large.readAll(large.unknowing("job"), "job", 4), 4, 3)
@@ -118,8 +118,8 @@
 func TestNewsOfAJobGoToTheSameNumberOfNodesInAnyDeployment(t *testing.T) {
 	for _, nodes := range []int{2 * ownership.Locators, 4 * ownership.Locators} {
 		large := newLargeCluster(t, nodes, startEngine(t, 3))
-		if told := len(large.nodes[0].locatorsOf("job")); told != ownership.Locators {
-			t.Errorf("%d of %d nodes are told", told, nodes)
+		if announced := len(large.nodes[0].locatorsOf("job")); announced != ownership.Locators {
+			t.Errorf("%d of %d nodes are told", announced, nodes)
 		}
 	}
 }
--- a/internal/jobs/batch/ownerwatch.go
+++ b/internal/jobs/batch/ownerwatch.go
@@ -10,29 +10,29 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// ownerLook is the time between looks at the owners.
-const ownerLook = 150 * time.Millisecond
+// ownerCheckInterval is the time between checks of the owners.
+const ownerCheckInterval = 150 * time.Millisecond
 
 // watchOwners takes over the jobs whose owners have fallen silent. While no job is known
 // it waits for one.
 func (s *Service) watchOwners(ctx context.Context) {
 	pauses := newPauseDetector(s.config.Clock)
-	for objectstore.Sleep(ctx, ownerLook) {
-		stoodStill := pauses.look()
+	for objectstore.Sleep(ctx, ownerCheckInterval) {
+		stoodStill := pauses.check()
 		if stoodStill > 0 {
 			s.config.Logger.Info("process stood still", "forMs", stoodStill.Milliseconds(), "limitMs", pauseLimit.Milliseconds())
 		}
 		s.evict()
-		for _, held := range s.unconfirmed(stoodStill > 0) {
+		for _, held := range s.dueRecordChecks(stoodStill > 0) {
 			go s.confirmOwner(held)
 		}
 		for id, lost := range s.orphans() {
 			go s.takeOver(ctx, id, lost)
 		}
 		if s.knowsNoJob() {
-			// The watchers of a job hear of it together, and so does its owner look at it;
-			// they need not all ask the store at the same moments.
-			if !s.toWatch.wait(ctx) || !objectstore.Sleep(ctx, rand.N(ownerLook)) {
+			// The watchers of a job learn of it at the same moment; they need not all read
+			// the store at the same moments.
+			if !s.ownerWatchWake.wait(ctx) || !objectstore.Sleep(ctx, rand.N(ownerCheckInterval)) {
 				return
 			}
 			pauses = newPauseDetector(s.config.Clock)
@@ -40,39 +40,39 @@
 	}
 }
 
-// knowsNoJob tells whether there is no job to watch or to forget, here or elsewhere.
+// knowsNoJob tells whether there is no job to watch or to forget, here or at other nodes.
 func (s *Service) knowsNoJob() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return len(s.jobs) == 0 && len(s.known) == 0 && len(s.replicas.Uses) == 0 && s.ends.Len() == 0 && s.lengths.Len() == 0 && s.demand.Len() == 0
+	return len(s.jobs) == 0 && len(s.remoteJobs) == 0 && len(s.replicas.Uses) == 0 && s.ends.Len() == 0 && s.lengths.Len() == 0 && s.demand.Len() == 0
 }
 
 const (
-	// confirmPeriod is how often the record of an open job is looked up. An owner to
-	// which an end was not told finds it there; with the time that a look may take it
-	// does so within the three seconds that platforms give for the last item.
-	confirmPeriod = 1500 * time.Millisecond
-	// confirmRetry is the time between looks while none has been answered.
-	confirmRetry = 300 * time.Millisecond
+	// recordCheckInterval is how often the record of an open job is read. An owner to
+	// which an end was not announced finds it there; with the time of a read it does so
+	// within the three seconds that platforms give for the last item.
+	recordCheckInterval = 1500 * time.Millisecond
+	// recordCheckRetry is the time between reads while none has been answered.
+	recordCheckRetry = 300 * time.Millisecond
 )
 
-// unconfirmed returns the jobs whose ownership has to be looked up. After a
-// pause no job is answered for before that.
-func (s *Service) unconfirmed(paused bool) []*job {
+// dueRecordChecks returns the jobs whose records are to be read now, to confirm their
+// owner. After a pause of this process no open job is answered from memory before that.
+func (s *Service) dueRecordChecks(paused bool) []*job {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var due []*job
 	for _, held := range s.jobs {
 		if paused && !held.allListed() {
-			held.doubt()
+			held.markSuspect()
 		}
-		if !held.suspect && (!held.mayBeLost() || time.Since(held.confirmedAt) < confirmPeriod) {
+		if !held.suspect && (!held.mayBeLost() || time.Since(held.confirmedAt) < recordCheckInterval) {
 			continue
 		}
-		if time.Since(held.lookedAt) < confirmRetry {
+		if time.Since(held.lastReadAt) < recordCheckRetry {
 			continue
 		}
-		held.lookedAt = time.Now()
+		held.lastReadAt = time.Now()
 		due = append(due, held)
 	}
 	return due
@@ -80,7 +80,7 @@
 
 // orphan is a job that this node is to take over.
 type orphan struct {
-	// owner is the one that is gone.
+	// owner is the one that is silent.
 	owner journal.Owner
 	// probeOwner tells that it is to be asked first.
 	probeOwner bool
@@ -94,15 +94,15 @@
 		return nil
 	}
 	orphans := map[string]orphan{}
-	for id, remote := range s.known {
+	for id, remote := range s.remoteJobs {
 		if s.jobs[id] != nil {
 			// It runs here: a reader looked it up just before this node took it up.
-			delete(s.known, id)
+			delete(s.remoteJobs, id)
 			continue
 		}
 		decision := ownership.Decide(s.remoteView(id, remote), time.Now())
 		if decision.TakeOver {
-			remote.taking = true
+			remote.takingOver = true
 			orphans[id] = orphan{owner: remote.owner, probeOwner: decision.ProbeOwner}
 		}
 	}
@@ -113,7 +113,7 @@
 // be held.
 func (s *Service) remoteView(id string, remote *remoteJob) ownership.RemoteJob {
 	return ownership.RemoteJob{
-		Ended: remote.ended, TakingOver: remote.taking, RetryAt: remote.notBefore, LastHeartbeat: remote.heard,
+		Ended: remote.ended, TakingOver: remote.takingOver, RetryAt: remote.retryAt, LastHeartbeat: remote.lastHeartbeat,
 		Owner: s.conditionOf(remote), Rank: func() int { return s.cachedRank(id, remote) },
 	}
 }
--- a/internal/jobs/batch/pause_test.go
+++ b/internal/jobs/batch/pause_test.go
@@ -11,10 +11,10 @@
 	now := time.Unix(0, 0)
 	pauses := newPauseDetector(func() time.Time { return now })
 	for _, step := range []struct{ gap, want time.Duration }{
-		{ownerLook, 0}, {pauseLimit, 0}, {5 * time.Second, 5 * time.Second}, {ownerLook, 0},
+		{ownerCheckInterval, 0}, {pauseLimit, 0}, {5 * time.Second, 5 * time.Second}, {ownerCheckInterval, 0},
 	} {
 		now = now.Add(step.gap)
-		if got := pauses.look(); got != step.want {
+		if got := pauses.check(); got != step.want {
 			t.Errorf("a gap of %v is a pause of %v, want %v", step.gap, got, step.want)
 		}
 	}
--- a/internal/jobs/batch/pool.go
+++ b/internal/jobs/batch/pool.go
@@ -48,7 +48,7 @@
 
 // pick returns the replica for an item, nil for none.
 func (p *pool) pick(waiting *item) *placement.Replica {
-	return placement.Pick(p.replicasFor(waiting), placement.Wish{FailedAt: waiting.failedAt, Urgent: waiting.urgent})
+	return placement.Pick(p.replicasFor(waiting), placement.Preference{FailedAt: waiting.failedAt, Urgent: waiting.urgent})
 }
 
 // replicasFor lists the replicas that have the weights for an item, are not loading, and that
@@ -79,7 +79,7 @@
 		if p.now.Before(state.BlockedUntil) || state.IsLoading(key.model) || (known > 0 && known < key.minVersion) {
 			continue
 		}
-		// Last, since a gate takes a look at it for demand.
+		// Last, since a gate counts the question as demand.
 		if !routing.ItemChain.Allow(query, endpoint) {
 			continue
 		}
--- a/internal/jobs/batch/publish.go
+++ b/internal/jobs/batch/publish.go
@@ -43,8 +43,8 @@
 	resultGather = textPeriod
 	dueGather    = 500 * time.Millisecond
 	// endGather is how much longer results wait for texts that are about to end.
-	endGather  = 500 * time.Millisecond
-	gatherLook = 20 * time.Millisecond
+	endGather          = 500 * time.Millisecond
+	gatherPollInterval = 20 * time.Millisecond
 )
 
 // gather waits a little after the last append, so that results close together are one
@@ -61,8 +61,8 @@
 	}
 }
 
-// gatherPause is how long results are gathered yet before another look, or with done
-// before they are listed.
+// gatherPause is how long to gather results before the next check, or before they are
+// listed if done.
 func (s *Service) gatherPause(published *job, waited time.Duration) (pause time.Duration, done bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -74,14 +74,14 @@
 	case waited >= published.gatherTime(time.Now(), s.eventRates.Of(published.submission.Model).Longest()):
 		return 0, true
 	}
-	return gatherLook, false
+	return gatherPollInterval, false
 }
 
 // remaining counts the items without a result.
 func (j *job) remaining() int { return len(j.items) - len(j.listed) - len(j.finished) }
 
-// appendOnce writes one chunk of finished results and lists what then stands
-// at its place. It tells whether there is more to write.
+// appendOnce writes one chunk of finished results and lists what the store has at its
+// index then. It tells whether there is more to write.
 func (s *Service) appendOnce(published *job) bool {
 	written, index, due := s.nextChunk(published)
 	if !due {
@@ -90,7 +90,7 @@
 	began := time.Now()
 	// The end of the job does not cut the append off: the store may have done it, and a
 	// result that others read there would be missing here.
-	standing, own, err := s.config.Journal.Append(s.within(published.appends, published.record), published.id, index, written)
+	stored, own, err := s.config.Journal.Append(s.within(published.appends, published.record), published.id, index, written)
 	s.mutex.Lock()
 	published.saving = false
 	s.mutex.Unlock()
@@ -99,11 +99,11 @@
 			"ended", published.ctx.Err() != nil)
 		return published.ctx.Err() == nil
 	}
-	s.takeChunk(published, standing, own)
-	s.config.Logger.Info("results listed", "request", published.id, "chunk", index, "results", len(standing.Results), "texts", len(standing.Texts),
+	s.recordChunk(published, stored, own)
+	s.config.Logger.Info("results listed", "request", published.id, "chunk", index, "results", len(stored.Results), "texts", len(stored.Texts),
 		"ageMs", time.Since(published.takenUp).Milliseconds(), "tookMs", time.Since(began).Milliseconds())
 	if !own {
-		s.config.Logger.Info("results of another node adopted", "request", published.id, "chunk", index, "writer", standing.Writer)
+		s.config.Logger.Info("results of another node adopted", "request", published.id, "chunk", index, "writer", stored.Writer)
 		s.settleOwner(published)
 	}
 	s.mutex.Lock()
@@ -140,14 +140,14 @@
 // which knows only what stood before its own chunk.
 func (s *Service) settleOwner(held *job) {
 	s.mutex.Lock()
-	held.doubt()
+	held.markSuspect()
 	s.mutex.Unlock()
 	for {
 		s.confirmOwner(held)
 		s.mutex.Lock()
 		settled := !held.suspect || held.displaced
 		s.mutex.Unlock()
-		if settled || !objectstore.Sleep(held.ctx, readPause) {
+		if settled || !objectstore.Sleep(held.ctx, readRetryPause) {
 			return
 		}
 	}
@@ -158,19 +158,19 @@
 	return s.config.Self.Node + "@" + formatIncarnation(s.config.Self.Incarnation)
 }
 
-// takeChunk adds what the store now holds, in its order.
-func (s *Service) takeChunk(published *job, standing journal.Chunk, own bool) {
+// recordChunk adds a chunk that the store has to the listed results.
+func (s *Service) recordChunk(published *job, stored journal.Chunk, own bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if own {
-		published.noteSaved(standing.Texts)
+		published.recordSaved(stored.Texts)
 	}
 	inStore := map[string]bool{}
-	for _, result := range standing.Results {
+	for _, result := range stored.Results {
 		inStore[result.ID] = true
 		published.settle(result.ID)
 	}
-	published.listed = append(published.listed, standing.Results...)
+	published.listed = append(published.listed, stored.Results...)
 	published.chunks++
 	kept := published.finished[:0:0]
 	for _, result := range published.finished {
@@ -198,44 +198,43 @@
 // resultOverhead is about what a result takes besides its text, in bytes.
 const resultOverhead = 300
 
-// confirmOwner looks whether this node still owns a job, and gives it up if
-// not.
+// confirmOwner reads whether this node still owns a job, and gives it up if not.
 func (s *Service) confirmOwner(held *job) {
-	ctx, cancel := context.WithTimeout(s.base, confirmTime)
+	ctx, cancel := context.WithTimeout(s.base, recordReadTimeout)
 	defer cancel()
 	began := time.Now()
-	standing, err := s.config.Journal.Read(ctx, held.id)
+	stored, err := s.config.Journal.Read(ctx, held.id)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if err == nil {
-		s.takeRecord(held, standing, began)
+		s.applyRecord(held, stored, began)
 	}
 }
 
-// takeRecord takes what the store said of a held job's record to a call that began at
-// an instant. The mutex must be held.
-func (s *Service) takeRecord(held *job, standing journal.StoredJob, began time.Time) {
+// applyRecord applies the record of a held job that a call of the store returned which
+// began at an instant. The mutex must be held.
+func (s *Service) applyRecord(held *job, stored journal.StoredJob, began time.Time) {
 	if s.jobs[held.id] != held {
 		return
 	}
 	held.confirmedAt = began
-	if standing.Record.Owner == s.config.Self {
-		held.suspect = held.suspect && began.Before(held.doubtedAt)
+	if stored.Record.Owner == s.config.Self {
+		held.suspect = held.suspect && began.Before(held.suspectedAt)
 		switch {
-		case standing.Ended:
-			held.endKept = true
+		case stored.Ended:
+			held.endStored = true
 			s.endLocally(held.id)
 		case held.ended:
-			// Whoever told of the end may be gone before the store had it.
-			go s.pursueEnd(held.id)
+			// Whoever announced the end may have failed before the store had it.
+			go s.persistEnd(held.id)
 		}
 		return
 	}
 	s.displace(held)
-	s.noteStanding(standing)
+	s.learnStored(stored)
 }
 
-// confirmTime bounds a look at who owns a job.
-const confirmTime = 2 * time.Second
+// recordReadTimeout bounds a read of a job's record.
+const recordReadTimeout = 2 * time.Second
 
 func encodeResults(results []journal.Result) ([]byte, error) { return json.Marshal(results) }
--- a/internal/jobs/batch/publish_test.go
+++ b/internal/jobs/batch/publish_test.go
@@ -133,7 +133,7 @@
 		for number := range 12 {
 			name, made := fmt.Sprint(number), &group{}
 			if number >= test.whole {
-				made.open, made.carried = 1, test.carried && number == test.whole
+				made.open, made.inherited = 1, test.carried && number == test.whole
 				held.items[name] = &item{Item: &Item{ID: name}, group: made}
 			}
 			held.groups[name] = made
--- a/internal/jobs/batch/queue.go
+++ b/internal/jobs/batch/queue.go
@@ -34,7 +34,7 @@
 func (s *Service) viewOf(waiting *item, configuration *directory.Configuration, interval time.Duration) placement.Item {
 	return placement.Item{
 		Priority: priorityOf(configuration, waiting.job.record), TakenUp: waiting.job.takenUp,
-		Rank: waiting.rank.Place, Spare: waiting.rank.Spare, Begun: len(waiting.progress.events) > 0,
+		Rank: waiting.rank.Place, Reserve: waiting.rank.Reserve, Begun: len(waiting.progress.events) > 0,
 		Due: waiting.job.due, Left: time.Until(waiting.job.due), Objective: waiting.job.objective, Rest: time.Duration(s.rest(waiting)) * interval,
 	}
 }
--- a/internal/jobs/batch/read.go
+++ b/internal/jobs/batch/read.go
@@ -14,11 +14,11 @@
 	// peerMargin is what an answer of another node may take beyond the time
 	// that a reader waits.
 	peerMargin = 700 * time.Millisecond
-	// behindTime bounds a look behind an append on its way; with it an answer to
+	// readBehindTimeout bounds a read behind an append under way; with it an answer to
 	// another node stays within peerMargin.
-	behindTime = 500 * time.Millisecond
+	readBehindTimeout = 500 * time.Millisecond
 	// endTime bounds one question to the owner of a job that is to be ended.
-	endTime = 800 * time.Millisecond
+	ownerEndTimeout = 800 * time.Millisecond
 )
 
 // Page is a part of a job's results.
@@ -27,11 +27,10 @@
 	Results []journal.Result
 }
 
-// Read returns the results after a position, waiting for one at most as long
-// as told. ErrNoSuchJob is certain; other errors mean that this node cannot
-// tell.
-func (s *Service) Read(ctx context.Context, id string, after int, patience time.Duration) (Page, error) {
-	if page, held := s.readHeld(ctx, id, after, patience); held {
+// Read returns the results after a position, and waits for one up to the given time.
+// journal.ErrNoSuchJob is certain; other errors mean that this node cannot tell.
+func (s *Service) Read(ctx context.Context, id string, after int, wait time.Duration) (Page, error) {
+	if page, held := s.readHeld(ctx, id, after, wait); held {
 		return page, nil
 	}
 	if page, final := s.readFinal(id, after); final {
@@ -39,26 +38,26 @@
 	}
 	owner, known := s.ownerOf(ctx, id)
 	if known {
-		if page, err := s.readFrom(ctx, owner, id, after, patience); err == nil {
+		if page, err := s.readFrom(ctx, owner, id, after, wait); err == nil {
 			return page, nil
 		}
 	}
-	standing, err := s.config.Journal.Read(ctx, id)
+	stored, err := s.config.Journal.Read(ctx, id)
 	if err != nil {
 		return Page{}, err
 	}
-	if standing.Record.Owner != owner && standing.Record.Owner != s.config.Self {
-		if page, err := s.readFrom(ctx, standing.Record.Owner, id, after, patience); err == nil {
+	if stored.Record.Owner != owner && stored.Record.Owner != s.config.Self {
+		if page, err := s.readFrom(ctx, stored.Record.Owner, id, after, wait); err == nil {
 			return page, nil
 		}
 	}
-	return s.readStored(ctx, standing, after)
+	return s.readStored(ctx, stored, after)
 }
 
 // readHeld reads a job that this node runs. False means that it does not, or cannot
 // be sure of what it holds: then the store is to be read.
-func (s *Service) readHeld(ctx context.Context, id string, after int, patience time.Duration) (Page, bool) {
-	limit := time.NewTimer(patience)
+func (s *Service) readHeld(ctx context.Context, id string, after int, wait time.Duration) (Page, bool) {
+	limit := time.NewTimer(wait)
 	defer limit.Stop()
 	for patient := true; ; {
 		s.mutex.Lock()
@@ -110,7 +109,7 @@
 // have done an append that this node has no answer to, and shown its results to
 // others.
 func (s *Service) readBehind(ctx context.Context, id string, chunks, after int) ([]journal.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, behindTime)
+	ctx, cancel := context.WithTimeout(ctx, readBehindTimeout)
 	defer cancel()
 	behind, err := s.config.Journal.Results(s.withinHeld(ctx, id), id, chunks)
 	if err != nil {
@@ -127,9 +126,9 @@
 }
 
 // readFrom reads a job from the node that runs it.
-func (s *Service) readFrom(ctx context.Context, owner journal.Owner, id string, after int, patience time.Duration) (Page, error) {
-	question := &wire.JobRead{Job: id, After: uint32(after), WaitMs: uint32(patience.Milliseconds())}
-	message, err := environment.Ask(ctx, s.config.Peers, owner.Address, question, patience+peerMargin)
+func (s *Service) readFrom(ctx context.Context, owner journal.Owner, id string, after int, wait time.Duration) (Page, error) {
+	question := &wire.JobRead{Job: id, After: uint32(after), WaitMs: uint32(wait.Milliseconds())}
+	message, err := environment.Ask(ctx, s.config.Peers, owner.Address, question, wait+peerMargin)
 	if err != nil {
 		return Page{}, err
 	}
@@ -158,11 +157,11 @@
 			return body.Body, nil
 		}
 	}
-	standing, err := s.config.Journal.Read(ctx, id)
+	stored, err := s.config.Journal.Read(ctx, id)
 	if err != nil {
 		return nil, err
 	}
-	payload, err := s.config.Journal.Payload(s.within(ctx, standing.Record), id, standing.Record.Parts)
+	payload, err := s.config.Journal.Payload(s.within(ctx, stored.Record), id, stored.Record.Parts)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/jobs/batch/recover.go
+++ b/internal/jobs/batch/recover.go
@@ -8,12 +8,11 @@
 )
 
 const (
-	// recoverLook is the time between looks at whether this node has joined, and
-	// joinPatience for how long it is waited for: a node whose entry the store
-	// does not take reads the jobs through its peers all the same. A new node
-	// needs 0.4 s and two calls to the store.
-	recoverLook  = 20 * time.Millisecond
-	joinPatience = 1500 * time.Millisecond
+	// joinPollInterval is the time between checks whether this node has joined, and
+	// joinTimeout bounds the wait: a node whose entry the store does not take reads the
+	// jobs through its peers all the same.
+	joinPollInterval = 20 * time.Millisecond
+	joinTimeout      = 1500 * time.Millisecond
 )
 
 // recover learns at the start which jobs there are. Those whose owners stay
@@ -21,8 +20,8 @@
 // owns none, and the newest ones of others have their watchers: it takes a
 // listing that may be some seconds old, for a tenth of the price.
 func (s *Service) recover(ctx context.Context) {
-	for began := time.Now(); !s.config.Table.Joined() && time.Since(began) < joinPatience; {
-		if !objectstore.Sleep(ctx, recoverLook) {
+	for began := time.Now(); !s.config.Table.Joined() && time.Since(began) < joinTimeout; {
+		if !objectstore.Sleep(ctx, joinPollInterval) {
 			return
 		}
 	}
@@ -34,16 +33,16 @@
 		all, err := s.config.Journal.ReadAll(ctx, freshness)
 		if err == nil {
 			s.mutex.Lock()
-			for _, standing := range all {
-				if s.jobs[standing.ID] == nil && !standing.Ended {
-					s.noteStanding(standing)
+			for _, stored := range all {
+				if s.jobs[stored.ID] == nil && !stored.Ended {
+					s.learnStored(stored)
 				}
 			}
 			s.recovered = true
 			s.mutex.Unlock()
 			return
 		}
-		objectstore.Pause(ctx, readPause)
+		objectstore.Pause(ctx, readRetryPause)
 	}
 }
 
--- a/internal/jobs/batch/remotejob.go
+++ b/internal/jobs/batch/remotejob.go
@@ -14,9 +14,9 @@
 	owner journal.Owner
 	// epoch is the owner's place among the job's owners, 0 for unknown.
 	epoch int
-	// heard is when the owner was heard to run it.
-	heard time.Time
-	ended bool
+	// lastHeartbeat is when the owner was last known to run it.
+	lastHeartbeat time.Time
+	ended         bool
 	// tenant is whose job it is, if tenantKnown.
 	tenant      string
 	tenantKnown bool
@@ -32,9 +32,10 @@
 	rankedIn *directory.Configuration
 	// leaving is set when the owner gives its jobs away.
 	leaving bool
-	taking  bool
-	// notBefore is when a failed takeover may be tried again.
-	notBefore time.Time
+	// takingOver is set while this node takes it over.
+	takingOver bool
+	// retryAt is when a failed takeover may be tried again.
+	retryAt time.Time
 	// results are those read from the store, for answers while the owner is
 	// silent, and chunks their number of objects.
 	results []journal.Result
@@ -47,30 +48,30 @@
 	sealAfter time.Time
 }
 
-// noteRemote records who runs a job in an epoch, 0 for unknown. An earlier epoch than
-// the one known changes nothing: a former owner says so until it has looked the record
-// up. The mutex must be held.
-func (s *Service) noteRemote(id string, owner journal.Owner, epoch int, ended bool) *remoteJob {
-	standing := s.known[id]
-	if standing == nil {
-		standing = &remoteJob{}
-		s.known[id] = standing
-		s.toWatch.set()
+// learnRemote records who runs a job in an epoch, 0 for unknown. An earlier epoch than the
+// one known changes nothing: a former owner announces it until it has read the record. The
+// mutex must be held.
+func (s *Service) learnRemote(id string, owner journal.Owner, epoch int, ended bool) *remoteJob {
+	remote := s.remoteJobs[id]
+	if remote == nil {
+		remote = &remoteJob{}
+		s.remoteJobs[id] = remote
+		s.ownerWatchWake.set()
 	}
 	switch {
-	case standing.owner == owner:
-		standing.epoch = max(standing.epoch, epoch)
-	case !ownership.IsEarlierEpoch(epoch, standing.epoch):
-		standing.owner, standing.epoch, standing.leaving = owner, epoch, false
-		standing.heard = time.Now()
+	case remote.owner == owner:
+		remote.epoch = max(remote.epoch, epoch)
+	case !ownership.IsEarlierEpoch(epoch, remote.epoch):
+		remote.owner, remote.epoch, remote.leaving = owner, epoch, false
+		remote.lastHeartbeat = time.Now()
 		// The rank depends on who the owner is.
-		standing.membership = 0
+		remote.membership = 0
 	}
 	if ended {
 		s.ends.Learn(id, time.Now())
 	}
-	standing.ended = standing.ended || s.ends.Has(id)
-	return standing
+	remote.ended = remote.ended || s.ends.Has(id)
+	return remote
 }
 
 func formatIncarnation(incarnation uint64) string { return strconv.FormatUint(incarnation, 36) }
--- a/internal/jobs/batch/replicas.go
+++ b/internal/jobs/batch/replicas.go
@@ -8,7 +8,7 @@
 )
 
 // NoteVersion takes what a coordinator of weights knows of a replica.
-func (s *Service) NoteVersion(change wire.ReplicaVersion) {
+func (s *Service) LearnVersion(change wire.ReplicaVersion) {
 	s.mutex.Lock()
 	state := s.replicas.Get(change.Replica)
 	if change.Loading {
@@ -17,7 +17,7 @@
 		state.LearnVersion(change.Model, change.Version)
 	}
 	s.mutex.Unlock()
-	s.nudge()
+	s.WakeScheduler()
 }
 
 // Uses returns how many items this node runs at each replica.
--- a/internal/jobs/batch/replicas_test.go
+++ b/internal/jobs/batch/replicas_test.go
@@ -180,7 +180,7 @@
 	node.config.Directory.SetReplicas(nil, 0)
 	node.mutex.Lock()
 	for running := range node.attempts {
-		running.heard.Store(int64(time.Since(running.begun)))
+		running.lastEvent.Store(int64(time.Since(running.begun)))
 	}
 	node.mutex.Unlock()
 	node.inspect()
--- a/internal/jobs/batch/reward.go
+++ b/internal/jobs/batch/reward.go
@@ -17,7 +17,7 @@
 
 const (
 	// rewardTime bounds one call of a scorer where its route names no time.
-	rewardTime = 2 * time.Second
+	maxRewardTimeout = 2 * time.Second
 	// rewardPause is the time before a scorer that did not answer is called
 	// again, and longestRewardPause bounds it as it grows.
 	rewardPause        = 60 * time.Millisecond
@@ -40,7 +40,7 @@
 			s.config.Logger.Info("item given up", "request", work.ID, "job", work.job.id, "reason", "its scorer failed", "reward", work.Reward.ID)
 		}
 	}
-	s.config.Logger.Info("item finished", append(ran.account(), "state", result.State, "rewardMs", time.Since(whole).Milliseconds())...)
+	s.config.Logger.Info("item finished", append(ran.logFields(), "state", result.State, "rewardMs", time.Since(whole).Milliseconds())...)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.finish(work, result)
@@ -133,9 +133,9 @@
 
 func rewardLimit(route *directory.Route) time.Duration {
 	if route.Timeout > 0 {
-		return min(route.Timeout, rewardTime)
+		return min(route.Timeout, maxRewardTimeout)
 	}
-	return rewardTime
+	return maxRewardTimeout
 }
 
 // rewardAttempts is how many failures of a scorer end an item.
--- a/internal/jobs/batch/outcome.go
+++ b/internal/jobs/batch/runerror.go
@@ -23,18 +23,18 @@
 	// longestBreak its bound as breaks repeat.
 	breakPause   = 5 * time.Millisecond
 	longestBreak = 500 * time.Millisecond
-	// quarantinePause is the time between looks whether an item may be sent again under
+	// quarantinePause is the time between checks whether an item may be sent again under
 	// which replicas end. It is given up when any other is: not before its time.
 	quarantinePause = time.Second
 	// failurePause is the time before an item that failed is run again.
 	failurePause = 60 * time.Millisecond
-	// refusedStatus is a replica's word that an item can never be done.
+	// refusedStatus is a replica's answer that an item can never be done.
 	refusedStatus = http.StatusUnprocessableEntity
 )
 
-// judge decides what the end of a run means for the item and the replica. The
-// mutex must be held.
-func (s *Service) judge(running *attempt, state *replicastate.State, err error) {
+// handleRunError decides what the failed end of a run means for the item and the replica.
+// The mutex must be held.
+func (s *Service) handleRunError(running *attempt, state *replicastate.State, err error) {
 	work := running.item
 	var notRun *dispatch.NotRunError
 	var withheld *dispatch.WithheldError
@@ -43,10 +43,10 @@
 	var cut *CutError
 	switch {
 	case errors.As(err, &quarantined):
-		work.notBefore = time.Now().Add(quarantinePause)
+		work.retryAt = time.Now().Add(quarantinePause)
 	case errors.As(err, &withheld):
 		// It was not sent: another replica, or a later moment, will do.
-		work.notBefore = time.Now().Add(breakPause)
+		work.retryAt = time.Now().Add(breakPause)
 	case errors.As(err, &notRun) && notRun.OtherReplica:
 		state.BlockedUntil = time.Now().Add(otherBlock)
 	case errors.As(err, &notRun):
@@ -60,7 +60,7 @@
 	case errors.As(err, &status) && status.Status == refusedStatus:
 		s.abandon(work, "a replica says it can never be done")
 	case errors.As(err, &status) && status.Status == http.StatusInternalServerError:
-		s.noteFailure(running, state)
+		s.recordFailure(running, state)
 	default:
 		if running.events.Load() == 0 {
 			// It may be down: trying it with one item after the other helps none.
@@ -68,7 +68,7 @@
 			state.Block(breakBlock)
 		}
 		work.breaks++
-		work.notBefore = time.Now().Add(min(time.Duration(work.breaks)*breakPause, longestBreak))
+		work.retryAt = time.Now().Add(min(time.Duration(work.breaks)*breakPause, longestBreak))
 	}
 }
 
--- a/internal/jobs/batch/runner.go
+++ b/internal/jobs/batch/runner.go
@@ -17,12 +17,12 @@
 	// offerTime bounds the question to a node whether it would run a job: some
 	// ways between zones, and short beside the time that callers give the
 	// acceptance of a job, so that a dead node costs little.
-	offerTime = 150 * time.Millisecond
+	offerTimeout = 150 * time.Millisecond
 	// runnersAsked is how many nodes are asked before this one runs a job itself.
-	runnersAsked = 2
+	maxRunnersAsked = 2
 	// runnerPart is the part of a caller's time for which the runner's answer is
 	// waited for: the rest is for this node to accept the job itself.
-	runnerPart = 0.5
+	runnerTimeShare = 0.5
 )
 
 var (
@@ -44,7 +44,7 @@
 		return false, nil
 	}
 	submit := &wire.JobSubmit{Job: id, Route: arrival.Route, Host: arrival.Host, Payload: arrival.Payload, Tenant: arrival.Tenant, Entry: arrival.Entry}
-	reply, err := environment.Ask(ctx, s.config.Peers, address, submit, time.Duration(runnerPart*float64(timeLeft(ctx))))
+	reply, err := environment.Ask(ctx, s.config.Peers, address, submit, time.Duration(runnerTimeShare*float64(timeLeft(ctx))))
 	if err != nil {
 		s.config.Logger.Info("runner of batch job lost", "request", id, "runner", address, "error", err.Error())
 		return false, errRunnerUncertain
@@ -72,7 +72,7 @@
 	asked := 0
 	bound := originOf(s.recordOf(arrival))
 	for _, candidate := range s.insiders(&bound, s.runners(model)) {
-		if candidate == s.config.Self.Node || asked >= runnersAsked {
+		if candidate == s.config.Self.Node || asked >= maxRunnersAsked {
 			return "", false
 		}
 		peer, known := s.config.Table.Get(candidate)
@@ -80,7 +80,7 @@
 			continue
 		}
 		asked++
-		reply, err := environment.Ask(ctx, s.config.Peers, peer.Address, &wire.JobOffer{Job: arrival.ID}, offerTime)
+		reply, err := environment.Ask(ctx, s.config.Peers, peer.Address, &wire.JobOffer{Job: arrival.ID}, offerTimeout)
 		if _, willing := reply.(*wire.Done); willing && err == nil {
 			return peer.Address, true
 		}
@@ -111,10 +111,10 @@
 	if deadline, bounded := ctx.Deadline(); bounded {
 		return time.Until(deadline)
 	}
-	return backgroundTime
+	return backgroundTimeout
 }
 
-// answerOffer tells another node whether this one would run a batch job.
+// answerOffer answers another node whether this one would run a batch job.
 func (s *Service) answerOffer(reply func(wire.Message)) {
 	s.mutex.Lock()
 	leaving := s.leaving || !s.recovered
--- a/internal/jobs/batch/scheduler.go
+++ b/internal/jobs/batch/scheduler.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	// lookPeriod is the time between looks at runs that may have stalled.
-	lookPeriod = 100 * time.Millisecond
-	// idleLook is the time between looks while nothing is to be done.
-	idleLook = 2 * time.Second
+	// scanInterval is the time between scans for runs that have stalled.
+	scanInterval = 100 * time.Millisecond
+	// idleScanInterval is the time between rounds while nothing is to be done.
+	idleScanInterval = 2 * time.Second
 )
 
 // schedule starts items at replicas until the context ends.
 func (s *Service) schedule(ctx context.Context) {
-	timer := time.NewTimer(idleLook)
+	timer := time.NewTimer(idleScanInterval)
 	defer timer.Stop()
-	looks := lookSchedule{last: time.Now()}
+	looks := scanSchedule{last: time.Now()}
 	for {
 		changed := s.config.Directory.Changed()
 		busy := s.assign()
-		wait := idleLook
+		wait := idleScanInterval
 		if busy {
-			wait = lookPeriod
+			wait = scanInterval
 		}
-		// Wakes come more often than looks are due where many nodes run jobs, so the
-		// time of the next look does not start anew with each.
+		// Wakes come more often than scans are due where many nodes run jobs, so the time
+		// of the next scan does not start anew with each.
 		timer.Reset(max(0, wait-time.Since(looks.last)))
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.wake:
+		case <-s.schedulerWake:
 		case <-changed:
 		case <-timer.C:
 		}
@@ -57,7 +57,7 @@
 		if waiting.done || waiting.job.ended || waiting.job.displaced {
 			return true
 		}
-		if full[waiting.job] || time.Now().Before(waiting.notBefore) {
+		if full[waiting.job] || time.Now().Before(waiting.retryAt) {
 			return false
 		}
 		if s.expire(waiting) {
@@ -120,7 +120,7 @@
 	}
 }
 
-// runOf is the view of a run, given its index among those that are looked at.
+// runOf is the view of a run, given its index among those that are scanned.
 func (p *pool) runOf(index int, running *attempt) *placement.Run {
 	work := running.item
 	return &placement.Run{
--- a/internal/jobs/batch/scheduler_test.go
+++ b/internal/jobs/batch/scheduler_test.go
@@ -15,8 +15,8 @@
 	node := cluster.nodes[0]
 	go func() {
 		for node.ctx.Err() == nil {
-			node.nudge()
-			time.Sleep(lookPeriod / 5)
+			node.WakeScheduler()
+			time.Sleep(scanInterval / 5)
 		}
 	}()
 	if err := cluster.submit(node, "job", 2); err != nil {
@@ -37,15 +37,15 @@
 
 func TestRunsArePassedOverOnceAfterAPause(t *testing.T) {
 	now := time.Now()
-	looks := lookSchedule{last: now}
+	looks := scanSchedule{last: now}
 	for _, test := range []struct {
 		after time.Duration
 		due   bool
 	}{
-		{lookPeriod / 2, false}, {lookPeriod, true}, {3 * lookPeriod, true},
-		{2 * pausedLook, false}, {lookPeriod, true},
+		{scanInterval / 2, false}, {scanInterval, true}, {3 * scanInterval, true},
+		{2 * pausedScanGap, false}, {scanInterval, true},
 		// A process that is slow throughout.
-		{2 * pausedLook, false}, {2 * pausedLook, true}, {2 * pausedLook, false}, {2 * pausedLook, true},
+		{2 * pausedScanGap, false}, {2 * pausedScanGap, true}, {2 * pausedScanGap, false}, {2 * pausedScanGap, true},
 	} {
 		now = now.Add(test.after)
 		if got := looks.isDue(now); got != test.due {
--- a/internal/jobs/batch/seal.go
+++ b/internal/jobs/batch/seal.go
@@ -11,29 +11,29 @@
 const (
 	// sealTime bounds the writing of a seal: a create whose first answers were lost is
 	// settled in as long.
-	sealTime = 2 * time.Second
+	sealTimeout = 2 * time.Second
 	// sealPause is the time between two tries while the store takes no writes.
-	sealPause = time.Second
+	sealRetryPause = time.Second
 )
 
-// sealLater has a seal written behind what was read of an ended job, unless one stands
-// or is on its way. Nothing can be added behind a seal: the owner, which may not know
-// of the end, finds the place taken. Without it a result that the owner lists later
+// sealLater has a seal written behind what was read of an ended job, unless the store has
+// one or one is on its way. Nothing can be added behind a seal: an owner that does not
+// know of the end finds the place taken. Without it a result that the owner lists later
 // would be missing at a node that has read the job before. Readers do not wait for it,
 // since it changes nothing of what they are shown. The mutex must be held.
 func (s *Service) sealLater(id string, known *remoteJob) {
 	if known.final || time.Now().Before(known.sealAfter) {
 		return
 	}
-	known.sealAfter = time.Now().Add(sealTime + sealPause)
+	known.sealAfter = time.Now().Add(sealTimeout + sealRetryPause)
 	go s.seal(id, known, journal.Listing{Chunks: known.chunks})
 }
 
 // seal writes an empty chunk behind a number of chunks and all that came since, and
-// takes what stands then for all there is.
+// records what the store has then as final.
 func (s *Service) seal(id string, known *remoteJob, behind journal.Listing) {
 	from := behind.Chunks
-	ctx, cancel := context.WithTimeout(s.base, sealTime)
+	ctx, cancel := context.WithTimeout(s.base, sealTimeout)
 	defer cancel()
 	s.mutex.Lock()
 	bounds := s.boundsOf(*known.origin)
--- a/internal/jobs/batch/service.go
+++ b/internal/jobs/batch/service.go
@@ -39,8 +39,8 @@
 	Registry prometheus.Registerer
 }
 
-// Service takes batch jobs, runs those of this node, and answers for all. It
-// is safe for use by many goroutines.
+// Service accepts batch jobs, runs those of this node, and answers reads of all. It is safe
+// for use by many goroutines.
 type Service struct {
 	config  Config
 	metrics *metrics
@@ -50,8 +50,8 @@
 	mutex sync.Mutex
 	// jobs are those that this node runs or has run.
 	jobs map[string]*job
-	// known are the batch jobs of other nodes.
-	known map[string]*remoteJob
+	// remoteJobs are those of other nodes.
+	remoteJobs map[string]*remoteJob
 	// accepting are the submissions under way, by id.
 	accepting map[string]*acceptance
 	queue     []*item
@@ -59,8 +59,8 @@
 	replicas *replicastate.Table
 	attempts map[*attempt]bool
 	ends     *ends.Register
-	// pursued are the jobs whose end is being made lasting after its caller's time.
-	pursued map[string]bool
+	// endsBeingPersisted are the jobs whose end is being stored after its caller's time.
+	endsBeingPersisted map[string]bool
 	// What jobs have shown of models and items.
 	tolerances statistics.Tolerances
 	lengths    *statistics.Lengths
@@ -72,34 +72,34 @@
 	storedLoads      map[string]*storedLoad
 	unansweredOffers *unansweredOffers
 	// rewardBounds are the bounds on calls of scorers, by route.
-	rewardBounds map[string]*admission.Adaptive
-	leaving      bool
-	recovered    bool
-	wake         signal
-	// toTell is set when this node has something to tell in heartbeats, and toWatch when
-	// there is a job whose owner has to be watched.
-	toTell  signal
-	toWatch signal
+	rewardBounds  map[string]*admission.Adaptive
+	leaving       bool
+	recovered     bool
+	schedulerWake signal
+	// heartbeatWake is set when this node has something to announce in heartbeats, and
+	// ownerWatchWake when there is a job whose owner has to be watched.
+	heartbeatWake  signal
+	ownerWatchWake signal
 }
 
 // NewService returns a service that does nothing before Run.
 func NewService(base context.Context, config Config) *Service {
 	return &Service{
 		config: config, base: base, metrics: newMetrics(config.Registry),
-		jobs: map[string]*job{}, known: map[string]*remoteJob{}, ends: ends.NewRegister(), pursued: map[string]bool{}, accepting: map[string]*acceptance{},
+		jobs: map[string]*job{}, remoteJobs: map[string]*remoteJob{}, ends: ends.NewRegister(), endsBeingPersisted: map[string]bool{}, accepting: map[string]*acceptance{},
 		replicas: replicastate.NewTable(), attempts: map[*attempt]bool{},
 		tolerances: statistics.Tolerances{}, lengths: statistics.NewLengths(), eventRates: statistics.EventRates{},
 		demand: statistics.NewDemand(), unansweredOffers: newUnansweredOffers(), storedLoads: map[string]*storedLoad{},
-		candidates:   map[string]*candidateSet{},
-		rewardBounds: map[string]*admission.Adaptive{},
-		wake:         newSignal(), toTell: newSignal(), toWatch: newSignal(),
+		candidates:    map[string]*candidateSet{},
+		rewardBounds:  map[string]*admission.Adaptive{},
+		schedulerWake: newSignal(), heartbeatWake: newSignal(), ownerWatchWake: newSignal(),
 	}
 }
 
 // Run works until the context ends.
 func (s *Service) Run(ctx context.Context) {
 	var duties sync.WaitGroup
-	for _, duty := range []func(context.Context){s.recover, s.schedule, s.watchOwners, s.beat} {
+	for _, duty := range []func(context.Context){s.recover, s.schedule, s.watchOwners, s.sendHeartbeats} {
 		duties.Go(func() { duty(ctx) })
 	}
 	duties.Wait()
@@ -118,11 +118,8 @@
 	return count
 }
 
-// LookAgain has the scheduler look again, for a replica that takes items again.
-func (s *Service) LookAgain() { s.nudge() }
-
-// nudge has the scheduler look again.
-func (s *Service) nudge() { s.wake.set() }
+// WakeScheduler starts a round of the scheduler.
+func (s *Service) WakeScheduler() { s.schedulerWake.set() }
 
 // priorityOf is the rank of a job's items, 0 the most urgent: that of its tenant,
 // else that of its route.
@@ -131,14 +128,13 @@
 		return 0
 	}
 	route := 0
-	if standing := routeOf(configuration, record.Route); standing != nil {
-		route = standing.Priority
+	if declared := routeOf(configuration, record.Route); declared != nil {
+		route = declared.Priority
 	}
 	return configuration.Tenants.PriorityOf(record.Tenant, route)
 }
 
-// displace stops running a job that another node runs now. The mutex must be
-// held.
+// displace stops running a job that another node owns now. The mutex must be held.
 func (s *Service) displace(displaced *job) {
 	if displaced.displaced {
 		return
--- a/internal/jobs/batch/start.go
+++ b/internal/jobs/batch/start.go
@@ -12,25 +12,25 @@
 // clocks of owners differ.
 const giveUpMargin = 8 * time.Second
 
-// start takes up a job whose record named this node as its owner at an instant. The
+// start starts a job whose record named this process as its owner when it was read. The
 // mutex must not be held.
-func (s *Service) start(id string, submission *Submission, record journal.Record, stands journal.Listing, confirmed time.Time) {
+func (s *Service) start(id string, submission *Submission, record journal.Record, listed journal.Listing, confirmed time.Time) {
 	s.mutex.Lock()
-	if standing := s.jobs[id]; standing != nil && !standing.displaced {
+	if existing := s.jobs[id]; existing != nil && !existing.displaced {
 		s.mutex.Unlock()
 		return
 	}
 	if s.ends.Has(id) {
-		// It was ended while this node read it or waited for the store's word.
-		s.noteStanding(journal.StoredJob{ID: id, Record: record, Ended: true})
+		// It was ended while this node read it or waited for the store's answer.
+		s.learnStored(journal.StoredJob{ID: id, Record: record, Ended: true})
 		s.mutex.Unlock()
 		s.config.Logger.Info("batch job not started: it has ended", "request", id, "epoch", record.Epoch)
-		go s.pursueEnd(id)
+		go s.persistEnd(id)
 		return
 	}
-	started := s.newJob(id, submission, record, stands)
+	started := s.newJob(id, submission, record, listed)
 	started.confirmedAt = confirmed
-	restored := started.restore(joinPieces(stands.Pieces))
+	restored := started.restore(joinPieces(listed.Pieces))
 	for _, itemID := range started.order {
 		if pending := started.items[itemID]; !pending.done {
 			s.queue = append(s.queue, pending)
@@ -40,25 +40,25 @@
 	s.observeTolerance(submission)
 	s.demand.Learn(started.work(), time.Now())
 	s.jobs[id] = started
-	delete(s.known, id)
+	delete(s.remoteJobs, id)
 	s.mutex.Unlock()
-	s.config.Logger.Info("batch job started", "request", id, "epoch", record.Epoch, "items", len(started.items), "listed", len(stands.Results), "texts", restored,
+	s.config.Logger.Info("batch job started", "request", id, "epoch", record.Epoch, "items", len(started.items), "listed", len(listed.Results), "texts", restored,
 		"step", submission.Step, "model", submission.Model, "minVersion", submission.MinVersion, "desired", submission.Desired)
 	go s.publish(started)
-	s.nudge()
-	s.toTell.set()
-	s.toWatch.set()
+	s.WakeScheduler()
+	s.heartbeatWake.set()
+	s.ownerWatchWake.set()
 	s.announce(id)
 }
 
 // newJob returns a job whose items have their ranks; those that are listed are
 // settled. The mutex must be held.
-func (s *Service) newJob(id string, submission *Submission, record journal.Record, stands journal.Listing) *job {
+func (s *Service) newJob(id string, submission *Submission, record journal.Record, listed journal.Listing) *job {
 	appends, cancelAppends := context.WithCancel(s.base)
 	ctx, cancel := context.WithCancel(appends)
 	made := &job{
 		id: id, submission: submission, record: record, takenUp: time.Now(), items: map[string]*item{},
-		listed: stands.Results, chunks: stands.Chunks, groups: map[string]*group{}, flush: make(chan struct{}, 1), changed: make(chan struct{}),
+		listed: listed.Results, chunks: listed.Chunks, groups: map[string]*group{}, flush: make(chan struct{}, 1), changed: make(chan struct{}),
 		ctx: ctx, cancel: cancel, appends: appends, cancelAppends: cancelAppends,
 	}
 	if retention := s.retention(record); retention > 0 {
@@ -68,19 +68,19 @@
 	made.due, made.objective = s.dueOf(record)
 	ranks := s.ranksOf(submission)
 	for _, submitted := range submission.Items {
-		standing := made.groups[submitted.Group]
-		if standing == nil {
-			standing = &group{}
-			made.groups[submitted.Group] = standing
+		itemGroup := made.groups[submitted.Group]
+		if itemGroup == nil {
+			itemGroup = &group{}
+			made.groups[submitted.Group] = itemGroup
 		}
-		standing.open++
-		standing.carried = standing.carried || ranks[submitted.ID].Carried
+		itemGroup.open++
+		itemGroup.inherited = itemGroup.inherited || ranks[submitted.ID].Inherited
 		made.order = append(made.order, submitted.ID)
 		made.items[submitted.ID] = &item{
-			Item: submitted, job: made, group: standing, rank: ranks[submitted.ID], expected: s.lengths.ExpectedEvents(submitted.ID),
+			Item: submitted, job: made, group: itemGroup, rank: ranks[submitted.ID], expected: s.lengths.ExpectedEvents(submitted.ID),
 		}
 	}
-	for _, result := range stands.Results {
+	for _, result := range listed.Results {
 		made.settle(result.ID)
 	}
 	return made
--- a/internal/jobs/batch/stored.go
+++ b/internal/jobs/batch/stored.go
@@ -9,7 +9,7 @@
 // storedLoadTime bounds the reading of one job from the store: some megabytes over
 // the slowest links of a deployment, beside as many other jobs as a trainer has in
 // a minute.
-const storedLoadTime = 20 * time.Second
+const storedLoadTimeout = 20 * time.Second
 
 // storedLoad is a reading of one job from the store under way. What it read is
 // set once done is closed.
@@ -25,12 +25,12 @@
 // give up: with a bound as short as a caller's patience a large job on a slow link
 // was never read to its end, however often it was asked for. An open job is read
 // anew for each, since what a reading under way has missed may have been seen.
-func (s *Service) readStored(ctx context.Context, standing journal.StoredJob, after int) (Page, error) {
-	if !standing.Ended {
-		results, total, err := s.loadStored(ctx, standing)
+func (s *Service) readStored(ctx context.Context, stored journal.StoredJob, after int) (Page, error) {
+	if !stored.Ended {
+		results, total, err := s.loadStored(ctx, stored)
 		return pageAfter(results, after, total), err
 	}
-	load := s.joinLoad(standing)
+	load := s.joinLoad(stored)
 	select {
 	case <-load.done:
 	case <-ctx.Done():
@@ -43,20 +43,20 @@
 }
 
 // joinLoad returns the reading of a job that is under way, or begins one.
-func (s *Service) joinLoad(standing journal.StoredJob) *storedLoad {
+func (s *Service) joinLoad(stored journal.StoredJob) *storedLoad {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if load := s.storedLoads[standing.ID]; load != nil {
+	if load := s.storedLoads[stored.ID]; load != nil {
 		return load
 	}
 	load := &storedLoad{done: make(chan struct{})}
-	s.storedLoads[standing.ID] = load
+	s.storedLoads[stored.ID] = load
 	go func() {
-		ctx, cancel := context.WithTimeout(s.base, storedLoadTime)
+		ctx, cancel := context.WithTimeout(s.base, storedLoadTimeout)
 		defer cancel()
-		load.results, load.total, load.err = s.loadStored(ctx, standing)
+		load.results, load.total, load.err = s.loadStored(ctx, stored)
 		s.mutex.Lock()
-		delete(s.storedLoads, standing.ID)
+		delete(s.storedLoads, stored.ID)
 		s.mutex.Unlock()
 		close(load.done)
 	}()
@@ -65,29 +65,29 @@
 
 // loadStored reads what is not known yet of a job from the store, and returns all
 // its results and how many items it has.
-func (s *Service) loadStored(ctx context.Context, standing journal.StoredJob) (results []journal.Result, total int, err error) {
+func (s *Service) loadStored(ctx context.Context, stored journal.StoredJob) (results []journal.Result, total int, err error) {
 	s.mutex.Lock()
-	known := s.noteStanding(standing)
+	known := s.learnStored(stored)
 	from := known.chunks
-	results, total = known.results, max(known.total, standing.Record.Items)
+	results, total = known.results, max(known.total, stored.Record.Items)
 	s.mutex.Unlock()
-	ctx = s.within(ctx, standing.Record)
+	ctx = s.within(ctx, stored.Record)
 	if total == 0 {
-		if total, err = s.readTotal(ctx, standing); err != nil {
+		if total, err = s.readTotal(ctx, stored); err != nil {
 			return nil, 0, err
 		}
 	}
-	added, err := s.config.Journal.Results(ctx, standing.ID, from)
+	added, err := s.config.Journal.Results(ctx, stored.ID, from)
 	if err != nil {
 		return nil, 0, err
 	}
 	results = append(results[:len(results):len(results)], added.Results...)
 	s.mutex.Lock()
 	if known.total = total; !s.isOutsider(known) {
-		s.keepStored(standing, known, results, added)
+		s.keepStored(stored, known, results, added)
 	}
 	s.mutex.Unlock()
-	s.config.Logger.Info("batch job read from the store", "request", standing.ID, "ended", standing.Ended, "owner", standing.Record.Owner.Node,
+	s.config.Logger.Info("batch job read from the store", "request", stored.ID, "ended", stored.Ended, "owner", stored.Record.Owner.Node,
 		"results", len(results), "chunks", added.Chunks, "final", added.Sealed)
 	return results, total, nil
 }
@@ -95,19 +95,19 @@
 // keepStored keeps what was read of a job, so that the next reading goes on behind it.
 // A node that may not have the job's bodies keeps nothing: it has shown them to a
 // caller of its own, and reads them anew for the next. The mutex must be held.
-func (s *Service) keepStored(standing journal.StoredJob, known *remoteJob, results []journal.Result, added journal.Listing) {
+func (s *Service) keepStored(stored journal.StoredJob, known *remoteJob, results []journal.Result, added journal.Listing) {
 	if added.Chunks > known.chunks {
 		known.results, known.chunks = results, added.Chunks
 	}
 	known.final = known.final || added.Sealed
-	if standing.Ended {
-		s.sealLater(standing.ID, known)
+	if stored.Ended {
+		s.sealLater(stored.ID, known)
 	}
 }
 
 // readTotal reads how many items a job has.
-func (s *Service) readTotal(ctx context.Context, standing journal.StoredJob) (int, error) {
-	payload, err := s.config.Journal.Payload(ctx, standing.ID, standing.Record.Parts)
+func (s *Service) readTotal(ctx context.Context, stored journal.StoredJob) (int, error) {
+	payload, err := s.config.Journal.Payload(ctx, stored.ID, stored.Record.Parts)
 	if err != nil {
 		return 0, err
 	}
@@ -122,7 +122,7 @@
 func (s *Service) readFinal(id string, after int) (Page, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	known := s.known[id]
+	known := s.remoteJobs[id]
 	if known == nil || !known.final {
 		return Page{}, false
 	}
@@ -144,11 +144,11 @@
 	if page, final := s.readFinal(id, after); final {
 		return page, true
 	}
-	standing, err := s.config.Journal.Read(ctx, id)
-	if err != nil || !standing.Ended || standing.Record.Owner.Node != s.config.Self.Node {
+	stored, err := s.config.Journal.Read(ctx, id)
+	if err != nil || !stored.Ended || stored.Record.Owner.Node != s.config.Self.Node {
 		return Page{}, false
 	}
-	page, err := s.readStored(ctx, standing, after)
+	page, err := s.readStored(ctx, stored, after)
 	if err != nil {
 		s.config.Logger.Info("stored batch job not read", "request", id, "error", err.Error())
 		return Page{}, false
--- a/internal/jobs/batch/kept_ends_test.go
+++ b/internal/jobs/batch/stored_ends_test.go
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	owner.ReceiveHeartbeat(&wire.NodeBeat{Node: "former", Address: "former", Incarnation: 1, Ended: []string{"job"}})
-	for end := time.Now().Add(3 * confirmPeriod); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(3 * recordCheckInterval); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		standing, err := journal.New(cluster.store).Read(context.Background(), "job")
 		if err != nil {
 			t.Fatal(err)
@@ -83,7 +83,7 @@
 			return
 		}
 	}
-	t.Errorf("the store lacks the end after %v", 3*confirmPeriod)
+	t.Errorf("the store lacks the end after %v", 3*recordCheckInterval)
 }
 
 // Symptom: a read of an ended job takes 0.7 to 1.4 s, time and again, while the store
@@ -102,7 +102,7 @@
 	for range 4 {
 		began := time.Now()
 		page, err := cluster.nodes[0].Read(context.Background(), "job", 0, 0)
-		if took := time.Since(began); err != nil || took > sealTime/10 {
+		if took := time.Since(began); err != nil || took > sealTimeout/10 {
 			t.Errorf("%d results after %v, error %v", len(page.Results), took, err)
 		}
 	}
--- a/internal/jobs/batch/stored_test.go
+++ b/internal/jobs/batch/stored_test.go
@@ -68,12 +68,12 @@
 	}
 	cluster.awaitSeal(cluster.nodes[0])
 	jobJournal := journal.New(cluster.store)
-	stands, err := jobJournal.Results(context.Background(), "job", 0)
-	if err != nil || !stands.Sealed {
-		t.Fatalf("the results are sealed: %v, error %v", stands.Sealed, err)
+	listed, err := jobJournal.Results(context.Background(), "job", 0)
+	if err != nil || !listed.Sealed {
+		t.Fatalf("the results are sealed: %v, error %v", listed.Sealed, err)
 	}
 	late := journal.Chunk{Writer: "late", Results: []journal.Result{{ID: "late", State: journal.Abandoned}}}
-	standing, own, err := jobJournal.Append(context.Background(), "job", stands.Chunks-1, late)
+	standing, own, err := jobJournal.Append(context.Background(), "job", listed.Chunks-1, late)
 	if err != nil || own || !standing.Seal {
 		t.Errorf("a late append is done: %v, seal %v, error %v", own, standing.Seal, err)
 	}
@@ -146,7 +146,7 @@
 	eventually(t, "the job has been read", func() bool {
 		cluster.nodes[0].mutex.Lock()
 		defer cluster.nodes[0].mutex.Unlock()
-		known := cluster.nodes[0].known["job"]
+		known := cluster.nodes[0].remoteJobs["job"]
 		return known != nil && known.total == 4 && len(known.results) == 4
 	})
 }
@@ -203,7 +203,7 @@
 		return len(node.storedLoads) == 1
 	})
 	node.mutex.Lock()
-	delete(node.known, "job")
+	delete(node.remoteJobs, "job")
 	node.mutex.Unlock()
 	close(gate.open)
 	if got := <-answers; got.err != nil || got.page.Total != 4 || len(got.page.Results) != 4 {
--- a/internal/jobs/batch/submission.go
+++ b/internal/jobs/batch/submission.go
@@ -15,8 +15,8 @@
 	// Desired is how many whole groups the trainer waits for; 0 for all.
 	Desired int
 	Items   []*Item
-	// HasCredentials tells that an item named some for its request. They are not
-	// in the item's header: a job is kept, and credentials must not be.
+	// HasCredentials tells that an item named some for its request. They are not in the
+	// item's header: a job is stored, and credentials must not be.
 	HasCredentials bool
 }
 
@@ -52,7 +52,7 @@
 	// Call reads what a request about a batch job asks; false if it is none. The
 	// error is that of a request that cannot be understood.
 	Call(request *http.Request) (call Call, isCall bool, err error)
-	// VersionField names the line of an event that tells a weight version.
+	// VersionField is the name of the line of an event that has its weight version.
 	VersionField() string
 	// Signature is a replica's signature in an answer's header.
 	Signature(header http.Header) string
--- a/internal/jobs/batch/takeover.go
+++ b/internal/jobs/batch/takeover.go
@@ -10,38 +10,38 @@
 )
 
 // takeOverPause is the time between tries to take a job over.
-const takeOverPause = 400 * time.Millisecond
+const takeoverRetryPause = 400 * time.Millisecond
 
-// takeOver makes this node the owner of a job whose owner is gone, unless
-// another has become that meanwhile or the job has ended.
+// takeOver makes this node the owner of a job whose owner is silent, unless another one
+// has become that meanwhile or the job has ended.
 func (s *Service) takeOver(ctx context.Context, id string, lost orphan) {
 	defer func() {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
-		if standing := s.known[id]; standing != nil {
-			standing.taking, standing.notBefore = false, time.Now().Add(takeOverPause)
+		if remote := s.remoteJobs[id]; remote != nil {
+			remote.takingOver, remote.retryAt = false, time.Now().Add(takeoverRetryPause)
 		}
 	}()
 	if lost.probeOwner && s.ownerAnswers(ctx, id, lost.owner) {
 		s.mutex.Lock()
-		if standing := s.known[id]; standing != nil {
-			standing.heard = time.Now()
+		if remote := s.remoteJobs[id]; remote != nil {
+			remote.lastHeartbeat = time.Now()
 		}
 		s.mutex.Unlock()
 		return
 	}
-	standing, err := s.config.Journal.Read(ctx, id)
+	stored, err := s.config.Journal.Read(ctx, id)
 	if err != nil {
 		s.config.Logger.Info("batch job not taken over", "request", id, "error", err.Error())
 		return
 	}
 	s.mutex.Lock()
-	outsider := s.isOutsider(s.noteStanding(standing))
+	outsider := s.isOutsider(s.learnStored(stored))
 	s.mutex.Unlock()
-	if may, _ := ownership.DecideReplace(standing, lost.owner, outsider); !may {
+	if may, _ := ownership.DecideReplace(stored, lost.owner, outsider); !may {
 		return
 	}
-	taken, err := s.config.Journal.TakeOver(ctx, standing, s.config.Self)
+	taken, err := s.config.Journal.TakeOver(ctx, stored, s.config.Self)
 	if err != nil {
 		s.config.Logger.Info("batch job not taken over", "request", id, "error", err.Error())
 		return
@@ -51,17 +51,17 @@
 	s.loadJob(ctx, taken)
 }
 
-// loadJob reads a job that this node owns from the store and takes it up, unless it
-// has ended meanwhile or is another node's.
-func (s *Service) loadJob(ctx context.Context, standing journal.StoredJob) {
+// loadJob reads a job that this process owns from the store and starts it, unless it has
+// ended meanwhile or is another node's.
+func (s *Service) loadJob(ctx context.Context, stored journal.StoredJob) {
 	for ctx.Err() == nil {
-		submission, stands, err := s.readJob(ctx, standing)
+		submission, listed, err := s.readJob(ctx, stored)
 		if err == nil {
-			s.startConfirmed(ctx, standing, submission, stands)
+			s.startConfirmed(ctx, stored, submission, listed)
 			return
 		}
-		s.config.Logger.Error(err, "batch job not loaded", "request", standing.ID)
-		objectstore.Pause(ctx, readPause)
+		s.config.Logger.Error(err, "batch job not loaded", "request", stored.ID)
+		objectstore.Pause(ctx, readRetryPause)
 	}
 }
 
@@ -74,13 +74,13 @@
 		stored, err := s.config.Journal.Read(ctx, read.ID)
 		if err != nil {
 			s.config.Logger.Info("record of batch job not read before its start", "request", read.ID, "error", err.Error())
-			objectstore.Pause(ctx, readPause)
+			objectstore.Pause(ctx, readRetryPause)
 			continue
 		}
 		if may, _ := ownership.DecideStart(stored, s.config.Self, read.Record.Epoch); !may {
 			s.config.Logger.Info("batch job not started", "request", read.ID, "ended", stored.Ended, "owner", stored.Record.Owner.Node, "epoch", stored.Record.Epoch)
 			s.mutex.Lock()
-			s.noteStanding(stored)
+			s.learnStored(stored)
 			s.mutex.Unlock()
 			return
 		}
@@ -89,15 +89,14 @@
 	}
 }
 
-// readJob reads a job's submission and what stands of its results, behind which
-// it sets a fence.
-func (s *Service) readJob(ctx context.Context, standing journal.StoredJob) (*Submission, journal.Listing, error) {
-	ctx = s.within(ctx, standing.Record)
-	payload, err := s.config.Journal.Payload(ctx, standing.ID, standing.Record.Parts)
+// readJob reads a job's submission and its stored results, behind which it writes a fence.
+func (s *Service) readJob(ctx context.Context, stored journal.StoredJob) (*Submission, journal.Listing, error) {
+	ctx = s.within(ctx, stored.Record)
+	payload, err := s.config.Journal.Payload(ctx, stored.ID, stored.Record.Parts)
 	if err != nil {
 		return nil, journal.Listing{}, err
 	}
-	stands, err := s.config.Journal.Results(ctx, standing.ID, 0)
+	listed, err := s.config.Journal.Results(ctx, stored.ID, 0)
 	if err != nil {
 		return nil, journal.Listing{}, err
 	}
@@ -105,9 +104,9 @@
 	if err != nil {
 		return nil, journal.Listing{}, err
 	}
-	stands, err = s.config.Journal.Fence(ctx, standing.ID, stands, s.writerName())
-	return submission, stands, err
+	listed, err = s.config.Journal.Fence(ctx, stored.ID, listed, s.writerName())
+	return submission, listed, err
 }
 
 // readPause is the time between tries to read a job back.
-const readPause = 150 * time.Millisecond
+const readRetryPause = 150 * time.Millisecond
--- a/internal/jobs/batch/takeover_test.go
+++ b/internal/jobs/batch/takeover_test.go
@@ -212,7 +212,7 @@
 		t.Fatal(err)
 	}
 	owner.mutex.Lock()
-	owner.jobs["job"].endedAt = time.Now().Add(-2 * endedMemory)
+	owner.jobs["job"].endedAt = time.Now().Add(-2 * endedJobRetention)
 	owner.mutex.Unlock()
 	owner.evict()
 	if owner.OpenJobs() != 0 || cluster.owner("job") != nil {
@@ -225,7 +225,7 @@
 	eventually(t, "the node has looked the job up", func() bool {
 		owner.mutex.Lock()
 		defer owner.mutex.Unlock()
-		return owner.jobs["job"] != nil || (owner.known["job"] != nil && owner.known["job"].ended)
+		return owner.jobs["job"] != nil || (owner.remoteJobs["job"] != nil && owner.remoteJobs["job"].ended)
 	})
 	if cluster.owner("job") != nil {
 		t.Error("an ended job is taken up again")
@@ -262,10 +262,10 @@
 		{"a node never heard", journal.Owner{Node: "node-9", Incarnation: 1}, ownership.OwnerTimeout, ownership.OwnerTimeout + 2*ownership.RankDelay},
 	} {
 		node.mutex.Lock()
-		patience := node.takeoverDelay("job", &remoteJob{owner: test.owner})
+		wait := node.takeoverDelay("job", &remoteJob{owner: test.owner})
 		node.mutex.Unlock()
-		if patience < test.least || patience > test.most {
-			t.Errorf("%s: waits %s, want %s to %s", test.name, patience, test.least, test.most)
+		if wait < test.least || wait > test.most {
+			t.Errorf("%s: waits %s, want %s to %s", test.name, wait, test.least, test.most)
 		}
 	}
 }
@@ -281,7 +281,7 @@
 		t.Fatal(err)
 	}
 	node.mutex.Lock()
-	node.noteRemote("job", node.jobs["job"].record.Owner, 0, false)
+	node.learnRemote("job", node.jobs["job"].record.Owner, 0, false)
 	node.mutex.Unlock()
 	if orphans := node.orphans(); len(orphans) > 0 {
 		t.Errorf("to be taken over: %v", orphans)
--- a/internal/jobs/batch/text.go
+++ b/internal/jobs/batch/texts.go
@@ -82,7 +82,7 @@
 }
 
 // noteSaved records which texts the store now has. The mutex must be held.
-func (j *job) noteSaved(pieces []journal.TextPiece) {
+func (j *job) recordSaved(pieces []journal.TextPiece) {
 	for _, part := range pieces {
 		// The item may have begun another text while this one was on its way.
 		if saved := j.items[part.Item]; saved != nil && saved.saved == part.From && saved.texts == part.TextNumber {
@@ -91,19 +91,19 @@
 	}
 }
 
-// joinPieces puts texts together from their pieces in the order in which they
-// were written. A piece that begins within what stands replaces the rest, since
-// its writer began there anew; one that begins behind it is of no use.
+// joinPieces puts texts together from their pieces in the order in which they were
+// written. A piece that begins within the text so far replaces the rest, since its writer
+// began there anew; one that begins behind it is of no use.
 func joinPieces(pieces []journal.TextPiece) map[string]progress {
 	texts := map[string]progress{}
 	for _, part := range pieces {
-		standing := texts[part.Item]
-		if part.From > len(standing.events) || len(part.Events) != len(part.Versions) {
+		existing := texts[part.Item]
+		if part.From > len(existing.events) || len(part.Events) != len(part.Versions) {
 			continue
 		}
 		texts[part.Item] = progress{
-			events:   append(standing.events[:part.From:part.From], part.Events...),
-			versions: append(standing.versions[:part.From:part.From], part.Versions...),
+			events:   append(existing.events[:part.From:part.From], part.Events...),
+			versions: append(existing.versions[:part.From:part.From], part.Versions...),
 		}
 	}
 	return texts
--- a/internal/jobs/batch/text_test.go
+++ b/internal/jobs/batch/texts_test.go
@@ -112,7 +112,7 @@
 	if len(pieces) != 1 || pieces[0].Item != "long" || len(pieces[0].Events) != 3*leastText {
 		t.Fatalf("to be saved: %v", pieces)
 	}
-	held.noteSaved(pieces)
+	held.recordSaved(pieces)
 	if held.items["long"].saved != 3*leastText || len(held.unsavedTexts(false)) != 0 {
 		t.Error("what has been saved is saved again")
 	}
@@ -138,7 +138,7 @@
 	first := held.unsavedTexts(false)
 	work.startAnew()
 	made(40, 2)
-	held.noteSaved(first)
+	held.recordSaved(first)
 	joined := joinPieces(append(first, held.unsavedTexts(false)...))["a"]
 	if versions := joined.madeBy(); len(joined.events) != 40 || len(versions) != 1 {
 		t.Errorf("%d events of versions %v, want 40 of one", len(joined.events), versions)
--- a/internal/jobs/batch/watchers.go
+++ b/internal/jobs/batch/watchers.go
@@ -10,7 +10,8 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// probeTimeout bounds the question to an owner whose heartbeats this node does not hear.
+// probeTimeout bounds the question to an owner whose heartbeats this node does not
+// receive.
 const probeTimeout = 500 * time.Millisecond
 
 // Watchers names the nodes that watch over the jobs of this node.
--- a/internal/jobs/batch/watchers_test.go
+++ b/internal/jobs/batch/watchers_test.go
@@ -31,7 +31,7 @@
 func (n *testNode) age(id string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.known[id].heard = time.Now().Add(-time.Minute)
+	n.remoteJobs[id].lastHeartbeat = time.Now().Add(-time.Minute)
 }
 
 // watchedCluster is a cluster with more nodes than watch over one job, which
@@ -72,15 +72,15 @@
 	defer engine.release()
 	for _, node := range watching {
 		node.mutex.Lock()
-		node.known["job"].heard = time.Time{}
+		node.remoteJobs["job"].lastHeartbeat = time.Time{}
 		node.mutex.Unlock()
 	}
 	cluster.nodes[0].table.Heartbeat()
 	heard := func(node *testNode) bool {
 		node.mutex.Lock()
 		defer node.mutex.Unlock()
-		standing := node.known["job"]
-		return standing != nil && time.Since(standing.heard) < time.Minute
+		standing := node.remoteJobs["job"]
+		return standing != nil && time.Since(standing.lastHeartbeat) < time.Minute
 	}
 	for _, node := range watching {
 		eventually(t, "a watcher hears the owner", func() bool { return heard(node) })
@@ -99,7 +99,7 @@
 		eventually(t, "the owner has been asked", func() bool {
 			node.mutex.Lock()
 			defer node.mutex.Unlock()
-			return time.Since(node.known["job"].heard) < time.Minute
+			return time.Since(node.remoteJobs["job"].lastHeartbeat) < time.Minute
 		})
 	}
 	if owner := cluster.owner("job"); owner != cluster.nodes[0] {
@@ -163,12 +163,12 @@
 	node := watching[0]
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
-	standing := node.known["job"]
+	standing := node.remoteJobs["job"]
 	for _, next := range cluster.nodes {
 		if next == node {
 			continue
 		}
-		node.noteRemote("job", next.config.Self, 0, false)
+		node.learnRemote("job", next.config.Self, 0, false)
 		if got, want := node.cachedRank("job", standing), node.rank("job", &remoteJob{owner: next.config.Self}); got != want {
 			t.Errorf("owned by %s: rank %d, want %d", next.config.Self.Node, got, want)
 		}
@@ -203,6 +203,6 @@
 func (s *Service) isUnwatched(id string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	remote := s.known[id]
+	remote := s.remoteJobs[id]
 	return remote != nil && s.cachedRank(id, remote) >= ownership.Watchers
 }
--- a/internal/jobs/batch/demand.go
+++ b/internal/jobs/batch/work.go
@@ -8,11 +8,11 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// work tells how much a job has to do.
+// work is how much a job has to do, as heartbeats announce it.
 func (j *job) work() wire.JobWork {
 	tokens, open := 0.0, 0
-	for _, standing := range j.groups {
-		open += standing.open
+	for _, counted := range j.groups {
+		open += counted.open
 	}
 	for _, submitted := range j.submission.Items {
 		tokens += submitted.ExpectedTokens
@@ -20,8 +20,8 @@
 	return wire.JobWork{Job: j.id, Model: j.submission.Model, ExpectedTokens: uint64(tokens), Tenant: j.record.Tenant, Epoch: uint32(j.record.Epoch), Open: uint32(open), Items: uint32(len(j.submission.Items))}
 }
 
-// workOf is what heartbeats tell of a job. Where no homes are declared nobody asks
-// where its bodies may be.
+// workOf is what heartbeats announce of a job. Its routes and entry region are named only
+// where homes are declared: nobody asks otherwise where its bodies may be.
 func (s *Service) workOf(held *job) wire.JobWork {
 	work := held.work()
 	if s.config.Directory.View().Configuration.DeclaresHomes() {
@@ -39,8 +39,8 @@
 	return s.demand.Mean()
 }
 
-// OpenWork is how many items of batch jobs run at a service's replicas, and how many
-// run or wait, on all nodes that have told so of late.
+// OpenWork is how many items of batch jobs run at a service's replicas, and how many run
+// or wait, on all nodes whose heartbeats are recent.
 func (s *Service) OpenWork(service string) (running, open int) {
 	view := s.config.Directory.View()
 	if view.Configuration == nil || view.Configuration.Services[service].Engine == nil {
--- a/internal/jobs/placement/eventrate.go
+++ b/internal/jobs/placement/eventrate.go
@@ -2,9 +2,9 @@
 
 const (
 	// rateMemory is how many of the last texts an event rate mostly rests on.
-	rateMemory = 500
+	rateWindowTexts = 500
 	// leastTexts is how many texts must have ended for a rate to be believed.
-	leastTexts = 20
+	minTexts = 20
 )
 
 // EventRate learns how many events texts have for each token that was expected of
@@ -24,7 +24,7 @@
 	if expectedTokens <= 0 {
 		return
 	}
-	const kept = 1 - 1.0/rateMemory
+	const kept = 1 - 1.0/rateWindowTexts
 	r.texts++
 	r.events = r.events*kept + float64(events)
 	r.tokens = r.tokens*kept + expectedTokens
@@ -37,7 +37,7 @@
 // expected of it; 0 for nothing known. None is expected to be longer than the longest
 // so far.
 func (r *EventRate) Expect(expectedTokens float64) int {
-	if r.texts < leastTexts || r.tokens == 0 {
+	if r.texts < minTexts || r.tokens == 0 {
 		return 0
 	}
 	return min(r.longest, int(expectedTokens*r.events/r.tokens))
--- a/internal/jobs/placement/group.go
+++ b/internal/jobs/placement/group.go
@@ -7,10 +7,10 @@
 	place int
 	// length is the longest answer expected, in tokens.
 	length float64
-	// carried is set for a group that an earlier job ended without.
-	carried bool
-	// spare is set for a group that the trainer need not wait for.
-	spare bool
+	// inherited is set for a group that an earlier job ended without.
+	inherited bool
+	// reserve is set for a group that the trainer need not wait for.
+	reserve bool
 }
 
 // groupsOf returns the groups of a submission in its order.
@@ -18,32 +18,32 @@
 	var groups []*group
 	byName := map[string]*group{}
 	for _, item := range items {
-		standing := byName[item.Group]
-		if standing == nil {
-			standing = &group{place: len(groups)}
-			byName[item.Group] = standing
-			groups = append(groups, standing)
+		existing := byName[item.Group]
+		if existing == nil {
+			existing = &group{place: len(groups)}
+			byName[item.Group] = existing
+			groups = append(groups, existing)
 		}
-		standing.items = append(standing.items, item)
-		standing.length = max(standing.length, item.ExpectedTokens)
+		existing.items = append(existing.items, item)
+		existing.length = max(existing.length, item.ExpectedTokens)
 		if _, known := lengths[item.ID]; known {
-			standing.carried = true
+			existing.inherited = true
 		}
 	}
 	return groups
 }
 
-// markSpare marks the groups that the trainer need not wait for: the longest of those
-// that cannot have been asked for before. Groups asked for before make up at most half
-// of the desired ones and stand first.
-func markSpare(longestFirst []*group, desired int) {
+// markReserve marks the groups that the trainer need not wait for: the longest of those
+// that cannot have been asked for before. Groups asked for before make up at most half of
+// the desired ones and come first.
+func markReserve(longestFirst []*group, desired int) {
 	if desired <= 0 {
 		return
 	}
 	left := len(longestFirst) - desired
 	for _, candidate := range longestFirst {
-		if left > 0 && !candidate.carried && candidate.place >= desired/2 {
-			candidate.spare = true
+		if left > 0 && !candidate.inherited && candidate.place >= desired/2 {
+			candidate.reserve = true
 			left--
 		}
 	}
--- a/internal/jobs/placement/item.go
+++ b/internal/jobs/placement/item.go
@@ -23,8 +23,8 @@
 	Rest time.Duration
 	// Begun is set where earlier runs have made a part of it.
 	Begun bool
-	// Spare is set where the trainer need not wait for its group.
-	Spare bool
+	// Reserve is set where the trainer need not wait for its group.
+	Reserve bool
 }
 
 const (
@@ -76,12 +76,11 @@
 }
 
 // IsUrgent tells whether the item is long or was cut, so that a wait may cost its group
-// the time that it has. One whose time cannot be kept yields to those that can keep
-// theirs.
+// the time that it has. One that cannot be in time yields to those that can.
 func (i Item) IsUrgent() bool {
 	isLong := float64(i.Rest) >= longShare*float64(i.Objective)
 	isLost := i.Rest > i.Left+lostMargin
-	return !i.Due.IsZero() && !i.Spare && !isLost && (isLong || i.Begun)
+	return !i.Due.IsZero() && !i.Reserve && !isLost && (isLong || i.Begun)
 }
 
 // latestStart is when it has to begin for its job to be whole in time.
--- a/internal/jobs/placement/move.go
+++ b/internal/jobs/placement/move.go
@@ -8,19 +8,19 @@
 
 const (
 	// movesPerLook bounds how many runs are moved to faster replicas at once.
-	movesPerLook = 8
+	maxMovesPerScan = 8
 	// moveGain is the least time that a move must be expected to save: it costs the
 	// reading of the text so far and the event under way.
-	moveGain = 250 * time.Millisecond
+	minMoveGain = 250 * time.Millisecond
 	// moveRatio is how many times faster the other replica must be at the least:
 	// smaller differences come and go with the load.
-	moveRatio = 1.2
+	minMoveRatio = 1.2
 	// lateMoveRatio and lateGain are the same for a text that is late where it runs.
-	lateMoveRatio = 1.1
-	lateGain      = 300 * time.Millisecond
+	minLateMoveRatio = 1.1
+	minLateMoveGain  = 300 * time.Millisecond
 	// movedEvents is how many events a run must have made before it is moved: the
 	// first ones tell little of a replica's pace.
-	movedEvents = 2
+	minMovedEvents = 2
 )
 
 // Move is a run that would end sooner at another replica.
@@ -37,10 +37,10 @@
 func Moves(paces Paces, runs []*Run) []Move {
 	var wanted, decided []Move
 	for _, run := range runs {
-		if run.Events < movedEvents {
+		if run.Events < minMovedEvents {
 			continue
 		}
-		best := Pick(run.Replicas, run.wish())
+		best := Pick(run.Replicas, run.preference())
 		if best == nil {
 			continue
 		}
@@ -50,8 +50,8 @@
 	}
 	slices.SortStableFunc(wanted, func(a, b Move) int { return cmp.Compare(b.Gain, a.Gain) })
 	for count, next := range wanted {
-		target := Pick(next.Run.Replicas, next.Run.wish())
-		if count >= movesPerLook {
+		target := Pick(next.Run.Replicas, next.Run.preference())
+		if count >= maxMovesPerScan {
 			return decided
 		}
 		if target == nil {
@@ -74,9 +74,9 @@
 	gain := run.restAt(here) - run.restAt(there)
 	ratio := float64(here) / float64(there)
 	switch {
-	case ratio >= moveRatio && gain > moveGain:
+	case ratio >= minMoveRatio && gain > minMoveGain:
 		return Move{Run: run, Gain: gain, Reason: ReasonFaster}, true
-	case ratio >= lateMoveRatio && gain > lateGain && !run.endsInTime(here, 0):
+	case ratio >= minLateMoveRatio && gain > minLateMoveGain && !run.endsInTime(here, 0):
 		return Move{Run: run, Gain: gain, Reason: ReasonLate}, true
 	}
 	return Move{}, false
--- a/internal/jobs/placement/pace_test.go
+++ b/internal/jobs/placement/pace_test.go
@@ -20,7 +20,7 @@
 			round(usual)
 		}
 		round(2 * usual)
-		if float64(pace.Interval()) > moveRatio*float64(usual) {
+		if float64(pace.Interval()) > minMoveRatio*float64(usual) {
 			t.Errorf("%d runs: %s after one interval twice as long", runs, pace.Interval())
 		}
 		for range 40 {
--- a/internal/jobs/placement/paces.go
+++ b/internal/jobs/placement/paces.go
@@ -7,19 +7,19 @@
 
 const (
 	// leastPaced is how many replicas must have a pace for one to be slow.
-	leastPaced = 3
+	minPacedReplicas = 3
 	// slowRatio is from how many times the usual interval between events a replica
 	// counts as slow, and leastInterval below which none does.
-	slowRatio     = 1.7
-	leastInterval = 10 * time.Millisecond
+	slowRatio        = 1.7
+	minUsualInterval = 10 * time.Millisecond
 )
 
 // Paces are the times between events of a run at each replica where they are known.
 type Paces struct {
 	intervals map[string]time.Duration
 	// usual is the median, and least the shortest; zero if too few are known.
-	usual time.Duration
-	least time.Duration
+	usual   time.Duration
+	fastest time.Duration
 }
 
 // NewPaces returns the paces of replicas whose intervals are known.
@@ -29,12 +29,12 @@
 	for _, interval := range intervals {
 		sorted = append(sorted, interval)
 	}
-	if len(sorted) < leastPaced {
+	if len(sorted) < minPacedReplicas {
 		return known
 	}
 	slices.Sort(sorted)
-	known.usual = max(sorted[(len(sorted)-1)/2], leastInterval)
-	known.least = max(sorted[0], leastInterval)
+	known.usual = max(sorted[(len(sorted)-1)/2], minUsualInterval)
+	known.fastest = max(sorted[0], minUsualInterval)
 	return known
 }
 
@@ -58,8 +58,8 @@
 // excess is how much longer a replica's events take than the fastest's, as a part of
 // these; 0 where it is not known.
 func (p Paces) excess(replica string) float64 {
-	if p.least == 0 || p.intervals[replica] <= p.least {
+	if p.fastest == 0 || p.intervals[replica] <= p.fastest {
 		return 0
 	}
-	return float64(p.intervals[replica])/float64(p.least) - 1
+	return float64(p.intervals[replica])/float64(p.fastest) - 1
 }
--- a/internal/jobs/placement/pick.go
+++ b/internal/jobs/placement/pick.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Wish is what an item asks of its replica.
-type Wish struct {
+// Preference is what an item asks of its replica.
+type Preference struct {
 	// FailedAt names the replicas that have failed the item.
 	FailedAt []string
 	// Urgent is set where a replica that does not answer would cost the item its time.
@@ -13,14 +13,14 @@
 // Pick returns the least used replica that has room, nil for none. An item goes to no
 // replica again that has failed it, and an urgent one to none that is unproven, as long
 // as there are others.
-func Pick(replicas []*Replica, wish Wish) *Replica {
-	failedEverywhere := len(wish.FailedAt) >= len(replicas)
+func Pick(replicas []*Replica, preference Preference) *Replica {
+	failedEverywhere := len(preference.FailedAt) >= len(replicas)
 	var best, unproven *Replica
 	for _, candidate := range replicas {
-		if !candidate.hasRoom() || (!failedEverywhere && slices.Contains(wish.FailedAt, candidate.Name)) {
+		if !candidate.hasRoom() || (!failedEverywhere && slices.Contains(preference.FailedAt, candidate.Name)) {
 			continue
 		}
-		if wish.Urgent && candidate.unproven {
+		if preference.Urgent && candidate.unproven {
 			unproven = lessUsed(unproven, candidate)
 			continue
 		}
--- a/internal/jobs/placement/pick_test.go
+++ b/internal/jobs/placement/pick_test.go
@@ -21,18 +21,18 @@
 	some := replicas(5, 3)
 	down := NewReplica("down", 6, 0, Paces{}, Condition{Unproven: true, SinceEvent: time.Minute})
 	some = append(some, down)
-	if got := Pick(some, Wish{Urgent: true}); got.Name != "b" {
+	if got := Pick(some, Preference{Urgent: true}); got.Name != "b" {
 		t.Errorf("an urgent item goes to %s", got.Name)
 	}
-	if got := Pick(some, Wish{}); got != down {
+	if got := Pick(some, Preference{}); got != down {
 		t.Errorf("another item goes to %s, and nobody finds out whether the replica is back", got.Name)
 	}
 	down.Load++
-	if got := Pick(some, Wish{}); got == down {
+	if got := Pick(some, Preference{}); got == down {
 		t.Error("two items at once go to a replica that may be down")
 	}
 	down.Load--
-	if got := Pick([]*Replica{down}, Wish{Urgent: true}); got != down {
+	if got := Pick([]*Replica{down}, Preference{Urgent: true}); got != down {
 		t.Error("an urgent item has nowhere to go")
 	}
 }
--- a/internal/jobs/placement/rank.go
+++ b/internal/jobs/placement/rank.go
@@ -21,10 +21,10 @@
 type Rank struct {
 	// Place is its place in the order of work.
 	Place int
-	// Spare is set where the trainer need not wait for its group, and Carried where it
+	// Reserve is set where the trainer need not wait for its group, and Inherited where it
 	// waits for it in any case, since an earlier job ended without the group.
-	Spare   bool
-	Carried bool
+	Reserve   bool
+	Inherited bool
 }
 
 // RankItems decides in which order the items of a job are run, as a rank for each. The
@@ -38,26 +38,26 @@
 func RankItems(items []Submitted, desired int, lengths map[string]Length) map[string]Rank {
 	groups := groupsOf(items, lengths)
 	slices.SortStableFunc(groups, func(a, b *group) int { return cmp.Compare(b.length, a.length) })
-	markSpare(groups, desired)
-	var carried, wanted, spare []Submitted
+	markReserve(groups, desired)
+	var inherited, wanted, reserve []Submitted
 	for _, group := range groups {
 		switch {
-		case group.carried:
-			carried = append(carried, group.items...)
-		case group.spare:
-			spare = append(spare, group.items...)
+		case group.inherited:
+			inherited = append(inherited, group.items...)
+		case group.reserve:
+			reserve = append(reserve, group.items...)
 		default:
 			wanted = append(wanted, group.items...)
 		}
 	}
 	slices.SortStableFunc(wanted, func(a, b Submitted) int { return cmp.Compare(b.ExpectedTokens, a.ExpectedTokens) })
 	slices.Reverse(wanted[len(wanted)/longestFirstDivisor:])
-	slices.SortStableFunc(carried, func(a, b Submitted) int {
+	slices.SortStableFunc(inherited, func(a, b Submitted) int {
 		return cmp.Compare(lengths[b.ID].Expected(), lengths[a.ID].Expected())
 	})
 	ranks := map[string]Rank{}
-	for place, item := range slices.Concat(carried, wanted, spare) {
-		ranks[item.ID] = Rank{Place: place, Spare: place >= len(items)-len(spare), Carried: place < len(carried)}
+	for place, item := range slices.Concat(inherited, wanted, reserve) {
+		ranks[item.ID] = Rank{Place: place, Reserve: place >= len(items)-len(reserve), Inherited: place < len(inherited)}
 	}
 	return ranks
 }
--- a/internal/jobs/placement/reason.go
+++ b/internal/jobs/placement/reason.go
@@ -12,6 +12,6 @@
 	ReasonLate Reason = "late where it runs"
 	// ReasonGone is a replica whose entry is gone.
 	ReasonGone Reason = "replica is gone"
-	// ReasonStalled is a run from which nothing comes.
+	// ReasonStalled is a run that has had no event for too long.
 	ReasonStalled Reason = "nothing comes"
 )
--- a/internal/jobs/placement/run.go
+++ b/internal/jobs/placement/run.go
@@ -24,14 +24,14 @@
 	Loading bool
 }
 
-// wish is what the run's item asks of another replica.
-func (r *Run) wish() Wish { return Wish{FailedAt: r.FailedAt, Urgent: true} }
+// preference is what the run's item asks of another replica.
+func (r *Run) preference() Preference { return Preference{FailedAt: r.FailedAt, Urgent: true} }
 
 // restAt is how long the rest takes where events come at an interval.
 func (r *Run) restAt(interval time.Duration) time.Duration { return time.Duration(r.Rest) * interval }
 
 // endsInTime tells whether the run ends before its job is due, with a time to spare,
 // where events come at an interval; true for a job that has no such time.
-func (r *Run) endsInTime(interval, spare time.Duration) bool {
-	return !r.Due || r.restAt(interval)+spare <= r.Left
+func (r *Run) endsInTime(interval, reserve time.Duration) bool {
+	return !r.Due || r.restAt(interval)+reserve <= r.Left
 }
--- a/internal/jobs/placement/stall.go
+++ b/internal/jobs/placement/stall.go
@@ -3,56 +3,56 @@
 import "time"
 
 const (
-	// startPatience is how long a run may take to its first event, and eventPatience
-	// how long between events.
-	startPatience = 900 * time.Millisecond
-	eventPatience = 500 * time.Millisecond
-	// tightStart is how long a text that has less than tightSlack to spare may take to
-	// its first event: a replica that is well sends it sooner.
-	tightStart = 400 * time.Millisecond
-	// tightPatience is how many intervals may pass between events of a text that has
-	// less than tightSlack to spare, leastPatience the least such time: a replica that
-	// reads another item's prompt makes none for an interval or two.
-	tightPatience = 4
-	leastPatience = 200 * time.Millisecond
-	tightSlack    = time.Second
-	// loadPatience is added while the replica changes weights.
-	loadPatience = 2500 * time.Millisecond
+	// startTimeout bounds a run's time to its first event, and eventTimeout the time
+	// between events.
+	startTimeout = 900 * time.Millisecond
+	eventTimeout = 500 * time.Millisecond
+	// tightStartTimeout is startTimeout for a text that has less than tightSlack left: a
+	// healthy replica sends its first event sooner.
+	tightStartTimeout = 400 * time.Millisecond
+	// tightEventIntervals is how many intervals may pass between events of a text that has
+	// less than tightSlack left, and minEventTimeout the least such time: a replica that
+	// reads another item's prompt makes no event for an interval or two.
+	tightEventIntervals = 4
+	minEventTimeout     = 200 * time.Millisecond
+	tightSlack          = time.Second
+	// loadingAllowance is added while the replica changes weights.
+	loadingAllowance = 2500 * time.Millisecond
 )
 
-// Stalled tells whether nothing has come from a run for too long.
-func Stalled(paces Paces, run *Run) bool { return run.Idle > run.patience(paces) }
+// Stalled tells whether a run has had no event for too long.
+func Stalled(paces Paces, run *Run) bool { return run.Idle > run.timeout(paces) }
 
 // MayFinish tells whether a run at a replica that leaves is left there: leaving
 // replicas go on serving for a while.
-func MayFinish(run *Run) bool { return run.Idle < eventPatience }
+func MayFinish(run *Run) bool { return run.Idle < eventTimeout }
 
-func (r *Run) patience(paces Paces) time.Duration {
-	patience := r.startPatience(paces)
+func (r *Run) timeout(paces Paces) time.Duration {
+	timeout := r.startTimeout(paces)
 	if r.Events > 0 {
-		patience = r.eventPatience(paces)
+		timeout = r.eventTimeout(paces)
 	}
 	if r.Loading {
-		patience += loadPatience
+		timeout += loadingAllowance
 	}
-	return patience
+	return timeout
 }
 
 // startPatience is how long the run may take to its first event.
-func (r *Run) startPatience(paces Paces) time.Duration {
+func (r *Run) startTimeout(paces Paces) time.Duration {
 	if r.isTight(paces) {
-		return tightStart
+		return tightStartTimeout
 	}
-	return startPatience
+	return startTimeout
 }
 
 // eventPatience is how long the run may take between events. A text without slack is
 // better begun again elsewhere after some intervals than waited for.
-func (r *Run) eventPatience(paces Paces) time.Duration {
+func (r *Run) eventTimeout(paces Paces) time.Duration {
 	if !r.isTight(paces) {
-		return eventPatience
+		return eventTimeout
 	}
-	return min(eventPatience, max(leastPatience, tightPatience*paces.at(r.Replica)))
+	return min(eventTimeout, max(minEventTimeout, tightEventIntervals*paces.at(r.Replica)))
 }
 
 // isTight tells whether a wait may cost the run's job its time.
--- a/test/virtual_test.go
+++ b/test/virtual_test.go
@@ -100,7 +100,7 @@
 	})
 	coordinator := weightorders.NewCoordinator(weightorders.Config{
 		Keeper: keeper, Directory: table, Replicas: platform.NewOrders(pool), Logger: logger, Registry: registry,
-		RunningItems: day.jobs.Load, Tolerance: day.jobs.Tolerance, Demand: day.jobs.Demand, OnChange: day.jobs.NoteVersion, Announce: func() {},
+		RunningItems: day.jobs.Load, Tolerance: day.jobs.Tolerance, Demand: day.jobs.Demand, OnChange: day.jobs.LearnVersion, Announce: func() {},
 	})
 	go day.jobs.Run(ctx)
 	go coordinator.Run(ctx)
