--- a/internal/duties/weightorders/coordinator_test.go
+++ b/internal/duties/weightorders/coordinator_test.go
@@ -13,7 +13,7 @@
 	"k8s.io/klog/v2"
 
 	"github.com/pathtally/pathtally/internal/clock"
-	"github.com/pathtally/pathtally/internal/duties/duty"
+	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/wire"
 	"github.com/pathtally/pathtally/standin/metastore"
@@ -70,15 +70,15 @@
 	ctx, f.stop = context.WithCancel(ctx)
 	var coordinators []*Coordinator
 	for _, node := range nodes {
-		var keeper *duty.Keeper
-		keeper = duty.NewKeeper(duty.Config{
-			Node: node, Lease: duty.NewLease(node, nonce, duty.DefaultTerm, f.store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
-			Nodes: func() []string { return nodes }, Silence: func(string) time.Duration { return time.Hour }, Tell: func([]string) { f.tell(keeper) },
+		var keeper *lease.Keeper
+		keeper = lease.NewKeeper(lease.Config{
+			Node: node, Lease: lease.NewLease(node, nonce, lease.DefaultTerm, f.store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
+			Nodes: func() []string { return nodes }, Silence: func(string) time.Duration { return time.Hour }, Announce: func([]string) { f.tell(keeper) },
 		})
 		made := NewCoordinator(Config{
 			Keeper: keeper, Directory: f.table, Replicas: f.replicas, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
-			Load: func(string) int { return 0 }, Tolerance: func(string) int64 { return 0 }, Demand: func() Demand { return Demand{} }, OnChange: f.list,
-			Changed: func() { f.tell(keeper) },
+			RunningItems: func(string) int { return 0 }, Tolerance: func(string) int64 { return 0 }, Demand: func() Demand { return Demand{} }, OnChange: f.list,
+			Announce: func() { f.tell(keeper) },
 		})
 		coordinators = append(coordinators, made)
 	}
@@ -100,8 +100,8 @@
 }
 
 // tell is a heartbeat of one node to all.
-func (f *fleet) tell(from *duty.Keeper) {
-	seen := from.Seen()
+func (f *fleet) tell(from *lease.Keeper) {
+	seen := from.LastObserved()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, other := range f.coordinators {
@@ -123,16 +123,16 @@
 		}
 		// Those first in rank are away one after the other, so that the lease
 		// comes to one far back.
-		standing := slices.Clone(nodes)
+		current := slices.Clone(nodes)
 		version := int64(2)
 		for range 8 {
 			f.table.SetVersion("m", version)
-			f.start(t.Context(), fmt.Sprint("process-", version), standing...)
+			f.start(t.Context(), fmt.Sprint("process-", version), current...)
 			time.Sleep(30 * time.Second)
 			f.stop()
 			time.Sleep(time.Second)
 			holder, _ := f.replicas.newest()
-			standing = slices.DeleteFunc(slices.Clone(standing), func(node string) bool { return node == holder.Owner })
+			current = slices.DeleteFunc(slices.Clone(current), func(node string) bool { return node == holder.Owner })
 			version++
 		}
 		before, _ := f.replicas.newest()
@@ -172,7 +172,7 @@
 		if after.Owner == before.Owner || after.Version != 3 || after.Token <= before.Token {
 			t.Errorf("the last order is %+v after %+v", after, before)
 		}
-		if last.Sub(began) < duty.SendWindow+duty.DefaultTerm {
+		if last.Sub(began) < lease.SendWindow+lease.DefaultTerm {
 			t.Errorf("a successor gave orders %s after its start", last.Sub(began))
 		}
 		f.stop()
--- a/internal/standalone/rollout/scheduler.go
+++ b/internal/standalone/rollout/scheduler.go
@@ -7,7 +7,7 @@
 	"github.com/ansel1/merry/v2"
 
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/replicas/routing"
+	"github.com/pathtally/pathtally/internal/standalone/engineplan"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
@@ -17,12 +17,11 @@
 	config    Config
 	steps     map[uint64]*stepState
 	predictor *Predictor
-	counters  Counters
 	stopped   bool
 	parked    []*attempt
 	// reorder is set when what is known of the waiting samples has changed.
 	reorder  bool
-	lastPlan *routing.TrainerPlan
+	lastPlan *engineplan.TrainerPlan
 	// standingStores are the stores at the last look, by copyName.
 	standingStores map[string]bool
 	timer          environment.Timer
@@ -30,9 +29,6 @@
 
 // NewScheduler returns a scheduler without steps.
 func NewScheduler(config Config) *Scheduler {
-	if config.ChunkTokens == 0 {
-		config.ChunkTokens = defaultChunkTokens
-	}
 	return &Scheduler{config: config, steps: map[uint64]*stepState{}, predictor: NewPredictor()}
 }
 
@@ -62,18 +58,6 @@
 	}
 }
 
-// Counters returns what has been done so far.
-func (s *Scheduler) Counters() Counters { return s.counters }
-
-// OpenSamples is the number of slots not yet filled.
-func (s *Scheduler) OpenSamples() int {
-	open := 0
-	for _, step := range s.steps {
-		open += step.unfilled
-	}
-	return open
-}
-
 func (s *Scheduler) numbers() []uint64 { return slices.Sorted(maps.Keys(s.steps)) }
 
 // openSteps returns the steps not acknowledged, oldest first.
@@ -167,20 +151,15 @@
 
 // plan returns the trainer and its engines; while the trainer is not declared
 // any more, those last known.
-func (s *Scheduler) plan() *routing.TrainerPlan {
+func (s *Scheduler) plan() *engineplan.TrainerPlan {
 	if current := s.config.Plan(); current != nil {
 		s.lastPlan = current
 	}
 	return s.lastPlan
 }
 
-// policy returns the policy in force.
-func (s *Scheduler) policy() Policy {
-	if s.config.Policy != nil {
-		return s.config.Policy
-	}
-	return PolicyFor(s.plan().Trainer)
-}
+// policy returns the policy for the trainer as it is declared now.
+func (s *Scheduler) policy() samplePolicy { return samplePolicy{trainer: s.plan().Trainer} }
 
 // bound is the least version allowed in a sample of a step.
 func (s *Scheduler) bound(step *stepState) int64 {
--- a/internal/standalone/sim/network.go
+++ b/internal/standalone/sim/network.go
@@ -34,17 +34,14 @@
 	SlowBy    time.Duration
 	// checkEvery encodes and decodes every so manieth message, so that the
 	// wire form is exercised too.
-	checkEvery  int
-	count       int
-	zoneLatency time.Duration
-	// Messages and Bytes count what was sent, by host, when measuring.
-	Measure func(from, to string, message wire.Message)
+	checkEvery int
+	count      int
 }
 
 // NewNetwork returns a network without hosts.
 func NewNetwork(scheduler *Scheduler) *Network {
 	return &Network{
-		scheduler: scheduler, hosts: map[string]*Host{}, cut: map[link]int{}, checkEvery: 50, zoneLatency: crossZone,
+		scheduler: scheduler, hosts: map[string]*Host{}, cut: map[link]int{}, checkEvery: 50,
 		handlers: map[string]func(string, wire.Message, func(wire.Message)){},
 	}
 }
@@ -85,7 +82,7 @@
 	case a.Zone == b.Zone:
 		return sameZone
 	case a.Region == b.Region || a.Region == outside.Region || b.Region == outside.Region:
-		return n.zoneLatency
+		return crossZone
 	}
 	return crossRegion
 }
@@ -138,9 +135,6 @@
 // Send implements environment.Peers.
 func (p *simPeers) Send(address string, message wire.Message) {
 	n := p.network
-	if n.Measure != nil {
-		n.Measure(p.host.Name, address, message)
-	}
 	sent := n.check(message)
 	n.deliver(p.host.Name, address, func() {
 		n.handlers[address](p.host.Name, sent, func(wire.Message) {})
@@ -157,9 +151,6 @@
 // Call implements environment.Peers.
 func (p *simPeers) Call(address string, message wire.Message, timeout time.Duration, done func(wire.Message, error)) {
 	n := p.network
-	if n.Measure != nil {
-		n.Measure(p.host.Name, address, message)
-	}
 	finished, life := false, p.host.life
 	finish := p.host.bind(func() {
 		if !finished {
@@ -171,9 +162,6 @@
 	sent := n.check(message)
 	n.deliver(p.host.Name, address, func() {
 		n.handlers[address](p.host.Name, sent, func(reply wire.Message) {
-			if n.Measure != nil {
-				n.Measure(address, p.host.Name, reply)
-			}
 			answer := n.check(reply)
 			n.deliverTo(address, p.host.Name, life, func() {
 				if finished {
--- a/test/virtual_test.go
+++ b/test/virtual_test.go
@@ -17,9 +17,10 @@
 	"github.com/pathtally/pathtally/internal/callers/forward"
 	"github.com/pathtally/pathtally/internal/clock"
 	"github.com/pathtally/pathtally/internal/cluster/peering"
-	"github.com/pathtally/pathtally/internal/duties/duty"
+	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/duties/weightorders"
 	"github.com/pathtally/pathtally/internal/jobs/batch"
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/store/watchcache"
 	"github.com/pathtally/pathtally/internal/wire"
@@ -89,17 +90,17 @@
 	})
 	day.jobs = batch.NewService(ctx, batch.Config{
 		Clock: clock.Steady,
-		Self:  batch.Owner{Node: "node", Address: "node", Incarnation: 1}, Journal: batch.NewJournal(day.store), Codec: platform.Jobs{},
+		Self:  journal.Owner{Node: "node", Address: "node", Incarnation: 1}, Journal: journal.New(day.store), Codec: platform.Jobs{},
 		Directory: table, Dispatcher: dispatcher, Peers: alone{}, Table: peers, Logger: logger, Registry: registry,
 		Forwarder: forward.New(forward.Config{Directory: table, Dispatcher: dispatcher, Logger: logger, Metrics: forward.NewMetrics(registry)}),
 	})
-	keeper := duty.NewKeeper(duty.Config{
-		Node: "node", Lease: duty.NewLease("node", "1", 0, day.store, clock.Steady), Clock: clock.Steady, Logger: logger, Nodes: peers.Nodes,
-		Silence: func(string) time.Duration { return time.Hour }, Tell: func([]string) {},
+	keeper := lease.NewKeeper(lease.Config{
+		Node: "node", Lease: lease.NewLease("node", "1", 0, day.store, clock.Steady), Clock: clock.Steady, Logger: logger, Nodes: peers.Nodes,
+		Silence: func(string) time.Duration { return time.Hour }, Announce: func([]string) {},
 	})
 	coordinator := weightorders.NewCoordinator(weightorders.Config{
 		Keeper: keeper, Directory: table, Replicas: platform.NewOrders(pool), Logger: logger, Registry: registry,
-		Load: day.jobs.Load, Tolerance: day.jobs.Tolerance, Demand: day.jobs.Demand, OnChange: day.jobs.NoteVersion, Changed: func() {},
+		RunningItems: day.jobs.Load, Tolerance: day.jobs.Tolerance, Demand: day.jobs.Demand, OnChange: day.jobs.NoteVersion, Announce: func() {},
 	})
 	go day.jobs.Run(ctx)
 	go coordinator.Run(ctx)
