--- a/internal/clock/uses_test.go
+++ b/internal/clock/uses_test.go
@@ -17,7 +17,8 @@
 
 // proofs are the files, below internal, that hold such proofs.
 var proofs = []string{
-	"duty/*.go", "slowstart/*.go", "quarantine/*.go", "directory/slowstart.go", "directory/warmups.go", "directory/evacuation.go", "watchcache/age.go", "batch/pause.go",
+	"duties/lease/*.go", "replicas/slowstart/*.go", "callers/quarantine/*.go", "replicas/directory/slowstart.go", "replicas/directory/warmups.go",
+	"replicas/directory/evacuation*.go", "store/watchcache/freshness.go", "jobs/batch/pause.go",
 }
 
 // steadyReads are the functions of package time that read the steady clock.
