--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -6,21 +6,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock gives the instant of now. Instants of one clock may be compared with each other
-// alone.
+// Clock returns the current instant. Only instants of the same clock can be compared.
 type Clock func() time.Time
 
-// Since is how long ago an instant was.
+// Since returns the time since an instant.
 func (c Clock) Since(at time.Time) time.Duration { return c().Sub(at) }
 
-// Until is how far away an instant is.
+// Until returns the time until an instant.
 func (c Clock) Until(at time.Time) time.Duration { return at.Sub(c()) }
 
-// Steady is the clock that stands still while the machine is suspended, as tests on a
-// virtual clock need it.
+// Steady is the process's monotonic clock, which stops while the machine is suspended. Tests
+// use it, since it follows a virtual clock.
 var Steady = Clock(time.Now)
 
-// UnreadableError is a clock that the machine does not give.
+// UnreadableError reports that the boot-time clock can't be read.
 type UnreadableError struct{ Cause error }
 
 // Error gives the cause.
@@ -31,27 +30,28 @@
 // Unwrap returns the cause.
 func (e *UnreadableError) Unwrap() error { return e.Cause }
 
-// Boot returns a clock that counts the time in which the machine is suspended and does
-// not follow steps of the time of day. It begins at the time of day of the call.
+// Boot returns a clock that keeps counting while the machine is suspended and ignores steps
+// of the time of day. It starts at the time of day of the call. It returns an
+// *UnreadableError if the machine has no such clock.
 func Boot() (Clock, error) {
 	began, err := sinceBoot()
 	if err != nil {
 		return nil, &UnreadableError{Cause: err}
 	}
-	// Round drops the steady reading, by which instants would be compared otherwise.
+	// Round strips the monotonic reading, by which instants would otherwise be compared.
 	origin := time.Now().Round(0)
 	return func() time.Time {
 		elapsed, err := sinceBoot()
 		if err != nil {
-			// It has been read before, and fails for bad arguments only. A node must not
-			// go on without it.
+			// A clock that could be read once fails only for invalid arguments. A node must
+			// not continue without it.
 			panic(&UnreadableError{Cause: err})
 		}
 		return origin.Add(elapsed - began)
 	}, nil
 }
 
-// sinceBoot is for how long the machine has been up, suspended or not.
+// sinceBoot returns the time since the machine booted, suspensions included.
 func sinceBoot() (time.Duration, error) {
 	var reading unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &reading); err != nil {
