--- a/internal/store/objectstore/settle_test.go
+++ b/internal/store/objectstore/create_settled_test.go
@@ -12,11 +12,11 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// answerTime is what a client waits for an answer.
+// answerTime is how long a client waits for an answer.
 const answerTime = 1500 * time.Millisecond
 
-// awayStore is a store that answers nothing until an instant, and the first few
-// calls never.
+// awayStore is a store that answers nothing before an instant, and the first few calls
+// never.
 type awayStore struct {
 	Store
 	back    time.Time
@@ -83,8 +83,8 @@
 			if took := time.Since(began); took > test.within || took < test.away {
 				t.Errorf("%s: took %s", test.name, took)
 			}
-			if store.most > openTries {
-				t.Errorf("%s: %d tries at a time", test.name, store.most)
+			if store.most > maxOpenAttempts {
+				t.Errorf("%s: %d attempts at a time", test.name, store.most)
 			}
 			time.Sleep(time.Minute)
 		})
--- a/internal/store/objectstore/metered.go
+++ b/internal/store/objectstore/metered.go
@@ -9,8 +9,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metered counts the calls to a store by what they do, the kind of the objects and how
-// they ended.
+// Metered is a store that counts the calls to another one, by call, kind and outcome.
 type Metered struct {
 	store Store
 	calls *prometheus.CounterVec
@@ -18,7 +17,7 @@
 
 var _ Store = (*Metered)(nil)
 
-// NewMetered returns a store that counts the calls to another one in a registry.
+// NewMetered returns a store that counts the calls to another one, and registers its metric.
 func NewMetered(store Store, registry prometheus.Registerer) *Metered {
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "pathtally_store_calls_total", Help: "Calls to the metadata store, by what they do, kind of object and outcome.",
@@ -32,7 +31,7 @@
 	m.calls.WithLabelValues(call, kind, outcomeOf(err)).Inc()
 }
 
-// outcomeOf names how a call ended.
+// outcomeOf returns the label of a call's outcome.
 func outcomeOf(err error) string {
 	var conflict *ConflictError
 	var refused *RefusedError
@@ -51,7 +50,7 @@
 	return "unanswered"
 }
 
-// readCall names a read, which costs a tenth where it may be stale.
+// readCall returns the label of a read; stale reads are counted apart, since they cost less.
 func readCall(name string, freshness Freshness) string {
 	if freshness == MayBeStale {
 		return name + "_stale"
--- /dev/null
+++ b/internal/store/objectstore/page.go
@@ -0,0 +1,10 @@
+package objectstore
+
+// Page is a part of a listing.
+type Page struct {
+	Objects []Object
+	// More reports that the listing continues after the last name of this page.
+	More bool
+	// At is the store's revision of the page.
+	At uint64
+}
--- a/internal/store/objectwire/compress.go
+++ b/internal/store/objectwire/compress.go
@@ -12,7 +12,7 @@
 
 // mostListingBytes bounds a listing once it is decompressed: some hundred thousand
 // replicas. What claims to be larger is damaged.
-const mostListingBytes = 256 << 20
+const maxListingBytes = 256 << 20
 
 // ListingError is a compressed listing that cannot be made or read.
 type ListingError struct {
@@ -70,7 +70,7 @@
 
 func decompress(compressed []byte) ([]wire.ObjectChange, error) {
 	reader := flate.NewReader(bytes.NewReader(compressed))
-	encoded, err := io.ReadAll(io.LimitReader(reader, mostListingBytes))
+	encoded, err := io.ReadAll(io.LimitReader(reader, maxListingBytes))
 	if err != nil {
 		return nil, &ListingError{Detail: "decompress", Cause: err}
 	}
--- a/internal/store/objectwire/objectwire.go
+++ b/internal/store/objectwire/objectwire.go
@@ -1,5 +1,3 @@
-// Package objectwire turns the metadata store's objects into messages between
-// nodes and back.
 package objectwire
 
 import (
@@ -7,19 +5,19 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// Encode is an object as a message.
+// Encode returns the wire form of an object.
 func Encode(object objectstore.Object) wire.ObjectChange {
 	return wire.ObjectChange{Name: object.Name, Deleting: object.Deleting, Revision: object.Revision, Spec: object.Spec, Status: object.Status}
 }
 
-// Decode is the object of a message.
+// Decode returns the object of a wire form.
 func Decode(encoded wire.ObjectChange) objectstore.Object {
 	return objectstore.Object{
 		Name: encoded.Name, Revision: encoded.Revision, Deleting: encoded.Deleting, Spec: encoded.Spec, Status: encoded.Status,
 	}
 }
 
-// EncodeAll is a listing as messages.
+// EncodeAll returns the wire form of a listing.
 func EncodeAll(objects []objectstore.Object) []wire.ObjectChange {
 	encoded := make([]wire.ObjectChange, 0, len(objects))
 	for _, object := range objects {
@@ -28,7 +26,7 @@
 	return encoded
 }
 
-// DecodeAll is the listing of messages.
+// DecodeAll returns the listing of a wire form.
 func DecodeAll(encoded []wire.ObjectChange) []objectstore.Object {
 	objects := make([]objectstore.Object, 0, len(encoded))
 	for _, object := range encoded {
@@ -37,7 +35,7 @@
 	return objects
 }
 
-// EncodeChanges is a series of changes as messages.
+// EncodeChanges returns the wire form of changes.
 func EncodeChanges(changes []objectstore.Change) []wire.ObjectChange {
 	encoded := make([]wire.ObjectChange, 0, len(changes))
 	for _, change := range changes {
@@ -48,7 +46,7 @@
 	return encoded
 }
 
-// DecodeChanges is the series of changes of messages.
+// DecodeChanges returns the changes of a wire form.
 func DecodeChanges(encoded []wire.ObjectChange) []objectstore.Change {
 	changes := make([]objectstore.Change, 0, len(encoded))
 	for _, change := range encoded {
