--- a/internal/store/objectwire/compress.go
+++ b/internal/store/objectwire/compress.go
@@ -10,17 +10,17 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// mostListingBytes bounds a listing once it is decompressed: some hundred thousand
-// replicas. What claims to be larger is damaged.
+// maxListingBytes bounds a decompressed listing, in bytes; anything larger is damaged. It is
+// enough for some hundred thousand replicas.
 const maxListingBytes = 256 << 20
 
-// ListingError is a compressed listing that cannot be made or read.
+// ListingError reports a listing that can't be compressed or decompressed.
 type ListingError struct {
 	Detail string
 	Cause  error
 }
 
-// Error names the step and the cause.
+// Error implements error.
 func (e *ListingError) Error() string {
 	return fmt.Sprintf("compressed listing: %s: %v", e.Detail, e.Cause)
 }
@@ -28,11 +28,11 @@
 // Unwrap returns the cause.
 func (e *ListingError) Unwrap() error { return e.Cause }
 
-// Compress is a listing as compressed bytes. Entries of replicas are alike, so that
-// they take a small part of the room.
+// Compress compresses a listing. Entries of replicas are alike and compress well. It returns
+// a *ListingError if it fails.
 func Compress(objects []objectstore.Object) ([]byte, error) { return compress(EncodeAll(objects)) }
 
-// CompressChanges is a series of changes as compressed bytes.
+// CompressChanges compresses changes. It returns a *ListingError if it fails.
 func CompressChanges(changes []objectstore.Change) ([]byte, error) {
 	return compress(EncodeChanges(changes))
 }
@@ -56,13 +56,13 @@
 	return compressed.Bytes(), nil
 }
 
-// Decompress reads a compressed listing.
+// Decompress returns a compressed listing, or a *ListingError.
 func Decompress(compressed []byte) ([]objectstore.Object, error) {
 	encoded, err := decompress(compressed)
 	return DecodeAll(encoded), err
 }
 
-// DecompressChanges reads a compressed series of changes.
+// DecompressChanges returns compressed changes, or a *ListingError.
 func DecompressChanges(compressed []byte) ([]objectstore.Change, error) {
 	encoded, err := decompress(compressed)
 	return DecodeChanges(encoded), err
