--- a/internal/cluster/rendezvous/rendezvous.go
+++ b/internal/cluster/rendezvous/rendezvous.go
@@ -1,5 +1,3 @@
-// Package rendezvous ranks candidates for a key by highest-random-weight
-// hashing, so that each key moves only when its own candidate goes.
 package rendezvous
 
 import (
@@ -11,30 +9,30 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// mixer is the multiplier of the splitmix64 finalizer.
-const mixer = 0xbf58476d1ce4e5b9
+// mixMultiplier is the multiplier of the splitmix64 finalizer.
+const mixMultiplier = 0xbf58476d1ce4e5b9
 
-// Hash returns the hash of a text.
+// Hash returns the 64-bit hash of a text.
 func Hash(text string) uint64 { return xxhash.Sum64String(text) }
 
-// Weight joins the hashes of a key and of a candidate.
+// Weight returns the weight of a candidate for a key, given the hashes of both.
 func Weight(key, candidate uint64) uint64 {
 	mixed := key ^ candidate
 	mixed ^= mixed >> 30
-	mixed *= mixer
+	mixed *= mixMultiplier
 	mixed ^= mixed >> 27
-	return mixed * mixer
+	return mixed * mixMultiplier
 }
 
-// Candidate is something that can be ranked.
+// Candidate is a node or a replica that can be ranked.
 type Candidate struct {
 	ID   string
 	Zone string
-	// Capacity is how much the candidate can take, in any unit; 0 for unknown.
+	// Capacity is how much the candidate can take, in any unit, 0 for unknown.
 	Capacity uint32
 }
 
-// Rank orders candidates by weight for a key, the greatest first.
+// Rank returns the candidates by weight for a key, the greatest first.
 func Rank(key string, candidates []Candidate) []Candidate {
 	keyHash := Hash(key)
 	weighed := make([]weighedCandidate, len(candidates))
@@ -54,7 +52,7 @@
 	return ranked
 }
 
-// RankNames orders names as Rank does candidates.
+// RankNames returns names in the order in which Rank orders candidates.
 func RankNames(key string, names []string) []string {
 	candidates := make([]Candidate, len(names))
 	for i, name := range names {
@@ -67,26 +65,26 @@
 	return ranked
 }
 
-// RankByCapacity orders candidates as Rank does, but those of about the greatest
-// capacity before those with less. Candidates that differ by less than a factor of
-// two or so share a class, so that a key's load is spread among all of them.
+// RankByCapacity orders candidates as Rank does, but those in a higher class of capacity
+// first. A class spans a factor of two, so that keys are spread over all candidates of about
+// the same capacity.
 func RankByCapacity(key string, candidates []Candidate) []Candidate {
 	ranked := Rank(key, candidates)
 	slices.SortStableFunc(ranked, func(a, b Candidate) int { return capacityClass(b.Capacity) - capacityClass(a.Capacity) })
 	return ranked
 }
 
-// capacityClass is the power of two that a capacity lies under.
+// capacityClass returns the number of bits of a capacity, 0 for unknown.
 func capacityClass(capacity uint32) int { return bits.Len32(capacity) }
 
-// weighedCandidate is a candidate with its weight for one key.
+// weighedCandidate is a candidate with its weight for a key.
 type weighedCandidate struct {
 	Candidate
 	weight uint64
 }
 
-// RankAcrossZones orders candidates as Rank does, but takes one of each zone
-// before the second of any, so that the first few share no zone.
+// RankAcrossZones orders candidates as Rank does, but takes one of each zone before the
+// second of any, so that the first few are in different zones.
 func RankAcrossZones(key string, candidates []Candidate) []Candidate {
 	ranked := Rank(key, candidates)
 	spread := make([]Candidate, 0, len(ranked))
--- /dev/null
+++ b/internal/cluster/transport/config.go
@@ -0,0 +1,19 @@
+package transport
+
+import "github.com/pathtally/pathtally/internal/wire"
+
+// Handler handles a message from the peer that listens at an address. It is called through
+// Config.Post. Reply sends a reply and may be called at most once, from any goroutine.
+type Handler func(from string, message wire.Message, reply func(wire.Message))
+
+// Config holds the settings and dependencies of a Transport.
+type Config struct {
+	// Hello is the first message on each connection that this node opens.
+	Hello wire.Hello
+	// Post runs the handler of a message, or the callback of a call.
+	Post func(func())
+	// Handler handles each message of a peer.
+	Handler Handler
+	// Traffic counts messages by kind; nil for none.
+	Traffic *Traffic
+}
--- a/internal/cluster/transport/incoming.go
+++ b/internal/cluster/transport/incoming.go
@@ -2,42 +2,19 @@
 
 import (
 	"net"
-	"sync"
 	"time"
 
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// countingReader counts the bytes read from a connection.
-type countingReader struct {
-	connection net.Conn
-	counts     *Counts
-}
-
-// Read implements io.Reader.
-func (r countingReader) Read(buffer []byte) (int, error) {
-	count, err := r.connection.Read(buffer)
-	r.counts.BytesReceived.Add(int64(count))
-	return count, err
-}
-
-// serve reads the requests of one peer. The first frame must be a Hello of the
-// same protocol version.
+// serve handles the messages of one peer until its connection ends. The first frame must be
+// a Hello of the same protocol version.
 func (t *Transport) serve(connection net.Conn) {
-	t.mutex.Lock()
-	if t.closed {
-		t.mutex.Unlock()
-		connection.Close()
+	defer connection.Close()
+	if !t.addIncoming(connection) {
 		return
 	}
-	t.incoming[connection] = true
-	t.mutex.Unlock()
-	defer func() {
-		connection.Close()
-		t.mutex.Lock()
-		delete(t.incoming, connection)
-		t.mutex.Unlock()
-	}()
+	defer t.removeIncoming(connection)
 	reader := countingReader{connection: connection, counts: &t.counts}
 	replies := &replyWriter{connection: connection, counts: &t.counts, traffic: t.config.Traffic}
 	frame, err := wire.Read(reader)
@@ -55,11 +32,29 @@
 			return
 		}
 		t.config.Traffic.count(frame.Message, directionIn, frame.Bytes)
-		t.handle(hello.Address, frame, replies)
+		t.dispatch(hello.Address, frame, replies)
 	}
 }
 
-func (t *Transport) handle(from string, frame wire.Frame, replies *replyWriter) {
+// addIncoming records a peer's connection, unless the transport is closed.
+func (t *Transport) addIncoming(connection net.Conn) bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if t.closed {
+		return false
+	}
+	t.incoming[connection] = true
+	return true
+}
+
+func (t *Transport) removeIncoming(connection net.Conn) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	delete(t.incoming, connection)
+}
+
+// dispatch passes a message to the handler, unless its caller has stopped waiting by then.
+func (t *Transport) dispatch(from string, frame wire.Frame, replies *replyWriter) {
 	arrived := time.Now()
 	t.config.Post(func() {
 		if frame.Timeout != 0 && time.Since(arrived) > frame.Timeout {
@@ -72,29 +67,3 @@
 		})
 	})
 }
-
-// replyWriter writes replies from any goroutine. A peer that does not read is
-// cut off rather than waited for.
-type replyWriter struct {
-	connection net.Conn
-	counts     *Counts
-	traffic    *Traffic
-	mutex      sync.Mutex
-}
-
-func (w *replyWriter) write(correlation uint64, message wire.Message) {
-	encoded, err := wire.Encode(wire.Frame{Correlation: correlation, Reply: true, Message: message})
-	if err != nil {
-		return
-	}
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.connection.SetWriteDeadline(time.Now().Add(writeTimeout))
-	written, err := w.connection.Write(encoded)
-	w.counts.BytesSent.Add(int64(written))
-	w.counts.FramesSent.Add(1)
-	w.traffic.count(message, directionOut, written)
-	if err != nil {
-		w.connection.Close()
-	}
-}
--- a/internal/cluster/transport/outgoing.go
+++ b/internal/cluster/transport/outgoing.go
@@ -12,24 +12,24 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// outgoing is the connection to one peer: requests go out on it and their
-// replies come back on it.
+// outgoing is the connection to one peer, on which requests are sent and their replies come
+// back.
 type outgoing struct {
-	transport *Transport
-	address   string
-	queue     chan []byte
-	stop      chan struct{}
-	stopOnce  sync.Once
-	mutex     sync.Mutex
-	next      uint64
-	pending   map[uint64]*pendingCall
-	broken    bool
-	opened    time.Time
-	// heard is when the peer sent something last, as a span since opened.
-	heard atomic.Int64
+	transport       *Transport
+	address         string
+	queue           chan []byte
+	stop            chan struct{}
+	stopOnce        sync.Once
+	mutex           sync.Mutex
+	lastCorrelation uint64
+	pending         map[uint64]*pendingCall
+	broken          bool
+	opened          time.Time
+	// lastReceived is when the peer last sent a frame, in nanoseconds since opened.
+	lastReceived atomic.Int64
 }
 
-// pendingCall is a request without its reply.
+// pendingCall is a request without a reply.
 type pendingCall struct {
 	done  func(wire.Message, error)
 	timer *time.Timer
@@ -46,6 +46,7 @@
 	}
 }
 
+// enqueue queues a frame. It drops the frame and reports false if the queue is full.
 func (o *outgoing) enqueue(frame []byte) bool {
 	select {
 	case o.queue <- frame:
@@ -56,16 +57,17 @@
 	}
 }
 
+// register adds a request and returns its correlation id. Done is called once, at the latest
+// after the timeout.
 func (o *outgoing) register(timeout time.Duration, done func(wire.Message, error)) uint64 {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.next++
-	correlation := o.next
+	o.lastCorrelation++
+	correlation := o.lastCorrelation
 	call := &pendingCall{done: done}
 	call.timer = time.AfterFunc(timeout, func() {
-		if o.silent(timeout) {
-			// A cut link says nothing: a new connection finds out sooner than
-			// this one would.
+		if o.isSilentFor(timeout) {
+			// A cut link gives no error. A new connection notices it sooner.
 			o.close()
 		}
 		o.finish(correlation, nil, merry.Wrap(environment.ErrPeerUnreachable))
@@ -77,7 +79,8 @@
 	return correlation
 }
 
-// finish ends a request once; a reply that comes after its time is dropped.
+// finish ends a request with a reply or an error. A reply to a request that has ended is
+// dropped.
 func (o *outgoing) finish(correlation uint64, message wire.Message, err error) {
 	o.mutex.Lock()
 	call := o.pending[correlation]
@@ -90,20 +93,21 @@
 	o.transport.config.Post(func() { call.done(message, err) })
 }
 
-// silent tells whether nothing has come from the peer for a time.
-func (o *outgoing) silent(span time.Duration) bool {
-	return time.Since(o.opened) > span && time.Since(o.opened)-time.Duration(o.heard.Load()) > span
+// isSilentFor reports whether nothing was received from the peer for a time.
+func (o *outgoing) isSilentFor(span time.Duration) bool {
+	return time.Since(o.opened) > span && time.Since(o.opened)-time.Duration(o.lastReceived.Load()) > span
 }
 
+// close ends the connection.
 func (o *outgoing) close() { o.stopOnce.Do(func() { close(o.stop) }) }
 
-// run connects, writes what is queued, and ends the connection with an error
-// to every open request when it breaks. A later message connects anew.
+// run connects and writes the queued frames until the connection breaks or is idle. It then
+// fails all open requests; a later message opens a new connection.
 func (o *outgoing) run() {
-	defer o.fail()
+	defer o.failPending()
 	connection, err := net.DialTimeout("tcp", o.address, dialTimeout)
 	if err != nil {
-		o.transport.noteUnreachable(o.address)
+		o.transport.recordUnreachable(o.address)
 		return
 	}
 	defer connection.Close()
@@ -128,6 +132,7 @@
 	}
 }
 
+// helloFrame returns the first frame of the connection.
 func (o *outgoing) helloFrame() []byte {
 	hello := o.transport.config.Hello
 	encoded, err := wire.Encode(wire.Frame{Message: &hello})
@@ -137,6 +142,7 @@
 	return encoded
 }
 
+// write writes a frame and reports whether that succeeded.
 func (o *outgoing) write(connection net.Conn, frame []byte) bool {
 	connection.SetWriteDeadline(time.Now().Add(writeTimeout))
 	written, err := connection.Write(frame)
@@ -145,6 +151,7 @@
 	return err == nil
 }
 
+// read ends the requests with the replies that come in, until the connection breaks.
 func (o *outgoing) read(connection net.Conn) {
 	defer o.close()
 	reader := countingReader{connection: connection, counts: &o.transport.counts}
@@ -153,7 +160,7 @@
 		if err != nil {
 			return
 		}
-		o.heard.Store(int64(time.Since(o.opened)))
+		o.lastReceived.Store(int64(time.Since(o.opened)))
 		o.transport.config.Traffic.count(frame.Message, directionIn, frame.Bytes)
 		if failure, failed := frame.Message.(*wire.Failure); failed {
 			o.finish(frame.Correlation, nil, &wire.RemoteError{Code: wire.FailureCode(failure.Code), Detail: failure.Detail})
@@ -163,8 +170,8 @@
 	}
 }
 
-// fail ends every open request.
-func (o *outgoing) fail() {
+// failPending ends every open request with environment.ErrPeerUnreachable.
+func (o *outgoing) failPending() {
 	o.transport.forget(o)
 	o.mutex.Lock()
 	o.broken = true
--- a/internal/cluster/transport/traffic.go
+++ b/internal/cluster/transport/traffic.go
@@ -13,13 +13,13 @@
 )
 
 // Traffic counts the messages between nodes and their bytes, by kind and direction. A nil
-// one counts nothing.
+// Traffic counts nothing.
 type Traffic struct {
 	messages *prometheus.CounterVec
 	bytes    *prometheus.CounterVec
 }
 
-// NewTraffic returns counters in a registry.
+// NewTraffic returns counters, and registers them.
 func NewTraffic(registry prometheus.Registerer) *Traffic {
 	labels := []string{"kind", "direction"}
 	traffic := &Traffic{
@@ -30,6 +30,7 @@
 	return traffic
 }
 
+// count counts a message of some bytes.
 func (t *Traffic) count(message wire.Message, direction string, bytes int) {
 	if t == nil {
 		return
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -4,7 +4,6 @@
 	"errors"
 	"net"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/ansel1/merry/v2"
@@ -14,44 +13,22 @@
 )
 
 const (
-	// queueLength bounds the frames waiting for one peer: some seconds of
-	// heartbeats. The queue takes 24 bytes a frame for each connected peer.
+	// queueLength is the most frames that wait for one peer: some seconds of heartbeats.
 	queueLength = 128
 	dialTimeout = time.Second
 	// writeTimeout bounds one write to a peer that does not read.
 	writeTimeout = 5 * time.Second
-	// idleTimeout ends a connection on which nothing was sent for long.
-	// Most connections carry the start and the end of a batch job, some seconds
-	// apart, and nothing else.
+	// idleTimeout ends a connection on which nothing was sent. Most connections carry the
+	// start and the end of a batch job, some seconds apart, and nothing else.
 	idleTimeout = 15 * time.Second
-	// redialPause is how long one-way messages to a peer that could not be
-	// connected to are dropped at once. A request always tries anew.
-	redialPause = 400 * time.Millisecond
+	// redialDelay is how long one-way messages to a peer are dropped after a connection to
+	// it failed. A request always dials again.
+	redialDelay = 400 * time.Millisecond
+	// acceptRetryDelay is the pause after a connection could not be accepted.
+	acceptRetryDelay = 10 * time.Millisecond
 )
 
-// Handler answers a message from the peer that listens at an address. It runs
-// on the goroutine of the node's duties; reply may be called at most once.
-type Handler func(from string, message wire.Message, reply func(wire.Message))
-
-// Config is what a Transport needs.
-type Config struct {
-	Hello wire.Hello
-	// Post runs a call on the goroutine of the node's duties.
-	Post    func(func())
-	Handler Handler
-	// Traffic counts messages by kind; nil for none.
-	Traffic *Traffic
-}
-
-// Counts are the totals of one transport.
-type Counts struct {
-	FramesSent    atomic.Int64
-	FramesDropped atomic.Int64
-	BytesSent     atomic.Int64
-	BytesReceived atomic.Int64
-}
-
-// Transport implements environment.Peers over TCP.
+// Transport implements environment.Peers over TCP. It is safe for concurrent use.
 type Transport struct {
 	config   Config
 	listener net.Listener
@@ -60,21 +37,28 @@
 	incoming map[net.Conn]bool
 	closed   bool
 	counts   Counts
-	// unreachable is when a connection to an address failed last.
-	unreachable map[string]time.Time
+	// unreachableAt is when a connection to an address last failed.
+	unreachableAt map[string]time.Time
 }
 
-// Listen starts to accept peers.
+// Listen returns a transport that accepts the connections of peers on a listener, until it
+// is closed.
 func Listen(listener net.Listener, config Config) *Transport {
-	transport := &Transport{config: config, listener: listener, outgoing: map[string]*outgoing{}, incoming: map[net.Conn]bool{}, unreachable: map[string]time.Time{}}
+	transport := &Transport{
+		config:        config,
+		listener:      listener,
+		outgoing:      map[string]*outgoing{},
+		incoming:      map[net.Conn]bool{},
+		unreachableAt: map[string]time.Time{},
+	}
 	go transport.accept()
 	return transport
 }
 
-// Counts returns the totals.
+// Counts returns the totals, which go on rising.
 func (t *Transport) Counts() *Counts { return &t.counts }
 
-// Close ends all connections.
+// Close closes the listener and all connections.
 func (t *Transport) Close() {
 	t.mutex.Lock()
 	t.closed = true
@@ -103,7 +87,7 @@
 		return
 	}
 	for _, address := range addresses {
-		if peer := t.peer(address, false); peer != nil && peer.enqueue(encoded) {
+		if peer := t.connectionTo(address, false); peer != nil && peer.enqueue(encoded) {
 			t.config.Traffic.count(message, directionOut, len(encoded))
 		}
 	}
@@ -111,7 +95,7 @@
 
 // Call implements environment.Peers.
 func (t *Transport) Call(address string, message wire.Message, timeout time.Duration, done func(wire.Message, error)) {
-	peer := t.peer(address, true)
+	peer := t.connectionTo(address, true)
 	if peer == nil {
 		t.config.Post(func() { done(nil, merry.Wrap(environment.ErrPeerUnreachable)) })
 		return
@@ -130,14 +114,16 @@
 	t.config.Traffic.count(message, directionOut, len(encoded))
 }
 
-func (t *Transport) peer(address string, redial bool) *outgoing {
+// connectionTo returns the connection to a peer, a new one if there is none; nil after Close,
+// or without redial within redialDelay of a failed connection.
+func (t *Transport) connectionTo(address string, redial bool) *outgoing {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.closed {
 		return nil
 	}
 	peer := t.outgoing[address]
-	if peer == nil && !redial && time.Since(t.unreachable[address]) < redialPause {
+	if peer == nil && !redial && time.Since(t.unreachableAt[address]) < redialDelay {
 		return nil
 	}
 	if peer == nil {
@@ -148,12 +134,14 @@
 	return peer
 }
 
-func (t *Transport) noteUnreachable(address string) {
+// recordUnreachable records that a connection to an address failed.
+func (t *Transport) recordUnreachable(address string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.unreachable[address] = time.Now()
+	t.unreachableAt[address] = time.Now()
 }
 
+// forget removes a connection that has ended.
 func (t *Transport) forget(peer *outgoing) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -162,6 +150,7 @@
 	}
 }
 
+// accept serves each peer that connects, until the listener is closed.
 func (t *Transport) accept() {
 	for {
 		connection, err := t.listener.Accept()
@@ -169,7 +158,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(10 * time.Millisecond)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		go t.serve(connection)
