--- a/internal/environment/ask.go
+++ b/internal/environment/ask.go
@@ -7,15 +7,15 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// Ask sends a request to a peer and waits for the reply, or until the context
-// ends. The error is that of Peers.Call or the context's.
-func Ask(ctx context.Context, peers Peers, address string, question wire.Message, timeout time.Duration) (wire.Message, error) {
+// Ask sends a request to a peer and waits for its reply. It returns the error of Peers.Call, or
+// the context's error if the context ends first.
+func Ask(ctx context.Context, peers Peers, address string, request wire.Message, timeout time.Duration) (wire.Message, error) {
 	type answer struct {
 		message wire.Message
 		err     error
 	}
 	answers := make(chan answer, 1)
-	peers.Call(address, question, timeout, func(message wire.Message, err error) { answers <- answer{message, err} })
+	peers.Call(address, request, timeout, func(message wire.Message, err error) { answers <- answer{message, err} })
 	select {
 	case got := <-answers:
 		return got.message, got.err
--- a/internal/environment/clock.go
+++ b/internal/environment/clock.go
@@ -8,8 +8,10 @@
 	Stop()
 }
 
-// Clock tells the time and calls back on the duty's goroutine.
+// Clock gives the time, and calls back on the goroutine of the duty.
 type Clock interface {
+	// Now returns the current time.
 	Now() time.Time
+	// AfterFunc calls back after a delay.
 	AfterFunc(delay time.Duration, call func()) Timer
 }
--- a/internal/environment/machines.go
+++ b/internal/environment/machines.go
@@ -1,6 +1,6 @@
 package environment
 
-// MachineState is what the machine list says of a machine.
+// MachineState is the state of a machine in the machine list.
 type MachineState string
 
 // The states of a machine.
@@ -11,14 +11,15 @@
 
 // Machine is one entry of the machine list.
 type Machine struct {
-	// ID is new for each replacement of a machine.
+	// ID differs after each replacement of a machine.
 	ID string `json:"id"`
-	// Address is the IP and port of the engine or node on it.
+	// Address is the IP address and port of the engine or node on it.
 	Address string       `json:"address"`
 	State   MachineState `json:"state"`
 }
 
-// Machines is the platform's machine list, which lags behind reality.
+// Machines is the platform's machine list, which may lag behind.
 type Machines interface {
+	// List calls done with the machines and the version of the list.
 	List(done func(machines []Machine, version uint64, err error))
 }
