--- a/internal/store/watchcache/answer.go
+++ b/internal/store/watchcache/answer.go
@@ -64,11 +64,11 @@
 // replyNow returns the reply to a poll at this moment.
 func (s *Source) replyNow(poll *wire.WatchPoll) *wire.WatchNews {
 	status := s.readerStatus(poll.Direct)
-	if poll.Relay && status.standing != wire.ReaderLeaving && !s.reading.isActive() {
+	if poll.Relay && status.state != wire.ReaderLeaving && !s.reading.isActive() {
 		status = s.relayStatus()
 	}
 	return &wire.WatchNews{
-		Standing: uint8(status.standing),
+		Standing: uint8(status.state),
 		Through:  status.through,
 		AgeMs:    uint32(status.age.Milliseconds()),
 		Kinds:    s.updatesFor(poll),
@@ -77,7 +77,7 @@
 
 // copyStatus is what a node says of its copies.
 type copyStatus struct {
-	standing wire.ReaderState
+	state wire.ReaderState
 	// through is the address of the node that the store answers, if it is another one.
 	through string
 	// age is how long ago the copies were known to be current.
@@ -89,11 +89,11 @@
 	age := s.Age()
 	switch {
 	case !s.listed():
-		return copyStatus{standing: wire.ReaderStarting}
+		return copyStatus{state: wire.ReaderStarting}
 	case age > maxRelayedAge:
-		return copyStatus{standing: wire.ReaderUnsure}
+		return copyStatus{state: wire.ReaderUnsure}
 	}
-	return copyStatus{standing: wire.ReaderCurrent, through: s.peer.last(), age: age}
+	return copyStatus{state: wire.ReaderCurrent, through: s.peer.last(), age: age}
 }
 
 // readerStatus returns the status of a node that reads the store. One that is helped by
@@ -103,18 +103,18 @@
 	helper, helped := s.peer.helper()
 	switch {
 	case s.leaving.Load():
-		return copyStatus{standing: wire.ReaderLeaving}
+		return copyStatus{state: wire.ReaderLeaving}
 	case helped && !direct:
-		return copyStatus{standing: wire.ReaderCurrent, through: helper}
+		return copyStatus{state: wire.ReaderCurrent, through: helper}
 	case s.health.isUnavailable():
-		return copyStatus{standing: wire.ReaderUnsure}
+		return copyStatus{state: wire.ReaderUnsure}
 	case s.isCurrent():
-		return copyStatus{standing: wire.ReaderCurrent}
+		return copyStatus{state: wire.ReaderCurrent}
 	}
-	return copyStatus{standing: wire.ReaderStarting}
+	return copyStatus{state: wire.ReaderStarting}
 }
 
-// updatesFor returns an update for each kind of which a poll's sender lacks changes.
+// updatesFor returns an update for each kind of which the sender of a poll misses changes.
 func (s *Source) updatesFor(poll *wire.WatchPoll) []wire.KindNews {
 	var updates []wire.KindNews
 	for _, has := range poll.Kinds {
--- a/internal/store/watchcache/area.go
+++ b/internal/store/watchcache/area.go
@@ -22,11 +22,11 @@
 	nodes []Node
 }
 
-// areas returns the areas that this node can belong to, widest first: those that one
-// reader can answer and that have more nodes than the next narrower one. The zone is
-// always the last.
-func (s *Source) areas(nodes []Node) []area {
-	zone, region, deployment := s.areasAround(nodes)
+// areasOf returns the areas that a node can belong to, widest first: those that one reader
+// can answer and that have more nodes than the next narrower one. The zone is always the
+// last. Regions maps each zone to its region.
+func areasOf(self Node, regions map[string]string, nodes []Node) []area {
+	zone, region, deployment := areasAround(self, regions, nodes)
 	narrowestFirst := []area{zone, region, deployment}
 	var widestFirst []area
 	for i := len(narrowestFirst) - 1; i > 0; i-- {
@@ -38,10 +38,9 @@
 	return append(widestFirst, zone)
 }
 
-// areasAround sorts nodes into this node's zone, its region and the deployment.
-func (s *Source) areasAround(nodes []Node) (zone, region, deployment area) {
-	self := s.config.Self
-	ownRegion := s.config.Regions[self.Zone]
+// areasAround returns the nodes of a node's zone, of its region and of the deployment.
+func areasAround(self Node, regions map[string]string, nodes []Node) (zone, region, deployment area) {
+	ownRegion := regions[self.Zone]
 	zone, region, deployment = area{kind: zoneArea}, area{kind: regionArea}, area{kind: deploymentArea}
 	for _, node := range nodes {
 		if node.Name == self.Name {
@@ -52,7 +51,7 @@
 		if sameZone {
 			zone.nodes = append(zone.nodes, node)
 		}
-		if sameZone || (ownRegion != "" && s.config.Regions[node.Zone] == ownRegion) {
+		if sameZone || (ownRegion != "" && regions[node.Zone] == ownRegion) {
 			region.nodes = append(region.nodes, node)
 		}
 	}
@@ -62,7 +61,7 @@
 // followedArea returns the widest area whose reader is not excluded, or the zone if all
 // are. Narrowest reports whether it is the zone.
 func (s *Source) followedArea(nodes []Node) (followed area, narrowest bool) {
-	areas := s.areas(nodes)
+	areas := areasOf(s.config.Self, s.config.Regions, nodes)
 	last := len(areas) - 1
 	for _, candidate := range areas[:last] {
 		if !s.exclusions.isAreaExcluded(candidate.kind) {
--- a/internal/store/watchcache/area_test.go
+++ b/internal/store/watchcache/area_test.go
@@ -1,6 +1,8 @@
 package watchcache
 
 import (
+	"fmt"
+	"slices"
 	"testing"
 	"time"
 )
@@ -19,7 +21,7 @@
 	})
 }
 
-// A reader answers no more than it can bear: where the deployment is larger, each
+// A reader answers a bounded number of nodes: where the deployment is larger, each
 // region has its own.
 func TestALargeDeploymentHasOneReaderARegion(t *testing.T) {
 	inZones(t, maxFollowers/4+1, twoRegions, func(c *cluster) {
@@ -30,7 +32,7 @@
 	})
 }
 
-// Regions that lose each other have news in time, each by a reader of its own, and
+// Regions that lose each other get changes in time, each by a reader of its own, and
 // one reader for both afterwards.
 func TestRegionsThatLoseEachOtherReadOnTheirOwn(t *testing.T) {
 	for phase := range 6 {
@@ -52,9 +54,9 @@
 	}
 }
 
-// A reader that is lost or that the store turns away costs one reader for each zone
+// A reader that is lost or that the store refuses costs one reader for each zone
 // at the most, and no follower is late: all of them reading the store is what a store
-// in trouble bears least.
+// in trouble tolerates least.
 func TestLossOfTheReaderOfAllCostsFewReaders(t *testing.T) {
 	for _, trouble := range troubles {
 		t.Run(trouble.name, func(t *testing.T) {
@@ -76,8 +78,8 @@
 	}
 }
 
-// The store turns a good part of the nodes away, the reader among them: the others
-// have news as early as if each zone had its own reader.
+// The store refuses a good part of the nodes, the reader among them: the others
+// get changes as early as if each zone had its own reader.
 func TestStoreThatTurnsManyNodesAwayDelaysNewsWithinTheBound(t *testing.T) {
 	for phase := range 8 {
 		inZones(t, 8, twoRegions, func(c *cluster) {
@@ -101,7 +103,7 @@
 }
 
 // A machine that is gone for good stays in the list of nodes. Its former followers try
-// it ever less often, since each try keeps them without news, and follow one reader
+// it ever less often, since each attempt delays changes, and follow one reader
 // in between.
 func TestAReaderThatIsGoneIsTriedEverLessOften(t *testing.T) {
 	inZones(t, 5, twoRegions, func(c *cluster) {
@@ -118,3 +120,39 @@
 		}
 	})
 }
+
+func TestAreasOfANode(t *testing.T) {
+	// others returns some other nodes in each zone.
+	others := func(perZone map[string]int) []Node {
+		nodes := []Node{{Name: "self", Zone: "east-a"}}
+		for zone, count := range perZone {
+			for number := range count {
+				nodes = append(nodes, Node{Name: fmt.Sprintf("%s-%d", zone, number), Zone: zone})
+			}
+		}
+		return nodes
+	}
+	for _, test := range []struct {
+		name    string
+		perZone map[string]int
+		regions map[string]string
+		want    []areaKind
+	}{
+		{"alone", nil, twoRegions, []areaKind{zoneArea}},
+		{"one zone", map[string]int{"east-a": 5}, twoRegions, []areaKind{zoneArea}},
+		{"one region", map[string]int{"east-a": 5, "east-b": 5}, twoRegions, []areaKind{regionArea, zoneArea}},
+		{"two regions", map[string]int{"east-a": 5, "east-b": 5, "west-a": 1}, twoRegions, []areaKind{deploymentArea, regionArea, zoneArea}},
+		{"no regions known", map[string]int{"east-a": 5, "east-b": 5}, nil, []areaKind{deploymentArea, zoneArea}},
+		{"large deployment", map[string]int{"east-a": 60, "east-b": 60, "west-a": 8}, twoRegions, []areaKind{regionArea, zoneArea}},
+		{"large region", map[string]int{"east-a": 60, "east-b": 68}, twoRegions, []areaKind{zoneArea}},
+		{"large zone", map[string]int{"east-a": 200}, twoRegions, []areaKind{zoneArea}},
+	} {
+		var kinds []areaKind
+		for _, area := range areasOf(Node{Name: "self", Zone: "east-a"}, test.regions, others(test.perZone)) {
+			kinds = append(kinds, area.kind)
+		}
+		if !slices.Equal(kinds, test.want) {
+			t.Errorf("%s: %v, want %v", test.name, kinds, test.want)
+		}
+	}
+}
--- a/internal/store/watchcache/health.go
+++ b/internal/store/watchcache/health.go
@@ -100,9 +100,9 @@
 	return h.recovery
 }
 
-// monitor probes the store until the context ends. Watches alone don't show an outage,
-// since they wait long in any case. During an outage it doesn't wait for open probes, so
-// that the end of the outage is seen within outageProbeInterval.
+// monitor probes the store until the context ends. Watches don't show an outage, since they
+// are held for seconds also in ordinary operation. During an outage it doesn't wait for open
+// probes, so that it sees the end of the outage within outageProbeInterval.
 func (h *storeHealth) monitor(ctx context.Context, probe storeProbe) {
 	var open sync.WaitGroup
 	defer open.Wait()
--- a/internal/store/watchcache/help.go
+++ b/internal/store/watchcache/help.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"slices"
 	"time"
 
 	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
@@ -21,7 +20,7 @@
 func (s *Source) seekHelp(ctx context.Context) {
 	for objectstore.Sleep(ctx, helpCheckInterval) {
 		for attempt := 0; s.health.isUnavailable() && ctx.Err() == nil; attempt++ {
-			helpers := s.helpers()
+			helpers := helpersOf(s.config.Self, s.config.Nodes())
 			if len(helpers) == 0 {
 				break
 			}
@@ -45,14 +44,14 @@
 	}
 }
 
-// helpers returns the nodes to ask for help: the first in rank of each zone, and in a
-// large deployment standbyReaders of this node's zone. Those of other zones come first,
+// helpersOf returns the nodes that a node asks for help: the first in rank of each zone, and
+// in a large deployment standbyReaders of its own zone. Those of other zones come first,
 // since they are likely to read the store already.
-func (s *Source) helpers() []Node {
+func helpersOf(self Node, nodes []Node) []Node {
 	byName := map[string]Node{}
 	var candidates []rendezvous.Candidate
-	for _, node := range s.config.Nodes() {
-		if node.Name != s.config.Self.Name {
+	for _, node := range nodes {
+		if node.Name != self.Name {
 			byName[node.Name] = node
 			candidates = append(candidates, rendezvous.Candidate{ID: node.Name, Zone: node.Zone})
 		}
@@ -61,26 +60,17 @@
 	if len(candidates) >= maxFollowers {
 		limitInOwnZone = standbyReaders
 	}
-	var helpers []Node
-	taken := map[string]int{}
+	var ofOtherZones, ofOwnZone []Node
+	taken := map[string]bool{}
 	for _, candidate := range rendezvous.Rank(rankKey, candidates) {
-		limit := 1
-		if candidate.Zone == s.config.Self.Zone {
-			limit = limitInOwnZone
+		helper := byName[candidate.ID]
+		switch {
+		case candidate.Zone == self.Zone && len(ofOwnZone) < limitInOwnZone:
+			ofOwnZone = append(ofOwnZone, helper)
+		case candidate.Zone != self.Zone && !taken[candidate.Zone]:
+			taken[candidate.Zone] = true
+			ofOtherZones = append(ofOtherZones, helper)
 		}
-		if taken[candidate.Zone] < limit {
-			taken[candidate.Zone]++
-			helpers = append(helpers, byName[candidate.ID])
-		}
-	}
-	slices.SortStableFunc(helpers, func(a, b Node) int { return s.helpOrder(a) - s.helpOrder(b) })
-	return helpers
-}
-
-// helpOrder sorts helpers of other zones before those of this node's zone.
-func (s *Source) helpOrder(node Node) int {
-	if node.Zone == s.config.Self.Zone {
-		return 1
 	}
-	return 0
+	return append(ofOtherZones, ofOwnZone...)
 }
--- /dev/null
+++ b/internal/store/watchcache/kind_copy.go
@@ -0,0 +1,150 @@
+package watchcache
+
+import (
+	"maps"
+	"slices"
+
+	"github.com/pathtally/pathtally/internal/store/objectstore"
+)
+
+const (
+	// minHistory is how many changes a copy keeps for followers; it keeps as many as there
+	// are objects if they are more. A follower further behind gets a whole listing, which is
+	// then no longer than its changes.
+	minHistory = 256
+	// largeListing is the number of objects from which on a listing is compressed for
+	// followers, and a watch is resumed rather than the kind listed again. Below, a listing
+	// is one or two pages of the store.
+	largeListing = 256
+	// manyChanges is the number of changes from which on they are compressed.
+	manyChanges = 16
+)
+
+// kindCopy is the copy of one kind with its latest changes. It is not safe for concurrent
+// use.
+type kindCopy struct {
+	listed  bool
+	objects map[string]objectstore.Object
+	// revision is the store's revision of the copy.
+	revision uint64
+	// history holds the changes after revision base, oldest first.
+	base        uint64
+	history     []historyEntry
+	afterOutage bool
+	compressed  compressedUpdates
+}
+
+// historyEntry is a change and the revision of the copy that contains it.
+type historyEntry struct {
+	revision uint64
+	change   objectstore.Change
+}
+
+func newKindCopy() kindCopy { return kindCopy{objects: map[string]objectstore.Object{}} }
+
+// isLarge reports whether the copy is costly to list again.
+func (c *kindCopy) isLarge() bool { return c.listed && len(c.objects) >= largeListing }
+
+// replace replaces the copy by a listing, unless it is older than the copy.
+func (c *kindCopy) replace(objects []objectstore.Object, revision uint64, afterOutage bool) bool {
+	if c.listed && revision < c.revision {
+		return false
+	}
+	c.objects = make(map[string]objectstore.Object, len(objects))
+	for _, object := range objects {
+		c.objects[object.Name] = object
+	}
+	if !c.listed || revision > c.revision {
+		c.base, c.history = revision, nil
+	}
+	c.compressed = compressedUpdates{}
+	c.listed, c.revision, c.afterOutage = true, revision, afterOutage
+	return true
+}
+
+// advance applies the changes between two revisions, if the copy is at the first of them.
+func (c *kindCopy) advance(from uint64, changes []objectstore.Change, to uint64, afterOutage bool) bool {
+	if !c.listed || from != c.revision {
+		return false
+	}
+	c.revision, c.afterOutage = max(c.revision, to), afterOutage
+	for _, change := range changes {
+		c.history = append(c.history, historyEntry{revision: c.revision, change: change})
+		if change.Gone {
+			delete(c.objects, change.Object.Name)
+		} else {
+			c.objects[change.Object.Name] = change.Object
+		}
+	}
+	c.trimHistory()
+	return true
+}
+
+// trimHistory drops the oldest changes. Changes of the same revision are dropped together,
+// so that no follower gets only some of them.
+func (c *kindCopy) trimHistory() {
+	surplus := len(c.history) - max(minHistory, len(c.objects))
+	if surplus <= 0 {
+		return
+	}
+	c.base = c.history[surplus-1].revision
+	c.history = slices.DeleteFunc(c.history, func(entry historyEntry) bool { return entry.revision <= c.base })
+}
+
+// updateSince returns the update of a copy at a revision, and whether there is one. An error
+// reports that it could not be compressed; the update is then uncompressed.
+func (c *kindCopy) updateSince(revision uint64, compressed bool) (update Update, found bool, err error) {
+	if !c.listed || (revision >= c.revision && revision > 0) {
+		return Update{}, false, nil
+	}
+	if revision < c.base || revision == 0 {
+		update, err = c.wholeUpdate(compressed)
+		return update, true, err
+	}
+	return c.updateFromHistory(revision, compressed)
+}
+
+// wholeUpdate returns all objects.
+func (c *kindCopy) wholeUpdate(compressed bool) (Update, error) {
+	update := Update{At: c.revision, AfterOutage: c.afterOutage, Whole: true}
+	var err error
+	if compressed && len(c.objects) >= largeListing {
+		update.Compressed, update.At, err = c.compressed.listingSince(c.base, c.revision, c.sortedObjects)
+		if err == nil {
+			return update, nil
+		}
+		update.Compressed, update.At = nil, c.revision
+	}
+	for _, object := range c.sortedObjects() {
+		update.Changes = append(update.Changes, objectstore.Change{Object: object})
+	}
+	return update, err
+}
+
+// updateFromHistory returns the changes after a revision.
+func (c *kindCopy) updateFromHistory(revision uint64, compressed bool) (Update, bool, error) {
+	update := Update{At: c.revision, AfterOutage: c.afterOutage}
+	for _, entry := range c.history {
+		if entry.revision > revision {
+			update.Changes = append(update.Changes, entry.change)
+		}
+	}
+	var err error
+	if compressed && len(update.Changes) >= manyChanges {
+		update.Compressed, err = c.compressed.changesBetween(revision, c.revision, update.Changes)
+		if err == nil {
+			update.Changes = nil
+			return update, true, nil
+		}
+	}
+	return update, len(update.Changes) > 0, err
+}
+
+// sortedObjects returns all objects by name.
+func (c *kindCopy) sortedObjects() []objectstore.Object {
+	objects := make([]objectstore.Object, 0, len(c.objects))
+	for _, name := range slices.Sorted(maps.Keys(c.objects)) {
+		objects = append(objects, c.objects[name])
+	}
+	return objects
+}
--- a/internal/store/watchcache/poll.go
+++ b/internal/store/watchcache/poll.go
@@ -94,8 +94,8 @@
 	return outcomeCurrent
 }
 
-func outcomeOf(standing wire.ReaderState) pollOutcome {
-	switch standing {
+func outcomeOf(state wire.ReaderState) pollOutcome {
+	switch state {
 	case wire.ReaderCurrent:
 		return outcomeCurrent
 	case wire.ReaderLeaving:
--- a/internal/store/watchcache/tree_test.go
+++ b/internal/store/watchcache/tree_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// counts are the calls of all kinds that reached the store at their full price.
+// calls returns the calls of all kinds that reached the store at their full price.
 func (c *cluster) calls() int64 {
 	sum := int64(0)
 	for _, node := range c.nodes {
@@ -59,7 +59,7 @@
 	return sum
 }
 
-// Each change costs the store one call, and each node hears it over at most three links.
+// Each change costs the store one call, and each node gets it over at most three links.
 func TestOneNodeReadsForALargeArea(t *testing.T) {
 	inCluster(t, large, func(c *cluster) {
 		if readers := c.readers(); len(readers) != 1 {
@@ -103,8 +103,8 @@
 	}
 }
 
-// The loss of the reader of a large area, of the nodes that hand its news on, or of both
-// delays news within the bound, and has few nodes read the store.
+// The loss of the reader of a large area, of the nodes that relay its changes, or of both
+// delays changes within the bound, and makes few nodes read the store.
 func TestLossesInALargeAreaDelayNewsWithinTheBound(t *testing.T) {
 	for _, trouble := range troubles {
 		t.Run(trouble.name, func(t *testing.T) {
@@ -127,7 +127,7 @@
 	}
 }
 
-// A tenth of the nodes is lost at once, the reader and some that hand its news on among
+// A tenth of the nodes is lost at once, the reader and some that relay its changes among
 // them.
 func TestManyLossesInALargeAreaDelayNewsWithinTheBound(t *testing.T) {
 	for phase := range 2 {
@@ -149,7 +149,7 @@
 	}
 }
 
-// While the store is away, most nodes of a large area ask it nothing: probes by all were
+// While the store is unavailable, most nodes of a large area ask it nothing: probes by all were
 // thousands of calls a second.
 func TestAnOutageCostsTheSameForAnyNumberOfNodes(t *testing.T) {
 	probes := func(count int) (asked int) {
@@ -175,8 +175,8 @@
 	}
 }
 
-// A third of the nodes is turned away by the store, the reader among them. It is helped,
-// by some of its zone if those of others are turned away too.
+// The store refuses a third of the nodes, the reader among them. It is helped,
+// by some of its zone if those of others are refused too.
 func TestStoreThatTurnsManyNodesOfALargeAreaAway(t *testing.T) {
 	for phase := range 2 {
 		inCluster(t, large, func(c *cluster) {
