--- a/internal/replicas/directory/doc.go
+++ b/internal/replicas/directory/doc.go
@@ -12,5 +12,6 @@
 //     published, and opened only after the view that ends it.
 //   - A replica that warms up is bounded before the view that lists it is published.
 //
-// usable.go decides which replicas are used.
+// usable.go decides which replicas are used, entry_book.go applies that to the entries of
+// the store, listing.go and plans.go publish the result.
 package directory
--- a/internal/replicas/directory/evacuation.go
+++ b/internal/replicas/directory/evacuation.go
@@ -5,6 +5,8 @@
 	"slices"
 	"time"
 
+	"k8s.io/klog/v2"
+
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
@@ -59,38 +61,38 @@
 	maps.DeleteFunc(next.EvacuationEnded, func(_ string, at time.Time) bool { return t.clock.Since(at) > evacuationEndMemory })
 	for _, change := range changes {
 		if change.Ended {
-			t.endEvacuation(next, change.Zone)
+			endEvacuation(next, change.Zone, t.clock(), t.logger)
 		} else {
-			t.beginEvacuation(next, change.Zone)
+			beginEvacuation(next, change.Zone, t.clock(), t.logger)
 		}
 	}
 	t.publishEvacuations(next)
 }
 
 // beginEvacuation records that a zone is evacuated, unless it is known.
-func (t *Table) beginEvacuation(next *View, zone string) {
+func beginEvacuation(next *View, zone string, now time.Time, logger klog.Logger) {
 	if _, known := next.Evacuated[zone]; known {
 		return
 	}
-	next.Evacuated[zone] = t.clock()
+	next.Evacuated[zone] = now
 	delete(next.EvacuationEnded, zone)
 	replicas := next.EndpointsIn(zone)
 	if len(replicas) == 0 && next.ReplicasKnown {
-		t.logger.Info("evacuation of a zone without replicas", "evacuated", zone)
+		logger.Info("evacuation of a zone without replicas", "evacuated", zone)
 		return
 	}
-	t.logger.Info("zone evacuated", "evacuated", zone, "replicas", len(replicas), "inFlight", next.InFlightIn(zone))
+	logger.Info("zone evacuated", "evacuated", zone, "replicas", len(replicas), "inFlight", next.InFlightIn(zone))
 }
 
 // endEvacuation records that a zone is no longer evacuated.
-func (t *Table) endEvacuation(next *View, zone string) {
+func endEvacuation(next *View, zone string, now time.Time, logger klog.Logger) {
 	since, known := next.Evacuated[zone]
 	if !known {
 		return
 	}
 	delete(next.Evacuated, zone)
-	next.EvacuationEnded[zone] = t.clock()
-	t.logger.Info("evacuation ended", "evacuated", zone, "replicas", len(next.EndpointsIn(zone)), "lastedMs", t.clock.Since(since).Milliseconds(),
+	next.EvacuationEnded[zone] = now
+	logger.Info("evacuation ended", "evacuated", zone, "replicas", len(next.EndpointsIn(zone)), "lastedMs", now.Sub(since).Milliseconds(),
 		"inFlight", next.InFlightIn(zone))
 }
 
--- a/internal/replicas/directory/plans.go
+++ b/internal/replicas/directory/plans.go
@@ -3,6 +3,8 @@
 import (
 	"maps"
 
+	"k8s.io/klog/v2"
+
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
@@ -24,8 +26,9 @@
 // publishTouched publishes a view in which some replicas may have changed, come or gone.
 // Its cost is that of these and of a copy of the listing.
 func (t *Table) publishTouched(next *View, touched map[string]bool) {
-	t.forgetOld()
 	current := t.view.Load()
+	t.entries.forget(current.Replicas)
+	t.unreadable.trim()
 	next.Endpoints = maps.Clone(current.Endpoints)
 	if next.Endpoints == nil {
 		next.Endpoints = map[string]*routing.Endpoint{}
@@ -50,7 +53,7 @@
 			revisions.add(next.Endpoints[id])
 		}
 	}
-	t.logAdded(added)
+	logAdded(added, t.logger)
 	next.Plans = revisions.apply(t.place, current.Plans)
 	closeEvacuatedZones(next, touched)
 	t.publish(next, touched)
@@ -62,7 +65,7 @@
 const maxNamedReplicas = 3
 
 // logAdded logs replicas that came together in one line.
-func (t *Table) logAdded(added []*Replica) {
+func logAdded(added []*Replica, logger klog.Logger) {
 	if len(added) == 0 {
 		return
 	}
@@ -70,7 +73,7 @@
 	for _, replica := range added[:min(maxNamedReplicas, len(added))] {
 		named = append(named, replica.ID+" "+replica.Service+" "+replica.Address+" "+replica.Zone)
 	}
-	t.logger.Info("replicas added", "replicas", len(added), "first", named)
+	logger.Info("replicas added", "replicas", len(added), "first", named)
 }
 
 // sameEndpoint reports whether a replica is as the router knows it.
--- a/internal/replicas/directory/table.go
+++ b/internal/replicas/directory/table.go
@@ -23,20 +23,10 @@
 	clock clock.Clock
 
 	mutex sync.Mutex
-	// left gives the starts of replicas that have said they leave, each with when it was
-	// listed last.
-	left map[string]time.Time
-	// starts are the newest starts known, by the names of replicas, and startsScannedAt
-	// is when starts to forget were last looked for.
-	starts          map[string]*start
-	startsScannedAt time.Time
-	// kept are the replicas used on although their entries have vanished.
-	kept map[string]*time.Timer
-	// unreadable are the revisions of entries that named no replica when they were read
-	// last, and onUnreadable is called for each.
-	unreadable   map[string]uint64
-	onUnreadable func(reason string)
-	states       map[string]*routing.EndpointState
+	// entries is what is known of the replicas' entries.
+	entries    *entryBook
+	unreadable *unreadableEntries
+	states     map[string]*routing.EndpointState
 	// warmUps are what is known of replicas that warm up, and slowStart bounds what
 	// they get; nil where it is not bounded.
 	warmUps   warmUps
@@ -50,9 +40,11 @@
 func NewTable(node, zone string, regions map[string]string, logger klog.Logger) *Table {
 	table := &Table{
 		place: routing.Place{Node: node, Zone: zone, Region: regions[zone]}, regions: regions, logger: logger, clock: clock.Steady,
-		left: map[string]time.Time{}, kept: map[string]*time.Timer{}, starts: map[string]*start{}, unreadable: map[string]uint64{}, onUnreadable: func(string) {},
-		states: map[string]*routing.EndpointState{}, warmUps: warmUps{}, changed: make(chan struct{}),
+		entries:    newEntryBook(logger, clock.Steady),
+		unreadable: &unreadableEntries{logger: logger, revisions: map[string]uint64{}, report: func(string) {}},
+		states:     map[string]*routing.EndpointState{}, warmUps: warmUps{}, changed: make(chan struct{}),
 	}
+	table.entries.onKeptEnd, table.entries.onLateEntry = table.endKeeping, table.applyLateEntry
 	table.view.Store(&View{Replicas: map[string]*Replica{}, Named: map[string]int64{}, Plans: map[string]*routing.Plan{}})
 	return table
 }
@@ -62,7 +54,7 @@
 func (t *Table) SetClock(counting clock.Clock) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.clock = counting
+	t.clock, t.entries.clock = counting, counting
 }
 
 // View returns the newest view.
--- a/internal/replicas/directory/table_test.go
+++ b/internal/replicas/directory/table_test.go
@@ -251,12 +251,12 @@
 		table.ApplyReplicas([]ReplicaChange{{Name: "one", Replica: leaving}}, 0)
 		time.Sleep(leftMemory * 3 / 4)
 		table.SetReplicas(nil, 0)
-		if !table.hasLeft("one") {
+		if !table.entries.hasLeft("one") {
 			t.Error("a replica that was listed lately is forgotten")
 		}
 		time.Sleep(leftMemory)
 		table.SetReplicas(nil, 0)
-		if table.hasLeft("one") {
+		if table.entries.hasLeft("one") {
 			t.Error("a replica that left long ago is still remembered")
 		}
 	})
