--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -93,7 +93,7 @@
 		Nodes: p.lookup.storeNodes, Joined: p.peers.JoinAttempted, ProbeKind: peering.Kind, ProbeName: p.self.Node, Clock: p.clock, Logger: p.logger, Registry: p.registry,
 	})
 	p.store = storerelay.New(storerelay.Config{
-		Own: p.adapter.Store, Peers: p.transport, Through: p.source.CurrentPeer, Others: p.lookup.storeHelpers, Region: p.lookup.regionAt, Logger: p.logger, Registry: p.registry,
+		Own: p.adapter.Store, Peers: p.transport, CurrentPeer: p.source.CurrentPeer, LargeCallHelpers: p.lookup.storeHelpers, Region: p.lookup.regionAt, Logger: p.logger, Registry: p.registry,
 	})
 }
 
