--- a/internal/duties/autoscale/service_test.go
+++ b/internal/duties/autoscale/service_test.go
@@ -49,7 +49,7 @@
 	return nil
 }
 
-func (m *market) standing() string {
+func (m *market) held() string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return fmt.Sprint(maps.Clone(m.orders))
@@ -61,8 +61,8 @@
 	m.mute = mute
 }
 
-// taken returns how many orders came, and how many of these with an old token.
-func (m *market) taken() (calls, stale int) {
+// received returns how many orders came, and how many of these with an old token.
+func (m *market) received() (calls, stale int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.calls, m.stale
@@ -125,21 +125,21 @@
 	inWorld(t, func(ctx context.Context, w *world) {
 		w.start(ctx, "node")
 		time.Sleep(10 * time.Second)
-		if calls, _ := w.market.taken(); calls != 0 {
+		if calls, _ := w.market.received(); calls != 0 {
 			t.Errorf("%d orders without work", calls)
 		}
 		w.setOpen(131)
 		time.Sleep(5 * time.Second)
-		if got := w.market.standing(); got != "map[a:7 b:6 c:6]" {
+		if got := w.market.held(); got != "map[a:7 b:6 c:6]" {
 			t.Errorf("ordered %s", got)
 		}
 		w.setOpen(0)
 		time.Sleep(peakPeriod + shrinkDelay/2)
-		if got := w.market.standing(); got != "map[a:7 b:6 c:6]" {
+		if got := w.market.held(); got != "map[a:7 b:6 c:6]" {
 			t.Errorf("given back at once: %s", got)
 		}
 		time.Sleep(shrinkDelay)
-		if got := w.market.standing(); got != "map[a:4 b:4 c:4]" {
+		if got := w.market.held(); got != "map[a:4 b:4 c:4]" {
 			t.Errorf("not given back: %s", got)
 		}
 	})
@@ -154,18 +154,18 @@
 		w.start(first, "first")
 		time.Sleep(5 * time.Second)
 		stop()
-		current := w.market.standing()
+		current := w.market.held()
 		w.start(ctx, "second")
 		for range 40 {
 			time.Sleep(pollInterval)
-			_, stale := w.market.taken()
-			if got := w.market.standing(); got != current || stale != 0 {
+			_, stale := w.market.received()
+			if got := w.market.held(); got != current || stale != 0 {
 				t.Fatalf("ordered %s after %s, %d with an old token", got, current, stale)
 			}
 		}
 		w.setOpen(180)
 		time.Sleep(20 * time.Second)
-		if got := w.market.standing(); got != "map[a:9 b:8 c:8]" {
+		if got := w.market.held(); got != "map[a:9 b:8 c:8]" {
 			t.Errorf("ordered %s", got)
 		}
 	})
@@ -177,10 +177,10 @@
 		w.setOpen(180)
 		w.start(ctx, "node")
 		time.Sleep(9500 * time.Millisecond)
-		if calls, _ := w.market.taken(); calls > 5 {
+		if calls, _ := w.market.received(); calls > 5 {
 			t.Errorf("%d orders in 9 s", calls)
 		}
-		if got := w.market.standing(); got != "map[a:9 c:10]" {
+		if got := w.market.held(); got != "map[a:9 c:10]" {
 			t.Errorf("ordered %s", got)
 		}
 	})
@@ -194,13 +194,13 @@
 		w.setOpen(131)
 		w.start(ctx, "node")
 		time.Sleep(7 * time.Second)
-		if calls, _ := w.market.taken(); calls != 3 {
+		if calls, _ := w.market.received(); calls != 3 {
 			t.Errorf("%d orders of three zones", calls)
 		}
 		time.Sleep(minOrderInterval)
 		w.market.setMute(false)
 		time.Sleep(3 * minOrderInterval)
-		if calls, _ := w.market.taken(); calls != 9 {
+		if calls, _ := w.market.received(); calls != 9 {
 			t.Errorf("%d orders once the third of each was answered", calls)
 		}
 	})
--- a/internal/duties/usage/service_test.go
+++ b/internal/duties/usage/service_test.go
@@ -87,7 +87,7 @@
 	net         *net
 	service     *Service
 	keeper      *lease.Keeper
-	heard       sync.Map
+	heartbeats       sync.Map
 	stop        context.CancelFunc
 }
 
@@ -111,15 +111,15 @@
 	}()
 }
 
-// tell is a heartbeat of a node to all.
-func (n *testNode) tell() {
+// announce is a heartbeat of a node to all.
+func (n *testNode) announce() {
 	beat := &wire.NodeBeat{}
 	n.service.FillHeartbeat(beat)
 	seen := n.keeper.LastObserved()
 	for name := range n.net.copies() {
 		if other := n.net.get(name); other != nil && other != n {
 			go func() {
-				other.heard.Store(n.name, time.Now())
+				other.heartbeats.Store(n.name, time.Now())
 				other.keeper.Observe(seen)
 				other.service.ReceiveHeartbeat(beat)
 			}()
@@ -139,9 +139,9 @@
 	node := &testNode{name: name, incarnation: incarnation, net: n, stop: stop}
 	node.keeper = lease.NewKeeper(lease.Config{
 		Node: name, Lease: lease.NewLease(name, fmt.Sprint(incarnation), 0, store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
-		Nodes: func() []string { return names }, Announce: func([]string) { node.tell() },
+		Nodes: func() []string { return names }, Announce: func([]string) { node.announce() },
 		Silence: func(other string) time.Duration {
-			at, _ := node.heard.Load(other)
+			at, _ := node.heartbeats.Load(other)
 			heard, _ := at.(time.Time)
 			return time.Since(heard)
 		},
@@ -156,7 +156,7 @@
 			}
 			return other, current.incarnation, true
 		},
-		HeartbeatSoon: func() { node.tell() },
+		HeartbeatSoon: func() { node.announce() },
 	})
 	n.mutex.Lock()
 	n.nodes[name] = node
--- a/internal/duties/weightorders/coordinator_test.go
+++ b/internal/duties/weightorders/coordinator_test.go
@@ -73,12 +73,12 @@
 		var keeper *lease.Keeper
 		keeper = lease.NewKeeper(lease.Config{
 			Node: node, Lease: lease.NewLease(node, nonce, lease.DefaultTerm, f.store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
-			Nodes: func() []string { return nodes }, Silence: func(string) time.Duration { return time.Hour }, Announce: func([]string) { f.tell(keeper) },
+			Nodes: func() []string { return nodes }, Silence: func(string) time.Duration { return time.Hour }, Announce: func([]string) { f.announce(keeper) },
 		})
 		made := NewCoordinator(Config{
 			Keeper: keeper, Directory: f.table, Replicas: f.replicas, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
 			RunningItems: func(string) int { return 0 }, Tolerance: func(string) int64 { return 0 }, Demand: func() Demand { return Demand{} }, OnChange: f.list,
-			Announce: func() { f.tell(keeper) },
+			Announce: func() { f.announce(keeper) },
 		})
 		coordinators = append(coordinators, made)
 	}
@@ -99,8 +99,8 @@
 	}
 }
 
-// tell is a heartbeat of one node to all.
-func (f *fleet) tell(from *lease.Keeper) {
+// announce is a heartbeat of one node to all.
+func (f *fleet) announce(from *lease.Keeper) {
 	seen := from.LastObserved()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/replicas/directory/restarts_test.go
+++ b/internal/replicas/directory/restarts_test.go
@@ -67,7 +67,7 @@
 	})
 }
 
-// A word of the earlier start arrives after one of the later.
+// An entry of the earlier start arrives after one of the later.
 func TestALateWordOfAnEarlierStartIsNotTaken(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "one", startedAt(2000, ReplicaReady))
@@ -76,7 +76,7 @@
 		store.Write("servers", "one", startedAt(1000, ReplicaDraining))
 		settle(time.Second)
 		if endpointOf(table, "one") == nil {
-			t.Error("a word of the earlier start takes the replica out of use")
+			t.Error("an entry of the earlier start takes the replica out of use")
 		}
 		store.Write("servers", "one", startedAt(2000, ReplicaReady))
 		settle(time.Minute)
