--- a/internal/duties/usage/service_test.go
+++ b/internal/duties/usage/service_test.go
@@ -87,7 +87,7 @@
 	net         *net
 	service     *Service
 	keeper      *lease.Keeper
-	heartbeats       sync.Map
+	heartbeats  sync.Map
 	stop        context.CancelFunc
 }
 
