--- a/cmd/pathtally-standin/main.go
+++ b/cmd/pathtally-standin/main.go
@@ -1,5 +1,6 @@
-// Command pathtally-standin runs one stand-in for an outside system: the
-// platform, an engine, a trainer or a scorer.
+// Command pathtally-standin runs one stand-in for a system outside of the
+// standalone stack: the platform, engines, a trainer or a scorer. Run it without
+// arguments for the subcommands.
 package main
 
 import (
--- a/cmd/pathtally/main.go
+++ b/cmd/pathtally/main.go
@@ -1,5 +1,5 @@
-// Command pathtally runs a node and is the operator's command line; run it
-// with -h for the subcommands.
+// Command pathtally runs a node, on the users' platform or of the standalone
+// stack, and is the operator's command line. Run it with -h for the subcommands.
 package main
 
 import (
--- a/internal/standalone/devcluster/cluster.go
+++ b/internal/standalone/devcluster/cluster.go
@@ -1,6 +1,3 @@
-// Package devcluster starts a whole deployment in one process: the platform,
-// engines, a scorer and nodes, each on ports that the system chooses, from a
-// folder of declared objects.
 package devcluster
 
 import (
@@ -214,9 +211,9 @@
 		added.Metadata.Name = fmt.Sprintf("%s-v%d", model, version)
 		added.Spec = v1.WeightVersionSpec{Model: model, Version: version, Active: true}
 		var old []v1.Key
-		for _, standing := range v1.All[*v1.WeightVersion](current) {
-			if standing.Spec.Model == model && standing.Spec.Version <= version-keptVersions {
-				old = append(old, standing.Key())
+		for _, declared := range v1.All[*v1.WeightVersion](current) {
+			if declared.Spec.Model == model && declared.Spec.Version <= version-keptVersions {
+				old = append(old, declared.Key())
 			}
 		}
 		return current.Without(old...).Merge(v1.NewSet(added)), nil
--- a/internal/standalone/devrun/configwatch.go
+++ b/internal/standalone/devrun/configwatch.go
@@ -7,9 +7,9 @@
 	"github.com/pathtally/pathtally/internal/standalone/process"
 )
 
-const configLook = 20 * time.Millisecond
+const configPollInterval = 20 * time.Millisecond
 
-// configWatch notes when each generation was accepted and when it was in force
+// configWatch records when each generation was accepted and when it was in force
 // on every node, and whether any node ever went back.
 type configWatch struct {
 	nodes    func() []*process.Process
@@ -25,7 +25,7 @@
 	return &configWatch{nodes: nodes, accepted: map[uint64]time.Time{}, newest: map[string]uint64{}}
 }
 
-// accept notes a generation whose write has just been confirmed.
+// accept records a generation whose write has just been confirmed.
 func (w *configWatch) accept(generation uint64) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -33,22 +33,22 @@
 	w.highest = max(w.highest, generation)
 }
 
-// run looks at the nodes until stop is closed.
+// run polls the nodes until stop is closed.
 func (w *configWatch) run(stop <-chan struct{}) {
-	ticker := time.NewTicker(configLook)
+	ticker := time.NewTicker(configPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			w.look()
+			w.poll()
 		case <-stop:
-			w.look()
+			w.poll()
 			return
 		}
 	}
 }
 
-func (w *configWatch) look() {
+func (w *configWatch) poll() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	least := ^uint64(0)
--- a/internal/standalone/devrun/summary.go
+++ b/internal/standalone/devrun/summary.go
@@ -1,6 +1,3 @@
-// Package devrun is the run behind the development command: a deployment in
-// one process, live traffic and training on it, and a summary counted at the
-// callers, the trainers and the engines.
 package devrun
 
 import (
--- a/internal/standalone/engine/httpclient.go
+++ b/internal/standalone/engine/httpclient.go
@@ -77,13 +77,13 @@
 func (c *HTTPClient) tell(address, path, id string) {
 	err := c.pool.Submit(func() {
 		var ignored struct{}
-		logNotTold(c.post(address, path, NameBody{ID: id}, orderTimeout, &ignored), address, path, id)
+		logNotSent(c.post(address, path, NameBody{ID: id}, orderTimeout, &ignored), address, path, id)
 	})
-	logNotTold(err, address, path, id)
+	logNotSent(err, address, path, id)
 }
 
-// logNotTold tells why an engine may not have heard of something, if it may not.
-func logNotTold(err error, address, path, id string) {
+// logNotSent logs why an engine may not have received something, if it may not.
+func logNotSent(err error, address, path, id string) {
 	if err != nil {
 		klog.Background().V(1).Info("engine not told", "address", address, "path", path, "id", id, "error", err.Error())
 	}
--- a/internal/standalone/gateway/groups.go
+++ b/internal/standalone/gateway/groups.go
@@ -40,12 +40,12 @@
 func (g *groupStates) apply(snapshot *routing.Snapshot) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	standing := *g.current.Load()
+	existing := *g.current.Load()
 	next := make(map[string]*groupState, len(snapshot.Groups))
 	for name, plan := range snapshot.Groups {
 		spec := plan.Limit.Spec
 		bounds := admission.Bounds{RequestsPerSecond: spec.RequestsPerSecond, Burst: spec.Burst, MaxInFlight: spec.MaxInFlight, MaxQueue: spec.MaxQueue}
-		state := standing[name]
+		state := existing[name]
 		if state == nil {
 			state = &groupState{gate: admission.NewGate(bounds), retries: admission.NewRetryBudget(spec.RetryBudgetPercent)}
 		}
--- a/internal/standalone/gateway/server.go
+++ b/internal/standalone/gateway/server.go
@@ -28,8 +28,8 @@
 	idleTimeout = 60 * time.Second
 	// writeTimeout ends answers that the caller does not read.
 	writeTimeout = 15 * time.Second
-	// lingerLook is the time between looks at the open connections.
-	lingerLook = 20 * time.Millisecond
+	// lingerPollInterval is the time between checks of the open connections.
+	lingerPollInterval = 20 * time.Millisecond
 )
 
 // Claims records the dispatch of requests that are unsafe to repeat. Its
@@ -62,7 +62,7 @@
 	// Drain begins a planned stop of the node.
 	Drain   func()
 	Metrics *Metrics
-	// Log is told the end of each request.
+	// Log is called at the end of each request.
 	Log func(entry RequestLog)
 }
 
@@ -132,7 +132,7 @@
 func (s *Server) Linger(limit time.Duration) {
 	_ = s.listener.Close()
 	for end := time.Now().Add(limit); s.server.GetOpenConnectionsCount() > 0 && time.Now().Before(end); {
-		time.Sleep(lingerLook)
+		time.Sleep(lingerPollInterval)
 	}
 }
 
--- a/internal/standalone/lease/look.go
+++ b/internal/standalone/lease/check.go
@@ -11,8 +11,8 @@
 	"github.com/pathtally/pathtally/internal/environment"
 )
 
-// schedule plans the next look at a lease. A holder looks thrice a term; a
-// candidate the more seldom the lower it ranks.
+// schedule plans the next check of a lease. A holder checks it three times a
+// term; a candidate less often the lower it ranks.
 func (m *Manager) schedule(name string, delay time.Duration) {
 	state := m.states[name]
 	if state.timer != nil {
@@ -22,7 +22,7 @@
 		if m.stopped || !state.wanted {
 			return
 		}
-		m.look(name)
+		m.check(name)
 	})
 }
 
@@ -36,7 +36,9 @@
 	m.schedule(name, period+jitter-period/10)
 }
 
-func (m *Manager) look(name string) {
+// check renews or yields a lease that is held, and otherwise reads it to see
+// whether it has become free.
+func (m *Manager) check(name string) {
 	state := m.states[name]
 	if state.busy {
 		m.scheduleNext(name)
@@ -84,7 +86,7 @@
 	return state.outranked > renewals
 }
 
-// observe decides what a candidate does about the lease as it stands.
+// observe decides what a candidate does about the current lease.
 func (m *Manager) observe(name string, object environment.Object, err error) {
 	state := m.states[name]
 	if errors.Is(err, environment.ErrObjectNotFound) {
--- a/internal/standalone/lease/manager.go
+++ b/internal/standalone/lease/manager.go
@@ -20,7 +20,7 @@
 	// DefaultYieldRenewals is how many renewals in a row a holder that is not
 	// the first candidate usually waits before it gives the lease to that one.
 	DefaultYieldRenewals = 4
-	// rankGrowth stretches the time between looks of each further candidate,
+	// rankGrowth stretches the time between checks of each further candidate,
 	// so that all candidates together read a bounded amount.
 	rankGrowth = 1.5
 	// maxRank bounds the growth, and with it the wait of the last candidate.
@@ -109,7 +109,7 @@
 	}
 }
 
-// Prompt has a candidate look at a lease soon, because its holder seems to be
+// Prompt has a candidate check a lease soon, because its holder seems to be
 // gone. It takes over only if the lease has expired all the same.
 func (m *Manager) Prompt(name string) {
 	state := m.states[name]
--- a/internal/standalone/loop/loop.go
+++ b/internal/standalone/loop/loop.go
@@ -1,5 +1,3 @@
-// Package loop runs the duties of a node on one goroutine: calls posted from
-// any goroutine, and timers.
 package loop
 
 import (
--- a/internal/standalone/membership/config.go
+++ b/internal/standalone/membership/config.go
@@ -44,8 +44,8 @@
 	Period time.Duration
 	// Documents returns the versions to put on each probe.
 	Documents func() []wire.DocumentVersion
-	// OnDocuments is told the versions that a peer holds.
+	// OnDocuments is called with the versions that a peer holds.
 	OnDocuments func(address string, versions []wire.DocumentVersion)
-	// OnChange is told that the table has changed.
+	// OnChange is called when the table has changed.
 	OnChange func()
 }
--- a/internal/standalone/membership/probe.go
+++ b/internal/standalone/membership/probe.go
@@ -107,7 +107,7 @@
 	t.mergeMember(suspected)
 }
 
-// watchSuspect declares a suspect dead when nothing newer was heard in time.
+// watchSuspect declares a suspect dead when nothing newer was received in time.
 func (t *Table) watchSuspect(suspected wire.Member) {
 	t.config.Clock.AfterFunc(suspectPeriods*t.config.Period, func() {
 		held, known := t.members[suspected.ID]
--- a/internal/standalone/node/config.go
+++ b/internal/standalone/node/config.go
@@ -27,6 +27,6 @@
 	// Journal keeps the node's quorum seat; nil on a node without a data
 	// folder.
 	Journal *quorum.Journal
-	// OnConfiguration is told each generation that comes into force here.
+	// OnConfiguration is called with each generation that comes into force here.
 	OnConfiguration func(generation uint64)
 }
--- a/internal/standalone/node/core.go
+++ b/internal/standalone/node/core.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	// upkeepPeriod is the time between looks at silence and expiry.
+	// upkeepPeriod is the time between checks for silence and expiry.
 	upkeepPeriod = 250 * time.Millisecond
 	// confirmationsNeeded is how many peers a starting node asks before it
 	// trusts that its configuration is not an old one.
@@ -33,9 +33,9 @@
 	// starting node's questions to the object API.
 	confirmationWait    = time.Second
 	maxConfirmationWait = 10 * time.Second
-	// enginePatience is how long a starting node waits for the first report
+	// engineReportTimeout is how long a starting node waits for the first report
 	// of every engine.
-	enginePatience = 3 * time.Second
+	engineReportTimeout = 3 * time.Second
 	// expiryRounds is how many upkeep rounds pass between two expiries.
 	expiryRounds = 40
 )
@@ -201,7 +201,7 @@
 // enginesKnown tells whether every engine that the node follows has been
 // reported, or has had the time to be.
 func (c *Core) enginesKnown() bool {
-	if c.config.Clock.Now().Sub(c.configuredSince) > enginePatience {
+	if c.config.Clock.Now().Sub(c.configuredSince) > engineReportTimeout {
 		return true
 	}
 	for name := range c.followed {
--- a/internal/standalone/node/duties.go
+++ b/internal/standalone/node/duties.go
@@ -71,10 +71,10 @@
 			return member.Region != c.config.Self.Region
 		})
 	}
-	key, turn := name, 0
+	key, offset := name, 0
 	if index, isReader := readerIndex(name); isReader {
 		// The readers of a region share one order, so that they differ.
-		key, turn = readerPrefix, index
+		key, offset = readerPrefix, index
 	}
 	if c.readsAlready(name) && len(candidates) > 1 {
 		// Two readers on one node are one reader.
@@ -86,7 +86,7 @@
 	if place < 0 {
 		return place
 	}
-	return (place - turn + len(candidates)) % len(candidates)
+	return (place - offset + len(candidates)) % len(candidates)
 }
 
 // readsAlready tells whether this node holds a lower one of the region's reader
@@ -126,11 +126,11 @@
 	return lease.DefaultYieldRenewals, true
 }
 
-// promptRank is up to which place candidates look at once when a holder is
+// promptRank is up to which place candidates check at once when a holder is
 // gone.
 const promptRank = 2
 
-// membersChanged has the first candidates look at the leases whose holder is
+// membersChanged has the first candidates check the leases whose holder is
 // gone or leaving.
 func (c *Core) membersChanged() {
 	if c.table == nil || c.leases == nil {
--- a/internal/standalone/node/stop.go
+++ b/internal/standalone/node/stop.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// handoverPatience is how long a stopping node waits for another one to
+	// handoverTimeout is how long a stopping node waits for another one to
 	// take its seat in the quorum.
-	handoverPatience = 15 * time.Second
-	handoverLook     = 100 * time.Millisecond
+	handoverTimeout      = 15 * time.Second
+	handoverPollInterval = 100 * time.Millisecond
 )
 
 // Stop hands over what this node holds, in order: it is declared leaving, the
@@ -19,7 +19,7 @@
 func (c *Core) Stop(done func()) {
 	c.stopping = true
 	c.table.Leave()
-	limit := c.config.Clock.Now().Add(handoverPatience)
+	limit := c.config.Clock.Now().Add(handoverTimeout)
 	c.leases.Stop(func() { c.awaitHandover(limit, done) })
 }
 
@@ -33,7 +33,7 @@
 		c.announceAbsence(done)
 		return
 	}
-	c.config.Clock.AfterFunc(handoverLook, func() { c.awaitHandover(limit, done) })
+	c.config.Clock.AfterFunc(handoverPollInterval, func() { c.awaitHandover(limit, done) })
 }
 
 func (c *Core) othersUsable() bool {
@@ -48,7 +48,7 @@
 // announceAbsence declares the node dead, so that nobody probes it in vain.
 func (c *Core) announceAbsence(done func()) {
 	c.table.Depart()
-	c.config.Clock.AfterFunc(handoverLook, done)
+	c.config.Clock.AfterFunc(handoverPollInterval, done)
 }
 
 // Leases lists what this node holds, for the status page.
--- a/internal/standalone/poller/poller.go
+++ b/internal/standalone/poller/poller.go
@@ -1,6 +1,3 @@
-// Package poller measures engines. Each engine that a zone follows is polled
-// by two nodes of the zone, which send the loads in batches to the rest of
-// the zone, so that the cost to a node does not grow with the fleet.
 package poller
 
 import (
@@ -17,7 +14,7 @@
 const (
 	// Period is the time between two polls of an engine.
 	Period = time.Second
-	// SlowPeriod is that of a duty that follows many engines. Changes are told
+	// SlowPeriod is that of a duty that follows many engines. Changes are announced
 	// at once by the zones' pollers; the loads between them only have to be
 	// about right, since the duty counts its own dispatches.
 	SlowPeriod = 20 * time.Second
@@ -76,7 +73,7 @@
 	// ZoneMates returns the usable members of the zone, this node among them.
 	ZoneMates func() []wire.Member
 	// Holders returns the addresses of the duties elsewhere that follow many
-	// engines slowly; they are told at once when an engine changes.
+	// engines slowly; they are announced at once when an engine changes.
 	Holders func() []string
 	// Observe takes in a load measured here.
 	Observe func(load wire.EngineLoad, period time.Duration)
@@ -97,7 +94,7 @@
 	urgent  bool
 	started bool
 	stopped bool
-	beat    int
+	rounds  int
 }
 
 // New returns a poller without targets.
@@ -135,7 +132,7 @@
 	}
 	p.started = true
 	p.round()
-	p.beat++
+	p.rounds++
 	jitter := time.Duration(p.config.Random.Int64N(int64(Period) / 5))
 	p.config.Clock.AfterFunc(Period-Period/10+jitter, p.Start)
 }
@@ -160,7 +157,7 @@
 			p.plan(target, Period, false)
 			continue
 		}
-		if int(rendezvous.Hash(target.Name)%uint64(SlowPeriod/Period)) == p.beat%int(SlowPeriod/Period) {
+		if int(rendezvous.Hash(target.Name)%uint64(SlowPeriod/Period)) == p.rounds%int(SlowPeriod/Period) {
 			p.plan(target, SlowPeriod, false)
 		}
 	}
--- a/internal/standalone/process/process.go
+++ b/internal/standalone/process/process.go
@@ -28,8 +28,8 @@
 // connections.
 const lingerLimit = 5 * time.Second
 
-// drainLook is the time between looks at the requests in progress.
-const drainLook = 20 * time.Millisecond
+// drainPollInterval is the time between checks of the requests in progress.
+const drainPollInterval = 20 * time.Millisecond
 
 // Process is one running node.
 type Process struct {
--- a/internal/standalone/process/stop.go
+++ b/internal/standalone/process/stop.go
@@ -16,7 +16,7 @@
 		p.server.Stop()
 		<-handed
 		for p.server.InFlight() > 0 && time.Now().Before(limit) {
-			time.Sleep(drainLook)
+			time.Sleep(drainPollInterval)
 		}
 		p.logger.Info("planned stop ended", "cut", p.server.InFlight())
 		p.server.Linger(lingerLimit)
@@ -50,7 +50,7 @@
 // WaitReady polls until the node is ready, for tests and the development
 // command; it tells whether that was so within the limit.
 func (p *Process) WaitReady(limit time.Duration) bool {
-	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(drainLook) {
+	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(drainPollInterval) {
 		if p.Ready() {
 			return true
 		}
--- a/internal/standalone/quorum/choose.go
+++ b/internal/standalone/quorum/choose.go
@@ -18,12 +18,12 @@
 		byID[member.ID] = member
 		candidates = append(candidates, rendezvous.Candidate{ID: member.ID, Zone: member.Zone})
 	}
-	standing := slices.Clone(present)
+	current := slices.Clone(present)
 	var newcomers []Seat
 	for _, candidate := range rendezvous.RankAcrossZones(LeaseName, candidates) {
 		newcomers = append(newcomers, seatOf(byID[candidate.ID]))
 	}
-	pool := slices.Concat(standing, newcomers)
+	pool := slices.Concat(current, newcomers)
 	slices.SortStableFunc(pool, func(a, b Seat) int {
 		if a.Durable == b.Durable {
 			return 0
@@ -61,14 +61,14 @@
 	return max(count, 1)
 }
 
-// better tells whether seats are worth a change of view: more of them, over
+// better tells whether seats justify a change of view: more of them, over
 // more zones, or with more data folders.
-func better(seats, standing []Seat) bool {
-	if len(seats) != len(standing) {
-		return len(seats) > len(standing)
+func better(seats, current []Seat) bool {
+	if len(seats) != len(current) {
+		return len(seats) > len(current)
 	}
-	if zones(seats) != zones(standing) {
-		return zones(seats) > zones(standing)
+	if zones(seats) != zones(current) {
+		return zones(seats) > zones(current)
 	}
-	return durable(seats) > durable(standing)
+	return durable(seats) > durable(current)
 }
--- a/internal/standalone/quorum/client.go
+++ b/internal/standalone/quorum/client.go
@@ -22,11 +22,11 @@
 var withdrawRetries = []time.Duration{0, time.Second, 5 * time.Second}
 
 const (
-	// grantPatience is how long a grant is asked for again while a majority
+	// grantTimeout is how long a grant is asked for again while a majority
 	// has neither agreed nor refused. A claim may wait for the sync that its
 	// seat's journal is at and for its own; the slowest syncs measured took
 	// 0.5 s, and this is twice two of them.
-	grantPatience = 2 * time.Second
+	grantTimeout = 2 * time.Second
 	// grantPause is the wait before the second asking, which each later one
 	// doubles. It is the time of a whole short request on an idle machine.
 	grantPause = 25 * time.Millisecond
@@ -76,7 +76,7 @@
 // change meanwhile. When it is not granted the attempt has been withdrawn and
 // must never be dispatched.
 func (c *Client) Grant(claim Claim, done func(GrantResult, error)) {
-	end := c.clock.Now().Add(grantPatience)
+	end := c.clock.Now().Add(grantTimeout)
 	if !claim.Deadline.IsZero() && claim.Deadline.Before(end) {
 		end = claim.Deadline
 	}
--- a/internal/standalone/quorum/coordinator.go
+++ b/internal/standalone/quorum/coordinator.go
@@ -15,11 +15,11 @@
 const (
 	// seats is the most members of a view.
 	maxSeats = 5
-	// coordinatePeriod is the time between looks at the view's members.
+	// coordinatePeriod is the time between checks of the view's members.
 	coordinatePeriod = time.Second
-	// absencePatience is how long a member may be missing before it is
+	// absenceTimeout is how long a member may be missing before it is
 	// replaced.
-	absencePatience = 4 * time.Second
+	absenceTimeout = 4 * time.Second
 	// lastKey sorts behind every claim, so that a seal of epoch 0 with it only
 	// asks which view a member serves.
 	lastKey = "\U0010FFFF"
@@ -37,7 +37,7 @@
 	Peers   environment.Peers
 	Objects environment.Objects
 	Members Members
-	// OnView is told every view that the object API confirms.
+	// OnView is called with every view that the object API confirms.
 	OnView func(*View)
 }
 
@@ -61,7 +61,7 @@
 	return &Coordinator{config: config, missing: map[string]time.Time{}}
 }
 
-// Start begins to look after the view.
+// Start begins to maintain the view.
 func (c *Coordinator) Start() {
 	if c.active {
 		return
@@ -74,18 +74,18 @@
 // Stop leaves the view to another holder.
 func (c *Coordinator) Stop() { c.active = false }
 
-// tick looks at the view once a period until the round, begun by Start, ends.
+// tick checks the view once a period until the round, begun by Start, ends.
 func (c *Coordinator) tick(round int) {
 	if !c.active || round != c.round {
 		return
 	}
 	if !c.busy {
-		c.look()
+		c.check()
 	}
 	c.config.Clock.AfterFunc(coordinatePeriod, func() { c.tick(round) })
 }
 
-func (c *Coordinator) look() {
+func (c *Coordinator) check() {
 	c.busy = true
 	c.config.Objects.Get(DocumentName, func(object environment.Object, err error) {
 		c.busy = false
@@ -188,11 +188,11 @@
 			present = append(present, seat)
 			continue
 		}
-		since, noted := c.missing[seat.ID]
-		if !noted {
+		since, known := c.missing[seat.ID]
+		if !known {
 			c.missing[seat.ID] = now
 		}
-		overdue = overdue || (noted && now.Sub(since) >= absencePatience) || c.isLeaving(seat)
+		overdue = overdue || (known && now.Sub(since) >= absenceTimeout) || c.isLeaving(seat)
 	}
 	return present, overdue
 }
--- a/internal/standalone/reader/reader.go
+++ b/internal/standalone/reader/reader.go
@@ -1,8 +1,3 @@
-// Package reader watches the object API and the machine list on behalf of all
-// nodes. Only the holders of a region's reader leases run it; everyone else
-// gets the documents relayed. A watch that is too old, or an answer that is
-// lost, starts again from a read; waits between failures grow and jitter, so
-// that the end of an outage brings no herd.
 package reader
 
 import (
--- a/internal/standalone/relay/store.go
+++ b/internal/standalone/relay/store.go
@@ -19,7 +19,7 @@
 // Config is what a Store needs.
 type Config struct {
 	Peers environment.Peers
-	// OnChange is told each document that comes into force here.
+	// OnChange is called with each document that comes into force here.
 	OnChange func(*Document)
 }
 
@@ -145,7 +145,7 @@
 	return s.Publish(document)
 }
 
-// HandlePull answers with the changes since the asker's version, or with the
+// HandlePull answers with the changes since the caller's version, or with the
 // whole where the history does not reach back so far.
 func (s *Store) HandlePull(pull *wire.DocumentPull) wire.Message {
 	state := s.states[pull.Name]
--- a/internal/standalone/rollout/config.go
+++ b/internal/standalone/rollout/config.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// pumpPeriod is the time between looks at waiting samples and tails.
+	// pumpPeriod is the time between checks of waiting samples and tails.
 	pumpPeriod = 50 * time.Millisecond
 	// slotRetry is the wait after an attempt that failed.
 	slotRetry = 200 * time.Millisecond
@@ -19,9 +19,9 @@
 	sealRetry = 500 * time.Millisecond
 	// storeTimeout bounds one message to a sample store.
 	storeTimeout = 3 * time.Second
-	// lossPatience is how long the samples of a manifest are looked for before
+	// lossTimeout is how long the samples of a manifest are looked for before
 	// those that no store has are generated anew.
-	lossPatience = 15 * time.Second
+	lossTimeout = 15 * time.Second
 	// sampleAttempts bounds the dispatches of one attempt.
 	sampleAttempts = 64
 	// sampleDeadline bounds one dispatch of a sample.
@@ -66,6 +66,6 @@
 	Stores    Stores
 	// Plan returns the trainer and its engines as they are now, or nil.
 	Plan func() *routing.TrainerPlan
-	// OnSuperseded is told when another holder's ballot was seen.
+	// OnSuperseded is called when another holder's ballot was seen.
 	OnSuperseded func()
 }
--- a/internal/standalone/rollout/recover.go
+++ b/internal/standalone/rollout/recover.go
@@ -44,7 +44,7 @@
 // that they have.
 type listed map[wire.SampleReference]map[string]bool
 
-// add notes what one store holds.
+// add records what one store holds.
 func (l listed) add(store wire.Member, found *wire.Samples) {
 	for _, sample := range found.Samples {
 		reference := wire.SampleReference{Slot: sample.Slot, Digest: sample.Digest}
--- a/internal/standalone/rollout/repair.go
+++ b/internal/standalone/rollout/repair.go
@@ -6,35 +6,35 @@
 // gone or has lost its disk, so that a second loss does not lose them.
 func (s *Scheduler) repair() {
 	stores := s.usableStores()
-	standing := map[string]bool{}
+	usable := map[string]bool{}
 	for _, store := range stores {
-		standing[copyName(store)] = true
+		usable[copyName(store)] = true
 	}
-	if !s.storesChanged(standing) {
+	if !s.storesChanged(usable) {
 		return
 	}
 	for _, step := range s.openSteps() {
 		for _, held := range step.slots {
 			if held.state == slotFilled && held.data != nil {
-				s.repairSlot(held, standing)
+				s.repairSlot(held, usable)
 			}
 		}
 	}
 }
 
-func (s *Scheduler) storesChanged(standing map[string]bool) bool {
-	changed := len(standing) != len(s.standingStores)
-	for name := range standing {
-		changed = changed || !s.standingStores[name]
+func (s *Scheduler) storesChanged(usable map[string]bool) bool {
+	changed := len(usable) != len(s.lastStores)
+	for name := range usable {
+		changed = changed || !s.lastStores[name]
 	}
-	s.standingStores = standing
+	s.lastStores = usable
 	return changed
 }
 
-func (s *Scheduler) repairSlot(held *slot, standing map[string]bool) {
+func (s *Scheduler) repairSlot(held *slot, usable map[string]bool) {
 	count := 0
 	for name := range held.copies {
-		if standing[name] {
+		if usable[name] {
 			count++
 		}
 	}
--- a/internal/standalone/rollout/scheduler.go
+++ b/internal/standalone/rollout/scheduler.go
@@ -22,9 +22,9 @@
 	// reorder is set when what is known of the waiting samples has changed.
 	reorder  bool
 	lastPlan *routing.TrainerPlan
-	// standingStores are the stores at the last look, by copyName.
-	standingStores map[string]bool
-	timer          environment.Timer
+	// lastStores are the stores at the last repair, by copyName.
+	lastStores map[string]bool
+	timer      environment.Timer
 }
 
 // NewScheduler returns a scheduler without steps.
@@ -79,8 +79,8 @@
 	if !request.valid() {
 		return merry.Wrap(ErrInvalidStep)
 	}
-	if standing := s.steps[request.Step]; standing != nil {
-		if standing.digest != request.digest() {
+	if existing := s.steps[request.Step]; existing != nil {
+		if existing.digest != request.digest() {
 			return merry.Wrap(ErrStepConflict)
 		}
 		return nil
--- a/internal/standalone/rollout/seal.go
+++ b/internal/standalone/rollout/seal.go
@@ -146,7 +146,7 @@
 		s.sealed(step)
 		return
 	}
-	if s.config.Clock.Now().Sub(step.gathering) > lossPatience {
+	if s.config.Clock.Now().Sub(step.gathering) > lossTimeout {
 		s.replace(step, lost)
 		return
 	}
--- a/internal/standalone/scorer/client.go
+++ b/internal/standalone/scorer/client.go
@@ -1,4 +1,3 @@
-// Package scorer is the adapter towards the services that judge samples.
 package scorer
 
 import (
--- a/internal/standalone/sim/callers.go
+++ b/internal/standalone/sim/callers.go
@@ -13,10 +13,10 @@
 const (
 	callerName     = "caller"
 	callerDeadline = 8 * time.Second
-	// callerPatience is how long after its deadline a caller still listens.
-	callerPatience = 3 * time.Second
-	callerRetry    = time.Second
-	callerTries    = 5
+	// callerGrace is how long after its deadline a caller still listens.
+	callerGrace = 3 * time.Second
+	callerRetry = time.Second
+	callerTries = 5
 	// burstShare of the unsafe requests are sent through three nodes at once.
 	burstShare = 0.4
 )
@@ -80,7 +80,7 @@
 		c.world.Scheduler.After(sameZone, func() { end(nil) })
 		return
 	}
-	c.world.Scheduler.After(callerDeadline+callerPatience, func() { end(nil) })
+	c.world.Scheduler.After(callerDeadline+callerGrace, func() { end(nil) })
 	target.onDeath(func() { c.world.Scheduler.After(resetTime, func() { end(nil) }) })
 	c.world.Scheduler.After(network.delay(callerName, target.host.Name), target.host.bind(func() {
 		reached = true
--- a/internal/standalone/sim/check.go
+++ b/internal/standalone/sim/check.go
@@ -216,7 +216,7 @@
 
 // CheckConfig checks that no life of a node went back, that no ready node
 // served a generation older than one that had been in force everywhere, and
-// that of rival writers exactly those that were told so had an effect.
+// that of rival writers exactly those that were accepted had an effect.
 func CheckConfig(h *History) []Violation {
 	var found []Violation
 	newest := map[string]uint64{}
--- a/internal/standalone/sim/engineclient.go
+++ b/internal/standalone/sim/engineclient.go
@@ -10,10 +10,10 @@
 	host  *Host
 }
 
-// reach runs a call at an engine after the latency; failed is told when the
+// reach runs a call at an engine after the latency; failed is called when the
 // engine is not there or the link is cut.
 func (c *engineClient) reach(address string, call func(*Engine), failed func(engine.FailureKind)) {
-	asker := c.host.life
+	callerLife := c.host.life
 	target := c.world.Engines[address]
 	network := c.world.Network
 	if target == nil || !target.host.alive {
@@ -28,7 +28,7 @@
 	life := target.host.life
 	c.world.Scheduler.After(network.delay(c.host.Name, address), func() {
 		if !target.host.alive || target.host.life != life {
-			c.world.Scheduler.After(sameZone, c.host.bindTo(asker, func() { failed(engine.Broken) }))
+			c.world.Scheduler.After(sameZone, c.host.bindTo(callerLife, func() { failed(engine.Broken) }))
 			return
 		}
 		target.host.bind(func() { call(target) })()
--- a/internal/standalone/sim/history.go
+++ b/internal/standalone/sim/history.go
@@ -81,7 +81,7 @@
 	At    time.Duration
 }
 
-// Write is a configuration write as its writer was told of it.
+// Write is a configuration write as its writer learned of it.
 type Write struct {
 	Mark       string
 	Generation uint64
@@ -172,7 +172,7 @@
 	h.world.Trace("trainer %s got step %d revision %d", trainer.config.Name, step, delivery.Manifest.Revision)
 }
 
-// decode reads a line of a delivery. One that cannot be read is told in the trace
+// decode reads a line of a delivery. One that cannot be read is traced
 // and left empty, so that the checks find it.
 func (h *History) decode(line []byte, into any) {
 	if err := json.Unmarshal(line, into); err != nil {
--- a/internal/standalone/sim/node.go
+++ b/internal/standalone/sim/node.go
@@ -14,8 +14,8 @@
 const (
 	// stopGrace is how long a planned stop waits for requests; it is longer
 	// than any request's deadline.
-	stopGrace = 30 * time.Second
-	stopLook  = 50 * time.Millisecond
+	stopGrace        = 30 * time.Second
+	stopPollInterval = 50 * time.Millisecond
 )
 
 // Node is a simulated node: the real Core on a simulated host.
@@ -27,7 +27,7 @@
 	gateway  *Gateway
 	stopping bool
 	member   wire.Member
-	// watchers are told when this life of the node ends.
+	// watchers are called when this life of the node ends.
 	watchers []func()
 }
 
@@ -123,7 +123,7 @@
 		done()
 		return
 	}
-	n.host.AfterFunc(stopLook, func() { n.awaitRequests(limit, done) })
+	n.host.AfterFunc(stopPollInterval, func() { n.awaitRequests(limit, done) })
 }
 
 // simScorer judges samples after a moment, and fails now and then.
--- a/internal/standalone/sim/objects.go
+++ b/internal/standalone/sim/objects.go
@@ -32,7 +32,7 @@
 	version     uint64
 	// Requests counts the calls answered or refused.
 	Requests int
-	// OnConfiguration is told each configuration that is written.
+	// OnConfiguration is called with each configuration that is written.
 	OnPut func(object objects.Object)
 }
 
@@ -132,8 +132,8 @@
 func (c *PlatformClient) Watch(names []string, from uint64, wait time.Duration, done func([]environment.Object, uint64, error)) {
 	p := c.platform
 	limit := p.scheduler.Now().Add(wait)
-	var look func()
-	look = c.host.bind(func() {
+	var poll func()
+	poll = c.host.bind(func() {
 		if p.Outage {
 			done(nil, 0, unavailable())
 			return
@@ -149,11 +149,11 @@
 			}
 			done(converted, next, nil)
 		default:
-			p.scheduler.After(watchPoll, look)
+			p.scheduler.After(watchPoll, poll)
 		}
 	})
 	p.Requests++
-	p.scheduler.After(c.latency(), look)
+	p.scheduler.After(c.latency(), poll)
 }
 
 // SetMachine changes the machine list; readers see it after the lag.
--- a/internal/standalone/standin/scorer/server.go
+++ b/internal/standalone/standin/scorer/server.go
@@ -1,4 +1,3 @@
-// Package scorer stands in for the services that judge samples.
 package scorer
 
 import (
--- a/internal/standalone/standincommand/run.go
+++ b/internal/standalone/standincommand/run.go
@@ -1,4 +1,3 @@
-// Package standincommand is the command line of the stand-ins.
 package standincommand
 
 import (
--- a/internal/standalone/stream/assembler.go
+++ b/internal/standalone/stream/assembler.go
@@ -1,6 +1,3 @@
-// Package stream puts the chunks of an answer together and refuses whatever
-// would make it wrong: a gap, a repeat that differs, a chunk that names no
-// weight version, an end whose count or digest does not fit.
 package stream
 
 import (
--- a/internal/standalone/weights/coordinator.go
+++ b/internal/standalone/weights/coordinator.go
@@ -15,9 +15,9 @@
 	reconcilePeriod = 200 * time.Millisecond
 	// followPeriod is the time between questions to a staging engine.
 	followPeriod = 200 * time.Millisecond
-	// orderPatience is how long an order may stay without effect before it
+	// orderTimeout is how long an order may stay without effect before it
 	// is given again.
-	orderPatience = 5 * time.Second
+	orderTimeout = 5 * time.Second
 	// firstBackoff and maxBackoff bound the wait after a failed order.
 	firstBackoff = 250 * time.Millisecond
 	maxBackoff   = 5 * time.Second
@@ -47,7 +47,7 @@
 	Declared func() *v1.Set
 	// Targets returns the engines of the model in this region, by name.
 	Targets func() []Target
-	// Observed is told the status that an engine gave with an order.
+	// Observed is called with the status that an engine gave with an order.
 	Observed func(engine string, status engine.Status)
 	// Stagings bounds the engines that stage together; zero is the default.
 	Stagings int
@@ -146,7 +146,7 @@
 	if order.busy {
 		return true
 	}
-	if c.config.Clock.Now().Sub(order.given) > orderPatience {
+	if c.config.Clock.Now().Sub(order.given) > orderTimeout {
 		return false
 	}
 	if order.action == engine.ActionStage {
@@ -213,7 +213,7 @@
 		return false
 	}
 	order.busy, order.given = true, now
-	order.notTill = now.Add(orderPatience)
+	order.notTill = now.Add(orderTimeout)
 	instruction := engine.Order{Scope: c.config.Scope, Token: c.config.Token, Action: action, Version: version}
 	c.config.Engines.Order(target.Engine.Spec.Address, instruction, func(status engine.Status, err error) {
 		order.busy = false
@@ -239,7 +239,7 @@
 func (c *Coordinator) follow(target Target, order *openOrder) {
 	name := target.Engine.Metadata.Name
 	c.config.Clock.AfterFunc(followPeriod, func() {
-		if c.stopped || c.orders[name] != order || c.config.Clock.Now().Sub(order.given) > orderPatience {
+		if c.stopped || c.orders[name] != order || c.config.Clock.Now().Sub(order.given) > orderTimeout {
 			return
 		}
 		c.config.Engines.Status(target.Engine.Spec.Address, func(status engine.Status, err error) {
@@ -259,9 +259,9 @@
 }
 
 func (c *Coordinator) forgetGone(targets []Target) {
-	standing := map[string]bool{}
+	targeted := map[string]bool{}
 	for _, target := range targets {
-		standing[target.Engine.Metadata.Name] = true
+		targeted[target.Engine.Metadata.Name] = true
 	}
-	maps.DeleteFunc(c.orders, func(name string, _ *openOrder) bool { return !standing[name] })
+	maps.DeleteFunc(c.orders, func(name string, _ *openOrder) bool { return !targeted[name] })
 }
--- a/internal/standalone/workqueue/queue.go
+++ b/internal/standalone/workqueue/queue.go
@@ -1,5 +1,3 @@
-// Package workqueue hands items from any goroutine to one that works on them
-// in batches.
 package workqueue
 
 import "sync"
--- a/standin/dutyapi/server.go
+++ b/standin/dutyapi/server.go
@@ -134,7 +134,7 @@
 	s.take(Report{Window: *body.Window, Holder: holder, Token: token, Counts: body.Counts, At: time.Now()})
 }
 
-// judge notes what is wrong with the fence of a call. The mutex must be held.
+// judge records what is wrong with the fence of a call. The mutex must be held.
 func (s *Server) judge(holder string, token uint64) {
 	now := time.Now()
 	switch {
@@ -151,12 +151,12 @@
 
 // take keeps a window's first report. The mutex must be held.
 func (s *Server) take(report Report) {
-	standing, known := s.reports[report.Window]
+	earlier, known := s.reports[report.Window]
 	if !known {
 		s.reports[report.Window] = report
 		return
 	}
-	if !maps.Equal(standing.Counts, report.Counts) {
-		s.findings = append(s.findings, fmt.Sprintf("window %d reported as %v and as %v", report.Window, standing.Counts, report.Counts))
+	if !maps.Equal(earlier.Counts, report.Counts) {
+		s.findings = append(s.findings, fmt.Sprintf("window %d reported as %v and as %v", report.Window, earlier.Counts, report.Counts))
 	}
 }
--- a/standin/metastore/store.go
+++ b/standin/metastore/store.go
@@ -174,10 +174,10 @@
 	if s.objects[kind] == nil {
 		s.objects[kind] = map[string]objectstore.Object{}
 	}
-	standing, found := s.objects[kind][object.Name]
-	if found && bytes.Equal(standing.Spec, object.Spec) && bytes.Equal(standing.Status, object.Status) {
+	existing, found := s.objects[kind][object.Name]
+	if found && bytes.Equal(existing.Spec, object.Spec) && bytes.Equal(existing.Status, object.Status) {
 		// A write that changes nothing makes no revision.
-		return standing
+		return existing
 	}
 	s.revision++
 	object.Revision = s.revision
@@ -319,8 +319,8 @@
 // Create implements objectstore.Store.
 func (s *Store) Create(ctx context.Context, kind, name string, spec json.RawMessage) (objectstore.Object, error) {
 	return s.write(ctx, "create", kind, name, func() (objectstore.Object, error) {
-		if standing, found := s.objects[kind][name]; found {
-			return objectstore.Object{}, &objectstore.ConflictError{Current: standing}
+		if existing, found := s.objects[kind][name]; found {
+			return objectstore.Object{}, &objectstore.ConflictError{Current: existing}
 		}
 		return s.put(kind, objectstore.Object{Name: name, Spec: spec}), nil
 	})
@@ -329,35 +329,35 @@
 // Replace implements objectstore.Store.
 func (s *Store) Replace(ctx context.Context, kind, name string, spec json.RawMessage, revision uint64) (objectstore.Object, error) {
 	return s.write(ctx, "replace", kind, name, func() (objectstore.Object, error) {
-		standing, err := s.at(kind, name, revision)
+		existing, err := s.at(kind, name, revision)
 		if err != nil {
 			return objectstore.Object{}, err
 		}
-		standing.Spec = spec
-		return s.put(kind, standing), nil
+		existing.Spec = spec
+		return s.put(kind, existing), nil
 	})
 }
 
 // ReplaceStatus implements objectstore.Store.
 func (s *Store) ReplaceStatus(ctx context.Context, kind, name string, status json.RawMessage, revision uint64) (objectstore.Object, error) {
 	return s.write(ctx, "status", kind, name, func() (objectstore.Object, error) {
-		standing, err := s.at(kind, name, revision)
+		existing, err := s.at(kind, name, revision)
 		if err != nil {
 			return objectstore.Object{}, err
 		}
-		standing.Status = status
-		return s.put(kind, standing), nil
+		existing.Status = status
+		return s.put(kind, existing), nil
 	})
 }
 
 // at returns an object that is at a revision. The mutex must be held.
 func (s *Store) at(kind, name string, revision uint64) (objectstore.Object, error) {
-	standing, found := s.objects[kind][name]
+	existing, found := s.objects[kind][name]
 	if !found {
 		return objectstore.Object{}, objectstore.ErrNotFound
 	}
-	if revision != objectstore.Unconditional && standing.Revision != revision {
-		return objectstore.Object{}, &objectstore.ConflictError{Current: standing}
+	if revision != objectstore.Unconditional && existing.Revision != revision {
+		return objectstore.Object{}, &objectstore.ConflictError{Current: existing}
 	}
-	return standing, nil
+	return existing, nil
 }
