--- a/test/soak_callers_test.go
+++ b/test/soak_callers_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// note keeps how a request ended.
-func (w *soakWorld) note(request *soakRequest, answer reply, err error) {
+// recordEnd records how a request ended.
+func (w *soakWorld) recordEnd(request *soakRequest, answer reply, err error) {
 	w.record.mutex.Lock()
 	defer w.record.mutex.Unlock()
 	request.status, request.failed = answer.status, err != nil
@@ -76,7 +76,7 @@
 func (w *soakWorld) callOnce(client *http.Client, node *soakNode, request *soakRequest) {
 	w.record.sent(request)
 	answer, err := w.callOn(client, node, http.MethodPost, liveHost, request.target, request.id, []byte(request.body), nil)
-	w.note(request, answer, err)
+	w.recordEnd(request, answer, err)
 	if err == nil && answer.status == http.StatusOK && answer.body != "answer to "+request.id+": "+request.body {
 		w.record.fail("MIXED", "request %s got %q", request.id, answer.body)
 	}
@@ -86,7 +86,7 @@
 	w.record.sent(request)
 	prompt := http.Header{"Pathtally-Model": {draftModel}, "Pathtally-Token-Usage": {"10,10"}, "Pathtally-Prefix-Hash": {"ab:5," + fmt.Sprintf("%x", len(request.id)) + ":5"}}
 	answer, err := w.callOn(client, node, http.MethodPost, liveHost, request.target, request.id, []byte(request.body), prompt)
-	w.note(request, answer, err)
+	w.recordEnd(request, answer, err)
 	if err == nil && answer.status == http.StatusOK && streamText(answer.body) != replica.Text(request.id) {
 		w.record.fail("ORDER", "stream %s looks complete with %q", request.id, streamText(answer.body))
 	}
@@ -214,9 +214,9 @@
 
 const (
 	// longestAwait is for how long a job waits for what it is to be ended at, and
-	// awaitLook the time between looks.
-	longestAwait = 12 * time.Second
-	awaitLook    = 10 * time.Millisecond
+	// awaitPollInterval the time between checks.
+	longestAwait      = 12 * time.Second
+	awaitPollInterval = 10 * time.Millisecond
 )
 
 // awaitEnding waits for the moment that a job is to be ended at. It reads nothing
@@ -224,7 +224,7 @@
 func (w *soakWorld) awaitEnding(job *soakJob) {
 	restarts, began := w.restarts.Load(), time.Now()
 	for !w.isMet(job, restarts) {
-		if time.Since(began) > longestAwait || w.record.known(job) == job.items || !w.pause(awaitLook) {
+		if time.Since(began) > longestAwait || w.record.known(job) == job.items || !w.pause(awaitPollInterval) {
 			return
 		}
 	}
@@ -264,7 +264,7 @@
 	for end := time.Now().Add(stepTime); time.Now().Before(end); {
 		answer, err := w.call(w.nodeAt(job.draws), http.MethodDelete, draftHost, "/-/lots/"+job.id, "end", nil, nil)
 		if err == nil && answer.status == http.StatusOK {
-			w.record.noteEnd(job)
+			w.record.recordJobEnd(job)
 			return
 		}
 		if !w.pause(100 * time.Millisecond) {
@@ -318,8 +318,8 @@
 func (w *soakWorld) refresh(living *soakReplica) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	for _, standing := range w.replicas {
-		if standing == living && living.drainedAt.IsZero() {
+	for _, candidate := range w.replicas {
+		if candidate == living && living.drainedAt.IsZero() {
 			w.store.Write("servers", living.id, living.entry("ready"))
 		}
 	}
@@ -342,7 +342,7 @@
 		request := &soakRequest{id: fmt.Sprintf("probe.%s.%d", node.name, count), target: versionPath(asked) + "x", body: "probe"}
 		w.record.sent(request)
 		answer, err := w.call(node, http.MethodPost, liveHost, request.target, request.id, []byte(request.body), nil)
-		w.note(request, answer, err)
+		w.recordEnd(request, answer, err)
 		_, lifeAfter := node.process()
 		newestAfter, _ := w.newestVersion()
 		switch {
--- a/test/soak_crashes_test.go
+++ b/test/soak_crashes_test.go
@@ -37,9 +37,9 @@
 func (w *soakWorld) replaceEnded() {
 	for w.pause(supervisePause) {
 		w.mutex.Lock()
-		standing := append([]*soakReplica(nil), w.replicas...)
+		started := append([]*soakReplica(nil), w.replicas...)
 		w.mutex.Unlock()
-		for _, seen := range standing {
+		for _, seen := range started {
 			if seen.server.Ended() {
 				w.retire(seen)
 				w.run(func() { w.replace(seen) })
@@ -86,7 +86,7 @@
 	w.record.sent(request)
 	header := http.Header{"Pathtally-Model": {draftModel}, "Pathtally-Token-Usage": {"10,10"}}
 	answer, err := w.call(node, http.MethodPost, liveHost, request.target, id, []byte(request.body), header)
-	w.note(request, answer, err)
+	w.recordEnd(request, answer, err)
 	return answer, err
 }
 
@@ -95,7 +95,7 @@
 	request := &soakRequest{id: id, target: "/live/popular", body: popularBody}
 	w.record.sent(request)
 	answer, err := w.call(node, http.MethodPost, liveHost, request.target, id, []byte(request.body), nil)
-	w.note(request, answer, err)
+	w.recordEnd(request, answer, err)
 	return answer, err
 }
 
--- a/test/soak_ends_test.go
+++ b/test/soak_ends_test.go
@@ -12,7 +12,7 @@
 // deployment's cancelMs.
 const endBound = 3 * time.Second
 
-// hiding is a time in which word of an end may reach a node late, or a link may
+// hiding is a time in which the report of an end may reach a node late, or a link may
 // hold back what was sent to a replica before the end.
 type hiding struct {
 	// replica is the one whose link is disturbed, empty for a node or the store.
--- a/test/soak_evacuation_test.go
+++ b/test/soak_evacuation_test.go
@@ -25,9 +25,9 @@
 	w.mutex.Lock()
 	replicas := append([]*soakReplica(nil), w.replicas...)
 	w.mutex.Unlock()
-	for _, standing := range replicas {
-		if standing.zone == zone {
-			w.record.checkEvacuated(standing.id, bound, end, standing.server.Runs())
+	for _, candidate := range replicas {
+		if candidate.zone == zone {
+			w.record.checkEvacuated(candidate.id, bound, end, candidate.server.Runs())
 		}
 	}
 }
--- a/test/soak_faults_test.go
+++ b/test/soak_faults_test.go
@@ -155,7 +155,7 @@
 		link.set(proxyPass)
 		// Bytes were lost on connections that were cut one way.
 		link.resetOpen()
-		w.noteHeal()
+		w.recordHeal()
 		seen()
 	}
 }
@@ -213,7 +213,8 @@
 	until map[metastore.Call]time.Time
 }
 
-func (s *slowCalls) note(call metastore.Call, takes time.Duration) {
+// add records a call that is answered after a time.
+func (s *slowCalls) add(call metastore.Call, takes time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.until == nil {
@@ -237,7 +238,7 @@
 	further := from.span(0, longestSlow)
 	w.store.SetDelay(func(call metastore.Call) metastore.Delay {
 		takes := from.span(fastestAnswer, slowestAnswer)
-		w.slow.note(call, takes)
+		w.slow.add(call, takes)
 		if from.chance(2) == 0 {
 			return metastore.Delay{Before: takes}
 		}
@@ -299,7 +300,7 @@
 		time.Sleep(from.span(0, longestBetween))
 		_ = process.command.Process.Signal(next)
 		if next == syscall.SIGCONT {
-			w.noteHeal()
+			w.recordHeal()
 		}
 	}
 	return fmt.Sprintf("%s terminated, then %v", node.name, further), func() {
@@ -365,8 +366,8 @@
 	return vanished.id, func() {
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
-		for _, standing := range w.replicas {
-			if standing == vanished && vanished.drainedAt.IsZero() {
+		for _, candidate := range w.replicas {
+			if candidate == vanished && vanished.drainedAt.IsZero() {
 				w.store.Write("servers", vanished.id, vanished.entry("ready"))
 			}
 		}
--- a/test/soak_reads_test.go
+++ b/test/soak_reads_test.go
@@ -62,9 +62,9 @@
 // A slow call about a job is known while it lasts, by the job's name.
 func TestSlowCallsAreKnownByTheirJobs(t *testing.T) {
 	var slow slowCalls
-	slow.note(metastore.Call{Verb: "create", Kind: batch.KindResults, Name: "job1-2-000003"}, time.Minute)
-	slow.note(metastore.Call{Verb: "get", Kind: batch.KindPayloads, Name: "job1-2-0000"}, -time.Minute)
-	slow.note(metastore.Call{Verb: "list", Kind: "servers"}, time.Minute)
+	slow.add(metastore.Call{Verb: "create", Kind: batch.KindResults, Name: "job1-2-000003"}, time.Minute)
+	slow.add(metastore.Call{Verb: "get", Kind: batch.KindPayloads, Name: "job1-2-0000"}, -time.Minute)
+	slow.add(metastore.Call{Verb: "list", Kind: "servers"}, time.Minute)
 	for _, test := range []struct {
 		kind, verb, job string
 		on              bool
--- a/test/soak_record_test.go
+++ b/test/soak_record_test.go
@@ -49,7 +49,7 @@
 	logs     map[string][]byte
 	served   int
 	steps    int
-	// hidings are times in which word of an end may be late.
+	// hidings are times in which the report of an end may be late.
 	hidings []*hiding
 	// met counts the ends that had what they waited for.
 	met map[endingKind]int
@@ -112,8 +112,8 @@
 	r.met[kind]++
 }
 
-// noteEnd records that an end of a job was acknowledged.
-func (r *soakRecord) noteEnd(job *soakJob) {
+// recordJobEnd records that an end of a job was acknowledged.
+func (r *soakRecord) recordJobEnd(job *soakJob) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if job.endedAt.IsZero() {
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -150,7 +150,7 @@
 		request := &soakRequest{id: id, target: versionPath(version) + "x", body: "probe"}
 		w.record.sent(request)
 		answer, err := w.call(node, http.MethodPost, liveHost, request.target, id, []byte(request.body), nil)
-		w.note(request, answer, err)
+		w.recordEnd(request, answer, err)
 		if err != nil || answer.status != http.StatusOK {
 			w.record.fail("CONFIG", "%s answers %d on the newest route after the bound, %v", node.name, answer.status, err)
 		}
--- a/test/soak_world_test.go
+++ b/test/soak_world_test.go
@@ -87,7 +87,7 @@
 	slow slowCalls
 	// restarts counts the ends of node processes.
 	restarts atomic.Int64
-	// isCalm is set once no more faults come.
+	// isCalm is set after the last fault.
 	isCalm atomic.Bool
 
 	record *soakRecord
@@ -186,9 +186,9 @@
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	var found []*soakReplica
-	for _, standing := range w.replicas {
-		if standing.service == service && standing.drainedAt.IsZero() {
-			found = append(found, standing)
+	for _, candidate := range w.replicas {
+		if candidate.service == service && candidate.drainedAt.IsZero() {
+			found = append(found, candidate)
 		}
 	}
 	return found
@@ -198,8 +198,8 @@
 func (w *soakWorld) retire(ended *soakReplica) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	for number, standing := range w.replicas {
-		if standing == ended {
+	for number, candidate := range w.replicas {
+		if candidate == ended {
 			w.replicas = append(w.replicas[:number:number], w.replicas[number+1:]...)
 			w.gone = append(w.gone, ended)
 			return
@@ -343,14 +343,14 @@
 	_ = process.command.Process.Signal(syscall.SIGSTOP)
 	return func() {
 		_ = process.command.Process.Signal(syscall.SIGCONT)
-		w.noteHeal()
+		w.recordHeal()
 		seen()
 		node.down.Store(false)
 	}
 }
 
-// noteHeal records that a link was healed or a process woken.
-func (w *soakWorld) noteHeal() {
+// recordHeal records that a link was healed or a process woken.
+func (w *soakWorld) recordHeal() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.heals = append(w.heals, time.Now())
