--- a/standin/dutyapi/server.go
+++ b/standin/dutyapi/server.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"maps"
 	"net"
 	"net/http"
@@ -11,22 +10,6 @@
 	"time"
 )
 
-// term is for how long after a holder's call no holder may follow another that
-// followed it.
-const term = 3 * time.Second
-
-// Report is a window's usage as it was first reported.
-type Report struct {
-	Window int64
-	Holder string
-	Token  uint64
-	Counts map[string]uint64
-	At     time.Time
-}
-
-// Zone is a zone of a service.
-type Zone struct{ Service, Zone string }
-
 // Server is a running API.
 type Server struct {
 	listener net.Listener
@@ -36,11 +19,12 @@
 	reports  map[int64]Report
 	replicas map[Zone]int
 	findings []string
-	// token is the greatest seen, of holder; acted is when each holder called last.
+	// token is the greatest seen and holder the last caller; acted is when each
+	// holder called last.
 	token  uint64
 	holder string
 	acted  map[string]time.Time
-	// status answers calls in place of taking them, 0 for none.
+	// status answers every call instead, 0 for none.
 	status int
 }
 
@@ -62,7 +46,7 @@
 // Close ends the API.
 func (s *Server) Close() { s.server.Close() }
 
-// SetStatus has the API answer each call with a status and take none; 0 ends it.
+// SetStatus has the API answer each call with a status and no effect; 0 ends that.
 func (s *Server) SetStatus(status int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -90,26 +74,6 @@
 	return append([]string(nil), s.findings...)
 }
 
-// message is the body of a call: a report of usage, or an order of replicas.
-type message struct {
-	Window  *int64            `json:"windowId"`
-	Counts  map[string]uint64 `json:"counts"`
-	Service string            `json:"service"`
-	Zone    string            `json:"zone"`
-	Desired *int              `json:"desired"`
-}
-
-// isWhole tells whether a message has what its path wants.
-func (m *message) isWhole(path string) bool {
-	switch path {
-	case "/usage":
-		return m.Window != nil && m.Counts != nil
-	case "/scale":
-		return m.Service != "" && m.Zone != "" && m.Desired != nil
-	}
-	return false
-}
-
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	var body message
@@ -133,30 +97,3 @@
 	}
 	s.take(Report{Window: *body.Window, Holder: holder, Token: token, Counts: body.Counts, At: time.Now()})
 }
-
-// judge records what is wrong with the fence of a call. The mutex must be held.
-func (s *Server) judge(holder string, token uint64) {
-	now := time.Now()
-	switch {
-	case token < s.token:
-		s.findings = append(s.findings, fmt.Sprintf("%s sent token %d after %d", holder, token, s.token))
-	case token == s.token && holder != s.holder:
-		s.findings = append(s.findings, fmt.Sprintf("%s and %s sent token %d", s.holder, holder, token))
-	}
-	if last, acted := s.acted[holder]; acted && holder != s.holder && now.Sub(last) < term {
-		s.findings = append(s.findings, fmt.Sprintf("%s called in turns with %s", holder, s.holder))
-	}
-	s.token, s.holder, s.acted[holder] = max(s.token, token), holder, now
-}
-
-// take keeps a window's first report. The mutex must be held.
-func (s *Server) take(report Report) {
-	earlier, known := s.reports[report.Window]
-	if !known {
-		s.reports[report.Window] = report
-		return
-	}
-	if !maps.Equal(earlier.Counts, report.Counts) {
-		s.findings = append(s.findings, fmt.Sprintf("window %d reported as %v and as %v", report.Window, earlier.Counts, report.Counts))
-	}
-}
--- /dev/null
+++ b/standin/replica/requests.go
@@ -0,0 +1,94 @@
+package replica
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// begin admits a request if a slot is free.
+func (s *Server) begin(request *http.Request, body string, after int) (number int, version int64, faults Faults, admitted bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.active >= s.config.Slots || s.busy {
+		return 0, 0, Faults{}, false
+	}
+	s.active++
+	s.served++
+	s.runs = append(s.runs, Run{
+		ID: request.Header.Get("Pathtally-Request-Id"), Method: request.Method, Target: request.RequestURI, Body: body, After: after, Version: s.version, At: time.Now(),
+		Tenant: request.Header.Get("Pathtally-Tenant"), Credentials: request.Header.Get("Authorization"),
+		Priority: request.Header.Get("Pathtally-Request-Priority"),
+	})
+	return s.served, s.version, s.faults, true
+}
+
+func (s *Server) end() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.active--
+}
+
+func every(count, number int) bool { return count > 0 && number%count == 0 }
+
+// serve runs a request or refuses it.
+func (s *Server) serve(writer http.ResponseWriter, request *http.Request) {
+	body, err := io.ReadAll(request.Body)
+	if err != nil {
+		return
+	}
+	after, _ := strconv.Atoi(request.Header.Get("Last-Event-Id"))
+	id := request.Header.Get("Pathtally-Request-Id")
+	number, version, faults, admitted := s.begin(request, string(body), after)
+	header := writer.Header()
+	header.Set("Pathtally-Request-Id", id)
+	if !admitted {
+		header.Set("Pathtally-Not-Executed", "1")
+		writer.WriteHeader(http.StatusServiceUnavailable)
+		return
+	}
+	defer s.end()
+	if s.config.CrashOn != "" && strings.Contains(string(body), s.config.CrashOn) {
+		s.crash()
+	}
+	if every(faults.WrongIDEvery, number) {
+		header.Set("Pathtally-Request-Id", "another")
+	}
+	header.Set("Pathtally-Server-Stamp", fmt.Sprintf("%s.%d", s.config.ID, number))
+	if s.config.Model != "" {
+		s.stream(writer, request, after, number, version, faults)
+		return
+	}
+	time.Sleep(s.config.Work)
+	answer := "answer to " + id + ": " + string(body)
+	header.Set("Content-Length", strconv.Itoa(len(answer)))
+	io.WriteString(writer, answer)
+	if every(faults.SurplusEvery, number) {
+		s.surplus(writer)
+	}
+}
+
+// surplus sends a second answer after the complete one.
+func (s *Server) surplus(writer http.ResponseWriter) {
+	http.NewResponseController(writer).Flush()
+	connection, buffer, err := http.NewResponseController(writer).Hijack()
+	if err != nil {
+		return
+	}
+	buffer.WriteString("HTTP/1.1 200 OK\r\nPathtally-Request-Id: another\r\nPathtally-Server-Stamp: x\r\nContent-Length: 7\r\n\r\nsurplus")
+	buffer.Flush()
+	time.AfterFunc(time.Second, func() { connection.Close() })
+}
+
+// crash ends the replica in the middle of a request.
+func (s *Server) crash() {
+	time.Sleep(s.config.CrashAfter)
+	if s.config.OnCrash != nil {
+		s.config.OnCrash()
+	}
+	s.Close()
+	panic(http.ErrAbortHandler)
+}
--- /dev/null
+++ b/standin/replica/stream.go
@@ -0,0 +1,52 @@
+package replica
+
+import (
+	"fmt"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// stream sends the events of a generation, whose number its id decides.
+func (s *Server) stream(writer http.ResponseWriter, request *http.Request, after, number int, version int64, faults Faults) {
+	header := writer.Header()
+	header.Set("Content-Type", "text/event-stream")
+	header.Set("Pathtally-Weight-Versions", strconv.FormatInt(version, 10))
+	writer.WriteHeader(http.StatusOK)
+	id := request.Header.Get("Pathtally-Request-Id")
+	total := Events(id)
+	for event := after + 1; event <= total; event++ {
+		select {
+		case <-request.Context().Done():
+			return
+		case <-time.After(s.config.EventInterval):
+		}
+		if every(faults.CutEvery, number) && event == after+2 {
+			fmt.Fprintf(writer, "id: %d\nda", event)
+			http.NewResponseController(writer).Flush()
+			panic(http.ErrAbortHandler)
+		}
+		if now := s.Version(); now != version {
+			version = now
+			fmt.Fprintf(writer, "pathtally-weight-versions: %d\n", version)
+		}
+		fmt.Fprintf(writer, "id: %d\ndata: %s\n\n", event, Data(id, event))
+		http.NewResponseController(writer).Flush()
+	}
+}
+
+// Events is how many events the generation of a request has.
+func Events(id string) int { return 2 + len(id)%3 }
+
+// Data is the text of one event of a request.
+func Data(id string, event int) string { return fmt.Sprintf("%s-%d", id, event) }
+
+// Text is the whole text of a request.
+func Text(id string) string {
+	parts := make([]string, 0, Events(id))
+	for event := 1; event <= Events(id); event++ {
+		parts = append(parts, Data(id, event))
+	}
+	return strings.Join(parts, "\n")
+}
