--- a/internal/callers/quarantine/hold.go
+++ b/internal/callers/quarantine/hold.go
@@ -1,22 +1,17 @@
 package quarantine
 
-import (
-	"net/http"
+import "github.com/pathtally/pathtally/internal/callers/dispatch"
 
-	"github.com/pathtally/pathtally/internal/callers/dispatch"
-)
-
-// quarantine puts a request under which enough replicas have ended in quarantine, and
-// tells the other nodes and the store.
+// quarantine holds a request, reports that to all nodes and has it written to the store.
 func (s *Service) quarantine(request Fingerprint) {
 	if !s.hold(request) {
 		return
 	}
-	s.report(request, s.config.Nodes())
-	s.recorder.want(request, intent{at: s.config.Clock()})
+	s.reportEnds(request, s.config.Nodes())
+	s.recorder.setIntent(request, intent{at: s.config.Clock()})
 }
 
-// hold puts a request in quarantine at this node and tells whether it was not in it.
+// hold puts a request in quarantine at this node, and returns whether it was not in it.
 func (s *Service) hold(request Fingerprint) bool {
 	now := s.config.Clock()
 	if !s.table.Hold(request, now.Add(s.config.Span), now) {
@@ -27,32 +22,31 @@
 	return true
 }
 
-// Served implements dispatch.Guard.
-func (s *Service) Served(call *dispatch.Call, status int) {
+// ObserveServed implements dispatch.Guard.
+func (s *Service) ObserveServed(call *dispatch.Call, status int) {
 	if s.suspects.Load() == 0 && s.table.IsEmpty() {
 		return
 	}
-	if status < http.StatusOK || status >= http.StatusMultipleChoices {
-		// A failure may come from a replica that did not begin to run it.
+	if !clearsRequest(status) {
 		return
 	}
 	request := fingerprintOf(call)
-	if !s.isKnown(request) {
+	if !s.isSuspectOrHeld(request) {
 		return
 	}
-	wasSuspect, wasHeld := s.clear(request)
+	wasSuspect, wasHeld := s.forgive(request)
 	switch {
 	case wasHeld:
-		s.recorder.want(request, intent{lift: true})
+		s.recorder.setIntent(request, intent{lift: true})
 		s.reportServed(request, s.config.Nodes())
 	case wasSuspect:
 		s.reportServed(request, s.keepers(request))
 	}
 }
 
-// isKnown tells whether there are ends under a request, or it is in quarantine.
-func (s *Service) isKnown(request Fingerprint) bool {
-	if s.table.Left(request, s.config.Clock()) > 0 {
+// isSuspectOrHeld returns whether there are ends under a request, or it is in quarantine.
+func (s *Service) isSuspectOrHeld(request Fingerprint) bool {
+	if s.table.TimeLeft(request, s.config.Clock()) > 0 {
 		return true
 	}
 	s.mutex.Lock()
@@ -60,10 +54,10 @@
 	return len(s.ledger.Ends(request)) > 0
 }
 
-// clear forgets the ends under a request that was served, and lifts its quarantine.
-func (s *Service) clear(request Fingerprint) (wasSuspect, wasHeld bool) {
+// forgive drops the ends under a request that was served, and lifts its quarantine.
+func (s *Service) forgive(request Fingerprint) (wasSuspect, wasHeld bool) {
 	s.mutex.Lock()
-	wasSuspect = s.ledger.Serve(request, s.config.Clock())
+	wasSuspect = s.ledger.RecordServed(request, s.config.Clock())
 	s.suspects.Store(int64(s.ledger.Len()))
 	s.mutex.Unlock()
 	wasHeld = s.table.Lift(request, s.config.Clock())
--- a/internal/callers/quarantine/record.go
+++ b/internal/callers/quarantine/record.go
@@ -18,9 +18,9 @@
 	ObjectName = "requests"
 )
 
-// mostRecorded bounds the requests in the object, which everybody follows, to about 70 KB;
-// the newest stay.
-const mostRecorded = 1000
+// maxRecorded bounds the requests in the object, which all nodes watch, to about 70 KB. The
+// newest stay.
+const maxRecorded = 1000
 
 // record is what the store holds.
 type record struct {
@@ -35,11 +35,12 @@
 	At int64 `json:"at"`
 }
 
-// errNoFingerprint means that a text is no fingerprint.
-var errNoFingerprint = merry.Sentinel("not a fingerprint of 32 hexadecimal digits")
+// errBadFingerprint means that a text or message has no valid fingerprint.
+var errBadFingerprint = merry.Sentinel("not a fingerprint of 32 hexadecimal digits")
 
-// RecordError is a record that cannot be read, or not in part.
+// RecordError is a record that cannot be read, or not in part, or not written.
 type RecordError struct {
+	// Found is the first fingerprint that cannot be read, if the rest can.
 	Found string
 	Cause error
 }
@@ -56,7 +57,7 @@
 func parseFingerprint(text string) (Fingerprint, error) {
 	digits, err := hex.DecodeString(text)
 	if err != nil || len(digits) != fingerprintBytes {
-		return Fingerprint{}, errNoFingerprint
+		return Fingerprint{}, errBadFingerprint
 	}
 	return Fingerprint(digits), nil
 }
@@ -92,6 +93,6 @@
 	slices.SortFunc(written.Requests, func(a, b recordEntry) int {
 		return cmp.Or(cmp.Compare(b.At, a.At), cmp.Compare(a.Fingerprint, b.Fingerprint))
 	})
-	written.Requests = written.Requests[:min(len(written.Requests), mostRecorded)]
+	written.Requests = written.Requests[:min(len(written.Requests), maxRecorded)]
 	return json.Marshal(written)
 }
--- a/internal/callers/quarantine/service_test.go
+++ b/internal/callers/quarantine/service_test.go
@@ -91,7 +91,7 @@
 		receiver, isCut := n.nodes[address], n.cut[address]
 		n.mutex.Unlock()
 		if receiver != nil && !isCut {
-			go receiver.Take(message.(*wire.CrashReport))
+			go receiver.ReceiveReport(message.(*wire.CrashReport))
 		}
 	}
 }
@@ -112,11 +112,11 @@
 // settledBreak has a node examine a broken run to the end.
 func settledBreak(t *testing.T, service *Service, run dispatch.Run) {
 	t.Helper()
-	service.Broke(run)
+	service.ObserveBroken(run)
 	eventually(t, "the run has been examined", func() bool {
 		service.mutex.Lock()
 		defer service.mutex.Unlock()
-		return len(service.examined) == 0
+		return len(service.examining) == 0
 	})
 }
 
@@ -232,7 +232,7 @@
 			name := fmt.Sprint("node-", try)
 			settledBreak(t, nodes.nodes[name], brokenRun(testCall(fmt.Sprint(round, "-", try), "good"), fmt.Sprint("replica-", round, try)))
 		}
-		nodes.nodes["node-0"].Served(testCall("served", "good"), 200)
+		nodes.nodes["node-0"].ObserveServed(testCall("served", "good"), 200)
 		eventually(t, "nobody remembers ends under it", func() bool {
 			for _, keeper := range nodes.nodes["node-0"].keepers(fingerprintOf(testCall("", "good"))) {
 				service := nodes.nodes[keeper]
@@ -261,11 +261,11 @@
 		eventually(t, name+" holds the request", func() bool { return isHeld(service, "good") })
 	}
 	eventually(t, "the store has it", func() bool { return len(recorded(t, nodes.store)) == 1 })
-	nodes.nodes["node-3"].Served(testCall("late", "good"), 500)
+	nodes.nodes["node-3"].ObserveServed(testCall("late", "good"), 500)
 	if !isHeld(nodes.nodes["node-3"], "good") {
 		t.Fatal("a failure lifts the quarantine")
 	}
-	nodes.nodes["node-3"].Served(testCall("late", "good"), 200)
+	nodes.nodes["node-3"].ObserveServed(testCall("late", "good"), 200)
 	for name, service := range nodes.nodes {
 		eventually(t, name+" lets the request through", func() bool { return !isHeld(service, "good") })
 	}
@@ -278,7 +278,7 @@
 	nodes := startNodes(t, 1)
 	for try := range 2 * endsToQuarantine {
 		run := brokenRun(testCall(fmt.Sprint("try-", try), "long"), fmt.Sprint("replica-", try))
-		run.Call.Resumable, run.Received, run.Lasted = true, true, 2*soonAfterSent
+		run.Call.Resumable, run.Received, run.Lasted = true, true, 2*earlyBreakLimit
 		settledBreak(t, nodes.nodes["node-0"], run)
 	}
 	if isHeld(nodes.nodes["node-0"], "long") {
@@ -296,7 +296,7 @@
 	}
 	slow := make(chan struct{})
 	nodes.probed = func() { <-slow }
-	service.Broke(brokenRun(testCall("third", "bad"), "replica-third"))
+	service.ObserveBroken(brokenRun(testCall("third", "bad"), "replica-third"))
 	admitted := make(chan error, 1)
 	go func() { admitted <- service.Admit(context.Background(), testCall("next", "bad")) }()
 	if err := service.Admit(context.Background(), testCall("other", "good")); err != nil {
@@ -343,8 +343,8 @@
 	if service.suspects.Load() != 1 {
 		t.Fatal("the end is not remembered")
 	}
-	now = now.Add(ledgerMemory + time.Second)
-	service.forget()
+	now = now.Add(suspectLifetime + time.Second)
+	service.prune()
 	if service.suspects.Load() != 0 {
 		t.Error("an end of long ago is still remembered")
 	}
@@ -353,7 +353,7 @@
 func TestReportsOfAnotherLengthArePassedOver(t *testing.T) {
 	nodes := startNodes(t, 1)
 	ends := []wire.ReplicaEnd{{Replica: "a"}, {Replica: "b"}, {Replica: "c"}}
-	nodes.nodes["node-0"].Take(&wire.CrashReport{Fingerprint: []byte{1}, Ends: ends})
+	nodes.nodes["node-0"].ReceiveReport(&wire.CrashReport{Fingerprint: []byte{1}, Ends: ends})
 	if !nodes.nodes["node-0"].table.IsEmpty() {
 		t.Error("a report without a fingerprint holds something")
 	}
--- a/internal/cluster/peering/heartbeat.go
+++ b/internal/cluster/peering/heartbeat.go
@@ -8,26 +8,29 @@
 )
 
 const (
-	// activeTime is for how long a peer counts as active after a heartbeat that
-	// said so: a holder of the duty lease tells everybody at each renewal, every
-	// 2.1 s, and an owner of batch jobs its active peers every 0.3 s.
-	activeTime = 3 * time.Second
-	// heartbeatGap is the least time between two heartbeats that changes cause:
-	// with many replicas, loads of weights begin and end some 50 times a second.
-	heartbeatGap = 50 * time.Millisecond
-	// defaultMostTold is up to how many peers all hear of rare changes: with some of them
-	// a second, that is as many messages as heartbeats are.
-	defaultMostTold = 128
+	// activeTimeout is how long a peer counts as active after a heartbeat that said so. It
+	// is longer than the time between two heartbeats of a holder of the duty lease.
+	activeTimeout = 3 * time.Second
+	// minHeartbeatInterval is the least time between two heartbeats sent because of changes,
+	// which may come many times a second while replicas load weights.
+	minHeartbeatInterval = 50 * time.Millisecond
 )
 
-// isActive tells whether the sender of a heartbeat runs batch jobs or gives
-// orders to replicas, so that it has to hear of others that do.
-func isActive(beat *wire.NodeBeat) bool { return len(beat.Jobs) > 0 || beat.Lease > 0 }
+// isActive reports whether the sender of a heartbeat runs batch jobs or holds the duty lease,
+// so that it has to get the heartbeats of others that do.
+func isActive(heartbeat *wire.NodeBeat) bool { return len(heartbeat.Jobs) > 0 || heartbeat.Lease > 0 }
 
-func (t *Table) beat() *wire.NodeBeat {
-	beat := &wire.NodeBeat{Node: t.config.Node, Address: t.config.Address, Zone: t.config.Zone, Incarnation: t.config.Incarnation, Capacity: t.config.Capacity}
-	t.config.Beat(beat)
-	return beat
+// newHeartbeat returns this node's heartbeat as of now.
+func (t *Table) newHeartbeat() *wire.NodeBeat {
+	heartbeat := &wire.NodeBeat{
+		Node:        t.config.Node,
+		Address:     t.config.Address,
+		Zone:        t.config.Zone,
+		Incarnation: t.config.Incarnation,
+		Capacity:    t.config.Capacity,
+	}
+	t.config.FillHeartbeat(heartbeat)
+	return heartbeat
 }
 
 // Broadcast sends this node's heartbeat to all peers.
@@ -35,53 +38,55 @@
 	t.send(t.addresses(func(*Peer) bool { return true }))
 }
 
-// TellsAll tells whether the nodes are few enough for all of them to hear of rare
-// changes. Where they are more, a start or an end of a job told to all is thousands of
-// messages a second.
-func (t *Table) TellsAll() bool {
+// AnnouncesToAll reports whether Announce reaches every peer. In larger deployments,
+// sending each start and end of a job to every node would cost thousands of messages a
+// second.
+func (t *Table) AnnouncesToAll() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return len(t.peers) <= t.config.MostTold
+	return len(t.peers) <= t.config.MaxBroadcastPeers
 }
 
-// Tell sends this node's heartbeat because of a rare change: to all peers where they are
-// few, else to those that hear every heartbeat and to some more that the change concerns.
-func (t *Table) Tell(concerned []string) {
-	if t.TellsAll() {
+// Announce sends this node's heartbeat because of a rare change: to all peers if
+// AnnouncesToAll, else to those that get every heartbeat and to the concerned nodes.
+func (t *Table) Announce(concerned []string) {
+	if t.AnnouncesToAll() {
 		t.Broadcast()
 		return
 	}
-	t.sendTo(concerned)
+	t.sendToWatchersAnd(concerned)
 }
 
-// Heartbeat sends this node's heartbeat to its watchers and to the peers that
-// are active. Their number does not grow with the number of nodes.
-func (t *Table) Heartbeat() { t.sendTo(nil) }
+// Heartbeat sends this node's heartbeat to its watchers and to the active peers, whose
+// number doesn't grow with the number of nodes.
+func (t *Table) Heartbeat() { t.sendToWatchersAnd(nil) }
 
-// sendTo sends this node's heartbeat to its watchers, to the peers that are active, and
-// to some more.
-func (t *Table) sendTo(more []string) {
-	hearing := map[string]bool{}
+// sendToWatchersAnd sends this node's heartbeat to its watchers, to the active peers, and to
+// some more nodes.
+func (t *Table) sendToWatchersAnd(more []string) {
+	recipients := map[string]bool{}
 	for _, node := range more {
-		hearing[node] = true
+		recipients[node] = true
 	}
 	if t.config.Watchers != nil {
 		for _, watcher := range t.config.Watchers() {
-			hearing[watcher] = true
+			recipients[watcher] = true
 		}
 	}
-	t.send(t.addresses(func(peer *Peer) bool { return hearing[peer.Node] || time.Since(peer.ActiveAt) < activeTime }))
+	t.send(t.addresses(func(peer *Peer) bool {
+		return recipients[peer.Node] || time.Since(peer.LastActive) < activeTimeout
+	}))
 }
 
-// Changed sends a heartbeat because something that it tells has changed: at
-// once, or a little later where one has just been sent.
-func (t *Table) Changed() {
+// HeartbeatSoon sends a heartbeat because its content has changed: at once, or up to
+// minHeartbeatInterval later if one has just been sent.
+func (t *Table) HeartbeatSoon() {
 	t.mutex.Lock()
 	if t.heartbeatDue {
 		t.mutex.Unlock()
 		return
 	}
-	pause := heartbeatGap - time.Since(t.lastHeartbeat)
+	pause := minHeartbeatInterval - time.Since(t.lastHeartbeat)
 	t.heartbeatDue = pause > 0
 	t.mutex.Unlock()
 	if pause <= 0 {
@@ -96,16 +101,17 @@
 	})
 }
 
+// send sends this node's heartbeat to some addresses.
 func (t *Table) send(addresses []string) {
 	t.mutex.Lock()
 	t.lastHeartbeat = time.Now()
 	t.mutex.Unlock()
 	if len(addresses) > 0 {
-		t.config.Peers.Broadcast(addresses, t.beat())
+		t.config.Peers.Broadcast(addresses, t.newHeartbeat())
 	}
 }
 
-// addresses are those of the peers that a condition holds for, in order.
+// addresses returns the addresses of the peers for which a condition holds, in order.
 func (t *Table) addresses(wanted func(*Peer) bool) []string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/cluster/peering/peer.go
+++ b/internal/cluster/peering/peer.go
@@ -11,19 +11,18 @@
 	Node    string
 	Address string
 	Zone    string
-	// Incarnation is when its process started; a greater one is newer. 0 is
-	// unknown.
+	// Incarnation is when its process started, 0 for unknown. A greater one is newer.
 	Incarnation uint64
-	// Capacity is how many thousandths of a core it has, 0 for unknown.
+	// Capacity is its processor time in thousandths of a core, 0 for unknown.
 	Capacity uint32
-	// Heard is when something came from it last.
-	Heard time.Time
-	// ActiveAt is when it last told that it runs batch jobs or gives orders to
-	// replicas.
-	ActiveAt time.Time
+	// LastHeartbeat is when its last heartbeat was received; zero for never.
+	LastHeartbeat time.Time
+	// LastActive is when it last reported that it runs batch jobs or holds the duty
+	// lease; zero for never.
+	LastActive time.Time
 }
 
-// address is what greetings tell of a peer.
+// address returns the form of a peer in the answer to a greeting.
 func (p *Peer) address() wire.PeerAddress {
 	return wire.PeerAddress{Node: p.Node, Address: p.Address, Zone: p.Zone, Capacity: p.Capacity, Incarnation: p.Incarnation}
 }
--- a/internal/command/instance.go
+++ b/internal/command/instance.go
@@ -4,13 +4,14 @@
 	"log/slog"
 
 	"github.com/pathtally/pathtally/internal/instance"
+	"github.com/pathtally/pathtally/internal/logging"
 	"github.com/pathtally/pathtally/internal/settings"
 	"github.com/pathtally/pathtally/platform"
 )
 
 // runInstance runs a node on a metadata store until a signal.
 func runInstance(call *invocation, loaded, given settings.Settings, path string, level slog.Level) error {
-	flush := instance.SetupLogging(call.stdout, level)
+	flush := logging.Setup(call.stdout, level)
 	defer flush()
 	running, err := instance.Start(loaded, platform.NewAdapter(loaded.ObjectStore))
 	if err != nil {
--- /dev/null
+++ b/internal/duties/lease/release.go
@@ -0,0 +1,62 @@
+package lease
+
+import (
+	"context"
+	"time"
+)
+
+const (
+	// lateCallPeriod is how long a call without an answer may still arrive:
+	// none is carried out later (docs/PLATFORM.md, "Who runs a job").
+	lateCallPeriod = 8 * time.Second
+	// releaseTimeout bounds the release of the lease.
+	releaseTimeout = 1200 * time.Millisecond
+	// releasePollInterval is the time between checks of the calls still open.
+	releasePollInterval = 10 * time.Millisecond
+)
+
+// Release ends this node's duties for a planned stop. The lease is given up if
+// that is safe, so that a successor need not wait; else it runs out.
+func (k *Keeper) Release(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
+	defer cancel()
+	k.acquiring.Lock()
+	defer k.acquiring.Unlock()
+	mayRelease := k.config.Lease.stop()
+	if !mayRelease || !k.awaitCalls(ctx) {
+		return
+	}
+	if err := k.config.Lease.release(ctx); err != nil {
+		k.config.Logger.Info("duty lease not released", "error", err.Error())
+		return
+	}
+	k.config.Logger.Info("duty lease released")
+	k.announce()
+}
+
+// awaitCalls waits until no call is open, and reports whether none may still arrive.
+func (k *Keeper) awaitCalls(ctx context.Context) bool {
+	for {
+		open, late := k.pendingCalls()
+		if late {
+			return false
+		}
+		if open == 0 {
+			return true
+		}
+		select {
+		case <-ctx.Done():
+			return false
+		case <-time.After(releasePollInterval):
+		}
+	}
+}
+
+// pendingCalls returns how many calls are open, and whether one that ended without an
+// answer may still arrive.
+func (k *Keeper) pendingCalls() (open int, late bool) {
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
+	late = !k.unansweredAt.IsZero() && k.config.Clock.Since(k.unansweredAt) < lateCallPeriod
+	return k.openCalls, late
+}
--- a/internal/duties/usage/service_test.go
+++ b/internal/duties/usage/service_test.go
@@ -15,7 +15,7 @@
 	"k8s.io/klog/v2"
 
 	"github.com/pathtally/pathtally/internal/clock"
-	"github.com/pathtally/pathtally/internal/duties/duty"
+	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/wire"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
@@ -48,16 +48,16 @@
 		b.t.Errorf("token %d of %s after %d", report.Token, report.Holder, b.token)
 	}
 	b.token = report.Token
-	standing, known := b.reports[report.Window]
-	if known && !maps.Equal(standing.Counts, report.Counts) {
-		b.t.Errorf("window %d is reported as %v and as %v", report.Window, standing.Counts, report.Counts)
+	current, known := b.reports[report.Window]
+	if known && !maps.Equal(current.Counts, report.Counts) {
+		b.t.Errorf("window %d is reported as %v and as %v", report.Window, current.Counts, report.Counts)
 	}
 	if !known {
 		late := time.Duration(time.Now().UnixNano()) - time.Duration(report.Window+1)*testWindow
 		b.reports[report.Window] = received{Report: report, late: late}
 	}
 	if time.Now().Before(b.away) {
-		return duty.ErrUnanswered
+		return lease.ErrUnanswered
 	}
 	return nil
 }
@@ -86,7 +86,7 @@
 	incarnation uint64
 	net         *net
 	service     *Service
-	keeper      *duty.Keeper
+	keeper      *lease.Keeper
 	heard       sync.Map
 	stop        context.CancelFunc
 }
@@ -107,21 +107,21 @@
 			done(nil, merry.New("no answer"))
 			return
 		}
-		done(to.service.Take(message.(*wire.UsagePush)), nil)
+		done(to.service.ReceivePush(message.(*wire.UsagePush)), nil)
 	}()
 }
 
 // tell is a heartbeat of a node to all.
 func (n *testNode) tell() {
 	beat := &wire.NodeBeat{}
-	n.service.FillBeat(beat)
-	seen := n.keeper.Seen()
+	n.service.FillHeartbeat(beat)
+	seen := n.keeper.LastObserved()
 	for name := range n.net.copies() {
 		if other := n.net.get(name); other != nil && other != n {
 			go func() {
 				other.heard.Store(n.name, time.Now())
 				other.keeper.Observe(seen)
-				other.service.TakeBeat(beat)
+				other.service.ReceiveHeartbeat(beat)
 			}()
 		}
 	}
@@ -137,9 +137,9 @@
 func (n *net) start(ctx context.Context, name string, incarnation uint64, names []string, store *metastore.Store, platform Platform) *testNode {
 	ctx, stop := context.WithCancel(ctx)
 	node := &testNode{name: name, incarnation: incarnation, net: n, stop: stop}
-	node.keeper = duty.NewKeeper(duty.Config{
-		Node: name, Lease: duty.NewLease(name, fmt.Sprint(incarnation), 0, store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
-		Nodes: func() []string { return names }, Tell: func([]string) { node.tell() },
+	node.keeper = lease.NewKeeper(lease.Config{
+		Node: name, Lease: lease.NewLease(name, fmt.Sprint(incarnation), 0, store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
+		Nodes: func() []string { return names }, Announce: func([]string) { node.tell() },
 		Silence: func(other string) time.Duration {
 			at, _ := node.heard.Load(other)
 			heard, _ := at.(time.Time)
@@ -150,13 +150,13 @@
 		Node: name, Incarnation: incarnation, Window: testWindow, Late: testLate, Keeper: node.keeper, Store: store, Platform: platform,
 		Peers: node, Logger: klog.Background(), Registry: prometheus.NewRegistry(), Nodes: func() []string { return names },
 		Peer: func(other string) (string, uint64, bool) {
-			standing := n.copies()[other]
-			if standing == nil {
+			current := n.copies()[other]
+			if current == nil {
 				return other, 0, true
 			}
-			return other, standing.incarnation, true
+			return other, current.incarnation, true
 		},
-		Changed: func() { node.tell() },
+		HeartbeatSoon: func() { node.tell() },
 	})
 	n.mutex.Lock()
 	n.nodes[name] = node
--- a/internal/jobs/batch/beat.go
+++ b/internal/jobs/batch/heartbeat.go
@@ -2,10 +2,10 @@
 
 import (
 	"context"
-	"maps"
 	"slices"
 	"time"
 
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/internal/wire"
 )
@@ -18,8 +18,8 @@
 	idleBeats = 3
 )
 
-// FillBeat adds what this node runs to its heartbeat.
-func (s *Service) FillBeat(beat *wire.NodeBeat) {
+// FillHeartbeat adds what this node runs to its heartbeat.
+func (s *Service) FillHeartbeat(beat *wire.NodeBeat) {
 	beat.Uses = s.Uses()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -33,24 +33,22 @@
 		beat.Work = append(beat.Work, s.workOf(s.jobs[id]))
 	}
 	beat.Leaving = s.leaving
-	for _, model := range slices.Sorted(maps.Keys(s.tolerances)) {
-		beat.Tolerances = append(beat.Tolerances, wire.ModelTolerance{Model: model, Versions: s.tolerances[model]})
-	}
-	beat.Lengths = s.recentLengths()
+	beat.Tolerances = s.tolerances.Announced()
+	beat.Lengths = s.lengths.Announced(time.Now())
 	beat.Ended = s.ends.toTell()
 }
 
-// TakeBeat takes another node's heartbeat.
-func (s *Service) TakeBeat(beat *wire.NodeBeat) {
+// ReceiveHeartbeat takes another node's heartbeat.
+func (s *Service) ReceiveHeartbeat(beat *wire.NodeBeat) {
 	s.mutex.Lock()
 	s.uses[beat.Node] = usesOf(beat)
 	s.toWatch.set()
 	for _, told := range beat.Tolerances {
-		s.limitTolerance(told.Model, told.Versions)
+		s.tolerances.Limit(told.Model, told.Versions)
 	}
-	s.takeLengths(beat.Lengths)
+	s.lengths.Learn(beat.Lengths, time.Now())
 	for _, work := range beat.Work {
-		s.noteDemand(work)
+		s.demand.Learn(work, time.Now())
 	}
 	contested := s.takeRunning(beat)
 	s.takeOrigins(beat.Work)
@@ -69,7 +67,7 @@
 // node's that it may own instead. The mutex must be held.
 func (s *Service) takeRunning(beat *wire.NodeBeat) []*job {
 	var contested []*job
-	owner := Owner{Node: beat.Node, Address: beat.Address, Incarnation: beat.Incarnation}
+	owner := journal.Owner{Node: beat.Node, Address: beat.Address, Incarnation: beat.Incarnation}
 	epochs := epochsOf(beat)
 	for _, id := range beat.Jobs {
 		if held := s.jobs[id]; held != nil {
@@ -147,7 +145,7 @@
 		return
 	}
 	held.ended, held.endedAt = true, time.Now()
-	s.keepLengths(held)
+	s.recordLengths(held)
 	s.logLateness(held)
 	held.cancel()
 	s.dropQueued(held)
@@ -185,31 +183,3 @@
 	defer s.mutex.Unlock()
 	return len(s.ends.toTell()) > 0
 }
-
-// firstVersion is the weight version that replicas start with. Jobs that allow
-// it say nothing of how far behind later ones let the weights be.
-const firstVersion = 1
-
-// noteTolerance learns from a new job how far behind the newest version its
-// weights may be. The mutex must be held.
-func (s *Service) noteTolerance(submission *Submission) {
-	if submission.MinVersion > firstVersion {
-		named := s.config.Directory.View().Named[submission.Model]
-		s.limitTolerance(submission.Model, max(0, named-submission.MinVersion))
-	}
-}
-
-// limitTolerance lowers what is believed of a model. The mutex must be held.
-func (s *Service) limitTolerance(model string, versions int64) {
-	if standing, known := s.tolerances[model]; !known || versions < standing {
-		s.tolerances[model] = versions
-	}
-}
-
-// Tolerance is by how many versions the weights of a model may be behind the
-// newest, 0 until a job has shown it.
-func (s *Service) Tolerance(model string) int64 {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.tolerances[model]
-}
--- a/internal/jobs/batch/ownerwatch.go
+++ b/internal/jobs/batch/ownerwatch.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 	"time"
 
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
@@ -42,7 +43,7 @@
 func (s *Service) knowsNoJob() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return len(s.jobs) == 0 && len(s.known) == 0 && len(s.uses) == 0 && len(s.ends.learnt) == 0 && len(s.lengths) == 0 && len(s.works) == 0
+	return len(s.jobs) == 0 && len(s.known) == 0 && len(s.uses) == 0 && len(s.ends.learnt) == 0 && s.lengths.Len() == 0 && s.demand.Len() == 0
 }
 
 const (
@@ -78,13 +79,13 @@
 
 // orphans returns the open jobs that it is this node's turn to take over, with
 // the owners that are gone.
-func (s *Service) orphans() map[string]Owner {
+func (s *Service) orphans() map[string]journal.Owner {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.leaving {
 		return nil
 	}
-	orphans := map[string]Owner{}
+	orphans := map[string]journal.Owner{}
 	for id, standing := range s.known {
 		if s.jobs[id] != nil {
 			// It runs here: the note is from a reader that looked it up just
--- a/internal/jobs/batch/runner_test.go
+++ b/internal/jobs/batch/runner_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
@@ -64,7 +65,7 @@
 	ranked := cluster.byRank()
 	largest := ranked[2].config.Self.Node
 	for _, node := range cluster.nodes {
-		node.table.Take(t.Context(), &wire.NodeBeat{Node: largest, Address: ranked[2].config.Self.Address, Incarnation: ranked[2].config.Self.Incarnation, Capacity: 800})
+		node.table.Receive(&wire.NodeBeat{Node: largest, Address: ranked[2].config.Self.Address, Incarnation: ranked[2].config.Self.Incarnation, Capacity: 800})
 	}
 	for _, node := range cluster.nodes {
 		if first := node.runners("m")[0]; node != ranked[2] && first != largest {
@@ -129,7 +130,7 @@
 	defer cancel()
 	made, payload := submission("job", 2)
 	err := ranked[2].Submit(ctx, &Arrival{ID: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Submission: made})
-	var uncertain *UncertainError
+	var uncertain *journal.UncertainError
 	if err != nil && !errors.As(err, &uncertain) {
 		t.Errorf("error %v, want nil or an uncertain outcome", err)
 	}
