--- a/internal/jobs/batch/attempt.go
+++ b/internal/jobs/batch/attempt.go
@@ -48,7 +48,7 @@
 func (a *attempt) cut(reason error) { a.cancel(reason) }
 
 // launch starts an item at a replica. The mutex must be held.
-func (s *Service) launch(waiting *item, endpoint *routing.Endpoint) {
+func (s *scheduler) launch(waiting *item, endpoint *routing.Endpoint) {
 	ctx, cancel := context.WithCancelCause(waiting.job.ctx)
 	running := &attempt{item: waiting, endpoint: endpoint, cancel: cancel, begun: time.Now(), after: len(waiting.progress.events)}
 	waiting.running = running
@@ -63,7 +63,7 @@
 	host := waiting.job.record.Host
 	singleVersion := route != nil && route.SingleVersion
 	running.priority = priorityOf(configuration, waiting.job.record)
-	rewardAttempts := func() int { return s.rewardAttempts(waiting) }
+	rewardAttempts := func() int { return s.scorer.rewardAttempts(waiting) }
 	go func() {
 		err := s.run(ctx, running, host, singleVersion)
 		if cause := context.Cause(ctx); err != nil && cause != nil {
@@ -79,7 +79,7 @@
 }
 
 // run streams an item from a replica to its end.
-func (s *Service) run(ctx context.Context, running *attempt, host string, singleVersion bool) error {
+func (s *scheduler) run(ctx context.Context, running *attempt, host string, singleVersion bool) error {
 	work := running.item
 	call := &dispatch.Call{
 		ID: work.ID, Method: http.MethodPost, Target: work.Target, Host: host, Header: work.Header, Body: work.Body,
@@ -109,7 +109,7 @@
 
 // receiveEvents reads the events of an answer to its end. The version is the answer's
 // until an event names another.
-func (s *Service) receiveEvents(running *attempt, answer *dispatch.Answer, version int64, singleVersion bool) error {
+func (s *scheduler) receiveEvents(running *attempt, answer *dispatch.Answer, version int64, singleVersion bool) error {
 	work := running.item
 	events := eventstream.NewReader(answer, s.config.Codec.VersionField(), len(work.progress.events))
 	for {
@@ -154,7 +154,7 @@
 }
 
 // learnVersion records a weight version that a replica's answer names.
-func (s *Service) learnVersion(replica, model string, version int64) {
+func (s *scheduler) learnVersion(replica, model string, version int64) {
 	if version <= 0 {
 		return
 	}
@@ -164,7 +164,7 @@
 }
 
 // startAnew drops what an item's runs have made.
-func (s *Service) startAnew(work *item) {
+func (s *scheduler) startAnew(work *item) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	work.startAnew()
@@ -172,7 +172,7 @@
 
 // receiveEvent adds the next event to an item's text and learns the replica's pace from
 // it.
-func (s *Service) receiveEvent(running *attempt, event string, version int64) {
+func (s *scheduler) receiveEvent(running *attempt, event string, version int64) {
 	since := time.Since(running.begun)
 	interval := since - time.Duration(running.lastEvent.Swap(int64(since)))
 	s.mutex.Lock()
@@ -187,7 +187,7 @@
 }
 
 // runEnded ends a run: its item is finished, waits for another run, or has failed.
-func (s *Service) runEnded(running *attempt, err error) {
+func (s *scheduler) runEnded(running *attempt, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	work := running.item
@@ -196,7 +196,7 @@
 	state.Running--
 	work.running, work.lastRun = nil, running
 	work.events = max(work.events, len(work.progress.events))
-	defer s.WakeScheduler()
+	defer s.wake.set()
 	if err == nil {
 		state.Failures.Observe(false, time.Now())
 		s.eventRates.Of(work.job.submission.Model).Observe(work.ExpectedTokens, len(work.progress.events))
--- a/internal/jobs/batch/candidates.go
+++ b/internal/jobs/batch/candidates.go
@@ -19,7 +19,7 @@
 
 // candidatesOf are the replicas of a service among which the items of a job are placed,
 // worked out once for each plan. The mutex must be held.
-func (s *Service) candidatesOf(service string, plan *routing.Plan, job *job) []*routing.Endpoint {
+func (s *scheduler) candidatesOf(service string, plan *routing.Plan, job *job) []*routing.Endpoint {
 	set := s.candidates[service]
 	if set == nil || set.plan != plan {
 		set = &candidateSet{plan: plan, byKey: map[candidateKey][]*routing.Endpoint{}}
--- a/internal/jobs/batch/failing.go
+++ b/internal/jobs/batch/failing.go
@@ -13,7 +13,7 @@
 
 // recordFailure records that a replica answered that an item failed there, and gives the
 // item up once that is certain to be the item's own fault. The mutex must be held.
-func (s *Service) recordFailure(running *attempt, state *replicastate.State) {
+func (s *scheduler) recordFailure(running *attempt, state *replicastate.State) {
 	work, replica, now := running.item, running.endpoint.Name, time.Now()
 	wasFailing := state.Failures.IsFailing(now)
 	if !slices.Contains(work.failedAt, replica) {
--- a/internal/jobs/batch/final_test.go
+++ b/internal/jobs/batch/final_test.go
@@ -85,7 +85,7 @@
 	way.cutOthers.Store(true)
 	cluster.setCut("node-0", true)
 	owner.mutex.Lock()
-	owner.finish(held.items["job.0"], journal.Result{ID: "job.0", State: journal.Abandoned})
+	owner.scheduler.finish(held.items["job.0"], journal.Result{ID: "job.0", State: journal.Abandoned})
 	owner.mutex.Unlock()
 	if err := reader.End(context.Background(), "job"); err != nil {
 		t.Fatal(err)
--- a/internal/jobs/batch/heartbeat.go
+++ b/internal/jobs/batch/heartbeat.go
@@ -149,7 +149,7 @@
 	s.recordLengths(held)
 	s.logLateness(held)
 	held.cancel()
-	s.dropQueued(held)
+	s.scheduler.drop(held)
 	held.notify()
 	s.config.Logger.Info("batch job ended", "request", id, "listed", len(held.listed), "items", len(held.items),
 		"chunks", held.chunks, "appending", !held.appendingSince.IsZero())
--- a/internal/jobs/batch/homes.go
+++ b/internal/jobs/batch/homes.go
@@ -41,7 +41,7 @@
 		if submitted.Reward == nil {
 			continue
 		}
-		if route := s.rewardRoute(submitted.Reward); route != nil && !slices.Contains(named, route.Name) {
+		if route := s.scheduler.scorer.rewardRoute(submitted.Reward); route != nil && !slices.Contains(named, route.Name) {
 			named = append(named, route.Name)
 		}
 	}
--- a/internal/jobs/batch/pace_test.go
+++ b/internal/jobs/batch/pace_test.go
@@ -49,7 +49,7 @@
 
 func TestSlowReplicasAreUsedLast(t *testing.T) {
 	service, waiting := paced(40, 40, 40, 52, 140)
-	pool := service.newPool()
+	pool := service.scheduler.newPool()
 	taken := map[string]int{}
 	for range 3 * pool.view.Plans["engines"].Endpoints()[0].Slots {
 		chosen := pool.pick(waiting)
@@ -66,13 +66,13 @@
 
 // running adds a run of an item at a replica that has made some events.
 func (s *Service) addRun(replica string, events int64, work *item) *attempt {
-	pool := s.newPool()
+	pool := s.scheduler.newPool()
 	for _, candidate := range pool.replicasFor(work) {
 		if candidate.Name == replica {
 			added := &attempt{item: work, endpoint: pool.endpoints[replica], begun: time.Now()}
 			added.events.Store(events)
 			work.running = added
-			s.attempts[added] = true
+			s.scheduler.attempts[added] = true
 			s.replicas.Get(replica).Running++
 			return added
 		}
@@ -100,7 +100,7 @@
 		run := service.addRun(replicaName(0), test.events, work)
 		moved := false
 		run.cancel = func(reason error) { moved = errors.Is(reason, ErrMoved) }
-		pool := service.newPool()
+		pool := service.scheduler.newPool()
 		move([]*attempt{run}, placement.Moves(pool.paces, []*placement.Run{pool.runOf(0, run)}))
 		if moved != test.moved {
 			t.Errorf("%s: moved is %t", test.name, moved)
--- a/internal/jobs/batch/pool.go
+++ b/internal/jobs/batch/pool.go
@@ -19,10 +19,10 @@
 }
 
 // pool is the replicas that items may go to, as views for many decisions in a row:
-// what holds for all items is worked out once. The service's mutex must be held while
+// what holds for all items is worked out once. The mutex must be held while
 // it is used.
 type pool struct {
-	service *Service
+	scheduler *scheduler
 	// running is set where the items run already: they want nothing of replicas that
 	// warm up.
 	running bool
@@ -39,9 +39,9 @@
 
 // newPool returns the replicas as the directory shows them now. The mutex must be
 // held.
-func (s *Service) newPool() *pool {
+func (s *scheduler) newPool() *pool {
 	return &pool{
-		service: s, view: s.config.Directory.View(), now: time.Now(), paces: s.replicas.Paces(), loads: s.replicas.Loads(time.Now()),
+		scheduler: s, view: s.config.Directory.View(), now: time.Now(), paces: s.replicas.Paces(), loads: s.replicas.Loads(time.Now()),
 		replicas: map[poolKey][]*placement.Replica{}, byName: map[string]*placement.Replica{}, endpoints: map[string]*routing.Endpoint{},
 	}
 }
@@ -63,7 +63,7 @@
 		query := &routing.Query{Rollout: true, Waiting: !p.running, Homes: homes.Of(route.Homes, p.view.Configuration.Tenants.HomesOf(key.tenant))}
 		for _, target := range route.Targets {
 			if plan := p.view.Plans[target.Service]; plan != nil {
-				replicas = p.add(replicas, p.service.candidatesOf(target.Service, plan, waiting.job), key, query)
+				replicas = p.add(replicas, p.scheduler.candidatesOf(target.Service, plan, waiting.job), key, query)
 			}
 		}
 	}
@@ -74,8 +74,8 @@
 // add adds the replicas that are not barred from some items.
 func (p *pool) add(replicas []*placement.Replica, endpoints []*routing.Endpoint, key poolKey, query *routing.Query) []*placement.Replica {
 	for _, endpoint := range endpoints {
-		state := p.service.replicas.Get(endpoint.Name)
-		known := p.service.replicas.Version(p.view.Replicas[endpoint.Name], endpoint.Name, key.model)
+		state := p.scheduler.replicas.Get(endpoint.Name)
+		known := p.scheduler.replicas.Version(p.view.Replicas[endpoint.Name], endpoint.Name, key.model)
 		if p.now.Before(state.BlockedUntil) || state.IsLoading(key.model) || (known > 0 && known < key.minVersion) {
 			continue
 		}
--- a/internal/jobs/batch/publish_test.go
+++ b/internal/jobs/batch/publish_test.go
@@ -74,7 +74,7 @@
 		finish := func(id string) {
 			service.mutex.Lock()
 			defer service.mutex.Unlock()
-			service.finish(held.items[id], journal.Result{ID: id, State: journal.Succeeded})
+			service.scheduler.finish(held.items[id], journal.Result{ID: id, State: journal.Succeeded})
 		}
 		go service.publish(held)
 		for number := range 40 {
--- a/internal/jobs/batch/queue.go
+++ b/internal/jobs/batch/queue.go
@@ -15,7 +15,7 @@
 }
 
 // sortQueue orders the items that wait. The mutex must be held.
-func (s *Service) sortQueue() {
+func (s *scheduler) sortQueue() {
 	configuration := s.config.Directory.View().Configuration
 	interval := s.replicas.Paces().Usual()
 	views := make([]queued, 0, len(s.queue))
@@ -31,7 +31,7 @@
 
 // viewOf is an item that waits as decisions see it, where runs make an event at an
 // interval. The mutex must be held.
-func (s *Service) viewOf(waiting *item, configuration *directory.Configuration, interval time.Duration) placement.Item {
+func (s *scheduler) viewOf(waiting *item, configuration *directory.Configuration, interval time.Duration) placement.Item {
 	return placement.Item{
 		Priority: priorityOf(configuration, waiting.job.record), TakenUp: waiting.job.takenUp,
 		Rank: waiting.rank.Place, Reserve: waiting.rank.Reserve, Begun: len(waiting.progress.events) > 0,
@@ -41,7 +41,7 @@
 
 // rest is how many events an item is expected to make yet, 0 for unknown. The mutex
 // must be held.
-func (s *Service) rest(work *item) int {
+func (s *scheduler) rest(work *item) int {
 	rate := s.eventRates.Of(work.job.submission.Model)
 	expected := work.expected
 	if expected == 0 && work.Item != nil {
@@ -49,3 +49,8 @@
 	}
 	return placement.Remaining(expected, work.seen(), rate.Longest())
 }
+
+// drop takes a job's items out of the queue. The mutex must be held.
+func (s *scheduler) drop(dropped *job) {
+	s.queue = slices.DeleteFunc(s.queue, func(waiting *item) bool { return waiting.job == dropped })
+}
--- a/internal/jobs/batch/replicas_test.go
+++ b/internal/jobs/batch/replicas_test.go
@@ -25,7 +25,7 @@
 		service.replicas.Get(replicaName(0)).Failures.Observe(true, now)
 	}
 	waiting.failedAt = []string{replicaName(1)}
-	pool := service.newPool()
+	pool := service.scheduler.newPool()
 	counts := map[string]int{}
 	for chosen := pool.pick(waiting); chosen != nil; chosen = pool.pick(waiting) {
 		chosen.Load++
@@ -35,7 +35,7 @@
 		t.Errorf("items went to %v", counts)
 	}
 	waiting.failedAt = []string{replicaName(0), replicaName(1), replicaName(2)}
-	if pool = service.newPool(); pool.pick(waiting) == nil {
+	if pool = service.scheduler.newPool(); pool.pick(waiting) == nil {
 		t.Error("an item that has failed everywhere goes nowhere")
 	}
 }
@@ -67,7 +67,7 @@
 	service.replicas.Get("replica-2").Block(time.Minute)
 	service.replicas.Get("replica-3").Versions["m"] = 4
 	service.replicas.Get("replica-4").LoadingSince["m"] = time.Now()
-	pool := service.newPool()
+	pool := service.scheduler.newPool()
 	taken := map[string]int{}
 	for chosen := pool.pick(waiting); chosen != nil; chosen = pool.pick(waiting) {
 		chosen.Load++
@@ -77,7 +77,7 @@
 		t.Errorf("items went to %v", taken)
 	}
 	waiting.job.submission.MinVersion = 4
-	if chosen := service.newPool().pick(waiting); chosen == nil || chosen.Name != "replica-3" {
+	if chosen := service.scheduler.newPool().pick(waiting); chosen == nil || chosen.Name != "replica-3" {
 		t.Error("an item went to a replica on older weights than it allows")
 	}
 }
@@ -107,7 +107,7 @@
 
 // picks counts the items that are placed at each replica until all are full.
 func picks(service *Service, waiting *item) map[string]int {
-	pool := service.newPool()
+	pool := service.scheduler.newPool()
 	picked := map[string]int{}
 	for chosen := pool.pick(waiting); chosen != nil; chosen = pool.pick(waiting) {
 		chosen.Load++
@@ -119,7 +119,7 @@
 func TestPlacementPrefersReplicasInUseUntilTheyFill(t *testing.T) {
 	service, waiting := placing(2)
 	service.replicas.Get("replica-1").ObservedAt = time.Now()
-	pool := service.newPool()
+	pool := service.scheduler.newPool()
 	order := ""
 	for range 5 {
 		chosen := pool.pick(waiting)
@@ -134,7 +134,7 @@
 func BenchmarkPlacementOf200ItemsAmong3000Replicas(b *testing.B) {
 	service, waiting := placing(3000)
 	for b.Loop() {
-		pool := service.newPool()
+		pool := service.scheduler.newPool()
 		for range 200 {
 			pool.pick(waiting).Load++
 		}
@@ -150,12 +150,12 @@
 	waiting := func(id, route string, accepted time.Time, rank int) *item {
 		return &item{Item: &Item{ID: id}, rank: placement.Rank{Place: rank}, job: &job{record: journal.Record{Route: route}, submission: &Submission{}, takenUp: accepted}}
 	}
-	service.queue = []*item{
+	service.scheduler.queue = []*item{
 		waiting("a", "later", now.Add(-10*ageStep), 0), waiting("b", "first", now, 1), waiting("c", "first", now, 0), waiting("d", "first", now.Add(-2*ageStep), 2),
 	}
-	service.sortQueue()
+	service.scheduler.sortQueue()
 	order := ""
-	for _, queued := range service.queue {
+	for _, queued := range service.scheduler.queue {
 		order += queued.ID
 	}
 	if order != "dcba" {
@@ -179,11 +179,11 @@
 	})
 	node.config.Directory.SetReplicas(nil, 0)
 	node.mutex.Lock()
-	for running := range node.attempts {
+	for running := range node.scheduler.attempts {
 		running.lastEvent.Store(int64(time.Since(running.begun)))
 	}
 	node.mutex.Unlock()
-	node.inspect()
+	node.scheduler.inspect()
 	if err := cluster.submit(node, "later", 2); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/jobs/batch/reward.go
+++ b/internal/jobs/batch/reward.go
@@ -4,13 +4,14 @@
 	"context"
 	"errors"
 	"net/http"
+	"sync"
 	"time"
 
 	"github.com/pathtally/pathtally/internal/callers/admission"
 	"github.com/pathtally/pathtally/internal/callers/dispatch"
 	"github.com/pathtally/pathtally/internal/callers/exchange"
 	"github.com/pathtally/pathtally/internal/callers/forward"
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/replicastate"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
@@ -24,31 +25,22 @@
 	longestRewardPause = 500 * time.Millisecond
 )
 
-// score has the whole text of an item scored and finishes the item.
-func (s *Service) score(ran *attempt, attempts func() int) {
-	work := ran.item
-	whole := time.Now()
-	result := journal.Result{ID: work.ID, State: journal.Succeeded, Text: work.progress.text(), Versions: work.progress.madeBy()}
-	if work.Reward != nil {
-		score, failed, scored := s.callReward(work, attempts)
-		if !scored && !failed {
-			return
-		}
-		result.Score = score
-		if failed {
-			result = journal.Result{ID: work.ID, State: journal.Abandoned}
-			s.config.Logger.Info("item given up", "request", work.ID, "job", work.job.id, "reason", "its scorer failed", "reward", work.Reward.ID)
-		}
-	}
-	s.config.Logger.Info("item finished", append(ran.logFields(), "state", result.State, "rewardMs", time.Since(whole).Milliseconds())...)
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.finish(work, result)
+// scorer calls the routes that score texts. It shares the service's mutex.
+type scorer struct {
+	config   *Config
+	mutex    *sync.Mutex
+	replicas *replicastate.Table
+	// bounds are those on the calls in progress, by route.
+	bounds map[string]*admission.Adaptive
+}
+
+func newScorer(service *Service) *scorer {
+	return &scorer{config: &service.config, mutex: &service.mutex, replicas: service.replicas, bounds: map[string]*admission.Adaptive{}}
 }
 
 // callReward calls an item's scorer until it answers, has failed as often as
 // its route allows, or the job ends.
-func (s *Service) callReward(work *item, attempts func() int) (score string, failed, scored bool) {
+func (s *scorer) callReward(work *item, attempts func() int) (score string, failed, scored bool) {
 	reward := work.Reward
 	failures := 0
 	pause := rewardPause
@@ -79,7 +71,7 @@
 }
 
 // callScorer makes one call of a scorer once the bound of its route has room.
-func (s *Service) callScorer(ctx context.Context, route *directory.Route, call *dispatch.Call) (*forward.BufferedAnswer, error) {
+func (s *scorer) callScorer(ctx context.Context, route *directory.Route, call *dispatch.Call) (*forward.BufferedAnswer, error) {
 	bound := s.rewardBound(route)
 	if err := bound.Enter(ctx); err != nil {
 		return nil, err
@@ -100,7 +92,7 @@
 // rewardBound is the bound on the calls of a route's scorers in progress. All
 // nodes that run jobs share the replicas' slots, and most of the replicas'
 // queues is left to live requests.
-func (s *Service) rewardBound(route *directory.Route) *admission.Adaptive {
+func (s *scorer) rewardBound(route *directory.Route) *admission.Adaptive {
 	view := s.config.Directory.View()
 	slots := 0
 	for _, target := range route.Targets {
@@ -113,17 +105,17 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	most := callsPerSlot * slots / s.replicas.RunningNodes(time.Now())
-	bound := s.rewardBounds[route.Name]
+	bound := s.bounds[route.Name]
 	if bound == nil {
 		bound = admission.NewAdaptive(most)
-		s.rewardBounds[route.Name] = bound
+		s.bounds[route.Name] = bound
 	}
 	bound.SetMost(most)
 	return bound
 }
 
 // rewardRoute is the route of a scorer.
-func (s *Service) rewardRoute(reward *Reward) *directory.Route {
+func (s *scorer) rewardRoute(reward *Reward) *directory.Route {
 	configuration := s.config.Directory.View().Configuration
 	if configuration == nil {
 		return nil
@@ -139,7 +131,7 @@
 }
 
 // rewardAttempts is how many failures of a scorer end an item.
-func (s *Service) rewardAttempts(work *item) int {
+func (s *scorer) rewardAttempts(work *item) int {
 	if work.Reward == nil {
 		return defaultAttempts
 	}
--- a/internal/jobs/batch/runerror.go
+++ b/internal/jobs/batch/runerror.go
@@ -34,7 +34,7 @@
 
 // handleRunError decides what the failed end of a run means for the item and the replica.
 // The mutex must be held.
-func (s *Service) handleRunError(running *attempt, state *replicastate.State, err error) {
+func (s *scheduler) handleRunError(running *attempt, state *replicastate.State, err error) {
 	work := running.item
 	var notRun *dispatch.NotRunError
 	var withheld *dispatch.WithheldError
@@ -73,13 +73,13 @@
 }
 
 // abandon ends an item without its text. The mutex must be held.
-func (s *Service) abandon(work *item, reason string) {
+func (s *scheduler) abandon(work *item, reason string) {
 	s.config.Logger.Info("item given up", "request", work.ID, "job", work.job.id, "reason", reason, "failures", work.failures)
 	s.finish(work, journal.Result{ID: work.ID, State: journal.Abandoned})
 }
 
 // itemAttempts is how many failures end an item.
-func (s *Service) itemAttempts(work *item) int {
+func (s *scheduler) itemAttempts(work *item) int {
 	if configuration := s.config.Directory.View().Configuration; configuration != nil {
 		if route := routeOf(configuration, work.job.record.Route); route != nil {
 			return route.Attempts
@@ -92,7 +92,7 @@
 const defaultAttempts = 3
 
 // finish takes an item's result. The mutex must be held.
-func (s *Service) finish(work *item, result journal.Result) {
+func (s *scheduler) finish(work *item, result journal.Result) {
 	if work.done || work.job.ended || work.job.displaced {
 		return
 	}
--- a/internal/jobs/batch/scheduler.go
+++ b/internal/jobs/batch/scheduler.go
@@ -3,10 +3,13 @@
 import (
 	"context"
 	"slices"
+	"sync"
 	"time"
 
 	"github.com/pathtally/pathtally/internal/jobs/journal"
 	"github.com/pathtally/pathtally/internal/jobs/placement"
+	"github.com/pathtally/pathtally/internal/jobs/replicastate"
+	"github.com/pathtally/pathtally/internal/jobs/statistics"
 )
 
 const (
@@ -16,8 +19,39 @@
 	idleScanInterval = 2 * time.Second
 )
 
+// scheduler owns the queue of items and their runs: it starts items at replicas, judges how
+// runs end, cuts those that have stalled, and moves those that would end sooner elsewhere.
+//
+// It shares the service's mutex: an item's place in the queue, its run, the load of its
+// replica and the state of its job change together.
+type scheduler struct {
+	config  *Config
+	metrics *metrics
+	mutex   *sync.Mutex
+	// queue are the items that wait, in their order.
+	queue    []*item
+	attempts map[*attempt]bool
+	// replicas and eventRates are the service's.
+	replicas   *replicastate.Table
+	eventRates statistics.EventRates
+	// candidates are the replicas of each service among which items are placed.
+	candidates map[string]*candidateSet
+	scorer     *scorer
+	// wake starts a round.
+	wake signal
+}
+
+// newScheduler returns a scheduler of a service with nothing to do.
+func newScheduler(service *Service) *scheduler {
+	return &scheduler{
+		config: &service.config, metrics: service.metrics, mutex: &service.mutex,
+		attempts: map[*attempt]bool{}, replicas: service.replicas, eventRates: service.eventRates, candidates: map[string]*candidateSet{},
+		scorer: newScorer(service), wake: newSignal(),
+	}
+}
+
 // schedule starts items at replicas until the context ends.
-func (s *Service) schedule(ctx context.Context) {
+func (s *scheduler) schedule(ctx context.Context) {
 	timer := time.NewTimer(idleScanInterval)
 	defer timer.Stop()
 	looks := scanSchedule{last: time.Now()}
@@ -34,7 +68,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.schedulerWake:
+		case <-s.wake:
 		case <-changed:
 		case <-timer.C:
 		}
@@ -45,7 +79,7 @@
 }
 
 // assign starts all items that have a place, and tells whether there is work.
-func (s *Service) assign() bool {
+func (s *scheduler) assign() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if len(s.queue) == 0 {
@@ -76,7 +110,7 @@
 }
 
 // expire gives an item up once that is allowed. The mutex must be held.
-func (s *Service) expire(waiting *item) bool {
+func (s *scheduler) expire(waiting *item) bool {
 	if waiting.job.givenUpAt.IsZero() || time.Now().Before(waiting.job.givenUpAt) {
 		return false
 	}
@@ -86,7 +120,7 @@
 }
 
 // inspect cuts runs that have stalled and moves runs away from slow replicas.
-func (s *Service) inspect() {
+func (s *scheduler) inspect() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if len(s.attempts) == 0 {
@@ -125,9 +159,9 @@
 	work := running.item
 	return &placement.Run{
 		Index: index, Replica: running.endpoint.Name, Replicas: p.replicasFor(work), FailedAt: work.failedAt,
-		Events: int(running.events.Load()), Rest: p.service.rest(work), Idle: running.idle(),
+		Events: int(running.events.Load()), Rest: p.scheduler.rest(work), Idle: running.idle(),
 		Due: !work.job.due.IsZero(), Left: work.job.due.Sub(p.now),
-		Loading: p.service.replicas.Get(running.endpoint.Name).IsLoading(work.job.submission.Model),
+		Loading: p.scheduler.replicas.Get(running.endpoint.Name).IsLoading(work.job.submission.Model),
 	}
 }
 
--- /dev/null
+++ b/internal/jobs/batch/score.go
@@ -0,0 +1,29 @@
+package batch
+
+import (
+	"time"
+
+	"github.com/pathtally/pathtally/internal/jobs/journal"
+)
+
+// score has the whole text of an item scored and finishes the item.
+func (s *scheduler) score(ran *attempt, attempts func() int) {
+	work := ran.item
+	whole := time.Now()
+	result := journal.Result{ID: work.ID, State: journal.Succeeded, Text: work.progress.text(), Versions: work.progress.madeBy()}
+	if work.Reward != nil {
+		score, failed, scored := s.scorer.callReward(work, attempts)
+		if !scored && !failed {
+			return
+		}
+		result.Score = score
+		if failed {
+			result = journal.Result{ID: work.ID, State: journal.Abandoned}
+			s.config.Logger.Info("item given up", "request", work.ID, "job", work.job.id, "reason", "its scorer failed", "reward", work.Reward.ID)
+		}
+	}
+	s.config.Logger.Info("item finished", append(ran.logFields(), "state", result.State, "rewardMs", time.Since(whole).Milliseconds())...)
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.finish(work, result)
+}
--- a/internal/jobs/batch/service.go
+++ b/internal/jobs/batch/service.go
@@ -2,13 +2,11 @@
 
 import (
 	"context"
-	"slices"
 	"sync"
 
 	"github.com/prometheus/client_golang/prometheus"
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/callers/admission"
 	"github.com/pathtally/pathtally/internal/callers/dispatch"
 	"github.com/pathtally/pathtally/internal/callers/forward"
 	"github.com/pathtally/pathtally/internal/clock"
@@ -54,10 +52,9 @@
 	remoteJobs map[string]*remoteJob
 	// accepting are the submissions under way, by id.
 	accepting map[string]*acceptance
-	queue     []*item
+	scheduler *scheduler
 	// replicas is what this node knows of replicas as places for items.
 	replicas *replicastate.Table
-	attempts map[*attempt]bool
 	ends     *ends.Register
 	// endsBeingPersisted are the jobs whose end is being stored after its caller's time.
 	endsBeingPersisted map[string]bool
@@ -66,16 +63,11 @@
 	lengths    *statistics.Lengths
 	eventRates statistics.EventRates
 	demand     *statistics.Demand
-	// candidates are the replicas of each service among which items are placed.
-	candidates map[string]*candidateSet
 	// storedLoads are the jobs that are being read from the store, by id.
 	storedLoads      map[string]*storedLoad
 	unansweredOffers *unansweredOffers
-	// rewardBounds are the bounds on calls of scorers, by route.
-	rewardBounds  map[string]*admission.Adaptive
-	leaving       bool
-	recovered     bool
-	schedulerWake signal
+	leaving          bool
+	recovered        bool
 	// heartbeatWake is set when this node has something to announce in heartbeats, and
 	// ownerWatchWake when there is a job whose owner has to be watched.
 	heartbeatWake  signal
@@ -84,22 +76,22 @@
 
 // NewService returns a service that does nothing before Run.
 func NewService(base context.Context, config Config) *Service {
-	return &Service{
+	service := &Service{
 		config: config, base: base, metrics: newMetrics(config.Registry),
 		jobs: map[string]*job{}, remoteJobs: map[string]*remoteJob{}, ends: ends.NewRegister(), endsBeingPersisted: map[string]bool{}, accepting: map[string]*acceptance{},
-		replicas: replicastate.NewTable(), attempts: map[*attempt]bool{},
+		replicas:   replicastate.NewTable(),
 		tolerances: statistics.Tolerances{}, lengths: statistics.NewLengths(), eventRates: statistics.EventRates{},
 		demand: statistics.NewDemand(), unansweredOffers: newUnansweredOffers(), storedLoads: map[string]*storedLoad{},
-		candidates:    map[string]*candidateSet{},
-		rewardBounds:  map[string]*admission.Adaptive{},
-		schedulerWake: newSignal(), heartbeatWake: newSignal(), ownerWatchWake: newSignal(),
+		heartbeatWake: newSignal(), ownerWatchWake: newSignal(),
 	}
+	service.scheduler = newScheduler(service)
+	return service
 }
 
 // Run works until the context ends.
 func (s *Service) Run(ctx context.Context) {
 	var duties sync.WaitGroup
-	for _, duty := range []func(context.Context){s.recover, s.schedule, s.watchOwners, s.sendHeartbeats} {
+	for _, duty := range []func(context.Context){s.recover, s.scheduler.schedule, s.watchOwners, s.sendHeartbeats} {
 		duties.Go(func() { duty(ctx) })
 	}
 	duties.Wait()
@@ -119,7 +111,7 @@
 }
 
 // WakeScheduler starts a round of the scheduler.
-func (s *Service) WakeScheduler() { s.schedulerWake.set() }
+func (s *Service) WakeScheduler() { s.scheduler.wake.set() }
 
 // priorityOf is the rank of a job's items, 0 the most urgent: that of its tenant,
 // else that of its route.
@@ -143,11 +135,6 @@
 	displaced.cancelAppends()
 	displaced.notify()
 	delete(s.jobs, displaced.id)
-	s.dropQueued(displaced)
+	s.scheduler.drop(displaced)
 	s.config.Logger.Info("batch job owned by another node now", "request", displaced.id, "epoch", displaced.record.Epoch)
 }
-
-// dropQueued takes a job's items out of the queue. The mutex must be held.
-func (s *Service) dropQueued(dropped *job) {
-	s.queue = slices.DeleteFunc(s.queue, func(waiting *item) bool { return waiting.job == dropped })
-}
--- a/internal/jobs/batch/start.go
+++ b/internal/jobs/batch/start.go
@@ -33,10 +33,10 @@
 	restored := started.restore(joinPieces(listed.Pieces))
 	for _, itemID := range started.order {
 		if pending := started.items[itemID]; !pending.done {
-			s.queue = append(s.queue, pending)
+			s.scheduler.queue = append(s.scheduler.queue, pending)
 		}
 	}
-	s.sortQueue()
+	s.scheduler.sortQueue()
 	s.observeTolerance(submission)
 	s.demand.Learn(started.work(), time.Now())
 	s.jobs[id] = started
--- a/internal/jobs/batch/stored_test.go
+++ b/internal/jobs/batch/stored_test.go
@@ -116,8 +116,8 @@
 	node.mutex.Lock()
 	held := node.jobs["job"]
 	held.confirmedAt = looked
-	node.finish(held.items["job.0"], journal.Result{ID: "job.0", State: journal.Abandoned})
-	node.finish(held.items["job.1"], journal.Result{ID: "job.1", State: journal.Abandoned})
+	node.scheduler.finish(held.items["job.0"], journal.Result{ID: "job.0", State: journal.Abandoned})
+	node.scheduler.finish(held.items["job.1"], journal.Result{ID: "job.1", State: journal.Abandoned})
 	node.mutex.Unlock()
 	eventually(t, "the results are appended", func() bool {
 		node.mutex.Lock()
--- a/internal/jobs/batch/takeover_test.go
+++ b/internal/jobs/batch/takeover_test.go
@@ -95,7 +95,7 @@
 	// The former owner reaches the store, and only that, and finishes first.
 	former.mutex.Lock()
 	held := former.jobs["job"]
-	former.finish(held.items["job.0"], journal.Result{ID: "job.0", State: journal.Abandoned})
+	former.scheduler.finish(held.items["job.0"], journal.Result{ID: "job.0", State: journal.Abandoned})
 	former.mutex.Unlock()
 	eventually(t, "the former owner learns of its successor", func() bool {
 		former.mutex.Lock()
@@ -169,7 +169,7 @@
 	eventually(t, "no run is left", func() bool {
 		cluster.nodes[0].mutex.Lock()
 		defer cluster.nodes[0].mutex.Unlock()
-		return len(cluster.nodes[0].attempts) == 0 && len(cluster.nodes[0].queue) == 0
+		return len(cluster.nodes[0].scheduler.attempts) == 0 && len(cluster.nodes[0].scheduler.queue) == 0
 	})
 	standing, err := journal.New(cluster.store).Read(context.Background(), "job")
 	if err != nil || !standing.Ended {
