--- a/internal/jobs/batch/observedlengths.go
+++ b/internal/jobs/batch/observedlengths.go
@@ -22,6 +22,6 @@
 		if left.group.open == 0 || left.seen() == 0 {
 			continue
 		}
-		s.lengths.Observe(left.ID, placement.Length{Events: left.seen(), Whole: left.done}, time.Now())
+		s.lengths.Observe(left.ID, placement.Length{Events: left.seen(), Complete: left.done}, time.Now())
 	}
 }
--- a/internal/jobs/batch/pool.go
+++ b/internal/jobs/batch/pool.go
@@ -48,7 +48,7 @@
 
 // pick returns the replica for an item, nil for none.
 func (p *pool) pick(waiting *item) *placement.Replica {
-	return placement.Pick(p.replicasFor(waiting), placement.Preference{FailedAt: waiting.failedAt, Urgent: waiting.urgent})
+	return placement.Pick(p.replicasFor(waiting), placement.Preference{FailedReplicas: waiting.failedAt, Urgent: waiting.urgent})
 }
 
 // replicasFor lists the replicas that have the weights for an item, are not loading, and that
@@ -95,8 +95,8 @@
 	}
 	condition := placement.Condition{Failing: state.Failures.IsFailing(p.now), Unproven: state.Unproven, SinceEvent: p.now.Sub(state.ObservedAt)}
 	made := placement.NewReplica(endpoint.Name, endpoint.Slots, p.loads[endpoint.Name], p.paces, condition)
-	if left := endpoint.State.SlowStart.PermitsLeft(); left < made.Most {
-		made.Most = min(made.Most, made.Load+left)
+	if left := endpoint.State.SlowStart.PermitsLeft(); left < made.MaxLoad {
+		made.MaxLoad = min(made.MaxLoad, made.Load+left)
 	}
 	p.byName[endpoint.Name], p.endpoints[endpoint.Name] = made, endpoint
 	return made
--- a/internal/jobs/batch/queue.go
+++ b/internal/jobs/batch/queue.go
@@ -33,9 +33,9 @@
 // interval. The mutex must be held.
 func (s *Service) viewOf(waiting *item, configuration *directory.Configuration, interval time.Duration) placement.Item {
 	return placement.Item{
-		Priority: priorityOf(configuration, waiting.job.record), TakenUp: waiting.job.takenUp,
-		Rank: waiting.rank.Place, Reserve: waiting.rank.Reserve, Begun: len(waiting.progress.events) > 0,
-		Due: waiting.job.due, Left: time.Until(waiting.job.due), Objective: waiting.job.objective, Rest: time.Duration(s.rest(waiting)) * interval,
+		Priority: priorityOf(configuration, waiting.job.record), JobStarted: waiting.job.takenUp,
+		Rank: waiting.rank.Position, Reserve: waiting.rank.Reserve, HasProgress: len(waiting.progress.events) > 0,
+		Deadline: waiting.job.due, TimeLeft: time.Until(waiting.job.due), Objective: waiting.job.objective, ExpectedRunTime: time.Duration(s.rest(waiting)) * interval,
 	}
 }
 
@@ -45,7 +45,7 @@
 	rate := s.eventRates.Of(work.job.submission.Model)
 	expected := work.expected
 	if expected == 0 && work.Item != nil {
-		expected = rate.Expect(work.ExpectedTokens)
+		expected = rate.ExpectedEvents(work.ExpectedTokens)
 	}
-	return placement.Remaining(expected, work.seen(), rate.Longest())
+	return placement.RemainingEvents(expected, work.seen(), rate.Longest())
 }
--- a/internal/jobs/batch/replicas_test.go
+++ b/internal/jobs/batch/replicas_test.go
@@ -31,7 +31,7 @@
 		chosen.Load++
 		counts[chosen.Name]++
 	}
-	if counts[replicaName(0)] != placement.FailingRuns || counts[replicaName(1)] != 0 || counts[replicaName(2)] != 6 {
+	if counts[replicaName(0)] != placement.MaxLoadWhenFailing || counts[replicaName(1)] != 0 || counts[replicaName(2)] != 6 {
 		t.Errorf("items went to %v", counts)
 	}
 	waiting.failedAt = []string{replicaName(0), replicaName(1), replicaName(2)}
@@ -148,7 +148,7 @@
 	const ageStep = 2 * time.Second
 	now := time.Now()
 	waiting := func(id, route string, accepted time.Time, rank int) *item {
-		return &item{Item: &Item{ID: id}, rank: placement.Rank{Place: rank}, job: &job{record: journal.Record{Route: route}, submission: &Submission{}, takenUp: accepted}}
+		return &item{Item: &Item{ID: id}, rank: placement.Rank{Position: rank}, job: &job{record: journal.Record{Route: route}, submission: &Submission{}, takenUp: accepted}}
 	}
 	service.queue = []*item{
 		waiting("a", "later", now.Add(-10*ageStep), 0), waiting("b", "first", now, 1), waiting("c", "first", now, 0), waiting("d", "first", now.Add(-2*ageStep), 2),
--- a/internal/jobs/batch/scheduler.go
+++ b/internal/jobs/batch/scheduler.go
@@ -124,9 +124,9 @@
 func (p *pool) runOf(index int, running *attempt) *placement.Run {
 	work := running.item
 	return &placement.Run{
-		Index: index, Replica: running.endpoint.Name, Replicas: p.replicasFor(work), FailedAt: work.failedAt,
-		Events: int(running.events.Load()), Rest: p.service.rest(work), Idle: running.idle(),
-		Due: !work.job.due.IsZero(), Left: work.job.due.Sub(p.now),
+		Index: index, Replica: running.endpoint.Name, Replicas: p.replicasFor(work), FailedReplicas: work.failedAt,
+		Events: int(running.events.Load()), RemainingEvents: p.service.rest(work), Idle: running.idle(),
+		HasDeadline: !work.job.due.IsZero(), TimeLeft: work.job.due.Sub(p.now),
 		Loading: p.service.replicas.Get(running.endpoint.Name).IsLoading(work.job.submission.Model),
 	}
 }
--- a/internal/jobs/batch/start.go
+++ b/internal/jobs/batch/start.go
@@ -89,9 +89,9 @@
 // ranksOf gives the items of a submission their order of work. The mutex must be held.
 func (s *Service) ranksOf(submission *Submission) map[string]placement.Rank {
 	lengths := map[string]placement.Length{}
-	items := make([]placement.Submitted, 0, len(submission.Items))
+	items := make([]placement.SubmittedItem, 0, len(submission.Items))
 	for _, submitted := range submission.Items {
-		items = append(items, placement.Submitted{ID: submitted.ID, Group: submitted.Group, ExpectedTokens: submitted.ExpectedTokens})
+		items = append(items, placement.SubmittedItem{ID: submitted.ID, Group: submitted.Group, ExpectedTokens: submitted.ExpectedTokens})
 		if length, known := s.lengths.Get(submitted.ID); known {
 			lengths[submitted.ID] = length
 		}
--- a/internal/jobs/placement/group.go
+++ b/internal/jobs/placement/group.go
@@ -2,7 +2,7 @@
 
 // group is what is expected of a group of items.
 type group struct {
-	items []Submitted
+	items []SubmittedItem
 	// place is the group's place in the submission.
 	place int
 	// length is the longest answer expected, in tokens.
@@ -14,7 +14,7 @@
 }
 
 // groupsOf returns the groups of a submission in its order.
-func groupsOf(items []Submitted, lengths map[string]Length) []*group {
+func groupsOf(items []SubmittedItem, lengths map[string]Length) []*group {
 	var groups []*group
 	byName := map[string]*group{}
 	for _, item := range items {
--- a/internal/jobs/placement/item.go
+++ b/internal/jobs/placement/item.go
@@ -9,20 +9,20 @@
 type Item struct {
 	// Priority is that of its tenant or route, 0 the most urgent.
 	Priority int
-	// TakenUp is when the node took its job up.
-	TakenUp time.Time
+	// JobStarted is when this node started its job.
+	JobStarted time.Time
 	// Rank is its place in its job's order.
 	Rank int
-	// Due is when its job is to be whole; zero for no such time. Left is how long that
+	// Deadline is when its job is to be whole; zero for no such time. TimeLeft is how long that
 	// is yet.
-	Due  time.Time
-	Left time.Duration
+	Deadline time.Time
+	TimeLeft time.Duration
 	// Objective is the time that its job has in all.
 	Objective time.Duration
-	// Rest is how long a run to its end is expected to take, 0 for unknown.
-	Rest time.Duration
-	// Begun is set where earlier runs have made a part of it.
-	Begun bool
+	// ExpectedRunTime is how long a run to its end is expected to take, 0 for unknown.
+	ExpectedRunTime time.Duration
+	// HasProgress is set where earlier runs have made a part of it.
+	HasProgress bool
 	// Reserve is set where the trainer need not wait for its group.
 	Reserve bool
 }
@@ -56,7 +56,7 @@
 			return order
 		}
 	}
-	if order := a.TakenUp.Truncate(ageStep).Compare(b.TakenUp.Truncate(ageStep)); order != 0 {
+	if order := a.JobStarted.Truncate(ageStep).Compare(b.JobStarted.Truncate(ageStep)); order != 0 {
 		return order
 	}
 	return a.Rank - b.Rank
@@ -78,10 +78,10 @@
 // IsUrgent tells whether the item is long or was cut, so that a wait may cost its group
 // the time that it has. One that cannot be in time yields to those that can.
 func (i Item) IsUrgent() bool {
-	isLong := float64(i.Rest) >= longShare*float64(i.Objective)
-	isLost := i.Rest > i.Left+lostMargin
-	return !i.Due.IsZero() && !i.Reserve && !isLost && (isLong || i.Begun)
+	isLong := float64(i.ExpectedRunTime) >= longShare*float64(i.Objective)
+	isLost := i.ExpectedRunTime > i.TimeLeft+lostMargin
+	return !i.Deadline.IsZero() && !i.Reserve && !isLost && (isLong || i.HasProgress)
 }
 
 // latestStart is when it has to begin for its job to be whole in time.
-func (i Item) latestStart() time.Time { return i.Due.Add(-i.Rest) }
+func (i Item) latestStart() time.Time { return i.Deadline.Add(-i.ExpectedRunTime) }
--- a/internal/jobs/placement/item_test.go
+++ b/internal/jobs/placement/item_test.go
@@ -47,8 +47,8 @@
 		for rank := range next.items {
 			events, expected := lengthOf(source)
 			coming = append(coming, &timedItem{at: next.at, events: events, view: Item{
-				TakenUp: start.Add(next.at), Rank: rank, Due: start.Add(next.at + testObjective), Objective: testObjective,
-				Rest: time.Duration(expected) * testInterval,
+				JobStarted: start.Add(next.at), Rank: rank, Deadline: start.Add(next.at + testObjective), Objective: testObjective,
+				ExpectedRunTime: time.Duration(expected) * testInterval,
 			}})
 		}
 	}
@@ -59,14 +59,14 @@
 		}
 		running = slices.DeleteFunc(running, func(end time.Duration) bool { return end <= now })
 		for _, next := range waiting {
-			next.view.Left = next.at + testObjective - now
+			next.view.TimeLeft = next.at + testObjective - now
 		}
 		slices.SortStableFunc(waiting, func(a, b *timedItem) int { return compare(a.view, b.view) })
 		for len(waiting) > 0 && len(running) < testSlots {
 			next := waiting[0]
 			waiting = waiting[1:]
 			running = append(running, now+time.Duration(next.events)*testInterval)
-			if next.view.Rest >= testObjective/3 {
+			if next.view.ExpectedRunTime >= testObjective/3 {
 				long = append(long, now-next.at)
 			} else {
 				other = append(other, now-next.at)
@@ -81,7 +81,7 @@
 func TestLongItemsBeginAtOnceWhereStepsCrowd(t *testing.T) {
 	steps := []step{{0, 464}, {300 * time.Millisecond, 272}, {900 * time.Millisecond, 272}, {1500 * time.Millisecond, 464}}
 	byAge := func(a, b Item) int {
-		a.Due, b.Due = time.Time{}, time.Time{}
+		a.Deadline, b.Deadline = time.Time{}, time.Time{}
 		return Compare(a, b)
 	}
 	before, _ := replay(steps, byAge)
@@ -97,12 +97,12 @@
 
 func TestItemsThatCannotBeInTimeYieldToThoseThatCan(t *testing.T) {
 	start := time.Unix(1000, 0)
-	older := Item{TakenUp: start, Due: start.Add(testObjective), Left: time.Second, Objective: testObjective, Rest: 5 * time.Second, Begun: true}
-	newer := Item{TakenUp: start.Add(6 * time.Second), Due: start.Add(13500 * time.Millisecond), Left: 7 * time.Second, Objective: testObjective, Rest: 5 * time.Second}
+	older := Item{JobStarted: start, Deadline: start.Add(testObjective), TimeLeft: time.Second, Objective: testObjective, ExpectedRunTime: 5 * time.Second, HasProgress: true}
+	newer := Item{JobStarted: start.Add(6 * time.Second), Deadline: start.Add(13500 * time.Millisecond), TimeLeft: 7 * time.Second, Objective: testObjective, ExpectedRunTime: 5 * time.Second}
 	if Compare(newer, older) >= 0 {
 		t.Error("an item whose job is late in any case goes before one whose job can be whole in time")
 	}
-	older.Rest = 1800 * time.Millisecond
+	older.ExpectedRunTime = 1800 * time.Millisecond
 	if Compare(older, newer) >= 0 {
 		t.Error("an item that was cut and may be in time waits behind one with more slack")
 	}
--- a/internal/jobs/placement/lateness.go
+++ b/internal/jobs/placement/lateness.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Lateness is why a job was whole late.
-type Lateness string
+// LatenessCause is why a job was whole late.
+type LatenessCause string
 
 // What makes a job late, the first that holds.
 const (
-	LateRestart  Lateness = "its owner changed"
-	LateNoSlot   Lateness = "began late: no replica had room or the weights"
-	LateStall    Lateness = "a run stalled"
-	LateBreaks   Lateness = "runs broke off"
-	LateReplica  Lateness = "slow replica"
-	LateLongText Lateness = "long text"
+	LateOwnerChange LatenessCause = "its owner changed"
+	LateNoSlot      LatenessCause = "began late: no replica had room or the weights"
+	LateStall       LatenessCause = "a run stalled"
+	LateBrokenRuns  LatenessCause = "runs broke off"
+	LateSlowReplica LatenessCause = "slow replica"
+	LateLongText    LatenessCause = "long text"
 )
 
 const (
@@ -38,18 +38,18 @@
 
 // WhyLate names what made a job late, given the history of the item that it waited for
 // last.
-func WhyLate(paces Paces, history History) Lateness {
+func WhyLate(paces Paces, history History) LatenessCause {
 	switch {
 	case history.Epoch > 1:
-		return LateRestart
+		return LateOwnerChange
 	case history.Waited > lateBegin:
 		return LateNoSlot
 	case history.Stalls > 0:
 		return LateStall
 	case history.Breaks > 0:
-		return LateBreaks
+		return LateBrokenRuns
 	case paces.usual > 0 && float64(history.Interval) > lateRatio*float64(paces.usual):
-		return LateReplica
+		return LateSlowReplica
 	}
 	return LateLongText
 }
--- a/internal/jobs/placement/lateness_test.go
+++ b/internal/jobs/placement/lateness_test.go
@@ -9,13 +9,13 @@
 	paces := pacesOf(50, 50, 50)
 	for _, test := range []struct {
 		history History
-		want    Lateness
+		want    LatenessCause
 	}{
-		{History{Epoch: 2, Waited: time.Second}, LateRestart},
+		{History{Epoch: 2, Waited: time.Second}, LateOwnerChange},
 		{History{Epoch: 1, Waited: time.Second, Stalls: 1}, LateNoSlot},
 		{History{Epoch: 1, Stalls: 1, Breaks: 1}, LateStall},
-		{History{Epoch: 1, Breaks: 1, Interval: 80 * time.Millisecond}, LateBreaks},
-		{History{Epoch: 1, Interval: 54 * time.Millisecond}, LateReplica},
+		{History{Epoch: 1, Breaks: 1, Interval: 80 * time.Millisecond}, LateBrokenRuns},
+		{History{Epoch: 1, Interval: 54 * time.Millisecond}, LateSlowReplica},
 		{History{Epoch: 1, Interval: 51 * time.Millisecond}, LateLongText},
 	} {
 		if got := WhyLate(paces, test.history); got != test.want {
--- a/internal/jobs/placement/length.go
+++ b/internal/jobs/placement/length.go
@@ -12,25 +12,25 @@
 
 // Length is what earlier runs of an item have shown of its text.
 type Length struct {
-	// Events is the number of events that the text has where Whole is set, else the
+	// Events is the number of events that the text has where Complete is set, else the
 	// least that it has.
-	Events int
-	Whole  bool
+	Events   int
+	Complete bool
 }
 
 // Expected is the number of events to reckon with, 0 for nothing known. A text that
 // was not whole is taken to go on for a while.
 func (l Length) Expected() int {
-	if l.Whole || l.Events == 0 {
+	if l.Complete || l.Events == 0 {
 		return l.Events
 	}
 	return l.Events + unseenEvents
 }
 
-// Remaining is how many events an item is expected to make yet, given how many are
+// RemainingEvents is how many events an item is expected to make yet, given how many are
 // expected in all (0 for nothing known), how many it has made, and how many the longest
 // text known has (0 for none): no item is expected to outgrow that.
-func Remaining(expected, made, longest int) int {
+func RemainingEvents(expected, made, longest int) int {
 	rest := int(remainingShare * float64(made))
 	if expected > made {
 		rest = expected - made
--- a/internal/jobs/placement/move_test.go
+++ b/internal/jobs/placement/move_test.go
@@ -29,7 +29,7 @@
 		{"late here, and hardly sooner there", 20, 1100 * time.Millisecond, true, false},
 		{"no time named", 100, 0, false, false},
 	} {
-		run := &Run{Replica: "a", Replicas: replicas(0, 0, 0)[1:], Events: 10, Rest: test.rest, Due: test.due, Left: test.left}
+		run := &Run{Replica: "a", Replicas: replicas(0, 0, 0)[1:], Events: 10, RemainingEvents: test.rest, HasDeadline: test.due, TimeLeft: test.left}
 		if moves := Moves(paces, []*Run{run}); (len(moves) == 1) != test.moved {
 			t.Errorf("%s: %d moves", test.name, len(moves))
 		}
@@ -46,16 +46,16 @@
 		run     Run
 		stalled bool
 	}{
-		{"without slack", Run{Replica: "a", Events: 60, Rest: 80, Due: true, Left: 4 * time.Second, Idle: 220 * time.Millisecond}, true},
-		{"without slack, an interval or two", Run{Replica: "a", Events: 60, Rest: 80, Due: true, Left: 4 * time.Second, Idle: 150 * time.Millisecond}, false},
-		{"without slack where events are slow", Run{Replica: "d", Events: 60, Rest: 80, Due: true, Left: 4 * time.Second, Idle: 400 * time.Millisecond}, false},
-		{"with slack", Run{Replica: "a", Events: 60, Rest: 10, Due: true, Left: 4 * time.Second, Idle: 400 * time.Millisecond}, false},
-		{"with slack, for long", Run{Replica: "a", Events: 60, Rest: 10, Due: true, Left: 4 * time.Second, Idle: 600 * time.Millisecond}, true},
-		{"no time named", Run{Replica: "a", Events: 60, Rest: 80, Idle: 400 * time.Millisecond}, false},
-		{"not begun, without slack", Run{Replica: "a", Rest: 140, Due: true, Left: 7 * time.Second, Idle: 300 * time.Millisecond}, false},
-		{"not begun for long, without slack", Run{Replica: "a", Rest: 140, Due: true, Left: 7 * time.Second, Idle: 500 * time.Millisecond}, true},
-		{"not begun, with slack", Run{Replica: "a", Rest: 40, Due: true, Left: 7 * time.Second, Idle: 800 * time.Millisecond}, false},
-		{"weights change", Run{Replica: "a", Events: 60, Rest: 80, Due: true, Left: 4 * time.Second, Loading: true, Idle: 600 * time.Millisecond}, false},
+		{"without slack", Run{Replica: "a", Events: 60, RemainingEvents: 80, HasDeadline: true, TimeLeft: 4 * time.Second, Idle: 220 * time.Millisecond}, true},
+		{"without slack, an interval or two", Run{Replica: "a", Events: 60, RemainingEvents: 80, HasDeadline: true, TimeLeft: 4 * time.Second, Idle: 150 * time.Millisecond}, false},
+		{"without slack where events are slow", Run{Replica: "d", Events: 60, RemainingEvents: 80, HasDeadline: true, TimeLeft: 4 * time.Second, Idle: 400 * time.Millisecond}, false},
+		{"with slack", Run{Replica: "a", Events: 60, RemainingEvents: 10, HasDeadline: true, TimeLeft: 4 * time.Second, Idle: 400 * time.Millisecond}, false},
+		{"with slack, for long", Run{Replica: "a", Events: 60, RemainingEvents: 10, HasDeadline: true, TimeLeft: 4 * time.Second, Idle: 600 * time.Millisecond}, true},
+		{"no time named", Run{Replica: "a", Events: 60, RemainingEvents: 80, Idle: 400 * time.Millisecond}, false},
+		{"not begun, without slack", Run{Replica: "a", RemainingEvents: 140, HasDeadline: true, TimeLeft: 7 * time.Second, Idle: 300 * time.Millisecond}, false},
+		{"not begun for long, without slack", Run{Replica: "a", RemainingEvents: 140, HasDeadline: true, TimeLeft: 7 * time.Second, Idle: 500 * time.Millisecond}, true},
+		{"not begun, with slack", Run{Replica: "a", RemainingEvents: 40, HasDeadline: true, TimeLeft: 7 * time.Second, Idle: 800 * time.Millisecond}, false},
+		{"weights change", Run{Replica: "a", Events: 60, RemainingEvents: 80, HasDeadline: true, TimeLeft: 4 * time.Second, Loading: true, Idle: 600 * time.Millisecond}, false},
 	} {
 		if got := Stalled(paces, &test.run); got != test.stalled {
 			t.Errorf("%s: %t", test.name, got)
--- a/internal/jobs/placement/pick.go
+++ b/internal/jobs/placement/pick.go
@@ -4,8 +4,8 @@
 
 // Preference is what an item asks of its replica.
 type Preference struct {
-	// FailedAt names the replicas that have failed the item.
-	FailedAt []string
+	// FailedReplicas names the replicas that have failed the item.
+	FailedReplicas []string
 	// Urgent is set where a replica that does not answer would cost the item its time.
 	Urgent bool
 }
@@ -14,10 +14,10 @@
 // replica again that has failed it, and an urgent one to none that is unproven, as long
 // as there are others.
 func Pick(replicas []*Replica, preference Preference) *Replica {
-	failedEverywhere := len(preference.FailedAt) >= len(replicas)
+	failedEverywhere := len(preference.FailedReplicas) >= len(replicas)
 	var best, unproven *Replica
 	for _, candidate := range replicas {
-		if !candidate.hasRoom() || (!failedEverywhere && slices.Contains(preference.FailedAt, candidate.Name)) {
+		if !candidate.hasRoom() || (!failedEverywhere && slices.Contains(preference.FailedReplicas, candidate.Name)) {
 			continue
 		}
 		if preference.Urgent && candidate.unproven {
--- a/internal/jobs/placement/rank.go
+++ b/internal/jobs/placement/rank.go
@@ -9,8 +9,8 @@
 // length, of which the longest goes first: a quarter of the items.
 const longestFirstDivisor = 4
 
-// Submitted is an item as its job was handed in.
-type Submitted struct {
+// SubmittedItem is an item as its job was handed in.
+type SubmittedItem struct {
 	ID    string
 	Group string
 	// ExpectedTokens is the caller's estimate of the answer's length, 0 for none.
@@ -20,7 +20,7 @@
 // Rank is what an item's place among those of its job is.
 type Rank struct {
 	// Place is its place in the order of work.
-	Place int
+	Position int
 	// Reserve is set where the trainer need not wait for its group, and Inherited where it
 	// waits for it in any case, since an earlier job ended without the group.
 	Reserve   bool
@@ -35,11 +35,11 @@
 // for go last. Of the rest the quarter expected longest goes first, since it decides
 // when the rest is whole, and then the shortest: they soon make room for each other, so
 // that those among them that are long unforeseen are not begun late.
-func RankItems(items []Submitted, desired int, lengths map[string]Length) map[string]Rank {
+func RankItems(items []SubmittedItem, desired int, lengths map[string]Length) map[string]Rank {
 	groups := groupsOf(items, lengths)
 	slices.SortStableFunc(groups, func(a, b *group) int { return cmp.Compare(b.length, a.length) })
 	markReserve(groups, desired)
-	var inherited, wanted, reserve []Submitted
+	var inherited, wanted, reserve []SubmittedItem
 	for _, group := range groups {
 		switch {
 		case group.inherited:
@@ -50,14 +50,14 @@
 			wanted = append(wanted, group.items...)
 		}
 	}
-	slices.SortStableFunc(wanted, func(a, b Submitted) int { return cmp.Compare(b.ExpectedTokens, a.ExpectedTokens) })
+	slices.SortStableFunc(wanted, func(a, b SubmittedItem) int { return cmp.Compare(b.ExpectedTokens, a.ExpectedTokens) })
 	slices.Reverse(wanted[len(wanted)/longestFirstDivisor:])
-	slices.SortStableFunc(inherited, func(a, b Submitted) int {
+	slices.SortStableFunc(inherited, func(a, b SubmittedItem) int {
 		return cmp.Compare(lengths[b.ID].Expected(), lengths[a.ID].Expected())
 	})
 	ranks := map[string]Rank{}
 	for place, item := range slices.Concat(inherited, wanted, reserve) {
-		ranks[item.ID] = Rank{Place: place, Reserve: place >= len(items)-len(reserve), Inherited: place < len(inherited)}
+		ranks[item.ID] = Rank{Position: place, Reserve: place >= len(items)-len(reserve), Inherited: place < len(inherited)}
 	}
 	return ranks
 }
--- a/internal/jobs/placement/rank_test.go
+++ b/internal/jobs/placement/rank_test.go
@@ -12,14 +12,14 @@
 	ranks := RankItems(submission.items, submission.desired, lengths)
 	ids := make([]string, len(ranks))
 	for id, rank := range ranks {
-		ids[rank.Place] = id
+		ids[rank.Position] = id
 	}
 	return strings.Join(ids, " ")
 }
 
 // submission is a job as it is handed in.
 type submission struct {
-	items   []Submitted
+	items   []SubmittedItem
 	desired int
 }
 
@@ -29,14 +29,14 @@
 	made := submission{desired: desired}
 	for place, length := range lengths {
 		group := string(rune('a' + place/2))
-		made.items = append(made.items, Submitted{ID: fmt.Sprintf("%s%d", group, place%2), Group: group, ExpectedTokens: length})
+		made.items = append(made.items, SubmittedItem{ID: fmt.Sprintf("%s%d", group, place%2), Group: group, ExpectedTokens: length})
 	}
 	return made
 }
 
 func TestItemsThatCameBackGoFirstTheLongestInFront(t *testing.T) {
 	submission := submissionOf(0, 1, 1, 9, 8, 1, 1)
-	lengths := map[string]Length{"c0": {Events: 30, Whole: true}, "c1": {Events: 20}, "a0": {Events: 90, Whole: true}}
+	lengths := map[string]Length{"c0": {Events: 30, Complete: true}, "c1": {Events: 20}, "a0": {Events: 90, Complete: true}}
 	order := strings.Fields(ranked(submission, lengths))
 	// c1 was cut after 20 events and is taken to have 20 more; a1 has come back
 	// with its group, and nothing is known of it.
--- a/internal/jobs/placement/replica.go
+++ b/internal/jobs/placement/replica.go
@@ -15,8 +15,8 @@
 	// warmTime is for how long after an event from it a replica counts as one that
 	// this node has connections to.
 	warmTime = 4 * time.Second
-	// FailingRuns is how many items run at a failing replica at most.
-	FailingRuns = 1
+	// MaxLoadWhenFailing is how many items run at a failing replica at most.
+	MaxLoadWhenFailing = 1
 	// unprovenRuns is how many more items an unproven one gets at once: each may be a
 	// connection in vain.
 	unprovenRuns = 1
@@ -28,8 +28,8 @@
 	Slots int
 	// Load is how many items run there, from all nodes.
 	Load int
-	// Most is how many items may run there.
-	Most int
+	// MaxLoad is how many items may run there.
+	MaxLoad int
 	// unproven is set where it has broken runs off since its last event.
 	unproven bool
 	// bias is added to the use when replicas are compared, in full loads.
@@ -50,12 +50,12 @@
 // NewReplica returns the view of a replica in some condition. Slow and failing ones
 // come last.
 func NewReplica(name string, slots, load int, paces Paces, condition Condition) *Replica {
-	made := &Replica{Name: name, Slots: slots, Load: load, Most: slots, unproven: condition.Unproven, bias: paceBias * paces.excess(name)}
+	made := &Replica{Name: name, Slots: slots, Load: load, MaxLoad: slots, unproven: condition.Unproven, bias: paceBias * paces.excess(name)}
 	if condition.Failing {
-		made.Most = min(FailingRuns, slots)
+		made.MaxLoad = min(MaxLoadWhenFailing, slots)
 	}
 	if condition.Unproven {
-		made.Most = min(made.Most, load+unprovenRuns)
+		made.MaxLoad = min(made.MaxLoad, load+unprovenRuns)
 	}
 	if condition.Failing || paces.slow(name) {
 		made.bias += slowPenalty
@@ -70,4 +70,4 @@
 func (r *Replica) use() float64 { return float64(r.Load)/float64(r.Slots) + r.bias }
 
 // hasRoom tells whether a further item may run there.
-func (r *Replica) hasRoom() bool { return r.Load < r.Most }
+func (r *Replica) hasRoom() bool { return r.Load < r.MaxLoad }
--- a/internal/jobs/statistics/lengths.go
+++ b/internal/jobs/statistics/lengths.go
@@ -58,7 +58,7 @@
 // Learn records the lengths that another node announces.
 func (l *Lengths) Learn(announced []wire.ItemLength, now time.Time) {
 	for _, length := range announced {
-		known := placement.Length{Events: int(length.Events), Whole: length.Whole}
+		known := placement.Length{Events: int(length.Events), Complete: length.Whole}
 		l.byItem[length.Item] = knownLength{Length: known, learntAt: now}
 	}
 }
@@ -71,7 +71,7 @@
 	for _, next := range l.announced {
 		if now.Sub(next.length.learntAt) < lengthAnnounceTime {
 			kept = append(kept, next)
-			recent = append(recent, wire.ItemLength{Item: next.item, Events: uint32(next.length.Events), Whole: next.length.Whole})
+			recent = append(recent, wire.ItemLength{Item: next.item, Events: uint32(next.length.Events), Whole: next.length.Complete})
 		}
 	}
 	l.announced = kept
--- a/internal/jobs/statistics/statistics_test.go
+++ b/internal/jobs/statistics/statistics_test.go
@@ -23,7 +23,7 @@
 		{"after the retention", lengthRetention + 1, 0, 0},
 	} {
 		lengths := NewLengths()
-		lengths.Observe("own", placement.Length{Events: 7, Whole: true}, began)
+		lengths.Observe("own", placement.Length{Events: 7, Complete: true}, began)
 		lengths.Learn([]wire.ItemLength{{Item: "other", Events: 9, Whole: true}}, began)
 		lengths.Evict(began.Add(test.after))
 		if got := len(lengths.Announced(began.Add(test.after))); got != test.announced {
