--- a/internal/jobs/batch/queue.go
+++ b/internal/jobs/batch/queue.go
@@ -45,7 +45,7 @@
 	rate := s.eventRates.Of(work.job.submission.Model)
 	expected := work.expected
 	if expected == 0 && work.Item != nil {
-		expected = rate.ExpectedEvents(work.ExpectedTokens)
+		expected = rate.Expect(work.ExpectedTokens)
 	}
-	return placement.RemainingEvents(expected, work.seen(), rate.Longest())
+	return placement.Remaining(expected, work.seen(), rate.Longest())
 }
--- a/internal/jobs/batch/replicas_test.go
+++ b/internal/jobs/batch/replicas_test.go
@@ -31,7 +31,7 @@
 		chosen.Load++
 		counts[chosen.Name]++
 	}
-	if counts[replicaName(0)] != placement.MaxLoadWhenFailing || counts[replicaName(1)] != 0 || counts[replicaName(2)] != 6 {
+	if counts[replicaName(0)] != placement.FailingRuns || counts[replicaName(1)] != 0 || counts[replicaName(2)] != 6 {
 		t.Errorf("items went to %v", counts)
 	}
 	waiting.failedAt = []string{replicaName(0), replicaName(1), replicaName(2)}
--- a/internal/jobs/placement/eventrate.go
+++ b/internal/jobs/placement/eventrate.go
@@ -33,10 +33,10 @@
 // Longest is the most events of any text, 0 for none seen.
 func (r *EventRate) Longest() int { return r.longest }
 
-// ExpectedEvents is how many events a text is likely to have, given how many tokens are
+// Expect is how many events a text is likely to have, given how many tokens are
 // expected of it; 0 for nothing known. None is expected to be longer than the longest
 // so far.
-func (r *EventRate) ExpectedEvents(expectedTokens float64) int {
+func (r *EventRate) Expect(expectedTokens float64) int {
 	if r.texts < minTexts || r.tokens == 0 {
 		return 0
 	}
--- a/internal/jobs/placement/length.go
+++ b/internal/jobs/placement/length.go
@@ -27,10 +27,10 @@
 	return l.Events + unseenEvents
 }
 
-// RemainingEvents is how many events an item is expected to make yet, given how many are
+// Remaining is how many events an item is expected to make yet, given how many are
 // expected in all (0 for nothing known), how many it has made, and how many the longest
 // text known has (0 for none): no item is expected to outgrow that.
-func RemainingEvents(expected, made, longest int) int {
+func Remaining(expected, made, longest int) int {
 	rest := int(remainingShare * float64(made))
 	if expected > made {
 		rest = expected - made
--- a/internal/jobs/placement/replica.go
+++ b/internal/jobs/placement/replica.go
@@ -15,8 +15,8 @@
 	// warmTime is for how long after an event from it a replica counts as one that
 	// this node has connections to.
 	warmTime = 4 * time.Second
-	// MaxLoadWhenFailing is how many items run at a failing replica at most.
-	MaxLoadWhenFailing = 1
+	// FailingRuns is how many items run at a failing replica at most.
+	FailingRuns = 1
 	// unprovenRuns is how many more items an unproven one gets at once: each may be a
 	// connection in vain.
 	unprovenRuns = 1
@@ -52,7 +52,7 @@
 func NewReplica(name string, slots, load int, paces Paces, condition Condition) *Replica {
 	made := &Replica{Name: name, Slots: slots, Load: load, MaxLoad: slots, unproven: condition.Unproven, bias: paceBias * paces.excess(name)}
 	if condition.Failing {
-		made.MaxLoad = min(MaxLoadWhenFailing, slots)
+		made.MaxLoad = min(FailingRuns, slots)
 	}
 	if condition.Unproven {
 		made.MaxLoad = min(made.MaxLoad, load+unprovenRuns)
