--- a/internal/jobs/placement/eventrate.go
+++ b/internal/jobs/placement/eventrate.go
@@ -1,24 +1,23 @@
 package placement
 
 const (
-	// rateMemory is how many of the last texts an event rate mostly rests on.
+	// rateWindowTexts is the number of recent texts that dominate an event rate.
 	rateWindowTexts = 500
-	// leastTexts is how many texts must have ended for a rate to be believed.
+	// minTexts is the number of texts that must have ended before a rate is used.
 	minTexts = 20
 )
 
-// EventRate learns how many events texts have for each token that was expected of
-// them: what a caller calls a token need not be what an engine puts into an event.
-// The zero value knows nothing.
+// EventRate learns how many events an engine sends for each token that the caller
+// expected: the two count different units. The zero value has learnt nothing.
 type EventRate struct {
 	texts  int
 	events float64
 	tokens float64
-	// longest is the most events of any text.
+	// longest is the largest number of events of any text.
 	longest int
 }
 
-// Observe takes a text that is whole.
+// Observe records a complete text: the tokens that were expected of it, and its events.
 func (r *EventRate) Observe(expectedTokens float64, events int) {
 	r.longest = max(r.longest, events)
 	if expectedTokens <= 0 {
@@ -30,12 +29,11 @@
 	r.tokens = r.tokens*kept + expectedTokens
 }
 
-// Longest is the most events of any text, 0 for none seen.
+// Longest returns the number of events of the longest text, 0 if there was none.
 func (r *EventRate) Longest() int { return r.longest }
 
-// Expect is how many events a text is likely to have, given how many tokens are
-// expected of it; 0 for nothing known. None is expected to be longer than the longest
-// so far.
+// Expect estimates the number of events of a text from the tokens expected of it. The
+// estimate never exceeds the longest text so far; it is 0 until enough texts have ended.
 func (r *EventRate) Expect(expectedTokens float64) int {
 	if r.texts < minTexts || r.tokens == 0 {
 		return 0
--- a/internal/jobs/placement/group.go
+++ b/internal/jobs/placement/group.go
@@ -1,11 +1,11 @@
 package placement
 
-// group is what is expected of a group of items.
+// group is a group of items of one submission, and what RankItems knows of it.
 type group struct {
 	items []SubmittedItem
-	// place is the group's place in the submission.
-	place int
-	// length is the longest answer expected, in tokens.
+	// position is the group's position in the submission, from 0.
+	position int
+	// length is the longest answer expected of its items, in tokens.
 	length float64
 	// inherited is set for a group that an earlier job ended without.
 	inherited bool
@@ -13,14 +13,15 @@
 	reserve bool
 }
 
-// groupsOf returns the groups of a submission in its order.
+// groupsOf returns the groups of a submission in the order of their first items. Groups
+// with an item whose length is known come from an earlier job.
 func groupsOf(items []SubmittedItem, lengths map[string]Length) []*group {
 	var groups []*group
 	byName := map[string]*group{}
 	for _, item := range items {
 		existing := byName[item.Group]
 		if existing == nil {
-			existing = &group{place: len(groups)}
+			existing = &group{position: len(groups)}
 			byName[item.Group] = existing
 			groups = append(groups, existing)
 		}
@@ -33,18 +34,19 @@
 	return groups
 }
 
-// markReserve marks the groups that the trainer need not wait for: the longest of those
-// that cannot have been asked for before. Groups asked for before make up at most half of
-// the desired ones and come first.
+// markReserve marks all but the desired number of groups as reserve, the longest first.
+// It leaves out inherited groups and those in the first half of the desired number: a
+// trainer submits the groups that it still waits for at the front, and they make up at
+// most that half.
 func markReserve(longestFirst []*group, desired int) {
 	if desired <= 0 {
 		return
 	}
-	left := len(longestFirst) - desired
+	surplus := len(longestFirst) - desired
 	for _, candidate := range longestFirst {
-		if left > 0 && !candidate.inherited && candidate.place >= desired/2 {
+		if surplus > 0 && !candidate.inherited && candidate.position >= desired/2 {
 			candidate.reserve = true
-			left--
+			surplus--
 		}
 	}
 }
--- a/internal/jobs/placement/item.go
+++ b/internal/jobs/placement/item.go
@@ -5,45 +5,46 @@
 	"time"
 )
 
-// Item is an item that waits for a replica.
+const (
+	// longShare is the share of a job's objective, 0 to 1, from which an item's expected
+	// run time counts as long. It is low because texts often take twice what is expected.
+	longShare = 0.3
+	// lostMargin is how far beyond the deadline an item must be expected to end to lose its
+	// urgency: estimates are no more precise than that.
+	lostMargin = time.Second
+	// ageStep is the granularity at which jobs are ordered by age.
+	ageStep = 2 * time.Second
+)
+
+// Item is the view of an item that waits for a replica.
 type Item struct {
-	// Priority is that of its tenant or route, 0 the most urgent.
+	// Priority is that of the item's tenant or route, 0 the most urgent.
 	Priority int
-	// JobStarted is when this node started its job.
+	// JobStarted is when this node started the item's job.
 	JobStarted time.Time
-	// Rank is its place in its job's order.
+	// Rank is the item's position in its job's order.
 	Rank int
-	// Deadline is when its job is to be whole; zero for no such time. TimeLeft is how long that
-	// is yet.
+	// Deadline is when the item's job has to be complete, zero for none.
 	Deadline time.Time
+	// TimeLeft is the time until Deadline.
 	TimeLeft time.Duration
-	// Objective is the time that its job has in all.
+	// Objective is the time that the item's job has in all.
 	Objective time.Duration
-	// ExpectedRunTime is how long a run to its end is expected to take, 0 for unknown.
+	// ExpectedRunTime is how long a run to the item's end is expected to take, 0 if
+	// unknown.
 	ExpectedRunTime time.Duration
-	// HasProgress is set where earlier runs have made a part of it.
+	// HasProgress is set where earlier runs have generated a part of the text.
 	HasProgress bool
-	// Reserve is set where the trainer need not wait for its group.
+	// Reserve is set where the trainer need not wait for the item's group.
 	Reserve bool
 }
 
-const (
-	// longShare is the part of its job's time, between 0 and 1, from which on an item
-	// counts as long: with the factor of two or so by which texts outgrow what is
-	// expected of them, a wait behind shorter ones may cost its group.
-	longShare = 0.3
-	// lostMargin is by how much an item has to be expected late to be taken for lost:
-	// lengths are expected no more closely than that.
-	lostMargin = time.Second
-	// ageStep is the difference in age from which an older job goes first.
-	ageStep = 2 * time.Second
-)
-
-// Compare orders items that wait: those of more urgent tenants or routes first, then
-// the long ones and those whose run was cut, of any job, the one with the least slack in
-// front; then the items of older jobs where they differ by much, then by rank. The
-// long and cut ones are few, so they hardly hold up the others, and decide when their
-// groups are whole.
+// Compare orders waiting items; a negative result means that a runs before b. It compares
+// by priority, then urgent items before others, urgent ones by the latest time at which
+// they can start, then by the age of their jobs in steps of ageStep, then by rank.
+//
+// Urgent items of any job come first because they decide when their groups are complete,
+// and are too few to delay the others by much.
 func Compare(a, b Item) int {
 	if order := a.Priority - b.Priority; order != 0 {
 		return order
@@ -62,26 +63,35 @@
 	return a.Rank - b.Rank
 }
 
-// The classes of items that wait, in their order.
+// itemClass orders items of the same priority, the lowest first.
+type itemClass int
+
 const (
-	classUrgent = iota
+	classUrgent itemClass = iota
 	classOther
 )
 
-func (i Item) class() int {
+func (i Item) class() itemClass {
 	if i.IsUrgent() {
 		return classUrgent
 	}
 	return classOther
 }
 
-// IsUrgent tells whether the item is long or was cut, so that a wait may cost its group
-// the time that it has. One that cannot be in time yields to those that can.
+// IsUrgent reports whether waiting may make the item's group late: the item is long or an
+// earlier run of it was cut, and it can still be in time. Reserve items and items of jobs
+// without a deadline are never urgent.
 func (i Item) IsUrgent() bool {
-	isLong := float64(i.ExpectedRunTime) >= longShare*float64(i.Objective)
-	isLost := i.ExpectedRunTime > i.TimeLeft+lostMargin
-	return !i.Deadline.IsZero() && !i.Reserve && !isLost && (isLong || i.HasProgress)
+	if i.Deadline.IsZero() || i.Reserve || i.isLost() {
+		return false
+	}
+	return i.isLong() || i.HasProgress
 }
 
-// latestStart is when it has to begin for its job to be whole in time.
+func (i Item) isLong() bool { return float64(i.ExpectedRunTime) >= longShare*float64(i.Objective) }
+
+// isLost reports whether the item can't be expected to end in time even if it starts now.
+func (i Item) isLost() bool { return i.ExpectedRunTime > i.TimeLeft+lostMargin }
+
+// latestStart is when the item has to start in order to end by its deadline.
 func (i Item) latestStart() time.Time { return i.Deadline.Add(-i.ExpectedRunTime) }
--- a/internal/jobs/placement/lateness.go
+++ b/internal/jobs/placement/lateness.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// LatenessCause is why a job was whole late.
+// LatenessCause is why a job was late, in words for logs and metrics.
 type LatenessCause string
 
-// What makes a job late, the first that holds.
+// The causes of a late job, in the order in which WhyLate checks them.
 const (
 	LateOwnerChange LatenessCause = "its owner changed"
 	LateNoSlot      LatenessCause = "began late: no replica had room or the weights"
@@ -16,28 +16,15 @@
 )
 
 const (
-	// lateBegin is the wait before its first run from which on an item began late.
+	// lateBegin is the wait before its first run above which an item began late.
 	lateBegin = 300 * time.Millisecond
-	// lateRatio is from how many times the usual interval a replica made its job late.
+	// lateRatio is the multiple of the usual interval between events above which a
+	// replica made its job late.
 	lateRatio = 1.05
 )
 
-// History is what happened to the item that its job waited for last.
-type History struct {
-	// Epoch is the place of the job's owner among its owners, from 1.
-	Epoch int
-	// Waited is how long after the job's start here its first run began.
-	Waited time.Duration
-	// Stalls is how many of its runs were cut because nothing came, and Breaks how many
-	// ended for no reason of the item's.
-	Stalls int
-	Breaks int
-	// Interval is the mean time between events of its last run.
-	Interval time.Duration
-}
-
-// WhyLate names what made a job late, given the history of the item that it waited for
-// last.
+// WhyLate returns the first cause that applies to a late job, given the history of the
+// item that it waited for last; a long text if no other does.
 func WhyLate(paces Paces, history History) LatenessCause {
 	switch {
 	case history.Epoch > 1:
--- a/internal/jobs/placement/length.go
+++ b/internal/jobs/placement/length.go
@@ -1,25 +1,22 @@
 package placement
 
 const (
-	// unseenEvents is how many events longer than seen a text is taken to be that was
-	// cut.
+	// unseenEvents is the number of events that an incomplete text is expected to have
+	// beyond those seen.
 	unseenEvents = 20
-	// remainingShare is the part of what an item has made so far that it is expected to
-	// make yet where its length is not known: of long texts, those that have come far go
-	// on for long.
+	// remainingShare is the number of events that an item of unknown length is expected to
+	// have left, for each that it has made: texts that are long already tend to go on.
 	remainingShare = 0.6
 )
 
-// Length is what earlier runs of an item have shown of its text.
+// Length is what earlier runs of an item have shown of its text's length.
 type Length struct {
-	// Events is the number of events that the text has where Complete is set, else the
-	// least that it has.
+	// Events is the length of the text if Complete is set, else the least that it has.
 	Events   int
 	Complete bool
 }
 
-// Expected is the number of events to reckon with, 0 for nothing known. A text that
-// was not whole is taken to go on for a while.
+// Expected returns the number of events to expect of the text, 0 if nothing is known.
 func (l Length) Expected() int {
 	if l.Complete || l.Events == 0 {
 		return l.Events
@@ -27,16 +24,16 @@
 	return l.Events + unseenEvents
 }
 
-// Remaining is how many events an item is expected to make yet, given how many are
-// expected in all (0 for nothing known), how many it has made, and how many the longest
-// text known has (0 for none): no item is expected to outgrow that.
+// Remaining estimates how many events an item has left. expected is the number expected
+// in all (0 if unknown), made the number so far, and longest that of the longest text
+// known (0 for none), which no text is expected to exceed unless it already has.
 func Remaining(expected, made, longest int) int {
-	rest := int(remainingShare * float64(made))
+	remaining := int(remainingShare * float64(made))
 	if expected > made {
-		rest = expected - made
+		remaining = expected - made
 	}
 	if longest > made {
-		rest = min(rest, longest-made)
+		remaining = min(remaining, longest-made)
 	}
-	return rest
+	return remaining
 }
--- a/internal/jobs/placement/pace.go
+++ b/internal/jobs/placement/pace.go
@@ -3,42 +3,42 @@
 import "time"
 
 const (
-	// paceTime is the time over which a replica's pace is averaged: the reading of
-	// another item's prompt holds all its runs up for an event or two, which is to
-	// count for little, and a replica that has turned slow is to be known in a second.
+	// paceTime is the run time over which a pace is averaged. It is long enough that the
+	// reading of another item's prompt, which delays all runs of a replica by an event or
+	// two, hardly counts, and short enough to show soon that a replica has become slow.
 	paceTime = time.Second
-	// settledTime is for how long runs must have been seen at a replica for their pace
-	// to be believed: the first events come while prompts are being read.
+	// settledTime is how long runs must have been observed before a pace is used: the
+	// first events come while prompts are being read.
 	settledTime = 250 * time.Millisecond
 )
 
-// Pace is the average time between events of a run at a replica. The zero value is
+// Pace averages the time between events of a run at one replica. The zero value is
 // unknown.
 type Pace struct {
 	average time.Duration
-	// seen is the time over which runs have been seen, up to paceTime.
-	seen time.Duration
+	// observed is the time over which runs have been observed, up to paceTime.
+	observed time.Duration
 }
 
-// NewPace returns a pace that is known for certain.
-func NewPace(interval time.Duration) Pace { return Pace{average: interval, seen: paceTime} }
+// NewPace returns a pace with a known interval between events.
+func NewPace(interval time.Duration) Pace { return Pace{average: interval, observed: paceTime} }
 
-// Interval is the time between events, 0 as long as too little has been seen.
+// Interval returns the average time between events, 0 until enough has been observed.
 func (p *Pace) Interval() time.Duration {
-	if p.seen < settledTime {
+	if p.observed < settledTime {
 		return 0
 	}
 	return p.average
 }
 
-// Observe takes the time between two events of a run, and how many runs of this node
-// the replica has, that one included.
+// Observe records the time between two events of a run. runs is the number of runs that
+// this node has at the replica, that one included: they are observed at the same time.
 func (p *Pace) Observe(interval time.Duration, runs int) {
-	part := interval / time.Duration(max(1, runs))
-	p.seen = min(p.seen+part, paceTime)
-	if p.seen == 0 {
+	elapsed := interval / time.Duration(max(1, runs))
+	p.observed = min(p.observed+elapsed, paceTime)
+	if p.observed == 0 {
 		return
 	}
-	share := min(1, float64(part)/float64(p.seen))
+	share := min(1, float64(elapsed)/float64(p.observed))
 	p.average += time.Duration(share * float64(interval-p.average))
 }
--- a/internal/jobs/placement/pick.go
+++ b/internal/jobs/placement/pick.go
@@ -2,17 +2,9 @@
 
 import "slices"
 
-// Preference is what an item asks of its replica.
-type Preference struct {
-	// FailedReplicas names the replicas that have failed the item.
-	FailedReplicas []string
-	// Urgent is set where a replica that does not answer would cost the item its time.
-	Urgent bool
-}
-
-// Pick returns the least used replica that has room, nil for none. An item goes to no
-// replica again that has failed it, and an urgent one to none that is unproven, as long
-// as there are others.
+// Pick returns the least used replica that has room for an item, nil for none. A replica
+// that has failed the item is picked only if all have; an urgent item goes to an unproven
+// replica only if no other has room.
 func Pick(replicas []*Replica, preference Preference) *Replica {
 	failedEverywhere := len(preference.FailedReplicas) >= len(replicas)
 	var best, unproven *Replica
@@ -32,7 +24,7 @@
 	return best
 }
 
-// lessUsed is the less used one of two replicas, the first if both are alike; the first
+// lessUsed returns the less used of two replicas, the first if both are equal. The first
 // may be nil.
 func lessUsed(first, second *Replica) *Replica {
 	if first == nil || second.use() < first.use() {
--- a/internal/jobs/placement/rank.go
+++ b/internal/jobs/placement/rank.go
@@ -5,36 +5,26 @@
 	"slices"
 )
 
-// longestFirstDivisor is into how many parts the items are divided by their expected
-// length, of which the longest goes first: a quarter of the items.
+// longestFirstDivisor is the fraction, as 1/longestFirstDivisor, of the wanted items that
+// run before the others because they are expected to be longest.
 const longestFirstDivisor = 4
 
-// SubmittedItem is an item as its job was handed in.
-type SubmittedItem struct {
-	ID    string
-	Group string
-	// ExpectedTokens is the caller's estimate of the answer's length, 0 for none.
-	ExpectedTokens float64
-}
-
-// Rank is what an item's place among those of its job is.
+// Rank is an item's position among the items of its job.
 type Rank struct {
-	// Place is its place in the order of work.
+	// Position is the item's position in the order of work, from 0.
 	Position int
-	// Reserve is set where the trainer need not wait for its group, and Inherited where it
-	// waits for it in any case, since an earlier job ended without the group.
-	Reserve   bool
+	// Reserve is set where the trainer need not wait for the item's group.
+	Reserve bool
+	// Inherited is set where an earlier job ended without the item's group, so that the
+	// trainer waits for it in any case.
 	Inherited bool
 }
 
-// RankItems decides in which order the items of a job are run, as a rank for each. The
-// trainer waits for a desired number of whole groups (0 for all), whichever they are,
-// but for those that it has asked for before, which it waits for in any case. These go
-// first, the longest of their items in front: earlier runs have shown that they are
-// long. Of the others, the groups expected to be longest that the trainer need not wait
-// for go last. Of the rest the quarter expected longest goes first, since it decides
-// when the rest is whole, and then the shortest: they soon make room for each other, so
-// that those among them that are long unforeseen are not begun late.
+// RankItems decides in which order the items of a job run, and returns each item's rank
+// by its id. desired is the number of whole groups that the trainer waits for, 0 for all
+// of them; lengths has the items known from earlier jobs, by id.
+//
+// Inherited groups come first, then the wanted ones, then the reserve.
 func RankItems(items []SubmittedItem, desired int, lengths map[string]Length) map[string]Rank {
 	groups := groupsOf(items, lengths)
 	slices.SortStableFunc(groups, func(a, b *group) int { return cmp.Compare(b.length, a.length) })
@@ -50,14 +40,30 @@
 			wanted = append(wanted, group.items...)
 		}
 	}
-	slices.SortStableFunc(wanted, func(a, b SubmittedItem) int { return cmp.Compare(b.ExpectedTokens, a.ExpectedTokens) })
-	slices.Reverse(wanted[len(wanted)/longestFirstDivisor:])
-	slices.SortStableFunc(inherited, func(a, b SubmittedItem) int {
-		return cmp.Compare(lengths[b.ID].Expected(), lengths[a.ID].Expected())
-	})
+	sortInherited(inherited, lengths)
+	sortWanted(wanted)
 	ranks := map[string]Rank{}
-	for place, item := range slices.Concat(inherited, wanted, reserve) {
-		ranks[item.ID] = Rank{Position: place, Reserve: place >= len(items)-len(reserve), Inherited: place < len(inherited)}
+	for position, item := range slices.Concat(inherited, wanted, reserve) {
+		ranks[item.ID] = Rank{
+			Position:  position,
+			Reserve:   position >= len(items)-len(reserve),
+			Inherited: position < len(inherited),
+		}
 	}
 	return ranks
 }
+
+// sortInherited puts the items with the longest known texts first.
+func sortInherited(items []SubmittedItem, lengths map[string]Length) {
+	slices.SortStableFunc(items, func(a, b SubmittedItem) int {
+		return cmp.Compare(lengths[b.ID].Expected(), lengths[a.ID].Expected())
+	})
+}
+
+// sortWanted puts the items expected to be longest first, since they decide when the job
+// ends, and then the others from the shortest up: short items soon free their slots, so
+// items that turn out longer than expected don't start late.
+func sortWanted(items []SubmittedItem) {
+	slices.SortStableFunc(items, func(a, b SubmittedItem) int { return cmp.Compare(b.ExpectedTokens, a.ExpectedTokens) })
+	slices.Reverse(items[len(items)/longestFirstDivisor:])
+}
--- a/internal/jobs/placement/reason.go
+++ b/internal/jobs/placement/reason.go
@@ -1,17 +1,17 @@
 package placement
 
-// Reason is why a run is cut to go on elsewhere.
+// Reason is why a run is cut to continue elsewhere, in words for logs and metrics.
 type Reason string
 
-// The reasons for a move.
+// The reasons for cutting a run.
 const (
-	// ReasonFaster is a replica that is much faster.
+	// ReasonFaster: another replica is much faster.
 	ReasonFaster Reason = "faster replica"
-	// ReasonLate is a replica that is somewhat faster, for a text that is late where it
-	// runs.
+	// ReasonLate: the run would end late where it is, and another replica is somewhat
+	// faster.
 	ReasonLate Reason = "late where it runs"
-	// ReasonGone is a replica whose entry is gone.
+	// ReasonGone: the replica's entry in the store has gone.
 	ReasonGone Reason = "replica is gone"
-	// ReasonStalled is a run that has had no event for too long.
+	// ReasonStalled: the run has had no event for too long.
 	ReasonStalled Reason = "nothing comes"
 )
--- a/internal/jobs/placement/replica.go
+++ b/internal/jobs/placement/replica.go
@@ -2,72 +2,82 @@
 
 import "time"
 
+// Weights of the comparison of replicas, in full loads: 1 counts as much as the
+// difference between an empty replica and a full one.
 const (
-	// slowPenalty puts slow replicas behind all others, in full loads.
+	// slowPenalty puts slow and failing replicas behind all others.
 	slowPenalty = 10
-	// paceBias puts a replica whose events take longer than the fastest's behind
-	// others, in full loads for each time that they take longer: it is used once the
-	// others are nearly full.
+	// paceBias is added for each multiple of the fastest interval by which a replica's
+	// exceeds it, so that it is used once the faster ones are nearly full.
 	paceBias = 3
-	// warmBonus prefers replicas that this node has connections to over those it would
-	// have to connect to, in full loads.
+	// warmBonus is taken off for replicas to which this node has open connections.
 	warmBonus = 0.3
-	// warmTime is for how long after an event from it a replica counts as one that
-	// this node has connections to.
+)
+
+const (
+	// warmTime is how long after an event a connection to its replica is taken to be open.
 	warmTime = 4 * time.Second
-	// FailingRuns is how many items run at a failing replica at most.
+	// FailingRuns is the most items that run at a failing replica.
 	FailingRuns = 1
-	// unprovenRuns is how many more items an unproven one gets at once: each may be a
-	// connection in vain.
+	// unprovenRuns is the most items that are added to an unproven replica's load at once:
+	// each may be a connection attempt in vain.
 	unprovenRuns = 1
 )
 
-// Replica is a replica that items may go to.
+// Replica is the view of a replica that items may go to.
 type Replica struct {
-	Name  string
+	Name string
+	// Slots is the number of items that the replica can run at once.
 	Slots int
-	// Load is how many items run there, from all nodes.
+	// Load is the number of items that run there, from all nodes.
 	Load int
-	// MaxLoad is how many items may run there.
+	// MaxLoad is the load at which it gets no further items.
 	MaxLoad int
-	// unproven is set where it has broken runs off since its last event.
+	// unproven is Condition.Unproven.
 	unproven bool
-	// bias is added to the use when replicas are compared, in full loads.
+	// bias is added to the load when replicas are compared, in full loads.
 	bias float64
 }
 
-// Condition is what is known of a replica besides its load.
-type Condition struct {
-	// Failing tells that it answers its runs with failures.
-	Failing bool
-	// Unproven tells that it has broken a run off before the first event and sent none
-	// since: it may be down.
-	Unproven bool
-	// SinceEvent is how long ago it sent this node an event.
-	SinceEvent time.Duration
+// NewReplica returns the view of a replica with so many slots and items.
+func NewReplica(name string, slots, load int, paces Paces, condition Condition) *Replica {
+	return &Replica{
+		Name: name, Slots: slots, Load: load,
+		MaxLoad:  maxLoadOf(slots, load, condition),
+		unproven: condition.Unproven,
+		bias:     biasOf(paces.slowdown(name), paces.isSlow(name), condition),
+	}
 }
 
-// NewReplica returns the view of a replica in some condition. Slow and failing ones
-// come last.
-func NewReplica(name string, slots, load int, paces Paces, condition Condition) *Replica {
-	made := &Replica{Name: name, Slots: slots, Load: load, MaxLoad: slots, unproven: condition.Unproven, bias: paceBias * paces.excess(name)}
+// maxLoadOf returns the load at which a replica gets no further items: its slots, or less
+// while it is failing or unproven.
+func maxLoadOf(slots, load int, condition Condition) int {
+	limit := slots
 	if condition.Failing {
-		made.MaxLoad = min(FailingRuns, slots)
+		limit = min(limit, FailingRuns)
 	}
 	if condition.Unproven {
-		made.MaxLoad = min(made.MaxLoad, load+unprovenRuns)
+		limit = min(limit, load+unprovenRuns)
 	}
-	if condition.Failing || paces.slow(name) {
-		made.bias += slowPenalty
+	return limit
+}
+
+// biasOf returns what is added to a replica's use, in full loads: more for a slower or
+// failing replica, less for one with open connections.
+func biasOf(slowdown float64, isSlow bool, condition Condition) float64 {
+	bias := paceBias * slowdown
+	if condition.Failing || isSlow {
+		bias += slowPenalty
 	}
 	if condition.SinceEvent < warmTime {
-		made.bias -= warmBonus
+		bias -= warmBonus
 	}
-	return made
+	return bias
 }
 
-// use is the part of the slots that is taken, and the bias.
+// use returns the share of the slots in use, plus the bias: replicas with the least use
+// are picked first.
 func (r *Replica) use() float64 { return float64(r.Load)/float64(r.Slots) + r.bias }
 
-// hasRoom tells whether a further item may run there.
+// hasRoom reports whether a further item may run there.
 func (r *Replica) hasRoom() bool { return r.Load < r.MaxLoad }
--- a/internal/jobs/placement/run.go
+++ b/internal/jobs/placement/run.go
@@ -2,40 +2,42 @@
 
 import "time"
 
-// Run is a run of an item at a replica.
+// Run is the view of a run of an item at a replica.
 type Run struct {
 	// Index is the caller's number of the run.
 	Index int
-	// Replica is where it runs, and Replicas are those where its item may run.
-	Replica  string
+	// Replica names the replica where it runs.
+	Replica string
+	// Replicas are those to which its item may go.
 	Replicas []*Replica
 	// FailedReplicas names the replicas that have failed the item.
 	FailedReplicas []string
-	// Events is how many events the run has made, and RemainingEvents how many its item is
-	// expected to make yet.
-	Events          int
+	// Events is the number of events that the run has had.
+	Events int
+	// RemainingEvents is the number of events that the item is expected to have left.
 	RemainingEvents int
-	// HasDeadline tells that its job has a time to be whole, and TimeLeft how long that is yet.
+	// HasDeadline is set where the item's job has to be complete by some time.
 	HasDeadline bool
-	TimeLeft    time.Duration
-	// Idle is how long nothing has come.
+	// TimeLeft is the time until that deadline.
+	TimeLeft time.Duration
+	// Idle is the time since the last event, or since the start if there was none.
 	Idle time.Duration
-	// Loading tells that its replica changes weights.
+	// Loading is set while the replica loads a weight version.
 	Loading bool
 }
 
-// preference is what the run's item asks of another replica.
+// preference returns what the run's item wants of another replica.
 func (r *Run) preference() Preference {
 	return Preference{FailedReplicas: r.FailedReplicas, Urgent: true}
 }
 
-// restAt is how long the rest takes where events come at an interval.
-func (r *Run) restAt(interval time.Duration) time.Duration {
+// remainingTime returns how long the rest of the text takes at an interval between events.
+func (r *Run) remainingTime(interval time.Duration) time.Duration {
 	return time.Duration(r.RemainingEvents) * interval
 }
 
-// endsInTime tells whether the run ends before its job is due, with a time to spare,
-// where events come at an interval; true for a job that has no such time.
-func (r *Run) endsInTime(interval, reserve time.Duration) bool {
-	return !r.HasDeadline || r.restAt(interval)+reserve <= r.TimeLeft
+// endsInTime reports whether the run ends at least slack before its job's deadline, given
+// the interval between events. It is true for a job without a deadline.
+func (r *Run) endsInTime(interval, slack time.Duration) bool {
+	return !r.HasDeadline || r.remainingTime(interval)+slack <= r.TimeLeft
 }
--- a/internal/jobs/placement/stall.go
+++ b/internal/jobs/placement/stall.go
@@ -3,30 +3,34 @@
 import "time"
 
 const (
-	// startTimeout bounds a run's time to its first event, and eventTimeout the time
-	// between events.
+	// startTimeout bounds the time to a run's first event.
 	startTimeout = 900 * time.Millisecond
+	// eventTimeout bounds the time between events of a run.
 	eventTimeout = 500 * time.Millisecond
-	// tightStartTimeout is startTimeout for a text that has less than tightSlack left: a
-	// healthy replica sends its first event sooner.
+	// tightSlack is the slack below which a run is tight: a stall would make its job late,
+	// so shorter timeouts apply.
+	tightSlack = time.Second
+	// tightStartTimeout bounds the time to a tight run's first event, which a healthy
+	// replica sends sooner.
 	tightStartTimeout = 400 * time.Millisecond
-	// tightEventIntervals is how many intervals may pass between events of a text that has
-	// less than tightSlack left, and minEventTimeout the least such time: a replica that
-	// reads another item's prompt makes no event for an interval or two.
+	// tightEventIntervals bounds the time between events of a tight run, in intervals of
+	// its replica. Reading another item's prompt takes a replica an interval or two.
 	tightEventIntervals = 4
-	minEventTimeout     = 200 * time.Millisecond
-	tightSlack          = time.Second
-	// loadingAllowance is added while the replica changes weights.
+	// minEventTimeout is the least bound for the time between events.
+	minEventTimeout = 200 * time.Millisecond
+	// loadingAllowance is added to each bound while the replica loads a weight version.
 	loadingAllowance = 2500 * time.Millisecond
 )
 
-// Stalled tells whether a run has had no event for too long.
+// Stalled reports whether a run has had no event for so long that its item had better
+// start anew elsewhere.
 func Stalled(paces Paces, run *Run) bool { return run.Idle > run.timeout(paces) }
 
-// MayFinish tells whether a run at a replica that leaves is left there: leaving
-// replicas go on serving for a while.
+// MayFinish reports whether a run is left at a replica whose entry has gone: such a
+// replica goes on serving for a while, so its runs stay as long as events come.
 func MayFinish(run *Run) bool { return run.Idle < eventTimeout }
 
+// timeout returns how long the run may go without an event.
 func (r *Run) timeout(paces Paces) time.Duration {
 	timeout := r.startTimeout(paces)
 	if r.Events > 0 {
@@ -38,7 +42,7 @@
 	return timeout
 }
 
-// startPatience is how long the run may take to its first event.
+// startTimeout returns how long the run may take to its first event.
 func (r *Run) startTimeout(paces Paces) time.Duration {
 	if r.isTight(paces) {
 		return tightStartTimeout
@@ -46,17 +50,17 @@
 	return startTimeout
 }
 
-// eventPatience is how long the run may take between events. A text without slack is
-// better begun again elsewhere after some intervals than waited for.
+// eventTimeout returns how long the run may take between events.
 func (r *Run) eventTimeout(paces Paces) time.Duration {
 	if !r.isTight(paces) {
 		return eventTimeout
 	}
-	return min(eventTimeout, max(minEventTimeout, tightEventIntervals*paces.at(r.Replica)))
+	return min(eventTimeout, max(minEventTimeout, tightEventIntervals*paces.expectedAt(r.Replica)))
 }
 
-// isTight tells whether a wait may cost the run's job its time.
+// isTight reports whether the run's slack is below tightSlack. It is not where no pace is
+// known.
 func (r *Run) isTight(paces Paces) bool {
-	interval := paces.at(r.Replica)
+	interval := paces.expectedAt(r.Replica)
 	return interval > 0 && !r.endsInTime(interval, tightSlack)
 }
