--- a/internal/jobs/batch/accept.go
+++ b/internal/jobs/batch/accept.go
@@ -106,6 +106,13 @@
 	} else {
 		defer close(pending.done)
 	}
+	s.endAcceptance(arrival, stored, made, began, err)
+}
+
+// endAcceptance starts an accepted job that is this process's, and records one that is
+// another's.
+func (s *Service) endAcceptance(arrival *Arrival, stored journal.Record, made bool, began time.Time, err error) {
+	id := arrival.ID
 	s.mutex.Lock()
 	delete(s.accepting, id)
 	own := err == nil && stored.Owner == s.config.Self
