--- a/internal/jobs/placement/item_test.go
+++ b/internal/jobs/placement/item_test.go
@@ -76,8 +76,8 @@
 	return long, other
 }
 
-// Steps of several trainers come within two seconds of each other, and the short items
-// of the first ones used to fill the slots before the long ones of the last.
+// Steps of several trainers come within two seconds of each other. By age alone, the short
+// items of the first ones fill the slots before the long items of the last can start.
 func TestLongItemsBeginAtOnceWhereStepsCrowd(t *testing.T) {
 	steps := []step{{0, 464}, {300 * time.Millisecond, 272}, {900 * time.Millisecond, 272}, {1500 * time.Millisecond, 464}}
 	byAge := func(a, b Item) int {
@@ -107,3 +107,57 @@
 		t.Error("an item that was cut and may be in time waits behind one with more slack")
 	}
 }
+
+func TestUrgentItems(t *testing.T) {
+	deadline := time.Unix(1000, 0)
+	long := time.Duration(longShare * float64(testObjective))
+	for _, test := range []struct {
+		name string
+		item Item
+		want bool
+	}{
+		{"long", Item{Deadline: deadline, TimeLeft: 7 * time.Second, ExpectedRunTime: long}, true},
+		{"short", Item{Deadline: deadline, TimeLeft: 7 * time.Second, ExpectedRunTime: long - time.Millisecond}, false},
+		{"short, of unknown length", Item{Deadline: deadline, TimeLeft: 7 * time.Second}, false},
+		{"cut", Item{Deadline: deadline, TimeLeft: 7 * time.Second, ExpectedRunTime: time.Second, HasProgress: true}, true},
+		{"long, a little late", Item{Deadline: deadline, TimeLeft: 4 * time.Second, ExpectedRunTime: 5 * time.Second}, true},
+		{"long, late in any case", Item{Deadline: deadline, TimeLeft: 4 * time.Second, ExpectedRunTime: 5001 * time.Millisecond}, false},
+		{"cut, late in any case", Item{Deadline: deadline, TimeLeft: -2 * time.Second, ExpectedRunTime: time.Second, HasProgress: true}, false},
+		{"long, in reserve", Item{Deadline: deadline, TimeLeft: 7 * time.Second, ExpectedRunTime: long, Reserve: true}, false},
+		{"long, no deadline", Item{ExpectedRunTime: long, HasProgress: true}, false},
+	} {
+		test.item.Objective = testObjective
+		if got := test.item.IsUrgent(); got != test.want {
+			t.Errorf("%s: %t", test.name, got)
+		}
+	}
+}
+
+func TestOrderOfWaitingItems(t *testing.T) {
+	start := time.Unix(1000, 0)
+	item := func(priority int, age time.Duration, rank int) Item {
+		return Item{
+			Priority: priority, JobStarted: start.Add(-age), Rank: rank,
+			Deadline: start.Add(testObjective), TimeLeft: testObjective, Objective: testObjective,
+		}
+	}
+	urgent := func(item Item, expected time.Duration) Item {
+		item.ExpectedRunTime = expected
+		return item
+	}
+	for _, test := range []struct {
+		name          string
+		first, second Item
+	}{
+		{"priority before urgency", item(0, 0, 9), urgent(item(1, 0, 0), 5*time.Second)},
+		{"urgency before age", urgent(item(0, 0, 9), 5*time.Second), item(0, 10*time.Second, 0)},
+		{"the least slack of two urgent ones", urgent(item(0, 0, 9), 6*time.Second), urgent(item(0, 10*time.Second, 0), 5*time.Second)},
+		{"urgent ones with the same slack by age", urgent(item(0, 10*time.Second, 9), 5*time.Second), urgent(item(0, 0, 0), 5*time.Second)},
+		{"age before rank", item(0, ageStep, 9), item(0, 0, 0)},
+		{"rank where ages differ by little", item(0, -time.Second, 0), item(0, 0, 9)},
+	} {
+		if Compare(test.first, test.second) >= 0 || Compare(test.second, test.first) <= 0 {
+			t.Errorf("%s: the first item doesn't run first", test.name)
+		}
+	}
+}
--- a/internal/jobs/placement/length_test.go
+++ b/internal/jobs/placement/length_test.go
@@ -11,3 +11,16 @@
 		}
 	}
 }
+
+func TestLengthExpectedFromEarlierRuns(t *testing.T) {
+	for _, test := range []struct {
+		length Length
+		want   int
+	}{
+		{Length{}, 0}, {Length{Events: 30, Complete: true}, 30}, {Length{Events: 30}, 30 + unseenEvents},
+	} {
+		if got := test.length.Expected(); got != test.want {
+			t.Errorf("%+v: %d, want %d", test.length, got, test.want)
+		}
+	}
+}
--- a/internal/jobs/placement/move_test.go
+++ b/internal/jobs/placement/move_test.go
@@ -5,15 +5,6 @@
 	"time"
 )
 
-// pacesOf returns the paces of replicas a, b, ... from intervals in milliseconds.
-func pacesOf(intervals ...int) Paces {
-	known := map[string]time.Duration{}
-	for number, interval := range intervals {
-		known[string(rune('a'+number))] = time.Duration(interval) * time.Millisecond
-	}
-	return NewPaces(known)
-}
-
 func TestRunsThatWouldEndLateMoveForLess(t *testing.T) {
 	paces, alike := pacesOf(56, 50, 50), pacesOf(54, 50, 50)
 	for _, test := range []struct {
@@ -38,27 +29,3 @@
 		}
 	}
 }
-
-func TestTextsWithoutSlackAreCutAfterSomeIntervals(t *testing.T) {
-	paces := pacesOf(50, 50, 50, 140)
-	for _, test := range []struct {
-		name    string
-		run     Run
-		stalled bool
-	}{
-		{"without slack", Run{Replica: "a", Events: 60, RemainingEvents: 80, HasDeadline: true, TimeLeft: 4 * time.Second, Idle: 220 * time.Millisecond}, true},
-		{"without slack, an interval or two", Run{Replica: "a", Events: 60, RemainingEvents: 80, HasDeadline: true, TimeLeft: 4 * time.Second, Idle: 150 * time.Millisecond}, false},
-		{"without slack where events are slow", Run{Replica: "d", Events: 60, RemainingEvents: 80, HasDeadline: true, TimeLeft: 4 * time.Second, Idle: 400 * time.Millisecond}, false},
-		{"with slack", Run{Replica: "a", Events: 60, RemainingEvents: 10, HasDeadline: true, TimeLeft: 4 * time.Second, Idle: 400 * time.Millisecond}, false},
-		{"with slack, for long", Run{Replica: "a", Events: 60, RemainingEvents: 10, HasDeadline: true, TimeLeft: 4 * time.Second, Idle: 600 * time.Millisecond}, true},
-		{"no time named", Run{Replica: "a", Events: 60, RemainingEvents: 80, Idle: 400 * time.Millisecond}, false},
-		{"not begun, without slack", Run{Replica: "a", RemainingEvents: 140, HasDeadline: true, TimeLeft: 7 * time.Second, Idle: 300 * time.Millisecond}, false},
-		{"not begun for long, without slack", Run{Replica: "a", RemainingEvents: 140, HasDeadline: true, TimeLeft: 7 * time.Second, Idle: 500 * time.Millisecond}, true},
-		{"not begun, with slack", Run{Replica: "a", RemainingEvents: 40, HasDeadline: true, TimeLeft: 7 * time.Second, Idle: 800 * time.Millisecond}, false},
-		{"weights change", Run{Replica: "a", Events: 60, RemainingEvents: 80, HasDeadline: true, TimeLeft: 4 * time.Second, Loading: true, Idle: 600 * time.Millisecond}, false},
-	} {
-		if got := Stalled(paces, &test.run); got != test.stalled {
-			t.Errorf("%s: %t", test.name, got)
-		}
-	}
-}
--- a/internal/jobs/placement/pace_test.go
+++ b/internal/jobs/placement/pace_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The average used to follow the events of eight runs within one interval, so that a
-// prompt that was read between them had the runs moved.
+// If each event counted the same however many runs there are, the average would follow
+// eight runs within one interval, and a prompt read between them would move the runs.
 func TestPaceIsThatOfASecondHoweverManyRuns(t *testing.T) {
 	const usual = 50 * time.Millisecond
 	for _, runs := range []int{1, 8} {
--- a/internal/jobs/placement/pick.go
+++ b/internal/jobs/placement/pick.go
@@ -2,9 +2,10 @@
 
 import "slices"
 
-// Pick returns the least used replica that has room for an item, nil for none. A replica
-// that has failed the item is picked only if all have; an urgent item goes to an unproven
-// replica only if no other has room.
+// Pick returns the least used replica that has room for an item, nil for none. Replicas
+// that have failed the item are excluded unless it has failed at as many replicas as there
+// are candidates; the count includes replicas that aren't candidates now. An urgent item
+// goes to an unproven replica only if no other has room.
 func Pick(replicas []*Replica, preference Preference) *Replica {
 	failedEverywhere := len(preference.FailedReplicas) >= len(replicas)
 	var best, unproven *Replica
--- a/internal/jobs/placement/pick_test.go
+++ b/internal/jobs/placement/pick_test.go
@@ -15,8 +15,8 @@
 	return made
 }
 
-// Replicas that had gone were tried with one long item after the other, each of which
-// waited for a connection in vain: they have no load, so they came first.
+// A replica that has gone has no load and so seems the least used: long items would try it
+// one after the other, each waiting in vain for a connection.
 func TestUrgentItemsTryAReplicaThatMayBeDownLast(t *testing.T) {
 	some := replicas(5, 3)
 	down := NewReplica("down", 6, 0, Paces{}, Condition{Unproven: true, SinceEvent: time.Minute})
@@ -36,3 +36,28 @@
 		t.Error("an urgent item has nowhere to go")
 	}
 }
+
+func TestReplicaOfAnItem(t *testing.T) {
+	for _, test := range []struct {
+		name       string
+		loads      []int
+		preference Preference
+		want       string
+	}{
+		{"the least used", []int{5, 3, 4}, Preference{}, "b"},
+		{"the first of two alike", []int{3, 3}, Preference{}, "a"},
+		{"none has room", []int{6, 6}, Preference{}, ""},
+		{"no replica", nil, Preference{}, ""},
+		{"not the one that has failed it", []int{5, 3, 4}, Preference{FailedReplicas: []string{"b"}}, "c"},
+		{"only one that has failed it has room", []int{6, 3}, Preference{FailedReplicas: []string{"b"}}, ""},
+		{"all have failed it", []int{5, 3}, Preference{FailedReplicas: []string{"a", "b"}}, "b"},
+	} {
+		got := ""
+		if picked := Pick(replicas(test.loads...), test.preference); picked != nil {
+			got = picked.Name
+		}
+		if got != test.want {
+			t.Errorf("%s: %q, want %q", test.name, got, test.want)
+		}
+	}
+}
--- a/internal/jobs/placement/rank_test.go
+++ b/internal/jobs/placement/rank_test.go
@@ -51,10 +51,10 @@
 func TestLongestGroupsThatNeedNotBeWaitedForGoLast(t *testing.T) {
 	order := ranked(submissionOf(3, 1, 1, 2, 2, 3, 3, 9, 9), nil)
 	if !strings.HasSuffix(order, "d0 d1") {
-		t.Errorf("order %s does not end with the spare group", order)
+		t.Errorf("order %s does not end with the reserve group", order)
 	}
 	// What stands in the first half of the desired groups may have been asked
-	// for before, so it is never spare.
+	// for before, so it is never in reserve.
 	order = ranked(submissionOf(3, 9, 9, 2, 2, 3, 3, 1, 1), nil)
 	if strings.HasSuffix(order, "a0 a1") {
 		t.Errorf("order %s has a group last that may be waited for", order)
