--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -18,7 +18,7 @@
 	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/duties/weightorders"
 	"github.com/pathtally/pathtally/internal/jobs/batch"
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/store/storerelay"
 	"github.com/pathtally/pathtally/internal/store/watchcache"
@@ -30,16 +30,16 @@
 
 // assemble makes the parts of the node. Each step needs those before it.
 func (p *parts) assemble(ctx context.Context, peerListener net.Listener, duties Duties) {
-	p.self = journal.Owner{Node: p.settings.Node, Address: p.settings.AdvertisedPeer(), Incarnation: uint64(p.started.UnixNano())}
+	p.self = jobstore.Owner{Node: p.settings.Node, Address: p.settings.AdvertisedPeer(), Incarnation: uint64(p.started.UnixNano())}
 	dispatcher := p.assembleForwarding()
 	p.assemblePeers(ctx, peerListener)
 	p.assembleStore()
 	p.assembleQuarantine(ctx)
 	dispatcher.SetGuard(p.quarantine)
-	jobJournal := journal.New(p.store)
+	jobJournal := jobstore.New(p.store)
 	jobJournal.ReadApart(func() bool { return p.directory.View().Configuration.DeclaresHomes() })
 	p.jobs = batch.NewService(ctx, batch.Config{
-		Self: p.self, Journal: jobJournal, Codec: p.adapter.Jobs, Directory: p.directory, Dispatcher: dispatcher,
+		Self: p.self, JobStore: jobJournal, Codec: p.adapter.Jobs, Directory: p.directory, Dispatcher: dispatcher,
 		Forwarder: p.forwarder, Peers: p.transport, Table: p.peers, Region: p.settings.Region, Clock: p.clock, Logger: p.logger, Registry: p.registry,
 	})
 	p.assembleDuties(duties)
--- a/internal/instance/parts.go
+++ b/internal/instance/parts.go
@@ -19,7 +19,7 @@
 	"github.com/pathtally/pathtally/internal/duties/usage"
 	"github.com/pathtally/pathtally/internal/duties/weightorders"
 	"github.com/pathtally/pathtally/internal/jobs/batch"
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/settings"
 	"github.com/pathtally/pathtally/internal/store/storerelay"
@@ -38,7 +38,7 @@
 	registry *prometheus.Registry
 	started  time.Time
 	// self names this process to others.
-	self journal.Owner
+	self jobstore.Owner
 
 	// The world outside, and the way to the replicas.
 	directory *directory.Table
--- a/internal/instance/slowstart.go
+++ b/internal/instance/slowstart.go
@@ -11,7 +11,7 @@
 	"github.com/pathtally/pathtally/internal/cluster/transport"
 	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/replicas/slowstart"
 	"github.com/pathtally/pathtally/internal/wire"
 )
@@ -35,7 +35,7 @@
 // slowStart asks the allotter, one node for the whole deployment, how many requests this
 // node may send to warming replicas, and answers other nodes while it is the allotter.
 type slowStart struct {
-	self      journal.Owner
+	self      jobstore.Owner
 	peers     *peering.Table
 	transport *transport.Transport
 	keeper    *lease.Keeper
--- a/internal/jobs/batch/accept.go
+++ b/internal/jobs/batch/accept.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/jobs/ownership"
 	"time"
 )
@@ -20,9 +20,9 @@
 }
 
 // Submit stores a batch job and has it run, by the node that runs the jobs of its model if
-// that one answers. A nil error means that the job is stored; a *journal.NotTakenError
+// that one answers. A nil error means that the job is stored; a *jobstore.NotTakenError
 // that nothing of it will run; ErrOtherTenant that the id is another tenant's job's; a
-// *journal.UncertainError promises nothing. A job is accepted once, whoever submits it
+// *jobstore.UncertainError promises nothing. A job is accepted once, whoever submits it
 // again.
 func (s *Service) Submit(ctx context.Context, arrival *Arrival) error {
 	if s.isKnown(arrival.ID) {
@@ -36,8 +36,8 @@
 		return nil
 	}
 	err := s.submitHere(ctx, arrival)
-	if _, notTaken := err.(*journal.NotTakenError); notTaken && runnerErr != nil {
-		return &journal.UncertainError{Cause: runnerErr}
+	if _, notTaken := err.(*jobstore.NotTakenError); notTaken && runnerErr != nil {
+		return &jobstore.UncertainError{Cause: runnerErr}
 	}
 	return err
 }
@@ -62,7 +62,7 @@
 	case <-pending.done:
 		return pending.err
 	case <-ctx.Done():
-		return &journal.UncertainError{Cause: ctx.Err()}
+		return &jobstore.UncertainError{Cause: ctx.Err()}
 	}
 }
 
@@ -92,17 +92,17 @@
 	id, began := arrival.ID, time.Now()
 	record := s.recordOf(arrival)
 	ctx = s.within(ctx, record)
-	stored, made, err := s.config.Journal.Accept(ctx, id, record, arrival.Payload)
+	stored, made, err := s.config.JobStore.Accept(ctx, id, record, arrival.Payload)
 	if err == nil && stored.Tenant != record.Tenant {
 		err = ErrOtherTenant
 	}
 	pending.err = err
-	if _, uncertain := err.(*journal.UncertainError); uncertain {
+	if _, uncertain := err.(*jobstore.UncertainError); uncertain {
 		s.config.Logger.Info("batch job outcome unknown, retrying", "request", id, "error", err.Error())
 		close(pending.done)
 		longer, cancelLonger := context.WithTimeout(s.base, backgroundTimeout)
 		defer cancelLonger()
-		stored, made, err = s.config.Journal.Accept(s.within(longer, record), id, record, arrival.Payload)
+		stored, made, err = s.config.JobStore.Accept(s.within(longer, record), id, record, arrival.Payload)
 	} else {
 		defer close(pending.done)
 	}
@@ -111,13 +111,13 @@
 
 // endAcceptance starts an accepted job that is this process's, and records one that is
 // another's.
-func (s *Service) endAcceptance(arrival *Arrival, stored journal.Record, made bool, began time.Time, err error) {
+func (s *Service) endAcceptance(arrival *Arrival, stored jobstore.Record, made bool, began time.Time, err error) {
 	id := arrival.ID
 	s.mutex.Lock()
 	delete(s.accepting, id)
 	own := err == nil && stored.Owner == s.config.Self
 	if err == nil && !own {
-		s.learnStored(journal.StoredJob{ID: id, Record: stored})
+		s.learnStored(jobstore.StoredJob{ID: id, Record: stored})
 	}
 	s.mutex.Unlock()
 	if err != nil {
@@ -128,7 +128,7 @@
 		"bytes", len(arrival.Payload), "tenant", stored.Tenant)
 	switch {
 	case own && made && time.Since(began) < maxPromptAcceptance:
-		s.start(id, arrival.Submission, stored, journal.Listing{}, began)
+		s.start(id, arrival.Submission, stored, jobstore.Listing{}, began)
 	case own:
 		// An earlier try made it, it was run here and forgotten, or it may have been
 		// taken over while the answer was on its way.
@@ -137,8 +137,8 @@
 }
 
 // recordOf is the record of a job that this node accepts.
-func (s *Service) recordOf(arrival *Arrival) journal.Record {
-	return journal.Record{
+func (s *Service) recordOf(arrival *Arrival) jobstore.Record {
+	return jobstore.Record{
 		Owner: s.config.Self, Epoch: 1, Route: arrival.Route, Host: arrival.Host, Tenant: arrival.Tenant, Entry: arrival.Entry,
 		Scorers: s.scorersOf(arrival.Submission), Items: len(arrival.Submission.Items), AcceptedMs: time.Now().UnixMilli(),
 	}
@@ -150,7 +150,7 @@
 
 // resume continues a job of this process that it does not hold, unless the job has ended.
 func (s *Service) resume(id string) {
-	stored, err := s.config.Journal.Read(s.base, id)
+	stored, err := s.config.JobStore.Read(s.base, id)
 	if err != nil {
 		// It is taken over like any job whose owner is silent.
 		s.mutex.Lock()
--- a/internal/jobs/batch/append_answer_test.go
+++ b/internal/jobs/batch/append_answer_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
@@ -16,13 +16,13 @@
 func TestAnOwnerThatCannotLookBehindItsAppendSaysSo(t *testing.T) {
 	cluster, held := unlistedResults(t)
 	cluster.store.SetFault(func(call metastore.Call) metastore.Fault {
-		if call.Kind == journal.KindResults && call.Verb == "create" {
+		if call.Kind == jobstore.KindResults && call.Verb == "create" {
 			return metastore.Unanswered
 		}
 		return metastore.Sound
 	})
 	held.flushLater()
-	eventually(t, "the results are in the store", func() bool { return cluster.store.Has(journal.KindResults, journal.ChunkName("job", 0)) })
+	eventually(t, "the results are in the store", func() bool { return cluster.store.Has(jobstore.KindResults, jobstore.ChunkName("job", 0)) })
 	read := cluster.readBesideOwner()
 	time.Sleep(2 * appendAnswerTimeout)
 	cluster.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Silent })
--- a/internal/jobs/batch/authorize.go
+++ b/internal/jobs/batch/authorize.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 	"errors"
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 )
 
 // Authorize tells whether a tenant may read and end a batch job: its own, and
@@ -21,7 +21,7 @@
 		holder, known = s.tenantOf(id)
 	}
 	if !known {
-		stored, err := s.config.Journal.Read(ctx, id)
+		stored, err := s.config.JobStore.Read(ctx, id)
 		if err != nil {
 			return err
 		}
@@ -32,7 +32,7 @@
 	}
 	if holder != "" && holder != tenant {
 		s.config.Logger.Info("batch job asked for by another tenant", "request", id, "holder", holder, "tenant", tenant)
-		return journal.ErrNoSuchJob
+		return jobstore.ErrNoSuchJob
 	}
 	return nil
 }
@@ -41,10 +41,10 @@
 func (s *Service) authorizeArrival(ctx context.Context, arrival *Arrival) error {
 	err := s.Authorize(ctx, arrival.ID, arrival.Tenant)
 	switch {
-	case errors.Is(err, journal.ErrNoSuchJob):
+	case errors.Is(err, jobstore.ErrNoSuchJob):
 		return ErrOtherTenant
 	case err != nil:
-		return &journal.UncertainError{Cause: err}
+		return &jobstore.UncertainError{Cause: err}
 	}
 	return nil
 }
@@ -63,7 +63,7 @@
 }
 
 // learnStored records a job of another node as the store has it. The mutex must be held.
-func (s *Service) learnStored(stored journal.StoredJob) *remoteJob {
+func (s *Service) learnStored(stored jobstore.StoredJob) *remoteJob {
 	remote := s.learnRemote(stored.ID, stored.Record.Owner, stored.Record.Epoch, stored.Ended)
 	remote.tenant, remote.tenantKnown = stored.Record.Tenant, true
 	remote.learnOrigin(originOf(stored.Record))
--- a/internal/jobs/batch/doc.go
+++ b/internal/jobs/batch/doc.go
@@ -4,7 +4,7 @@
 //
 // # What it relies on
 //
-// All that lasts is in the metadata store, by way of package journal: a job is created on
+// All that lasts is in the metadata store, by way of package jobstore: a job is created on
 // condition under the caller's id, which settles that it is accepted once; its results are
 // appended at numbered positions, each created on condition, which settles what a
 // position has, whoever writes it. Package placement decides the order of items, their replicas,
--- a/internal/jobs/batch/end.go
+++ b/internal/jobs/batch/end.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
@@ -100,13 +100,13 @@
 }
 
 // recordEnd writes the end of a job to the store, and returns the job as stored then.
-func (s *Service) recordEnd(ctx context.Context, id string) (journal.StoredJob, error) {
+func (s *Service) recordEnd(ctx context.Context, id string) (jobstore.StoredJob, error) {
 	began := time.Now()
-	stored, err := s.config.Journal.End(ctx, id)
+	stored, err := s.config.JobStore.End(ctx, id)
 	took := time.Since(began).Milliseconds()
 	if err != nil {
 		s.config.Logger.Info("end of batch job not recorded", "request", id, "tookMs", took, "error", err.Error())
-		return journal.StoredJob{}, err
+		return jobstore.StoredJob{}, err
 	}
 	s.config.Logger.Info("end of batch job recorded", "request", id, "owner", stored.Record.Owner.Node, "tookMs", took)
 	return stored, nil
--- a/internal/jobs/batch/ends_test.go
+++ b/internal/jobs/batch/ends_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/wire"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
@@ -79,11 +79,11 @@
 		c.t.Fatal(err)
 	}
 	eventually(c.t, "all items run", func() bool { return engine.runCount() == 6 })
-	gate := c.setGate("list", journal.KindResults)
+	gate := c.setGate("list", jobstore.KindResults)
 	c.nodes[0].cancel()
 	c.setCut("node-0", true)
 	eventually(c.t, "a successor reads the results", func() bool { return gate.reached.Load() > 0 })
-	standing, err := journal.New(c.store).Read(context.Background(), "job")
+	standing, err := jobstore.New(c.store).Read(context.Background(), "job")
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -111,7 +111,7 @@
 func TestAJobEndedWhileItIsAcceptedIsNotRun(t *testing.T) {
 	engine := heldEngine(t)
 	cluster := newCluster(t, 2, engine)
-	gate := cluster.setGate("create", journal.KindJobs)
+	gate := cluster.setGate("create", jobstore.KindJobs)
 	accepted := make(chan error, 1)
 	go func() { accepted <- cluster.submit(cluster.nodes[0], "job", 6) }()
 	eventually(t, "the record is made", func() bool { return gate.reached.Load() > 0 })
@@ -149,7 +149,7 @@
 func TestAResultReadFromTheStoreStaysAtItsOwner(t *testing.T) {
 	t.Run("the append's answer is late", func(t *testing.T) {
 		cluster, held := unlistedResults(t)
-		gate := cluster.setGate("create", journal.KindResults)
+		gate := cluster.setGate("create", jobstore.KindResults)
 		held.flushLater()
 		eventually(t, "the results are on their way", func() bool { return gate.reached.Load() > 0 })
 		cluster.endAtOwner()
@@ -162,13 +162,13 @@
 	t.Run("the append's answer is lost", func(t *testing.T) {
 		cluster, held := unlistedResults(t)
 		cluster.store.SetFault(func(call metastore.Call) metastore.Fault {
-			if call.Kind == journal.KindResults && call.Verb == "create" {
+			if call.Kind == jobstore.KindResults && call.Verb == "create" {
 				return metastore.Unanswered
 			}
 			return metastore.Sound
 		})
 		held.flushLater()
-		eventually(t, "the results are in the store", func() bool { return cluster.store.Has(journal.KindResults, journal.ChunkName("job", 0)) })
+		eventually(t, "the results are in the store", func() bool { return cluster.store.Has(jobstore.KindResults, jobstore.ChunkName("job", 0)) })
 		cluster.endAtOwner()
 		read := cluster.readBesideOwner()
 		cluster.checkNothingGone("while no append is answered", read)
@@ -194,7 +194,7 @@
 	held := owner.jobs["job"]
 	for _, item := range []string{"job.0", "job.1"} {
 		held.settle(item)
-		held.finished = append(held.finished, journal.Result{ID: item, State: journal.Abandoned})
+		held.finished = append(held.finished, jobstore.Result{ID: item, State: jobstore.Abandoned})
 	}
 	return made, held
 }
@@ -248,17 +248,17 @@
 	cluster := newCluster(t, 1, engine)
 	node := cluster.nodes[0]
 	made, payload := submission("job", 6)
-	record := journal.Record{Owner: node.config.Self, Epoch: 1, Route: testRoute, Host: "drafts.example", AcceptedMs: time.Now().UnixMilli()}
-	if _, _, err := node.config.Journal.Accept(context.Background(), "job", record, payload); err != nil {
+	record := jobstore.Record{Owner: node.config.Self, Epoch: 1, Route: testRoute, Host: "drafts.example", AcceptedMs: time.Now().UnixMilli()}
+	if _, _, err := node.config.JobStore.Accept(context.Background(), "job", record, payload); err != nil {
 		t.Fatal(err)
 	}
 	node.ReceiveHeartbeat(&wire.NodeBeat{Node: "node-9", Address: "node-9", Incarnation: 1, Ended: []string{"job"}})
-	node.start("job", made, record, journal.Listing{}, time.Now())
+	node.start("job", made, record, jobstore.Listing{}, time.Now())
 	if node.OpenJobs() != 0 || engine.runCount() != 0 {
 		t.Errorf("%d jobs and %d runs of a job that has ended", node.OpenJobs(), engine.runCount())
 	}
 	eventually(t, "the store has the end", func() bool {
-		standing, err := journal.New(cluster.store).Read(context.Background(), "job")
+		standing, err := jobstore.New(cluster.store).Read(context.Background(), "job")
 		return err == nil && standing.Ended
 	})
 }
--- a/internal/jobs/batch/final_test.go
+++ b/internal/jobs/batch/final_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
@@ -68,7 +68,7 @@
 	reader := cluster.addNode("node-1", []*testEngine{engine})
 	owner := cluster.makeNode("node-0", []*testEngine{engine})
 	way := &ownWay{Store: cluster.store}
-	owner.config.Journal = journal.New(way)
+	owner.config.JobStore = jobstore.New(way)
 	owner.table.Join(owner.ctx)
 	cluster.start(owner)
 	if err := cluster.submit(owner, "job", 6); err != nil {
@@ -85,7 +85,7 @@
 	way.cutOthers.Store(true)
 	cluster.setCut("node-0", true)
 	owner.mutex.Lock()
-	owner.scheduler.finish(held.items["job.0"], journal.Result{ID: "job.0", State: journal.Abandoned})
+	owner.scheduler.finish(held.items["job.0"], jobstore.Result{ID: "job.0", State: jobstore.Abandoned})
 	owner.mutex.Unlock()
 	if err := reader.End(context.Background(), "job"); err != nil {
 		t.Fatal(err)
--- a/internal/jobs/batch/handler.go
+++ b/internal/jobs/batch/handler.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/callers/ingress"
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 )
 
 const (
@@ -129,7 +129,7 @@
 }
 
 // pageLength is how many results fit into one page, one at least.
-func pageLength(results []journal.Result) int {
+func pageLength(results []jobstore.Result) int {
 	size := 0
 	for i, result := range results {
 		size += len(result.Text) + resultOverhead
--- a/internal/jobs/batch/harness_test.go
+++ b/internal/jobs/batch/harness_test.go
@@ -22,7 +22,7 @@
 	"github.com/pathtally/pathtally/internal/clock"
 	"github.com/pathtally/pathtally/internal/cluster/peering"
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/internal/store/watchcache"
@@ -62,7 +62,7 @@
 	return submission, err
 }
 
-func (testCodec) Page(int, int, []journal.Result) ([]byte, error) { return nil, nil }
+func (testCodec) Page(int, int, []jobstore.Result) ([]byte, error) { return nil, nil }
 
 func (testCodec) Call(*http.Request) (Call, bool, error) { return Call{}, false, nil }
 
@@ -327,7 +327,7 @@
 	c.t.Cleanup(cancel)
 	node := &testNode{ctx: ctx, cancel: cancel}
 	dispatcher := dispatch.New(exchange.NewPool(nil), testHeaders{}, nil)
-	self := journal.Owner{Node: name, Address: name, Incarnation: uint64(time.Now().UnixNano())}
+	self := jobstore.Owner{Node: name, Address: name, Incarnation: uint64(time.Now().UnixNano())}
 	node.table = peering.NewTable(peering.Config{
 		Node: name, Address: name, Zone: c.places[name], Incarnation: self.Incarnation, Store: c.store, Peers: link{c.peers, name}, Logger: logger,
 		FillHeartbeat: func(heartbeat *wire.NodeBeat) { node.FillHeartbeat(heartbeat) }, OnHeartbeat: func(heartbeat *wire.NodeBeat) { node.ReceiveHeartbeat(heartbeat) },
@@ -335,7 +335,7 @@
 	})
 	node.Service = NewService(ctx, Config{
 		Clock: clock.Steady,
-		Self:  self, Journal: journal.New(gatedStore{c.store, &c.gate}), Codec: testCodec{}, Directory: table, Dispatcher: dispatcher,
+		Self:  self, JobStore: jobstore.New(gatedStore{c.store, &c.gate}), Codec: testCodec{}, Directory: table, Dispatcher: dispatcher,
 		Forwarder: forward.New(forward.Config{Directory: table, Dispatcher: dispatcher, Logger: logger, Metrics: forward.NewMetrics(prometheus.NewRegistry())}),
 		Peers:     link{c.peers, name}, Table: node.table, Region: c.places[name], Logger: logger, Registry: prometheus.NewRegistry(),
 	})
@@ -407,9 +407,9 @@
 }
 
 // readAll reads a job from a node until all results are there.
-func (c *cluster) readAll(node *testNode, id string, total int) []journal.Result {
+func (c *cluster) readAll(node *testNode, id string, total int) []jobstore.Result {
 	c.t.Helper()
-	var results []journal.Result
+	var results []jobstore.Result
 	eventually(c.t, "all results are listed", func() bool {
 		page, err := node.Read(context.Background(), id, len(results), 100*time.Millisecond)
 		if err != nil {
@@ -422,7 +422,7 @@
 }
 
 // checkWhole checks that each item stands once with its whole text.
-func checkWhole(t *testing.T, id string, results []journal.Result, items, events int) {
+func checkWhole(t *testing.T, id string, results []jobstore.Result, items, events int) {
 	t.Helper()
 	seen := map[string]bool{}
 	for _, result := range results {
@@ -437,7 +437,7 @@
 			}
 			want += fmt.Sprintf("%s.%d", result.ID, number)
 		}
-		if result.State != journal.Succeeded || result.Text != want {
+		if result.State != jobstore.Succeeded || result.Text != want {
 			t.Errorf("item %s: %s with text %q, want %q", result.ID, result.State, result.Text, want)
 		}
 	}
--- a/internal/jobs/batch/heartbeat.go
+++ b/internal/jobs/batch/heartbeat.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/jobs/ownership"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/internal/wire"
@@ -68,7 +68,7 @@
 // node that the sender may own instead. The mutex must be held.
 func (s *Service) learnRunningJobs(heartbeat *wire.NodeBeat) []*job {
 	var contested []*job
-	owner := journal.Owner{Node: heartbeat.Node, Address: heartbeat.Address, Incarnation: heartbeat.Incarnation}
+	owner := jobstore.Owner{Node: heartbeat.Node, Address: heartbeat.Address, Incarnation: heartbeat.Incarnation}
 	epochs := epochsOf(heartbeat)
 	for _, id := range heartbeat.Jobs {
 		if held := s.jobs[id]; held != nil {
--- a/internal/jobs/batch/homes.go
+++ b/internal/jobs/batch/homes.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"github.com/pathtally/pathtally/internal/callers/forward"
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/jobs/ownership"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/replicas/homes"
@@ -21,7 +21,7 @@
 	entry string
 }
 
-func originOf(record journal.Record) origin {
+func originOf(record jobstore.Record) origin {
 	return origin{routes: append([]string{record.Route}, record.Scorers...), tenant: record.Tenant, entry: record.Entry}
 }
 
@@ -77,7 +77,7 @@
 }
 
 // within returns a context for the store's calls that carry bodies of a job.
-func (s *Service) within(ctx context.Context, record journal.Record) context.Context {
+func (s *Service) within(ctx context.Context, record jobstore.Record) context.Context {
 	return homes.WithBounds(ctx, s.boundsOf(originOf(record)))
 }
 
@@ -154,7 +154,7 @@
 		route := view.Configuration.Named(name)
 		if route != nil && !view.HasReplica(route, view.Configuration.HomesOf(route, from.tenant)) {
 			s.metrics.withoutHome.Inc()
-			return &journal.NotTakenError{Cause: forward.ErrNoHome}
+			return &jobstore.NotTakenError{Cause: forward.ErrNoHome}
 		}
 	}
 	return nil
@@ -165,7 +165,7 @@
 func (s *Service) checkOffered(arrival *Arrival) error {
 	from := originOf(s.recordOf(arrival))
 	if !s.boundsOf(from).AllowsNode(s.config.Region) {
-		return &journal.NotTakenError{Cause: ErrOutside}
+		return &jobstore.NotTakenError{Cause: ErrOutside}
 	}
 	return s.checkHomes(from)
 }
--- a/internal/jobs/batch/homes_test.go
+++ b/internal/jobs/batch/homes_test.go
@@ -11,7 +11,7 @@
 	"k8s.io/klog/v2"
 
 	"github.com/pathtally/pathtally/internal/callers/forward"
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/jobs/ownership"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
@@ -76,7 +76,7 @@
 	made := &recorder{Store: c.store, read: map[string]int{}}
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
-	node.config.Journal = journal.New(made)
+	node.config.JobStore = jobstore.New(made)
 	return made
 }
 
@@ -127,8 +127,8 @@
 	c.setCut("node-0", true)
 	time.Sleep(ownership.OwnerTimeout + ownership.UnwatchedDelay + time.Second)
 	for number, node := range c.nodes[1:] {
-		if node.runs("job") || reads[number].count(journal.KindPayloads) > 0 {
-			t.Errorf("a node outside runs the job: %v, and has read %d payloads", node.runs("job"), reads[number].count(journal.KindPayloads))
+		if node.runs("job") || reads[number].count(jobstore.KindPayloads) > 0 {
+			t.Errorf("a node outside runs the job: %v, and has read %d payloads", node.runs("job"), reads[number].count(jobstore.KindPayloads))
 		}
 		node.mutex.Lock()
 		if !node.remoteJobs["job"].waitLogged {
@@ -184,11 +184,11 @@
 	engine := startEngine(t, 1)
 	c := spread(t, []string{"atlantis"}, []string{"north", "south"}, []string{"south"}, engine)
 	err := c.handFrom(c.nodes[0], "job", 2)
-	var notTaken *journal.NotTakenError
+	var notTaken *jobstore.NotTakenError
 	if !errors.As(err, &notTaken) || !errors.Is(err, forward.ErrNoHome) {
 		t.Errorf("the job: %v", err)
 	}
-	for _, kind := range []string{journal.KindJobs, journal.KindPayloads} {
+	for _, kind := range []string{jobstore.KindJobs, jobstore.KindPayloads} {
 		if page, err := c.store.List(context.Background(), kind, "", objectstore.Linearizable); err != nil || len(page.Objects) > 0 {
 			t.Errorf("%s: %d objects, %v", kind, len(page.Objects), err)
 		}
@@ -241,7 +241,7 @@
 // A job from before there were homes names no entry region: only the homes bind it.
 func TestAnOldRecordIsBoundToItsHomes(t *testing.T) {
 	c := spread(t, []string{"south"}, []string{"north", "south"}, []string{"south"}, startEngine(t, 1))
-	from := originOf(journal.Record{Route: testRoute})
+	from := originOf(jobstore.Record{Route: testRoute})
 	for number, inside := range []bool{false, true} {
 		if got := c.nodes[number].boundsOf(from).AllowsNode(c.nodes[number].config.Region); got != inside {
 			t.Errorf("node in the %s: %v", c.nodes[number].config.Region, got)
@@ -255,7 +255,7 @@
 // A node that has just started may not know the configuration yet.
 func TestANodeWithoutAConfigurationTakesNothingOver(t *testing.T) {
 	started := &Service{config: Config{Region: "north", Directory: directory.NewTable("node", "north", regions, klog.Background())}}
-	from := originOf(journal.Record{Route: testRoute, Entry: "north"})
+	from := originOf(jobstore.Record{Route: testRoute, Entry: "north"})
 	if started.boundsOf(from).AllowsNode("north") || !started.isOutsider(&remoteJob{origin: &from}) {
 		t.Error("it takes itself for one that may have the job")
 	}
--- a/internal/jobs/batch/job.go
+++ b/internal/jobs/batch/job.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/jobs/placement"
 )
 
@@ -12,7 +12,7 @@
 type job struct {
 	id         string
 	submission *Submission
-	record     journal.Record
+	record     jobstore.Record
 	// takenUp is when this node started the job.
 	takenUp time.Time
 	// givenUpAt is when items may be given up, zero for never.
@@ -26,10 +26,10 @@
 	// order lists the items as submitted.
 	order []string
 	// listed are the results that the store holds, in their order.
-	listed []journal.Result
+	listed []jobstore.Result
 	chunks int
 	// finished are results that are not in the store yet.
-	finished []journal.Result
+	finished []jobstore.Result
 	serial   int
 	// textsSaved is when the texts of running items were last saved.
 	textsSaved time.Time
--- a/internal/jobs/batch/late_create_test.go
+++ b/internal/jobs/batch/late_create_test.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"testing"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
@@ -20,7 +20,7 @@
 }
 
 func (s *lateStore) Create(ctx context.Context, kind, name string, spec json.RawMessage) (objectstore.Object, error) {
-	if kind != journal.KindJobs {
+	if kind != jobstore.KindJobs {
 		return s.Store.Create(ctx, kind, name, spec)
 	}
 	if s.tries.Add(1) > 1 {
@@ -48,13 +48,13 @@
 	other := cluster.nodes[0]
 	slow := cluster.makeNode("node-1", []*testEngine{engine})
 	late := &lateStore{Store: cluster.store, answer: make(chan struct{})}
-	slow.config.Journal = journal.New(late)
+	slow.config.JobStore = jobstore.New(late)
 	slow.table.Join(slow.ctx)
 	cluster.start(slow)
 	eventually(t, "the slow node has read which jobs there are", slow.Recovered)
 	accepted := make(chan error, 1)
 	go func() { accepted <- cluster.submit(slow, "job", 6) }()
-	eventually(t, "the record is made", func() bool { return cluster.store.Has(journal.KindJobs, "job") })
+	eventually(t, "the record is made", func() bool { return cluster.store.Has(jobstore.KindJobs, "job") })
 	if err := cluster.submit(other, "job", 6); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/jobs/batch/locate.go
+++ b/internal/jobs/batch/locate.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/jobs/ownership"
 	"github.com/pathtally/pathtally/internal/wire"
 )
@@ -31,7 +31,7 @@
 
 // ownerOf returns which other node runs a job, as this node or a locator knows. False
 // leaves the question to the store.
-func (s *Service) ownerOf(ctx context.Context, id string) (journal.Owner, bool) {
+func (s *Service) ownerOf(ctx context.Context, id string) (jobstore.Owner, bool) {
 	if owner, known := s.knownOwner(id); known {
 		return owner, true
 	}
@@ -39,20 +39,20 @@
 }
 
 // knownOwner returns which other node runs a job, if this node knows.
-func (s *Service) knownOwner(id string) (journal.Owner, bool) {
+func (s *Service) knownOwner(id string) (jobstore.Owner, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	remote := s.remoteJobs[id]
 	if remote == nil {
-		return journal.Owner{}, false
+		return jobstore.Owner{}, false
 	}
 	return remote.owner, true
 }
 
 // locate asks the nodes that hear of a job who runs it, where not all nodes do.
-func (s *Service) locate(ctx context.Context, id string) (journal.Owner, bool) {
+func (s *Service) locate(ctx context.Context, id string) (jobstore.Owner, bool) {
 	if s.config.Table.AnnouncesToAll() {
-		return journal.Owner{}, false
+		return jobstore.Owner{}, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, locateTimeout)
 	defer cancel()
@@ -71,7 +71,7 @@
 			return s.learnFound(id, found), true
 		}
 	}
-	return journal.Owner{}, false
+	return jobstore.Owner{}, false
 }
 
 // askLocator asks one node who runs a job; nil if it does not answer.
@@ -85,8 +85,8 @@
 }
 
 // learnFound records what another node knows of a job, and returns its owner.
-func (s *Service) learnFound(id string, found *wire.JobFound) journal.Owner {
-	owner := journal.Owner{Node: found.Owner.Node, Address: found.Owner.Address, Incarnation: found.Owner.Incarnation}
+func (s *Service) learnFound(id string, found *wire.JobFound) jobstore.Owner {
+	owner := jobstore.Owner{Node: found.Owner.Node, Address: found.Owner.Address, Incarnation: found.Owner.Incarnation}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.jobs[id] != nil {
@@ -120,6 +120,6 @@
 }
 
 // addressOf is an owner as messages name it.
-func addressOf(owner journal.Owner) wire.PeerAddress {
+func addressOf(owner jobstore.Owner) wire.PeerAddress {
 	return wire.PeerAddress{Node: owner.Node, Address: owner.Address, Incarnation: owner.Incarnation}
 }
--- a/internal/jobs/batch/locate_test.go
+++ b/internal/jobs/batch/locate_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/jobs/ownership"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
@@ -85,7 +85,7 @@
 // A job that nobody knows is looked for in the store, whose word is certain.
 func TestAJobThatNoNodeKnowsIsLookedForInTheStore(t *testing.T) {
 	large := newLargeCluster(t, 2*ownership.Locators, startEngine(t, 3))
-	if _, err := large.nodes[3].Read(context.Background(), "none", 0, 0); !errors.Is(err, journal.ErrNoSuchJob) {
+	if _, err := large.nodes[3].Read(context.Background(), "none", 0, 0); !errors.Is(err, jobstore.ErrNoSuchJob) {
 		t.Errorf("read of a job that was never handed in: %v", err)
 	}
 }
--- a/internal/jobs/batch/ownerwatch.go
+++ b/internal/jobs/batch/ownerwatch.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/jobs/ownership"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
@@ -81,7 +81,7 @@
 // orphan is a job that this node is to take over.
 type orphan struct {
 	// owner is the one that is silent.
-	owner journal.Owner
+	owner jobstore.Owner
 	// probeOwner tells that it is to be asked first.
 	probeOwner bool
 }
--- a/internal/jobs/batch/publish.go
+++ b/internal/jobs/batch/publish.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
@@ -90,7 +90,7 @@
 	began := time.Now()
 	// The end of the job does not cut the append off: the store may have done it, and a
 	// result that others read there would be missing here.
-	stored, own, err := s.config.Journal.Append(s.within(published.appends, published.record), published.id, index, written)
+	stored, own, err := s.config.JobStore.Append(s.within(published.appends, published.record), published.id, index, written)
 	s.mutex.Lock()
 	published.saving = false
 	s.mutex.Unlock()
@@ -113,18 +113,18 @@
 
 // nextChunk is what is to be written of a job now, and at which place; false if that is
 // nothing.
-func (s *Service) nextChunk(published *job) (written journal.Chunk, index int, due bool) {
+func (s *Service) nextChunk(published *job) (written jobstore.Chunk, index int, due bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if published.ended || published.displaced {
-		return journal.Chunk{}, 0, false
+		return jobstore.Chunk{}, 0, false
 	}
 	results := boundedPart(published.finished)
 	published.flushSoon = false
 	published.serial++
-	written = journal.Chunk{Writer: s.writerName(), Serial: published.serial, Results: results, Texts: published.unsavedTexts(len(results) > 0)}
+	written = jobstore.Chunk{Writer: s.writerName(), Serial: published.serial, Results: results, Texts: published.unsavedTexts(len(results) > 0)}
 	if len(results) == 0 && len(written.Texts) == 0 {
-		return journal.Chunk{}, 0, false
+		return jobstore.Chunk{}, 0, false
 	}
 	if len(written.Texts) > 0 {
 		published.textsSaved, published.saving = time.Now(), true
@@ -159,7 +159,7 @@
 }
 
 // recordChunk adds a chunk that the store has to the listed results.
-func (s *Service) recordChunk(published *job, stored journal.Chunk, own bool) {
+func (s *Service) recordChunk(published *job, stored jobstore.Chunk, own bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if own {
@@ -184,11 +184,11 @@
 }
 
 // boundedPart returns the first results that fit into one object.
-func boundedPart(results []journal.Result) []journal.Result {
+func boundedPart(results []jobstore.Result) []jobstore.Result {
 	size := 0
 	for i, result := range results {
 		size += len(result.Text) + resultOverhead
-		if size > journal.MaxChunkBytes && i > 0 {
+		if size > jobstore.MaxChunkBytes && i > 0 {
 			return results[:i:i]
 		}
 	}
@@ -203,7 +203,7 @@
 	ctx, cancel := context.WithTimeout(s.base, recordReadTimeout)
 	defer cancel()
 	began := time.Now()
-	stored, err := s.config.Journal.Read(ctx, held.id)
+	stored, err := s.config.JobStore.Read(ctx, held.id)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if err == nil {
@@ -213,7 +213,7 @@
 
 // applyRecord applies the record of a held job that a call of the store returned which
 // began at an instant. The mutex must be held.
-func (s *Service) applyRecord(held *job, stored journal.StoredJob, began time.Time) {
+func (s *Service) applyRecord(held *job, stored jobstore.StoredJob, began time.Time) {
 	if s.jobs[held.id] != held {
 		return
 	}
@@ -237,4 +237,4 @@
 // recordReadTimeout bounds a read of a job's record.
 const recordReadTimeout = 2 * time.Second
 
-func encodeResults(results []journal.Result) ([]byte, error) { return json.Marshal(results) }
+func encodeResults(results []jobstore.Result) ([]byte, error) { return json.Marshal(results) }
--- a/internal/jobs/batch/publish_test.go
+++ b/internal/jobs/batch/publish_test.go
@@ -11,7 +11,7 @@
 	"k8s.io/klog/v2"
 
 	"github.com/pathtally/pathtally/internal/clock"
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
@@ -53,8 +53,8 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		store := metastore.New()
 		service := NewService(ctx, Config{
-			Clock:   clock.Steady,
-			Journal: journal.New(store), Directory: directory.NewTable("node", "zone", nil, klog.Background()), Logger: klog.Background(), Registry: prometheus.NewRegistry(),
+			Clock:    clock.Steady,
+			JobStore: jobstore.New(store), Directory: directory.NewTable("node", "zone", nil, klog.Background()), Logger: klog.Background(), Registry: prometheus.NewRegistry(),
 		})
 		held := &job{
 			id: "job", submission: &Submission{Desired: 2}, items: map[string]*item{}, groups: map[string]*group{},
@@ -74,7 +74,7 @@
 		finish := func(id string) {
 			service.mutex.Lock()
 			defer service.mutex.Unlock()
-			service.scheduler.finish(held.items[id], journal.Result{ID: id, State: journal.Succeeded})
+			service.scheduler.finish(held.items[id], jobstore.Result{ID: id, State: jobstore.Succeeded})
 		}
 		go service.publish(held)
 		for number := range 40 {
--- a/internal/jobs/batch/read.go
+++ b/internal/jobs/batch/read.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
@@ -24,11 +24,11 @@
 // Page is a part of a job's results.
 type Page struct {
 	Total   int
-	Results []journal.Result
+	Results []jobstore.Result
 }
 
 // Read returns the results after a position, and waits for one up to the given time.
-// journal.ErrNoSuchJob is certain; other errors mean that this node cannot tell.
+// jobstore.ErrNoSuchJob is certain; other errors mean that this node cannot tell.
 func (s *Service) Read(ctx context.Context, id string, after int, wait time.Duration) (Page, error) {
 	if page, held := s.readHeld(ctx, id, after, wait); held {
 		return page, nil
@@ -42,7 +42,7 @@
 			return page, nil
 		}
 	}
-	stored, err := s.config.Journal.Read(ctx, id)
+	stored, err := s.config.JobStore.Read(ctx, id)
 	if err != nil {
 		return Page{}, err
 	}
@@ -108,10 +108,10 @@
 // readBehind returns what the store has from a chunk on, but for some results: it may
 // have done an append that this node has no answer to, and shown its results to
 // others.
-func (s *Service) readBehind(ctx context.Context, id string, chunks, after int) ([]journal.Result, error) {
+func (s *Service) readBehind(ctx context.Context, id string, chunks, after int) ([]jobstore.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, readBehindTimeout)
 	defer cancel()
-	behind, err := s.config.Journal.Results(s.withinHeld(ctx, id), id, chunks)
+	behind, err := s.config.JobStore.Results(s.withinHeld(ctx, id), id, chunks)
 	if err != nil {
 		s.config.Logger.Info("nothing read behind an append on its way", "request", id, "chunk", chunks, "error", err.Error())
 		return nil, err
@@ -126,7 +126,7 @@
 }
 
 // readFrom reads a job from the node that runs it.
-func (s *Service) readFrom(ctx context.Context, owner journal.Owner, id string, after int, wait time.Duration) (Page, error) {
+func (s *Service) readFrom(ctx context.Context, owner jobstore.Owner, id string, after int, wait time.Duration) (Page, error) {
 	question := &wire.JobRead{Job: id, After: uint32(after), WaitMs: uint32(wait.Milliseconds())}
 	message, err := environment.Ask(ctx, s.config.Peers, owner.Address, question, wait+peerMargin)
 	if err != nil {
@@ -157,11 +157,11 @@
 			return body.Body, nil
 		}
 	}
-	stored, err := s.config.Journal.Read(ctx, id)
+	stored, err := s.config.JobStore.Read(ctx, id)
 	if err != nil {
 		return nil, err
 	}
-	payload, err := s.config.Journal.Payload(s.within(ctx, stored.Record), id, stored.Record.Parts)
+	payload, err := s.config.JobStore.Payload(s.within(ctx, stored.Record), id, stored.Record.Parts)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/jobs/batch/recover.go
+++ b/internal/jobs/batch/recover.go
@@ -30,7 +30,7 @@
 		freshness = objectstore.MayBeStale
 	}
 	for ctx.Err() == nil {
-		all, err := s.config.Journal.ReadAll(ctx, freshness)
+		all, err := s.config.JobStore.ReadAll(ctx, freshness)
 		if err == nil {
 			s.mutex.Lock()
 			for _, stored := range all {
--- a/internal/jobs/batch/refusal.go
+++ b/internal/jobs/batch/refusal.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/callers/forward"
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 )
 
 const (
@@ -32,7 +32,7 @@
 // outcome is not known is answered with a gateway timeout: the caller repeats it, and the
 // job is accepted once.
 func refusalOfSubmission(err error) refusal {
-	var notTaken *journal.NotTakenError
+	var notTaken *jobstore.NotTakenError
 	switch {
 	case errors.Is(err, ErrOtherTenant):
 		return refusal{status: http.StatusConflict}
@@ -47,7 +47,7 @@
 // refusalOfCall is how a read, a question for a body, or an end is refused: not found only
 // where that is certain.
 func refusalOfCall(err error) refusal {
-	if errors.Is(err, journal.ErrNoSuchJob) || errors.Is(err, ErrNoSuchItem) {
+	if errors.Is(err, jobstore.ErrNoSuchJob) || errors.Is(err, ErrNoSuchItem) {
 		return refusal{status: http.StatusNotFound}
 	}
 	return refusal{status: http.StatusServiceUnavailable, retryAfter: retryDelay}
--- a/internal/jobs/batch/refusal_test.go
+++ b/internal/jobs/batch/refusal_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/callers/forward"
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 )
 
 func TestRefusals(t *testing.T) {
@@ -18,11 +18,11 @@
 		want refusal
 	}{
 		{"submission of another tenant's job", refusalOfSubmission(ErrOtherTenant), refusal{http.StatusConflict, 0}},
-		{"submission without a home", refusalOfSubmission(&journal.NotTakenError{Cause: forward.ErrNoHome}), refusal{http.StatusServiceUnavailable, 2 * time.Second}},
-		{"submission not taken", refusalOfSubmission(&journal.NotTakenError{Cause: broken}), refusal{http.StatusServiceUnavailable, 200 * time.Millisecond}},
-		{"submission uncertain", refusalOfSubmission(&journal.UncertainError{Cause: broken}), refusal{http.StatusGatewayTimeout, 0}},
+		{"submission without a home", refusalOfSubmission(&jobstore.NotTakenError{Cause: forward.ErrNoHome}), refusal{http.StatusServiceUnavailable, 2 * time.Second}},
+		{"submission not taken", refusalOfSubmission(&jobstore.NotTakenError{Cause: broken}), refusal{http.StatusServiceUnavailable, 200 * time.Millisecond}},
+		{"submission uncertain", refusalOfSubmission(&jobstore.UncertainError{Cause: broken}), refusal{http.StatusGatewayTimeout, 0}},
 		{"submission that failed otherwise", refusalOfSubmission(broken), refusal{http.StatusGatewayTimeout, 0}},
-		{"call about no job", refusalOfCall(journal.ErrNoSuchJob), refusal{http.StatusNotFound, 0}},
+		{"call about no job", refusalOfCall(jobstore.ErrNoSuchJob), refusal{http.StatusNotFound, 0}},
 		{"call about no item", refusalOfCall(ErrNoSuchItem), refusal{http.StatusNotFound, 0}},
 		{"call that failed otherwise", refusalOfCall(broken), refusal{http.StatusServiceUnavailable, 200 * time.Millisecond}},
 	} {
--- a/internal/jobs/batch/remotejob.go
+++ b/internal/jobs/batch/remotejob.go
@@ -4,14 +4,14 @@
 	"strconv"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/jobs/ownership"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
 // remoteJob is a batch job that another node runs.
 type remoteJob struct {
-	owner journal.Owner
+	owner jobstore.Owner
 	// epoch is the owner's place among the job's owners, 0 for unknown.
 	epoch int
 	// lastHeartbeat is when the owner was last known to run it.
@@ -38,7 +38,7 @@
 	retryAt time.Time
 	// results are those read from the store, for answers while the owner is
 	// silent, and chunks their number of objects.
-	results []journal.Result
+	results []jobstore.Result
 	chunks  int
 	// total is how many items the job has, 0 while unknown.
 	total int
@@ -51,7 +51,7 @@
 // learnRemote records who runs a job in an epoch, 0 for unknown. An earlier epoch than the
 // one known changes nothing: a former owner announces it until it has read the record. The
 // mutex must be held.
-func (s *Service) learnRemote(id string, owner journal.Owner, epoch int, ended bool) *remoteJob {
+func (s *Service) learnRemote(id string, owner jobstore.Owner, epoch int, ended bool) *remoteJob {
 	remote := s.remoteJobs[id]
 	if remote == nil {
 		remote = &remoteJob{}
--- a/internal/jobs/batch/replicas_test.go
+++ b/internal/jobs/batch/replicas_test.go
@@ -10,7 +10,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/jobs/placement"
 	"github.com/pathtally/pathtally/internal/jobs/replicastate"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
@@ -57,7 +57,7 @@
 		Name: "drafts", Targets: []directory.Target{{Service: "engines", Weight: 1}},
 	}}}, 1)
 	service := NewService(context.Background(), Config{Directory: table, Registry: prometheus.NewRegistry()})
-	waiting := &item{job: &job{record: journal.Record{Route: "drafts"}, submission: &Submission{Model: "m", MinVersion: 3}}}
+	waiting := &item{job: &job{record: jobstore.Record{Route: "drafts"}, submission: &Submission{Model: "m", MinVersion: 3}}}
 	return service, waiting
 }
 
@@ -148,7 +148,7 @@
 	const ageStep = 2 * time.Second
 	now := time.Now()
 	waiting := func(id, route string, accepted time.Time, rank int) *item {
-		return &item{Item: &Item{ID: id}, rank: placement.Rank{Position: rank}, job: &job{record: journal.Record{Route: route}, submission: &Submission{}, takenUp: accepted}}
+		return &item{Item: &Item{ID: id}, rank: placement.Rank{Position: rank}, job: &job{record: jobstore.Record{Route: route}, submission: &Submission{}, takenUp: accepted}}
 	}
 	service.scheduler.queue = []*item{
 		waiting("a", "later", now.Add(-10*ageStep), 0), waiting("b", "first", now, 1), waiting("c", "first", now, 0), waiting("d", "first", now.Add(-2*ageStep), 2),
--- a/internal/jobs/batch/runerror.go
+++ b/internal/jobs/batch/runerror.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/callers/dispatch"
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/jobs/placement"
 	"github.com/pathtally/pathtally/internal/jobs/replicastate"
 )
@@ -75,7 +75,7 @@
 // abandon ends an item without its text. The mutex must be held.
 func (s *scheduler) abandon(work *item, reason string) {
 	s.config.Logger.Info("item given up", "request", work.ID, "job", work.job.id, "reason", reason, "failures", work.failures)
-	s.finish(work, journal.Result{ID: work.ID, State: journal.Abandoned})
+	s.finish(work, jobstore.Result{ID: work.ID, State: jobstore.Abandoned})
 }
 
 // itemAttempts is how many failures end an item.
@@ -92,7 +92,7 @@
 const defaultAttempts = 3
 
 // finish takes an item's result. The mutex must be held.
-func (s *scheduler) finish(work *item, result journal.Result) {
+func (s *scheduler) finish(work *item, result jobstore.Result) {
 	if work.done || work.job.ended || work.job.displaced {
 		return
 	}
--- a/internal/jobs/batch/runner.go
+++ b/internal/jobs/batch/runner.go
@@ -9,7 +9,7 @@
 
 	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
@@ -144,7 +144,7 @@
 		return
 	}
 	err = s.submitHere(ctx, arrival)
-	var notTaken *journal.NotTakenError
+	var notTaken *jobstore.NotTakenError
 	switch {
 	case err == nil:
 		reply(&wire.JobSubmitted{Outcome: wire.OutcomeDone})
--- a/internal/jobs/batch/scheduler.go
+++ b/internal/jobs/batch/scheduler.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/jobs/placement"
 	"github.com/pathtally/pathtally/internal/jobs/replicastate"
 	"github.com/pathtally/pathtally/internal/jobs/statistics"
@@ -115,7 +115,7 @@
 		return false
 	}
 	s.config.Logger.Info("item given up", "request", waiting.ID, "job", waiting.job.id, "reason", "its time has run out", "breaks", waiting.breaks)
-	s.finish(waiting, journal.Result{ID: waiting.ID, State: journal.Abandoned})
+	s.finish(waiting, jobstore.Result{ID: waiting.ID, State: jobstore.Abandoned})
 	return true
 }
 
--- a/internal/jobs/batch/score.go
+++ b/internal/jobs/batch/score.go
@@ -3,14 +3,14 @@
 import (
 	"time"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 )
 
 // score has the whole text of an item scored and finishes the item.
 func (s *scheduler) score(ran *attempt, attempts func() int) {
 	work := ran.item
 	whole := time.Now()
-	result := journal.Result{ID: work.ID, State: journal.Succeeded, Text: work.progress.text(), Versions: work.progress.madeBy()}
+	result := jobstore.Result{ID: work.ID, State: jobstore.Succeeded, Text: work.progress.text(), Versions: work.progress.madeBy()}
 	if work.Reward != nil {
 		score, failed, scored := s.scorer.callReward(work, attempts)
 		if !scored && !failed {
@@ -18,7 +18,7 @@
 		}
 		result.Score = score
 		if failed {
-			result = journal.Result{ID: work.ID, State: journal.Abandoned}
+			result = jobstore.Result{ID: work.ID, State: jobstore.Abandoned}
 			s.config.Logger.Info("item given up", "request", work.ID, "job", work.job.id, "reason", "its scorer failed", "reward", work.Reward.ID)
 		}
 	}
--- a/internal/jobs/batch/seal.go
+++ b/internal/jobs/batch/seal.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/replicas/homes"
 )
 
@@ -26,19 +26,19 @@
 		return
 	}
 	known.sealAfter = time.Now().Add(sealTimeout + sealRetryPause)
-	go s.seal(id, known, journal.Listing{Chunks: known.chunks})
+	go s.seal(id, known, jobstore.Listing{Chunks: known.chunks})
 }
 
 // seal writes an empty chunk behind a number of chunks and all that came since, and
 // records what the store has then as final.
-func (s *Service) seal(id string, known *remoteJob, behind journal.Listing) {
+func (s *Service) seal(id string, known *remoteJob, behind jobstore.Listing) {
 	from := behind.Chunks
 	ctx, cancel := context.WithTimeout(s.base, sealTimeout)
 	defer cancel()
 	s.mutex.Lock()
 	bounds := s.boundsOf(*known.origin)
 	s.mutex.Unlock()
-	behind, err := s.config.Journal.Seal(homes.WithBounds(ctx, bounds), id, behind, s.writerName())
+	behind, err := s.config.JobStore.Seal(homes.WithBounds(ctx, bounds), id, behind, s.writerName())
 	if err != nil {
 		s.config.Logger.Info("ended batch job not sealed", "request", id, "error", err.Error())
 		return
--- a/internal/jobs/batch/service.go
+++ b/internal/jobs/batch/service.go
@@ -13,7 +13,7 @@
 	"github.com/pathtally/pathtally/internal/cluster/peering"
 	"github.com/pathtally/pathtally/internal/environment"
 	"github.com/pathtally/pathtally/internal/jobs/ends"
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/jobs/replicastate"
 	"github.com/pathtally/pathtally/internal/jobs/statistics"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
@@ -21,8 +21,8 @@
 
 // Config is what a Service needs.
 type Config struct {
-	Self       journal.Owner
-	Journal    *journal.Journal
+	Self       jobstore.Owner
+	JobStore   *jobstore.Store
 	Codec      Codec
 	Directory  *directory.Table
 	Dispatcher *dispatch.Dispatcher
@@ -115,7 +115,7 @@
 
 // priorityOf is the rank of a job's items, 0 the most urgent: that of its tenant,
 // else that of its route.
-func priorityOf(configuration *directory.Configuration, record journal.Record) int {
+func priorityOf(configuration *directory.Configuration, record jobstore.Record) int {
 	if configuration == nil {
 		return 0
 	}
--- a/internal/jobs/batch/service_test.go
+++ b/internal/jobs/batch/service_test.go
@@ -10,7 +10,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"k8s.io/klog/v2"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/jobs/replicastate"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
@@ -38,7 +38,7 @@
 	if err != nil || string(body) != "body of job.3" {
 		t.Errorf("body of an item: %q, %v", body, err)
 	}
-	if _, err := cluster.nodes[1].Read(context.Background(), "other", 0, 0); !errors.Is(err, journal.ErrNoSuchJob) {
+	if _, err := cluster.nodes[1].Read(context.Background(), "other", 0, 0); !errors.Is(err, jobstore.ErrNoSuchJob) {
 		t.Errorf("a job that nobody submitted: %v", err)
 	}
 }
@@ -61,7 +61,7 @@
 }
 
 func TestItemThatFailsIsAbandonedAfterItsAttempts(t *testing.T) {
-	for failures, want := range map[int]journal.State{2: journal.Succeeded, 3: journal.Abandoned} {
+	for failures, want := range map[int]jobstore.State{2: jobstore.Succeeded, 3: jobstore.Abandoned} {
 		engine := startEngine(t, 2)
 		engine.fail["job.0"] = failures
 		cluster := newCluster(t, 1, engine)
@@ -69,7 +69,7 @@
 			t.Fatal(err)
 		}
 		for _, result := range cluster.readAll(cluster.nodes[0], "job", 2) {
-			wanted := journal.Succeeded
+			wanted := jobstore.Succeeded
 			if result.ID == "job.0" {
 				wanted = want
 			}
@@ -83,7 +83,7 @@
 // A replica that fails all items is to blame for it, and they are given up later
 // than they would be for failures of their own, but not never.
 func TestItemsOfAFailingReplicaAreGivenMoreAttempts(t *testing.T) {
-	for failures, want := range map[int]journal.State{4: journal.Succeeded, maxFailuresFactor * 3: journal.Abandoned} {
+	for failures, want := range map[int]jobstore.State{4: jobstore.Succeeded, maxFailuresFactor * 3: jobstore.Abandoned} {
 		engine := startEngine(t, 2)
 		for number := range 4 {
 			engine.fail[fmt.Sprint("job.", number)] = failures
@@ -94,11 +94,11 @@
 		}
 		abandoned := 0
 		for _, result := range cluster.readAll(cluster.nodes[0], "job", 4) {
-			if result.State == journal.Abandoned {
+			if result.State == jobstore.Abandoned {
 				abandoned++
 			}
 		}
-		if (want == journal.Abandoned) != (abandoned == 4) || (want == journal.Succeeded && abandoned > 0) {
+		if (want == jobstore.Abandoned) != (abandoned == 4) || (want == jobstore.Succeeded && abandoned > 0) {
 			t.Errorf("after %d failures each %d of 4 items are given up, want %s", failures, abandoned, want)
 		}
 	}
@@ -129,13 +129,13 @@
 	defer cancel()
 	made, payload := submission("job", 2)
 	err := cluster.nodes[0].Submit(ctx, &Arrival{ID: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Submission: made})
-	var notTaken *journal.NotTakenError
-	var uncertain *journal.UncertainError
+	var notTaken *jobstore.NotTakenError
+	var uncertain *jobstore.UncertainError
 	if !errors.As(err, &notTaken) && !errors.As(err, &uncertain) {
 		t.Fatalf("submission without a store: %v", err)
 	}
 	cluster.store.SetFault(nil)
-	if _, err := cluster.store.Get(context.Background(), journal.KindJobs, "job", objectstore.Linearizable); !errors.Is(err, objectstore.ErrNotFound) {
+	if _, err := cluster.store.Get(context.Background(), jobstore.KindJobs, "job", objectstore.Linearizable); !errors.Is(err, objectstore.ErrNotFound) {
 		t.Errorf("the job is in the store: %v", err)
 	}
 }
@@ -145,7 +145,7 @@
 func TestUncertainSubmissionIsPursued(t *testing.T) {
 	cluster := newCluster(t, 1, startEngine(t, 2))
 	cluster.store.SetFault(func(call metastore.Call) metastore.Fault {
-		if call.Kind == journal.KindJobs && call.Verb == "create" {
+		if call.Kind == jobstore.KindJobs && call.Verb == "create" {
 			return metastore.Late
 		}
 		return metastore.Sound
@@ -154,7 +154,7 @@
 	defer cancel()
 	made, payload := submission("job", 2)
 	err := cluster.nodes[0].Submit(ctx, &Arrival{ID: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Submission: made})
-	var uncertain *journal.UncertainError
+	var uncertain *jobstore.UncertainError
 	if !errors.As(err, &uncertain) {
 		t.Fatalf("submission without an answer: %v", err)
 	}
--- a/internal/jobs/batch/start.go
+++ b/internal/jobs/batch/start.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/jobs/placement"
 )
 
@@ -14,7 +14,7 @@
 
 // start starts a job whose record named this process as its owner when it was read. The
 // mutex must not be held.
-func (s *Service) start(id string, submission *Submission, record journal.Record, listed journal.Listing, confirmed time.Time) {
+func (s *Service) start(id string, submission *Submission, record jobstore.Record, listed jobstore.Listing, confirmed time.Time) {
 	s.mutex.Lock()
 	if existing := s.jobs[id]; existing != nil && !existing.displaced {
 		s.mutex.Unlock()
@@ -22,7 +22,7 @@
 	}
 	if s.ends.Has(id) {
 		// It was ended while this node read it or waited for the store's answer.
-		s.learnStored(journal.StoredJob{ID: id, Record: record, Ended: true})
+		s.learnStored(jobstore.StoredJob{ID: id, Record: record, Ended: true})
 		s.mutex.Unlock()
 		s.config.Logger.Info("batch job not started: it has ended", "request", id, "epoch", record.Epoch)
 		go s.persistEnd(id)
@@ -53,7 +53,7 @@
 
 // newJob returns a job whose items have their ranks; those that are listed are
 // settled. The mutex must be held.
-func (s *Service) newJob(id string, submission *Submission, record journal.Record, listed journal.Listing) *job {
+func (s *Service) newJob(id string, submission *Submission, record jobstore.Record, listed jobstore.Listing) *job {
 	appends, cancelAppends := context.WithCancel(s.base)
 	ctx, cancel := context.WithCancel(appends)
 	made := &job{
@@ -111,7 +111,7 @@
 
 // dueOf is when a job is to be whole and how long after its acceptance that is; zero for
 // a route that names no time.
-func (s *Service) dueOf(record journal.Record) (time.Time, time.Duration) {
+func (s *Service) dueOf(record jobstore.Record) (time.Time, time.Duration) {
 	configuration := s.config.Directory.View().Configuration
 	if configuration == nil {
 		return time.Time{}, 0
@@ -124,7 +124,7 @@
 }
 
 // retention is after how long items of a job may be given up, 0 for never.
-func (s *Service) retention(record journal.Record) time.Duration {
+func (s *Service) retention(record jobstore.Record) time.Duration {
 	configuration := s.config.Directory.View().Configuration
 	if configuration == nil {
 		return 0
--- a/internal/jobs/batch/stored.go
+++ b/internal/jobs/batch/stored.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"time"
 )
 
@@ -15,7 +15,7 @@
 // set once done is closed.
 type storedLoad struct {
 	done    chan struct{}
-	results []journal.Result
+	results []jobstore.Result
 	total   int
 	err     error
 }
@@ -25,7 +25,7 @@
 // give up: with a bound as short as a caller's patience a large job on a slow link
 // was never read to its end, however often it was asked for. An open job is read
 // anew for each, since what a reading under way has missed may have been seen.
-func (s *Service) readStored(ctx context.Context, stored journal.StoredJob, after int) (Page, error) {
+func (s *Service) readStored(ctx context.Context, stored jobstore.StoredJob, after int) (Page, error) {
 	if !stored.Ended {
 		results, total, err := s.loadStored(ctx, stored)
 		return pageAfter(results, after, total), err
@@ -43,7 +43,7 @@
 }
 
 // joinLoad returns the reading of a job that is under way, or begins one.
-func (s *Service) joinLoad(stored journal.StoredJob) *storedLoad {
+func (s *Service) joinLoad(stored jobstore.StoredJob) *storedLoad {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if load := s.storedLoads[stored.ID]; load != nil {
@@ -65,7 +65,7 @@
 
 // loadStored reads what is not known yet of a job from the store, and returns all
 // its results and how many items it has.
-func (s *Service) loadStored(ctx context.Context, stored journal.StoredJob) (results []journal.Result, total int, err error) {
+func (s *Service) loadStored(ctx context.Context, stored jobstore.StoredJob) (results []jobstore.Result, total int, err error) {
 	s.mutex.Lock()
 	known := s.learnStored(stored)
 	from := known.chunks
@@ -77,7 +77,7 @@
 			return nil, 0, err
 		}
 	}
-	added, err := s.config.Journal.Results(ctx, stored.ID, from)
+	added, err := s.config.JobStore.Results(ctx, stored.ID, from)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -95,7 +95,7 @@
 // keepStored keeps what was read of a job, so that the next reading goes on behind it.
 // A node that may not have the job's bodies keeps nothing: it has shown them to a
 // caller of its own, and reads them anew for the next. The mutex must be held.
-func (s *Service) keepStored(stored journal.StoredJob, known *remoteJob, results []journal.Result, added journal.Listing) {
+func (s *Service) keepStored(stored jobstore.StoredJob, known *remoteJob, results []jobstore.Result, added jobstore.Listing) {
 	if added.Chunks > known.chunks {
 		known.results, known.chunks = results, added.Chunks
 	}
@@ -106,8 +106,8 @@
 }
 
 // readTotal reads how many items a job has.
-func (s *Service) readTotal(ctx context.Context, stored journal.StoredJob) (int, error) {
-	payload, err := s.config.Journal.Payload(ctx, stored.ID, stored.Record.Parts)
+func (s *Service) readTotal(ctx context.Context, stored jobstore.StoredJob) (int, error) {
+	payload, err := s.config.JobStore.Payload(ctx, stored.ID, stored.Record.Parts)
 	if err != nil {
 		return 0, err
 	}
@@ -130,7 +130,7 @@
 }
 
 // pageAfter is the page of the results behind a position.
-func pageAfter(results []journal.Result, after, total int) Page {
+func pageAfter(results []jobstore.Result, after, total int) Page {
 	page := Page{Total: total}
 	if after < len(results) {
 		page.Results = results[after:]
@@ -144,7 +144,7 @@
 	if page, final := s.readFinal(id, after); final {
 		return page, true
 	}
-	stored, err := s.config.Journal.Read(ctx, id)
+	stored, err := s.config.JobStore.Read(ctx, id)
 	if err != nil || !stored.Ended || stored.Record.Owner.Node != s.config.Self.Node {
 		return Page{}, false
 	}
--- a/internal/jobs/batch/stored_ends_test.go
+++ b/internal/jobs/batch/stored_ends_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/wire"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
@@ -46,7 +46,7 @@
 	cluster.store.SetFault(nil)
 	cluster.setCut("node-0", false)
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		standing, err := journal.New(cluster.store).Read(context.Background(), "job")
+		standing, err := jobstore.New(cluster.store).Read(context.Background(), "job")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -75,7 +75,7 @@
 	}
 	owner.ReceiveHeartbeat(&wire.NodeBeat{Node: "former", Address: "former", Incarnation: 1, Ended: []string{"job"}})
 	for end := time.Now().Add(3 * recordCheckInterval); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		standing, err := journal.New(cluster.store).Read(context.Background(), "job")
+		standing, err := jobstore.New(cluster.store).Read(context.Background(), "job")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/jobs/batch/stored_test.go
+++ b/internal/jobs/batch/stored_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 )
 
 // endedCluster is a cluster whose first node ran a job to its end and was then
@@ -67,13 +67,13 @@
 		t.Fatal(err)
 	}
 	cluster.awaitSeal(cluster.nodes[0])
-	jobJournal := journal.New(cluster.store)
-	listed, err := jobJournal.Results(context.Background(), "job", 0)
+	stored := jobstore.New(cluster.store)
+	listed, err := stored.Results(context.Background(), "job", 0)
 	if err != nil || !listed.Sealed {
 		t.Fatalf("the results are sealed: %v, error %v", listed.Sealed, err)
 	}
-	late := journal.Chunk{Writer: "late", Results: []journal.Result{{ID: "late", State: journal.Abandoned}}}
-	standing, own, err := jobJournal.Append(context.Background(), "job", listed.Chunks-1, late)
+	late := jobstore.Chunk{Writer: "late", Results: []jobstore.Result{{ID: "late", State: jobstore.Abandoned}}}
+	standing, own, err := stored.Append(context.Background(), "job", listed.Chunks-1, late)
 	if err != nil || own || !standing.Seal {
 		t.Errorf("a late append is done: %v, seal %v, error %v", own, standing.Seal, err)
 	}
@@ -116,8 +116,8 @@
 	node.mutex.Lock()
 	held := node.jobs["job"]
 	held.confirmedAt = looked
-	node.scheduler.finish(held.items["job.0"], journal.Result{ID: "job.0", State: journal.Abandoned})
-	node.scheduler.finish(held.items["job.1"], journal.Result{ID: "job.1", State: journal.Abandoned})
+	node.scheduler.finish(held.items["job.0"], jobstore.Result{ID: "job.0", State: jobstore.Abandoned})
+	node.scheduler.finish(held.items["job.1"], jobstore.Result{ID: "job.1", State: jobstore.Abandoned})
 	node.mutex.Unlock()
 	eventually(t, "the results are appended", func() bool {
 		node.mutex.Lock()
@@ -136,7 +136,7 @@
 // s, and the next began anew.
 func TestAStoredJobIsReadOnAfterItsReaderGaveUp(t *testing.T) {
 	cluster := endedCluster(t)
-	gate := cluster.setGate("list", journal.KindResults)
+	gate := cluster.setGate("list", jobstore.KindResults)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	if _, err := cluster.nodes[0].Read(ctx, "job", 0, 0); err == nil {
@@ -154,7 +154,7 @@
 // Readers that ask at the same time share one reading.
 func TestReadersShareOneReadingOfTheStore(t *testing.T) {
 	cluster := endedCluster(t)
-	gate := cluster.setGate("list", journal.KindResults)
+	gate := cluster.setGate("list", jobstore.KindResults)
 	node := cluster.nodes[0]
 	lists := cluster.store.Calls("list")
 	results := make(chan error, 20)
@@ -162,7 +162,7 @@
 		go func() {
 			page, err := node.Read(context.Background(), "job", 0, 0)
 			if err == nil && len(page.Results) != 4 {
-				err = journal.ErrTruncated
+				err = jobstore.ErrTruncated
 			}
 			results <- err
 		}()
@@ -186,7 +186,7 @@
 // What a node knows of an ended job may be forgotten while the job is read.
 func TestAJobForgottenWhileItIsReadIsReadWhole(t *testing.T) {
 	cluster := endedCluster(t)
-	gate := cluster.setGate("list", journal.KindResults)
+	gate := cluster.setGate("list", jobstore.KindResults)
 	node := cluster.nodes[0]
 	type answer struct {
 		page Page
--- a/internal/jobs/batch/submission.go
+++ b/internal/jobs/batch/submission.go
@@ -1,7 +1,7 @@
 package batch
 
 import (
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"net/http"
 )
 
@@ -48,7 +48,7 @@
 	// Submission reads a batch job with the id of a request.
 	Submission(body []byte) (*Submission, error)
 	// Page writes a part of a job's results.
-	Page(total, next int, results []journal.Result) ([]byte, error)
+	Page(total, next int, results []jobstore.Result) ([]byte, error)
 	// Call reads what a request about a batch job asks; false if it is none. The
 	// error is that of a request that cannot be understood.
 	Call(request *http.Request) (call Call, isCall bool, err error)
--- a/internal/jobs/batch/takeover.go
+++ b/internal/jobs/batch/takeover.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/jobs/ownership"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
@@ -30,7 +30,7 @@
 		s.mutex.Unlock()
 		return
 	}
-	stored, err := s.config.Journal.Read(ctx, id)
+	stored, err := s.config.JobStore.Read(ctx, id)
 	if err != nil {
 		s.config.Logger.Info("batch job not taken over", "request", id, "error", err.Error())
 		return
@@ -41,7 +41,7 @@
 	if may, _ := ownership.DecideReplace(stored, lost.owner, outsider); !may {
 		return
 	}
-	taken, err := s.config.Journal.TakeOver(ctx, stored, s.config.Self)
+	taken, err := s.config.JobStore.TakeOver(ctx, stored, s.config.Self)
 	if err != nil {
 		s.config.Logger.Info("batch job not taken over", "request", id, "error", err.Error())
 		return
@@ -53,7 +53,7 @@
 
 // loadJob reads a job that this process owns from the store and starts it, unless it has
 // ended meanwhile or is another node's.
-func (s *Service) loadJob(ctx context.Context, stored journal.StoredJob) {
+func (s *Service) loadJob(ctx context.Context, stored jobstore.StoredJob) {
 	for ctx.Err() == nil {
 		submission, listed, err := s.readJob(ctx, stored)
 		if err == nil {
@@ -68,10 +68,10 @@
 // startConfirmed reads a job's record once more and starts the job if it is open and this
 // process still owns it: reading the job may have taken seconds, and an end that came
 // meanwhile must not be followed by runs.
-func (s *Service) startConfirmed(ctx context.Context, read journal.StoredJob, submission *Submission, listed journal.Listing) {
+func (s *Service) startConfirmed(ctx context.Context, read jobstore.StoredJob, submission *Submission, listed jobstore.Listing) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		stored, err := s.config.Journal.Read(ctx, read.ID)
+		stored, err := s.config.JobStore.Read(ctx, read.ID)
 		if err != nil {
 			s.config.Logger.Info("record of batch job not read before its start", "request", read.ID, "error", err.Error())
 			objectstore.Pause(ctx, readRetryPause)
@@ -90,21 +90,21 @@
 }
 
 // readJob reads a job's submission and its stored results, behind which it writes a fence.
-func (s *Service) readJob(ctx context.Context, stored journal.StoredJob) (*Submission, journal.Listing, error) {
+func (s *Service) readJob(ctx context.Context, stored jobstore.StoredJob) (*Submission, jobstore.Listing, error) {
 	ctx = s.within(ctx, stored.Record)
-	payload, err := s.config.Journal.Payload(ctx, stored.ID, stored.Record.Parts)
+	payload, err := s.config.JobStore.Payload(ctx, stored.ID, stored.Record.Parts)
 	if err != nil {
-		return nil, journal.Listing{}, err
+		return nil, jobstore.Listing{}, err
 	}
-	listed, err := s.config.Journal.Results(ctx, stored.ID, 0)
+	listed, err := s.config.JobStore.Results(ctx, stored.ID, 0)
 	if err != nil {
-		return nil, journal.Listing{}, err
+		return nil, jobstore.Listing{}, err
 	}
 	submission, err := s.config.Codec.Submission(payload)
 	if err != nil {
-		return nil, journal.Listing{}, err
+		return nil, jobstore.Listing{}, err
 	}
-	listed, err = s.config.Journal.Fence(ctx, stored.ID, listed, s.writerName())
+	listed, err = s.config.JobStore.Fence(ctx, stored.ID, listed, s.writerName())
 	return submission, listed, err
 }
 
--- a/internal/jobs/batch/takeover_test.go
+++ b/internal/jobs/batch/takeover_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/jobs/ownership"
 	"github.com/pathtally/pathtally/standin/metastore"
 )
@@ -95,7 +95,7 @@
 	// The former owner reaches the store, and only that, and finishes first.
 	former.mutex.Lock()
 	held := former.jobs["job"]
-	former.scheduler.finish(held.items["job.0"], journal.Result{ID: "job.0", State: journal.Abandoned})
+	former.scheduler.finish(held.items["job.0"], jobstore.Result{ID: "job.0", State: jobstore.Abandoned})
 	former.mutex.Unlock()
 	eventually(t, "the former owner learns of its successor", func() bool {
 		former.mutex.Lock()
@@ -106,7 +106,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stored, err := journal.New(cluster.store).Results(context.Background(), "job", 0)
+	stored, err := jobstore.New(cluster.store).Results(context.Background(), "job", 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -171,14 +171,14 @@
 		defer cluster.nodes[0].mutex.Unlock()
 		return len(cluster.nodes[0].scheduler.attempts) == 0 && len(cluster.nodes[0].scheduler.queue) == 0
 	})
-	standing, err := journal.New(cluster.store).Read(context.Background(), "job")
+	standing, err := jobstore.New(cluster.store).Read(context.Background(), "job")
 	if err != nil || !standing.Ended {
 		t.Errorf("the store has the end: %v, %v", standing.Ended, err)
 	}
 	if err := cluster.nodes[0].End(context.Background(), "job"); err != nil {
 		t.Errorf("a repeated end: %v", err)
 	}
-	if err := cluster.nodes[0].End(context.Background(), "other"); !errors.Is(err, journal.ErrNoSuchJob) {
+	if err := cluster.nodes[0].End(context.Background(), "other"); !errors.Is(err, jobstore.ErrNoSuchJob) {
 		t.Errorf("the end of a job that nobody submitted: %v", err)
 	}
 }
@@ -252,14 +252,14 @@
 	peer, _ := node.table.Get("node-1")
 	for _, test := range []struct {
 		name  string
-		owner journal.Owner
+		owner jobstore.Owner
 		least time.Duration
 		most  time.Duration
 	}{
-		{"this node's former process", journal.Owner{Node: "node-0", Incarnation: 1}, 0, 0},
-		{"a peer's former process", journal.Owner{Node: "node-1", Incarnation: 1}, ownership.RankDelay, 2 * ownership.RankDelay},
-		{"a peer's process", journal.Owner{Node: "node-1", Incarnation: peer.Incarnation}, ownership.OwnerTimeout, ownership.OwnerTimeout + ownership.RankDelay},
-		{"a node never heard", journal.Owner{Node: "node-9", Incarnation: 1}, ownership.OwnerTimeout, ownership.OwnerTimeout + 2*ownership.RankDelay},
+		{"this node's former process", jobstore.Owner{Node: "node-0", Incarnation: 1}, 0, 0},
+		{"a peer's former process", jobstore.Owner{Node: "node-1", Incarnation: 1}, ownership.RankDelay, 2 * ownership.RankDelay},
+		{"a peer's process", jobstore.Owner{Node: "node-1", Incarnation: peer.Incarnation}, ownership.OwnerTimeout, ownership.OwnerTimeout + ownership.RankDelay},
+		{"a node never heard", jobstore.Owner{Node: "node-9", Incarnation: 1}, ownership.OwnerTimeout, ownership.OwnerTimeout + 2*ownership.RankDelay},
 	} {
 		node.mutex.Lock()
 		wait := node.takeoverDelay("job", &remoteJob{owner: test.owner})
--- a/internal/jobs/batch/texts.go
+++ b/internal/jobs/batch/texts.go
@@ -1,7 +1,7 @@
 package batch
 
 import (
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"slices"
 	"strings"
 	"time"
@@ -53,7 +53,7 @@
 // unsavedTexts are the parts of the texts of running items that the store lacks,
 // as far as one object holds them; none before it is time, which is sooner where
 // results are written with them. The mutex must be held.
-func (j *job) unsavedTexts(besideResults bool) []journal.TextPiece {
+func (j *job) unsavedTexts(besideResults bool) []jobstore.TextPiece {
 	period := textPeriod
 	if besideResults {
 		period = besideResultsPeriod
@@ -61,15 +61,15 @@
 	if time.Since(j.textsSaved) < period {
 		return nil
 	}
-	var pieces []journal.TextPiece
+	var pieces []jobstore.TextPiece
 	size := 0
 	for _, id := range j.order {
 		running := j.items[id]
 		made := len(running.progress.events)
-		if running.done || made < leastText || made-running.saved < leastPiece || size > journal.MaxChunkBytes {
+		if running.done || made < leastText || made-running.saved < leastPiece || size > jobstore.MaxChunkBytes {
 			continue
 		}
-		part := journal.TextPiece{
+		part := jobstore.TextPiece{
 			Item: id, From: running.saved, TextNumber: running.texts,
 			Events: running.progress.events[running.saved:made:made], Versions: running.progress.versions[running.saved:made:made],
 		}
@@ -82,7 +82,7 @@
 }
 
 // noteSaved records which texts the store now has. The mutex must be held.
-func (j *job) recordSaved(pieces []journal.TextPiece) {
+func (j *job) recordSaved(pieces []jobstore.TextPiece) {
 	for _, part := range pieces {
 		// The item may have begun another text while this one was on its way.
 		if saved := j.items[part.Item]; saved != nil && saved.saved == part.From && saved.texts == part.TextNumber {
@@ -94,7 +94,7 @@
 // joinPieces puts texts together from their pieces in the order in which they were
 // written. A piece that begins within the text so far replaces the rest, since its writer
 // began there anew; one that begins behind it is of no use.
-func joinPieces(pieces []journal.TextPiece) map[string]progress {
+func joinPieces(pieces []jobstore.TextPiece) map[string]progress {
 	texts := map[string]progress{}
 	for _, part := range pieces {
 		existing := texts[part.Item]
--- a/internal/jobs/batch/texts_test.go
+++ b/internal/jobs/batch/texts_test.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 	"fmt"
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"reflect"
 	"testing"
 	"time"
@@ -12,23 +12,23 @@
 func TestTextsAreJoinedFromTheirPieces(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		pieces []journal.TextPiece
+		pieces []jobstore.TextPiece
 		want   progress
 	}{
-		{"in order", []journal.TextPiece{
+		{"in order", []jobstore.TextPiece{
 			{Item: "a", Events: []string{"1", "2"}, Versions: []int64{1, 1}}, {Item: "a", From: 2, Events: []string{"3"}, Versions: []int64{2}},
 		}, progress{events: []string{"1", "2", "3"}, versions: []int64{1, 1, 2}}},
-		{"begun anew", []journal.TextPiece{
+		{"begun anew", []jobstore.TextPiece{
 			{Item: "a", Events: []string{"1", "2"}, Versions: []int64{1, 1}}, {Item: "a", Events: []string{"x"}, Versions: []int64{2}},
 		}, progress{events: []string{"x"}, versions: []int64{2}}},
-		{"continued by a later owner", []journal.TextPiece{
+		{"continued by a later owner", []jobstore.TextPiece{
 			{Item: "a", Events: []string{"1"}, Versions: []int64{1}}, {Item: "a", From: 1, Events: []string{"2", "3"}, Versions: []int64{1, 1}},
 			{Item: "a", From: 1, Events: []string{"y"}, Versions: []int64{2}},
 		}, progress{events: []string{"1", "y"}, versions: []int64{1, 2}}},
-		{"with a gap", []journal.TextPiece{
+		{"with a gap", []jobstore.TextPiece{
 			{Item: "a", Events: []string{"1"}, Versions: []int64{1}}, {Item: "a", From: 2, Events: []string{"3"}, Versions: []int64{1}},
 		}, progress{events: []string{"1"}, versions: []int64{1}}},
-		{"versions that do not match", []journal.TextPiece{
+		{"versions that do not match", []jobstore.TextPiece{
 			{Item: "a", Events: []string{"1"}, Versions: []int64{1}}, {Item: "a", From: 1, Events: []string{"2"}},
 		}, progress{events: []string{"1"}, versions: []int64{1}}},
 	} {
@@ -160,22 +160,22 @@
 func TestAnItemWhoseSavedTextIsWholeIsFinished(t *testing.T) {
 	const events = 40
 	cluster := newCluster(t, 0)
-	jobJournal := journal.New(cluster.store)
+	stored := jobstore.New(cluster.store)
 	made, payload := submission("job", 2)
-	record := journal.Record{Owner: journal.Owner{Node: "gone", Address: "gone", Incarnation: 1}, Epoch: 1, Route: testRoute, Host: "drafts.example", AcceptedMs: time.Now().UnixMilli()}
-	if _, _, err := jobJournal.Accept(context.Background(), "job", record, payload); err != nil {
+	record := jobstore.Record{Owner: jobstore.Owner{Node: "gone", Address: "gone", Incarnation: 1}, Epoch: 1, Route: testRoute, Host: "drafts.example", AcceptedMs: time.Now().UnixMilli()}
+	if _, _, err := stored.Accept(context.Background(), "job", record, payload); err != nil {
 		t.Fatal(err)
 	}
-	var saved []journal.TextPiece
+	var saved []jobstore.TextPiece
 	for _, submitted := range made.Items {
-		whole := journal.TextPiece{Item: submitted.ID}
+		whole := jobstore.TextPiece{Item: submitted.ID}
 		for number := 1; number <= events; number++ {
 			whole.Events = append(whole.Events, fmt.Sprintf("%s.%d", submitted.ID, number))
 			whole.Versions = append(whole.Versions, 1)
 		}
 		saved = append(saved, whole)
 	}
-	if _, _, err := jobJournal.Append(context.Background(), "job", 0, journal.Chunk{Writer: "gone", Texts: saved}); err != nil {
+	if _, _, err := stored.Append(context.Background(), "job", 0, jobstore.Chunk{Writer: "gone", Texts: saved}); err != nil {
 		t.Fatal(err)
 	}
 	engine := startEngine(t, events)
--- a/internal/jobs/batch/watchers.go
+++ b/internal/jobs/batch/watchers.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/jobs/ownership"
 	"github.com/pathtally/pathtally/internal/wire"
 )
@@ -35,7 +35,7 @@
 
 // ownerAnswers asks the owner of a job that this node does not watch whether it
 // still runs it.
-func (s *Service) ownerAnswers(ctx context.Context, id string, owner journal.Owner) bool {
+func (s *Service) ownerAnswers(ctx context.Context, id string, owner jobstore.Owner) bool {
 	question := &wire.JobItem{Job: id}
 	reply, err := environment.Ask(ctx, s.config.Peers, owner.Address, question, probeTimeout)
 	if err != nil {
--- a/internal/jobs/journal/accept.go
+++ b/internal/jobs/jobstore/accept.go
@@ -1,4 +1,4 @@
-package journal
+package jobstore
 
 import (
 	"context"
@@ -16,9 +16,9 @@
 // store then has is returned: it is another caller's if the id was taken before. made
 // tells whether this call created it. The error is a *NotTakenError or an
 // *UncertainError.
-func (j *Journal) Accept(ctx context.Context, id string, record Record, payload []byte) (stored Record, made bool, err error) {
+func (s *Store) Accept(ctx context.Context, id string, record Record, payload []byte) (stored Record, made bool, err error) {
 	record.Parts = (len(payload) + maxPartBytes - 1) / maxPartBytes
-	if err := j.createPayload(ctx, id, record.Parts, payload); err != nil {
+	if err := s.createPayload(ctx, id, record.Parts, payload); err != nil {
 		// Without its record the payload is no batch job.
 		return Record{}, false, &NotTakenError{Cause: err}
 	}
@@ -26,7 +26,7 @@
 	if err != nil {
 		return Record{}, false, &NotTakenError{Cause: err}
 	}
-	object, outcome, err := objectstore.CreateSettled(ctx, j.store, KindJobs, id, spec)
+	object, outcome, err := objectstore.CreateSettled(ctx, s.store, KindJobs, id, spec)
 	switch outcome {
 	case objectstore.NeverSent:
 		return Record{}, false, &NotTakenError{Cause: err}
@@ -41,14 +41,14 @@
 }
 
 // createPayload stores a payload in parts.
-func (j *Journal) createPayload(ctx context.Context, id string, parts int, payload []byte) error {
+func (s *Store) createPayload(ctx context.Context, id string, parts int, payload []byte) error {
 	for part := range parts {
 		first := part * maxPartBytes
 		encoded, err := json.Marshal(string(payload[first:min(len(payload), first+maxPartBytes)]))
 		if err != nil {
 			return err
 		}
-		_, outcome, err := objectstore.CreateSettled(ctx, j.store, KindPayloads, partName(id, part), encoded)
+		_, outcome, err := objectstore.CreateSettled(ctx, s.store, KindPayloads, partName(id, part), encoded)
 		if outcome != objectstore.Created && outcome != objectstore.Existed {
 			return err
 		}
@@ -58,10 +58,10 @@
 
 // Payload reads a submission back from its parts. ErrTruncated means that one is
 // missing.
-func (j *Journal) Payload(ctx context.Context, id string, parts int) ([]byte, error) {
+func (s *Store) Payload(ctx context.Context, id string, parts int) ([]byte, error) {
 	var payload []byte
 	for part := range parts {
-		object, err := j.store.Get(ctx, KindPayloads, partName(id, part), objectstore.Linearizable)
+		object, err := s.store.Get(ctx, KindPayloads, partName(id, part), objectstore.Linearizable)
 		if errors.Is(err, objectstore.ErrNotFound) {
 			return nil, ErrTruncated
 		}
--- a/internal/jobs/journal/doc.go
+++ b/internal/jobs/jobstore/doc.go
@@ -1,4 +1,4 @@
-// Package journal keeps batch jobs in the metadata store.
+// Package jobstore keeps batch jobs in the metadata store.
 //
 // A job is one object of kind KindJobs, created on condition under the caller's id: that
 // settles that the id is accepted once. Its spec is the Record (owner, epoch, route,
@@ -18,4 +18,4 @@
 //
 // Object names, field names and the bounds of parts and chunks are stored data: nodes of
 // other versions read them.
-package journal
+package jobstore
--- a/internal/jobs/journal/errors.go
+++ b/internal/jobs/jobstore/errors.go
@@ -1,4 +1,4 @@
-package journal
+package jobstore
 
 import (
 	"fmt"
--- a/internal/jobs/journal/listing.go
+++ b/internal/jobs/jobstore/listing.go
@@ -1,4 +1,4 @@
-package journal
+package jobstore
 
 // Listing is what the chunks of a job hold.
 type Listing struct {
--- a/internal/jobs/journal/owner.go
+++ b/internal/jobs/jobstore/owner.go
@@ -1,4 +1,4 @@
-package journal
+package jobstore
 
 // Owner is the process that runs a batch job.
 type Owner struct {
--- a/internal/jobs/journal/result.go
+++ b/internal/jobs/jobstore/result.go
@@ -1,4 +1,4 @@
-package journal
+package jobstore
 
 // State is how an item ended.
 type State string
--- a/internal/jobs/journal/results.go
+++ b/internal/jobs/jobstore/results.go
@@ -1,4 +1,4 @@
-package journal
+package jobstore
 
 import (
 	"context"
@@ -14,20 +14,20 @@
 const MaxChunkBytes = 500 << 10
 
 // Results reads the chunks of a job from an index on.
-func (j *Journal) Results(ctx context.Context, id string, from int) (Listing, error) {
-	if from > 0 || (j.readApart != nil && j.readApart()) {
-		return j.readChunksByName(ctx, id, from)
+func (s *Store) Results(ctx context.Context, id string, from int) (Listing, error) {
+	if from > 0 || (s.readApart != nil && s.readApart()) {
+		return s.readChunksByName(ctx, id, from)
 	}
-	return j.listChunks(ctx, id)
+	return s.listChunks(ctx, id)
 }
 
 // listChunks reads all chunks of a job as pages of a listing.
-func (j *Journal) listChunks(ctx context.Context, id string) (Listing, error) {
+func (s *Store) listChunks(ctx context.Context, id string) (Listing, error) {
 	read := Listing{}
 	// A listing begins behind a name, and this one is a prefix of the chunks'.
 	after := id + "-"
 	for {
-		page, err := j.store.List(ctx, KindResults, after, objectstore.Linearizable)
+		page, err := s.store.List(ctx, KindResults, after, objectstore.Linearizable)
 		if err != nil {
 			return Listing{}, err
 		}
@@ -67,10 +67,10 @@
 // readChunksByName reads the chunks from an index on one by one. A listing would fill a
 // page of a megabyte with the results of other jobs, where mostly there is nothing more
 // of this one.
-func (j *Journal) readChunksByName(ctx context.Context, id string, from int) (Listing, error) {
+func (s *Store) readChunksByName(ctx context.Context, id string, from int) (Listing, error) {
 	read := Listing{Chunks: from}
 	for {
-		object, err := j.store.Get(ctx, KindResults, ChunkName(id, read.Chunks), objectstore.Linearizable)
+		object, err := s.store.Get(ctx, KindResults, ChunkName(id, read.Chunks), objectstore.Linearizable)
 		if errors.Is(err, objectstore.ErrNotFound) {
 			return read, nil
 		}
@@ -88,12 +88,12 @@
 // Append writes a chunk at an index and repeats the write until the store has settled
 // that index. It returns the chunk that the store has there, and whether that is the
 // one written here: another writer may have been first.
-func (j *Journal) Append(ctx context.Context, id string, index int, written Chunk) (stored Chunk, own bool, err error) {
+func (s *Store) Append(ctx context.Context, id string, index int, written Chunk) (stored Chunk, own bool, err error) {
 	spec, err := json.Marshal(written)
 	if err != nil {
 		return Chunk{}, false, err
 	}
-	object, outcome, err := objectstore.CreateSettled(ctx, j.store, KindResults, ChunkName(id, index), spec)
+	object, outcome, err := objectstore.CreateSettled(ctx, s.store, KindResults, ChunkName(id, index), spec)
 	switch outcome {
 	case objectstore.Created:
 		return written, true, nil
@@ -107,22 +107,22 @@
 // Fence writes an empty chunk behind the results that are stored, and returns these. A
 // former owner may append until it learns of its successor; from the fence on its
 // appends fail, and everything before it is known.
-func (j *Journal) Fence(ctx context.Context, id string, stored Listing, writer string) (Listing, error) {
-	return j.appendBehind(ctx, id, stored, Chunk{Writer: writer})
+func (s *Store) Fence(ctx context.Context, id string, stored Listing, writer string) (Listing, error) {
+	return s.appendBehind(ctx, id, stored, Chunk{Writer: writer})
 }
 
 // Seal writes an empty chunk behind the results of an ended job, and returns these.
 // Nothing is added behind a seal: an owner that does not know of the end finds the
 // place taken.
-func (j *Journal) Seal(ctx context.Context, id string, stored Listing, writer string) (Listing, error) {
-	return j.appendBehind(ctx, id, stored, Chunk{Writer: writer, Seal: true})
+func (s *Store) Seal(ctx context.Context, id string, stored Listing, writer string) (Listing, error) {
+	return s.appendBehind(ctx, id, stored, Chunk{Writer: writer, Seal: true})
 }
 
 // appendBehind writes a chunk without results behind all that is stored, and returns
 // what is stored then. Where a seal is stored, nothing is written.
-func (j *Journal) appendBehind(ctx context.Context, id string, listing Listing, empty Chunk) (Listing, error) {
+func (s *Store) appendBehind(ctx context.Context, id string, listing Listing, empty Chunk) (Listing, error) {
 	for !listing.Sealed {
-		stored, own, err := j.Append(ctx, id, listing.Chunks, empty)
+		stored, own, err := s.Append(ctx, id, listing.Chunks, empty)
 		if err != nil {
 			return listing, err
 		}
--- a/internal/jobs/journal/results_test.go
+++ b/internal/jobs/jobstore/results_test.go
@@ -1,4 +1,4 @@
-package journal
+package jobstore
 
 import (
 	"context"
@@ -13,17 +13,17 @@
 // Cause: the results of a job are listed by the beginning of their names, and those of
 // the other job were taken for chunks out of order.
 func TestResultsOfAJobWhoseIdBeginsAnothersAreRead(t *testing.T) {
-	journal := New(metastore.New())
+	jobs := New(metastore.New())
 	for _, id := range []string{"run", "run-a", "run-", "run-000000"} {
 		for index := range 2 {
 			written := Chunk{Writer: id, Results: []Result{{ID: id, State: Abandoned}}}
-			if _, _, err := journal.Append(context.Background(), id, index, written); err != nil {
+			if _, _, err := jobs.Append(context.Background(), id, index, written); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	for _, id := range []string{"run", "run-a", "run-", "run-000000"} {
-		listing, err := journal.Results(context.Background(), id, 0)
+		listing, err := jobs.Results(context.Background(), id, 0)
 		if err != nil || listing.Chunks != 2 {
 			t.Fatalf("job %s: %d chunks, error %v", id, listing.Chunks, err)
 		}
--- a/internal/jobs/journal/journal.go
+++ b/internal/jobs/jobstore/store.go
@@ -1,4 +1,4 @@
-package journal
+package jobstore
 
 import (
 	"context"
@@ -12,27 +12,27 @@
 // endRetryPause is the time between attempts to store an end.
 const endRetryPause = 100 * time.Millisecond
 
-// Journal keeps batch jobs in the metadata store. It is safe for use by many
+// Store keeps batch jobs in the metadata store. It is safe for use by many
 // goroutines once it is set up.
-type Journal struct {
+type Store struct {
 	store objectstore.Store
 	// readApart tells whether a job's results are to be read without those of other
 	// jobs; nil for never.
 	readApart func() bool
 }
 
-// New returns a journal over a store.
-func New(store objectstore.Store) *Journal { return &Journal{store: store} }
+// New returns a store of batch jobs over the metadata store.
+func New(store objectstore.Store) *Store { return &Store{store: store} }
 
 // ReadApart makes Results read chunk by chunk while a condition holds: the pages of a
 // listing hold results of other jobs too, which may be bound to other regions. It is to
 // be called before the first read.
-func (j *Journal) ReadApart(condition func() bool) { j.readApart = condition }
+func (s *Store) ReadApart(condition func() bool) { s.readApart = condition }
 
 // Read returns a batch job's record. ErrNoSuchJob is certain; any other error leaves
 // open whether the job exists.
-func (j *Journal) Read(ctx context.Context, id string) (StoredJob, error) {
-	object, err := j.store.Get(ctx, KindJobs, id, objectstore.Linearizable)
+func (s *Store) Read(ctx context.Context, id string) (StoredJob, error) {
+	object, err := s.store.Get(ctx, KindJobs, id, objectstore.Linearizable)
 	if errors.Is(err, objectstore.ErrNotFound) {
 		return StoredJob{}, ErrNoSuchJob
 	}
@@ -43,11 +43,11 @@
 }
 
 // ReadAll returns the records of all batch jobs that can be decoded.
-func (j *Journal) ReadAll(ctx context.Context, freshness objectstore.Freshness) ([]StoredJob, error) {
+func (s *Store) ReadAll(ctx context.Context, freshness objectstore.Freshness) ([]StoredJob, error) {
 	var all []StoredJob
 	after := ""
 	for {
-		page, err := j.store.List(ctx, KindJobs, after, freshness)
+		page, err := s.store.List(ctx, KindJobs, after, freshness)
 		if err != nil {
 			return nil, err
 		}
@@ -65,14 +65,14 @@
 
 // TakeOver makes a process the owner of a batch job whose record is still as read, and
 // returns the job with its next epoch. It fails if the record has changed.
-func (j *Journal) TakeOver(ctx context.Context, read StoredJob, owner Owner) (StoredJob, error) {
+func (s *Store) TakeOver(ctx context.Context, read StoredJob, owner Owner) (StoredJob, error) {
 	next := read.Record
 	next.Owner, next.Epoch = owner, read.Record.Epoch+1
 	spec, err := json.Marshal(next)
 	if err != nil {
 		return StoredJob{}, err
 	}
-	object, err := j.store.Replace(ctx, KindJobs, read.ID, spec, read.Revision)
+	object, err := s.store.Replace(ctx, KindJobs, read.ID, spec, read.Revision)
 	if err != nil {
 		return StoredJob{}, err
 	}
@@ -81,13 +81,13 @@
 
 // End stores that a batch job has ended. It repeats the write until the store has
 // answered or the context ends, and returns the job as the store has it then.
-func (j *Journal) End(ctx context.Context, id string) (StoredJob, error) {
+func (s *Store) End(ctx context.Context, id string) (StoredJob, error) {
 	spec, err := json.Marshal(status{Ended: true})
 	if err != nil {
 		return StoredJob{}, err
 	}
 	for {
-		object, err := j.store.ReplaceStatus(ctx, KindJobs, id, spec, objectstore.Unconditional)
+		object, err := s.store.ReplaceStatus(ctx, KindJobs, id, spec, objectstore.Unconditional)
 		if err == nil {
 			return readStoredJob(object)
 		}
--- a/internal/jobs/journal/storedjob.go
+++ b/internal/jobs/jobstore/storedjob.go
@@ -1,4 +1,4 @@
-package journal
+package jobstore
 
 import "github.com/pathtally/pathtally/internal/store/objectstore"
 
--- a/internal/jobs/journal/textpiece.go
+++ b/internal/jobs/jobstore/textpiece.go
@@ -1,4 +1,4 @@
-package journal
+package jobstore
 
 // TextPiece is a part of the text of an item that is still running. It is stored so
 // that a later owner of the job continues behind it.
--- a/internal/jobs/ownership/record.go
+++ b/internal/jobs/ownership/record.go
@@ -1,11 +1,11 @@
 package ownership
 
-import "github.com/pathtally/pathtally/internal/jobs/journal"
+import "github.com/pathtally/pathtally/internal/jobs/jobstore"
 
 // DecideReplace tells whether a node may make itself the owner in a job's record that it
 // has just read. Former is the owner that it takes the job over from; outside tells that
 // the node may not have the job's bodies.
-func DecideReplace(stored journal.StoredJob, former journal.Owner, outside bool) (may bool, reason Reason) {
+func DecideReplace(stored jobstore.StoredJob, former jobstore.Owner, outside bool) (may bool, reason Reason) {
 	switch {
 	case stored.Ended:
 		return false, ReasonEnded
@@ -20,7 +20,7 @@
 // DecideStart tells whether a process may start a job whose record it has read again
 // after the job itself: the reading may take seconds, in which the job may have ended or
 // become another node's.
-func DecideStart(stored journal.StoredJob, self journal.Owner, epoch int) (may bool, reason Reason) {
+func DecideStart(stored jobstore.StoredJob, self jobstore.Owner, epoch int) (may bool, reason Reason) {
 	switch {
 	case stored.Ended:
 		return false, ReasonEnded
--- a/internal/jobs/ownership/takeover_test.go
+++ b/internal/jobs/ownership/takeover_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 )
 
 func TestDecide(t *testing.T) {
@@ -57,12 +57,12 @@
 }
 
 func TestRecordsDecideOnReplacesAndStarts(t *testing.T) {
-	self, former := journal.Owner{Node: "self", Incarnation: 2}, journal.Owner{Node: "self", Incarnation: 1}
-	stored := func(owner journal.Owner, epoch int, ended bool) journal.StoredJob {
-		return journal.StoredJob{Record: journal.Record{Owner: owner, Epoch: epoch}, Ended: ended}
+	self, former := jobstore.Owner{Node: "self", Incarnation: 2}, jobstore.Owner{Node: "self", Incarnation: 1}
+	stored := func(owner jobstore.Owner, epoch int, ended bool) jobstore.StoredJob {
+		return jobstore.StoredJob{Record: jobstore.Record{Owner: owner, Epoch: epoch}, Ended: ended}
 	}
 	for _, test := range []struct {
-		stored  journal.StoredJob
+		stored  jobstore.StoredJob
 		outside bool
 		replace Reason
 		start   Reason
@@ -72,7 +72,7 @@
 		{stored(former, 1, true), false, ReasonEnded, ReasonEnded},
 		{stored(self, 2, false), false, ReasonOtherOwner, ReasonOwned},
 		{stored(self, 3, false), false, ReasonOtherOwner, ReasonOtherEpoch},
-		{stored(journal.Owner{Node: "other"}, 2, false), false, ReasonOtherOwner, ReasonOtherOwner},
+		{stored(jobstore.Owner{Node: "other"}, 2, false), false, ReasonOtherOwner, ReasonOtherOwner},
 	} {
 		if may, reason := DecideReplace(test.stored, former, test.outside); reason != test.replace || may != (reason == ReasonOwned) {
 			t.Errorf("replace %+v: %v, %s", test.stored, may, reason)
--- a/test/soak_callers_test.go
+++ b/test/soak_callers_test.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/standin/replica"
 )
 
@@ -239,9 +239,9 @@
 	case endAtRestart:
 		return w.restarts.Load() > restarts
 	case endInAppend:
-		return w.slow.isOn(journal.KindResults, "create", job.id)
+		return w.slow.isOn(jobstore.KindResults, "create", job.id)
 	case endInReading:
-		return w.slow.isOn(journal.KindPayloads, "get", job.id)
+		return w.slow.isOn(jobstore.KindPayloads, "get", job.id)
 	}
 	return false
 }
--- a/test/soak_faults_test.go
+++ b/test/soak_faults_test.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/standin/metastore"
 	"github.com/pathtally/pathtally/standin/replica"
 )
@@ -52,11 +52,11 @@
 // newestOwner is the number of the node that owns the newest job as the store
 // has it, below 0 for none.
 func (w *soakWorld) newestOwner() int {
-	jobs := w.store.Objects(journal.KindJobs)
+	jobs := w.store.Objects(jobstore.KindJobs)
 	if len(jobs) == 0 {
 		return -1
 	}
-	var record journal.Record
+	var record jobstore.Record
 	if err := json.Unmarshal(jobs[len(jobs)-1].Spec, &record); err != nil {
 		return -1
 	}
--- a/test/soak_reads_test.go
+++ b/test/soak_reads_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/standin/metastore"
 	"github.com/pathtally/pathtally/standin/replica"
 )
@@ -62,17 +62,17 @@
 // A slow call about a job is known while it lasts, by the job's name.
 func TestSlowCallsAreKnownByTheirJobs(t *testing.T) {
 	var slow slowCalls
-	slow.add(metastore.Call{Verb: "create", Kind: journal.KindResults, Name: "job1-2-000003"}, time.Minute)
-	slow.add(metastore.Call{Verb: "get", Kind: journal.KindPayloads, Name: "job1-2-0000"}, -time.Minute)
+	slow.add(metastore.Call{Verb: "create", Kind: jobstore.KindResults, Name: "job1-2-000003"}, time.Minute)
+	slow.add(metastore.Call{Verb: "get", Kind: jobstore.KindPayloads, Name: "job1-2-0000"}, -time.Minute)
 	slow.add(metastore.Call{Verb: "list", Kind: "servers"}, time.Minute)
 	for _, test := range []struct {
 		kind, verb, job string
 		on              bool
 	}{
-		{journal.KindResults, "create", "job1-2", true},
-		{journal.KindResults, "create", "job1", false},
-		{journal.KindResults, "get", "job1-2", false},
-		{journal.KindPayloads, "get", "job1-2", false},
+		{jobstore.KindResults, "create", "job1-2", true},
+		{jobstore.KindResults, "create", "job1", false},
+		{jobstore.KindResults, "get", "job1-2", false},
+		{jobstore.KindPayloads, "get", "job1-2", false},
 	} {
 		if on := slow.isOn(test.kind, test.verb, test.job); on != test.on {
 			t.Errorf("%s of %s about %s: %v", test.verb, test.kind, test.job, on)
--- a/test/virtual_test.go
+++ b/test/virtual_test.go
@@ -20,7 +20,7 @@
 	"github.com/pathtally/pathtally/internal/duties/lease"
 	"github.com/pathtally/pathtally/internal/duties/weightorders"
 	"github.com/pathtally/pathtally/internal/jobs/batch"
-	"github.com/pathtally/pathtally/internal/jobs/journal"
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 	"github.com/pathtally/pathtally/internal/store/watchcache"
 	"github.com/pathtally/pathtally/internal/wire"
@@ -90,7 +90,7 @@
 	})
 	day.jobs = batch.NewService(ctx, batch.Config{
 		Clock: clock.Steady,
-		Self:  journal.Owner{Node: "node", Address: "node", Incarnation: 1}, Journal: journal.New(day.store), Codec: platform.Jobs{},
+		Self:  jobstore.Owner{Node: "node", Address: "node", Incarnation: 1}, JobStore: jobstore.New(day.store), Codec: platform.Jobs{},
 		Directory: table, Dispatcher: dispatcher, Peers: alone{}, Table: peers, Logger: logger, Registry: registry,
 		Forwarder: forward.New(forward.Config{Directory: table, Dispatcher: dispatcher, Logger: logger, Metrics: forward.NewMetrics(registry)}),
 	})
