--- a/internal/jobs/placement/pick.go
+++ b/internal/jobs/placement/pick.go
@@ -3,11 +3,10 @@
 import "slices"
 
 // Pick returns the least used replica that has room for an item, nil for none. Replicas
-// that have failed the item are excluded unless it has failed at as many replicas as there
-// are candidates; the count includes replicas that aren't candidates now. An urgent item
-// goes to an unproven replica only if no other has room.
+// that have failed the item are excluded unless every candidate has. An urgent item goes to
+// an unproven replica only if no other has room.
 func Pick(replicas []*Replica, preference Preference) *Replica {
-	failedEverywhere := len(preference.FailedReplicas) >= len(replicas)
+	failedEverywhere := hasFailedAll(replicas, preference.FailedReplicas)
 	var best, unproven *Replica
 	for _, candidate := range replicas {
 		if !candidate.hasRoom() || (!failedEverywhere && slices.Contains(preference.FailedReplicas, candidate.Name)) {
@@ -25,6 +24,11 @@
 	return best
 }
 
+// hasFailedAll reports whether each candidate is among the replicas that failed the item.
+func hasFailedAll(replicas []*Replica, failed []string) bool {
+	return !slices.ContainsFunc(replicas, func(candidate *Replica) bool { return !slices.Contains(failed, candidate.Name) })
+}
+
 // lessUsed returns the less used of two replicas, the first if both are equal. The first
 // may be nil.
 func lessUsed(first, second *Replica) *Replica {
--- a/internal/jobs/placement/pick_test.go
+++ b/internal/jobs/placement/pick_test.go
@@ -61,3 +61,13 @@
 		}
 	}
 }
+
+// The count of failures reached that of the candidates although one of the replicas that
+// had failed the item was no candidate any more: the item went to the other one again, and
+// not to the replica that had not failed it.
+func TestAnItemLeavesAReplicaThatFailedItThoughAnotherOneIsGone(t *testing.T) {
+	failed := Preference{FailedReplicas: []string{"a", "gone"}}
+	if got := Pick(replicas(0, 3), failed); got == nil || got.Name != "b" {
+		t.Errorf("went to %v, want b, which has not failed it", got)
+	}
+}
