--- a/test/soak_crashes_test.go
+++ b/test/soak_crashes_test.go
@@ -29,8 +29,11 @@
 	// entryLapse is how long the entry of a replica that has ended stands.
 	entryLapse = 400 * time.Millisecond
 	// calmTries bounds how often a request is sent in calm until it is refused: each try
-	// ends one replica at the least, and what was known of ends before may be lost.
+	// that a replica takes ends one at the least, and what was known of ends before may be
+	// lost.
 	calmTries = endsAllowed + 1
+	// maxFullTries bounds the further tries for those that every replica turned away.
+	maxFullTries = 8
 )
 
 // replaceEnded replaces the replicas that have ended by themselves.
@@ -120,11 +123,16 @@
 func (w *soakWorld) checkCrashing() {
 	for number, crashing := range crashingRequests {
 		before := w.runsOf(crashing.body)
-		for try := range calmTries {
+		full := 0
+		for try := 0; try < calmTries+full; try++ {
 			answer, err := w.sendCrashing(w.nodes[try%len(w.nodes)], crashing, fmt.Sprintf("calm.%d.%d", number, try))
-			if err == nil && answer.status == http.StatusServiceUnavailable && strings.Contains(answer.body, forward.ReasonQuarantined) {
+			if isRefusal(answer, err, forward.ReasonQuarantined) {
 				break
 			}
+			if isRefusal(answer, err, forward.ReasonAllFull) && full < maxFullTries {
+				// No replica took it, so none has ended under it.
+				full++
+			}
 			time.Sleep(entryLapse + spreadTime/2)
 		}
 		if after := w.runsOf(crashing.body); after-before > endsAllowed {
@@ -141,6 +149,11 @@
 	}
 }
 
+// isRefusal tells whether an answer refuses a request as not run, for a reason.
+func isRefusal(answer reply, err error, reason string) bool {
+	return err == nil && answer.status == http.StatusServiceUnavailable && strings.Contains(answer.body, reason)
+}
+
 // checkQuarantined checks that no node sends on the requests that end replicas.
 func (w *soakWorld) checkQuarantined(when string) {
 	for number, crashing := range crashingRequests {
