--- a/internal/duties/autoscale/config.go
+++ b/internal/duties/autoscale/config.go
@@ -9,7 +9,7 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// Config is what a Service needs.
+// Config holds the parameters and dependencies of a Service.
 type Config struct {
 	Policy    Policy
 	Keeper    *lease.Keeper
@@ -18,7 +18,7 @@
 	Directory *directory.Table
 	Logger    klog.Logger
 	Registry  prometheus.Registerer
-	// Work returns how many items run at a service's replicas, and how many run or wait,
-	// on all nodes.
+	// Work returns the number of items that run at a service's replicas, and the number of
+	// open items, which run or wait, on all nodes.
 	Work func(service string) (running, open int)
 }
--- a/internal/duties/autoscale/decide.go
+++ b/internal/duties/autoscale/decide.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// Decide returns how many replicas each zone is to hold, by zone. Base is how many
-// the zones held before anything was ordered: never fewer than that are wanted, and
-// what evacuated zones held is wanted in the others. Further replicas go where they are
-// cheapest, spread so that no zone has more than its share of them.
+// Decide returns the target number of replicas of each zone, sorted by zone. base is the
+// baseline: the number of replicas in each zone before any was ordered. No target is below
+// it, and the baseline of evacuated zones is added to the targets of other zones.
+// Additional replicas are spread evenly over the zones, cheaper zones first.
 func Decide(policy Policy, view *View, base map[string]int) []Wanted {
 	zones := zonesOf(base, view)
 	wanted := make(map[string]*Wanted, len(zones))
@@ -36,7 +36,7 @@
 	return decided
 }
 
-// target returns how many replicas the work needs in all.
+// target returns the total number of replicas that the policy requires, 0 without a policy.
 func target(policy Policy, view *View) (int, Reason) {
 	slots := float64(max(1, view.Slots))
 	switch policy {
@@ -48,8 +48,8 @@
 	return 0, ReasonBase
 }
 
-// spread adds replicas to open zones one by one: each time to the zone with the
-// fewest further ones, the cheapest of these.
+// spread adds replicas to the open zones one by one, each to the zone with the fewest
+// added so far, the cheapest one among equals. Scaling.Most limits each zone.
 func spread(further int, open []string, reason Reason, wanted map[string]*Wanted, view *View) {
 	added := map[string]int{}
 	for ; further > 0; further-- {
@@ -68,7 +68,7 @@
 	}
 }
 
-// price returns what a replica costs in a zone; one that names none costs the unit.
+// price returns the price of a replica in a zone, 1 if none is configured.
 func price(view *View, zone string) float64 {
 	if named, known := view.Scaling.ZonePrices[zone]; known {
 		return named
@@ -76,7 +76,8 @@
 	return 1
 }
 
-// zonesOf lists the zones that hold replicas or held some, in order.
+// zonesOf returns the sorted names of the zones that have replicas or had some in the
+// baseline.
 func zonesOf(base map[string]int, view *View) []string {
 	var zones []string
 	for zone := range base {
--- a/internal/duties/autoscale/decide_test.go
+++ b/internal/duties/autoscale/decide_test.go
@@ -7,7 +7,7 @@
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
-// fleet is a service of 12 replicas with 8 slots each in three zones.
+// fleet returns a service with 12 replicas of 8 slots each in three zones, and its baseline.
 func fleet() (*View, map[string]int) {
 	base := map[string]int{"a": 4, "b": 4, "c": 4}
 	return &View{
--- a/internal/duties/autoscale/due.go
+++ b/internal/duties/autoscale/due.go
@@ -3,29 +3,29 @@
 import "time"
 
 const (
-	// minChange is the least difference, in replicas of a zone, that is ordered.
+	// minChange is the minimum change of a zone's number of replicas that is ordered.
 	minChange = 2
-	// minOrderInterval is the least time between two orders for a zone: replicas take
-	// seconds to boot and to warm up, and none shows before that.
+	// minOrderInterval is the minimum time between orders for a zone. Replicas take seconds
+	// to start and warm up, and an order shows no effect before that.
 	minOrderInterval = 8 * time.Second
-	// shrinkDelay is how long fewer replicas must have been wanted before some are given
-	// back.
+	// shrinkDelay is the time for which the target must have been lower before the zone is
+	// scaled down.
 	shrinkDelay = 60 * time.Second
 )
 
-// zoneFacts is what decides whether an order for a zone is sent now.
+// zoneFacts holds the inputs of isDue.
 type zoneFacts struct {
-	// wanted is how many replicas the zone is to hold, current how many it was last
-	// ordered to hold, or held before that.
+	// wanted is the target number of replicas of the zone, and current the number that was
+	// ordered last, or the baseline before any order.
 	wanted  int
 	current int
-	// isFull says that the zone had no further replica to give a moment ago.
+	// isFull is set while the zone counts as having no replicas available.
 	isFull bool
-	// isUnconfirmed says that the last order may not have been taken.
+	// isUnconfirmed is set if the platform may not have accepted the last order.
 	isUnconfirmed bool
 	// sinceOrder is the time since the last order.
 	sinceOrder time.Duration
-	// fewerFor is how long fewer than current have been wanted without a break.
+	// fewerFor is how long wanted has been below current without interruption.
 	fewerFor time.Duration
 }
 
--- a/internal/duties/autoscale/ledger.go
+++ b/internal/duties/autoscale/ledger.go
@@ -10,28 +10,29 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// ledgerKind is the kind of the objects that hold what was ordered, one a service.
+// ledgerKind is the kind of the stored objects, one per service.
 const ledgerKind = "replicaorders"
 
-// record is the stored orders of a service: how many replicas each zone held before
-// anything was ordered, and how many were ordered last.
+// record is the stored form of a service's orders, by zone: the baseline, which is the number
+// of replicas before any was ordered, and the number that was ordered last.
 type record struct {
 	Base    map[string]int `json:"base"`
 	Ordered map[string]int `json:"ordered"`
 }
 
-// ledger keeps what was ordered of one service. It belongs to one goroutine.
+// ledger records the orders of one service in the metadata store. It is not safe for
+// concurrent use.
 type ledger struct {
 	store   objectstore.Store
 	service string
 	known   record
-	// revision is that of the stored object, 0 while there is none.
+	// revision is the revision of the stored object, 0 if there is none.
 	revision uint64
-	// read is set while known is what the store is believed to hold.
+	// read is set while known and revision are believed to match the store.
 	read bool
 }
 
-// load reads what the store holds, once.
+// load reads the stored record unless it is known.
 func (l *ledger) load(ctx context.Context) error {
 	if l.read {
 		return nil
@@ -47,7 +48,7 @@
 	return l.take(object)
 }
 
-// take decodes what the store holds.
+// take decodes the stored record.
 func (l *ledger) take(object objectstore.Object) error {
 	var stored record
 	if err := json.Unmarshal(object.Spec, &stored); err != nil {
@@ -63,8 +64,7 @@
 	return nil
 }
 
-// write stores a record before it is acted on. On an error what is stored has to be read
-// anew.
+// write replaces the stored record. After an error the record must be loaded again.
 func (l *ledger) write(ctx context.Context, next record) error {
 	spec, err := json.Marshal(next)
 	if err != nil {
--- a/internal/duties/autoscale/metrics.go
+++ b/internal/duties/autoscale/metrics.go
@@ -6,14 +6,14 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Outcomes of orders, as metrics name them.
+// Outcomes of orders, as label values of metrics.
 const (
 	outcomeTaken         = "taken"
 	outcomeNoneAvailable = "none_to_have"
 	outcomeFailed        = "failed"
 )
 
-// metrics show how many replicas there are and were ordered, and count orders.
+// metrics are the metrics of a Service.
 type metrics struct {
 	present *prometheus.GaugeVec
 	ordered *prometheus.GaugeVec
@@ -36,7 +36,7 @@
 	return made
 }
 
-// show sets the numbers of one service.
+// show sets the gauges of one service.
 func (m *metrics) show(seen *View, plan *plan) {
 	for zone, count := range seen.Present {
 		m.present.WithLabelValues(seen.Service, zone).Set(float64(count))
@@ -46,7 +46,7 @@
 	}
 }
 
-// count counts an order by what became of it.
+// count counts an order by its outcome.
 func (m *metrics) count(err error) {
 	switch {
 	case err == nil:
--- a/internal/duties/autoscale/peak.go
+++ b/internal/duties/autoscale/peak.go
@@ -5,24 +5,23 @@
 	"time"
 )
 
-// sample is how many items ran, and how many ran or waited, at an instant.
+// sample is the number of running items and of open items, which run or wait, at a time.
 type sample struct {
 	at      time.Time
 	running int
 	open    int
 }
 
-// peak keeps the work of the last peakMemory.
+// peak keeps the samples of the last peakPeriod.
 type peak struct{ samples []sample }
 
-// add takes the work of now and forgets what is too old to plan for.
+// add adds a sample and drops those older than peakPeriod.
 func (p *peak) add(now time.Time, running, open int) {
 	p.samples = append(p.samples, sample{at: now, running: running, open: open})
 	p.samples = slices.DeleteFunc(p.samples, func(old sample) bool { return now.Sub(old.at) > peakPeriod })
 }
 
-// greatest returns the most items that ran, and the most that ran or waited, at any
-// instant that is kept.
+// greatest returns the maximum numbers of running items and of open items among the samples.
 func (p *peak) greatest() (running, open int) {
 	for _, one := range p.samples {
 		running, open = max(running, one.running), max(open, one.open)
--- a/internal/duties/autoscale/plan.go
+++ b/internal/duties/autoscale/plan.go
@@ -7,21 +7,22 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// plan is what this node knows of the replicas of one service.
+// plan is this node's state for one service.
 type plan struct {
 	ledger ledger
 	peak   peak
-	// maxSeen is the greatest number of replicas seen in each zone before anything was
+	// maxSeen is the maximum number of replicas observed in each zone before any was
 	// ordered.
 	maxSeen map[string]int
-	// orderedAt is when a zone's last order was sent, and fullUntil until when it
-	// counts as having none to give.
+	// orderedAt is the time of each zone's last order, and fullUntil the time until which
+	// the zone counts as having no replicas available.
 	orderedAt map[string]time.Time
 	fullUntil map[string]time.Time
-	// accepted is how many replicas of each zone the platform has accepted an order for
-	// from this process: an order that it may not have accepted is sent again.
+	// accepted is the number of replicas in the last order of this process that the
+	// platform accepted, by zone. An order that may not have been accepted is sent again.
 	accepted map[string]int
-	// fewerSince is since when a zone has been wanted smaller, without a break.
+	// fewerSince is the time since which a zone's target has been below its current number
+	// without interruption.
 	fewerSince map[string]time.Time
 }
 
@@ -33,7 +34,7 @@
 	}
 }
 
-// base returns how many replicas each zone held before anything was ordered.
+// base returns the baseline: the number of replicas in each zone before any was ordered.
 func (p *plan) base() map[string]int {
 	base := maps.Clone(p.maxSeen)
 	for zone, count := range p.ledger.known.Base {
@@ -42,7 +43,7 @@
 	return base
 }
 
-// due returns the wanted numbers that are ordered now.
+// due returns the targets that are ordered now.
 func (p *plan) due(wanted []Wanted, now time.Time) []Wanted {
 	var due []Wanted
 	for _, want := range wanted {
@@ -53,8 +54,7 @@
 	return due
 }
 
-// facts is what decides whether a wanted number is ordered now. It records since when
-// fewer replicas have been wanted.
+// facts returns the inputs of isDue for a target, and updates fewerSince.
 func (p *plan) facts(want Wanted, now time.Time) zoneFacts {
 	zone := zoneFacts{
 		wanted: want.Replicas, current: p.current(want.Zone), isFull: now.Before(p.fullUntil[want.Zone]),
@@ -71,7 +71,8 @@
 	return zone
 }
 
-// current returns how many replicas a zone was last ordered to hold, or held before that.
+// current returns the number of replicas that was last ordered for a zone, or the baseline
+// before any order.
 func (p *plan) current(zone string) int {
 	if ordered := p.ledger.known.Ordered[zone]; ordered > 0 {
 		return ordered
@@ -79,8 +80,8 @@
 	return p.base()[zone]
 }
 
-// isUnconfirmed reports whether the last order for a zone may not have been accepted. The
-// next holder of the lease repeats it: that changes nothing if it was.
+// isUnconfirmed reports whether the platform may not have accepted the last order for a
+// zone. The order is then sent again, which has no effect if it was accepted.
 func (p *plan) isUnconfirmed(zone string) bool {
 	ordered := p.ledger.known.Ordered[zone]
 	return ordered > 0 && p.accepted[zone] != ordered
--- a/internal/duties/autoscale/service.go
+++ b/internal/duties/autoscale/service.go
@@ -12,38 +12,40 @@
 )
 
 const (
-	// dutyName names the orders among the duties of the lease.
+	// dutyName identifies this duty to the lease.
 	dutyName = "replica-orders"
-	// pollInterval is the time between two decisions: short beside the time between two
-	// steps of a trainer.
+	// pollInterval is the time between decisions. It is much shorter than the time between
+	// a trainer's steps.
 	pollInterval = 500 * time.Millisecond
-	// orderTimeout bounds one order, and storeTimeout one access to the ledger.
+	// orderTimeout bounds one order, and storeTimeout one store access.
 	orderTimeout = 900 * time.Millisecond
 	storeTimeout = 900 * time.Millisecond
-	// fullZoneDelay is how long a zone that had no replicas to give is not asked.
+	// fullZoneDelay is the backoff of a zone that had no replicas available.
 	fullZoneDelay = 10 * time.Second
 )
 
-// Service orders replicas while this node holds the duty lease. Run alone uses it.
+// Service orders replicas while this node holds the duty lease. Only the goroutine of Run
+// uses its state.
 type Service struct {
 	config   Config
 	metrics  *metrics
 	services map[string]*plan
 }
 
-// NewService returns a service that does nothing before Run.
+// NewService returns a Service that does nothing before Run is called.
 func NewService(config Config) *Service {
 	return &Service{config: config, metrics: newMetrics(config.Registry), services: map[string]*plan{}}
 }
 
-// Run works until the context ends.
+// Run orders replicas until the context is done.
 func (s *Service) Run(ctx context.Context) {
 	for objectstore.Sleep(ctx, pollInterval) {
 		s.step(ctx, time.Now())
 	}
 }
 
-// step decides on each service whose replicas can be ordered.
+// step updates the state of each service whose replicas can be ordered, and places the
+// orders that are due.
 func (s *Service) step(ctx context.Context, now time.Time) {
 	view := s.config.Directory.View()
 	if view.Configuration == nil {
@@ -71,8 +73,8 @@
 	}
 }
 
-// loadLedger reads what was ordered before, unless it is known, and returns whether that
-// succeeded. It is read anew after another node has written it.
+// loadLedger reads the recorded orders unless they are known, and returns whether that
+// succeeded.
 func (s *Service) loadLedger(ctx context.Context, plan *plan) bool {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -83,7 +85,7 @@
 	return true
 }
 
-// plan returns what is known of a service, which is nothing at first.
+// plan returns the state of a service, a new one if there is none.
 func (s *Service) plan(service string) *plan {
 	current := s.services[service]
 	if current == nil {
@@ -93,7 +95,7 @@
 	return current
 }
 
-// viewOf returns the view of a service, and records in the plan what it shows.
+// viewOf returns the view of a service, and updates the plan and the metrics from it.
 func (s *Service) viewOf(view *directory.View, service *directory.Service, plan *plan, now time.Time) *View {
 	running, open := s.config.Work(service.Name)
 	plan.peak.add(now, running, open)
@@ -123,7 +125,7 @@
 	return seen
 }
 
-// placeOrder records a wanted number in the ledger and orders it.
+// placeOrder records a target in the ledger and orders it.
 func (s *Service) placeOrder(ctx context.Context, plan *plan, service string, want Wanted, now time.Time) {
 	if err := s.recordOrder(ctx, plan, want); err != nil {
 		s.config.Logger.Info("replicas not ordered", "service", service, "zone", want.Zone, "replicas", want.Replicas, "error", err.Error())
@@ -143,7 +145,7 @@
 	s.config.Logger.Info("order of replicas not taken", "service", service, "zone", want.Zone, "replicas", want.Replicas, "error", err.Error())
 }
 
-// recordOrder stores an order before it is sent.
+// recordOrder stores an order. It is called before the order is sent.
 func (s *Service) recordOrder(ctx context.Context, plan *plan, want Wanted) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -158,7 +160,7 @@
 	return plan.ledger.write(ctx, next)
 }
 
-// order sends one order under the lease.
+// order sends an order under the lease.
 func (s *Service) order(ctx context.Context, service string, want Wanted) error {
 	permit, valid := s.config.Keeper.Begin()
 	if !valid {
--- a/internal/duties/autoscale/service_test.go
+++ b/internal/duties/autoscale/service_test.go
@@ -18,15 +18,15 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// market stands in for the platform that takes orders.
+// market is a fake platform.
 type market struct {
 	mutex  sync.Mutex
 	orders map[string]int
 	calls  int
 	token  uint64
 	stale  int
-	// empty are the zones that have none to give, and mute has it answer nothing
-	// though it takes the order.
+	// empty are the zones that have no replicas available. mute makes the platform accept
+	// orders without a response.
 	empty map[string]bool
 	mute  bool
 }
@@ -61,14 +61,14 @@
 	m.mute = mute
 }
 
-// received returns how many orders came, and how many of these with an old token.
+// received returns the number of orders, and the number of those with an outdated token.
 func (m *market) received() (calls, stale int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.calls, m.stale
 }
 
-// world is a store, a market, and work that is the same on all nodes.
+// world is a store, a fake platform, and a number of open items that all nodes observe.
 type world struct {
 	store  *metastore.Store
 	market *market
@@ -88,7 +88,7 @@
 	return 0, w.open
 }
 
-// start runs a node that orders replicas of a fleet of 12.
+// start runs a node that orders replicas of a service with 12 replicas.
 func (w *world) start(ctx context.Context, name string) *Service {
 	table := directory.NewTable("node", "a", nil, klog.Background())
 	table.SetConfiguration(&directory.Configuration{Version: 1, Services: map[string]directory.Service{"model": {
@@ -145,8 +145,8 @@
 	})
 }
 
-// A holder that had not read what its predecessor ordered took the ordered replicas
-// for those that there had always been, and ordered fewer.
+// A new holder that ignores the recorded orders would take the ordered replicas for the
+// baseline and order the wrong number.
 func TestFurtherHolderGoesOnFromWhatWasOrdered(t *testing.T) {
 	inWorld(t, func(ctx context.Context, w *world) {
 		w.setOpen(131)
@@ -186,8 +186,8 @@
 	})
 }
 
-// An order without an answer may have been taken or not: it is sent again, but not at
-// each look.
+// An order that was not answered may not have been accepted. It must be sent again, but not
+// at every step.
 func TestUnansweredOrderIsSentAgainLater(t *testing.T) {
 	inWorld(t, func(ctx context.Context, w *world) {
 		w.market.setMute(true)
--- a/internal/duties/autoscale/view.go
+++ b/internal/duties/autoscale/view.go
@@ -2,20 +2,20 @@
 
 import "github.com/pathtally/pathtally/internal/replicas/directory"
 
-// View is what is known of a service when its replicas are decided on.
+// View is the state of a service that Decide works on.
 type View struct {
 	Service string
 	Scaling directory.Scaling
-	// Slots is how many requests one replica serves at once.
+	// Slots is the number of concurrent requests of one replica.
 	Slots int
-	// Present counts the replicas of each zone that serve or warm up.
+	// Present is the number of replicas that serve or warm up, by zone.
 	Present map[string]int
-	// Evacuated are the zones whose replicas get no work, and Full those that had no
-	// further replica to give a moment ago.
+	// Evacuated are the zones whose replicas get no work, and Full the zones that had no
+	// more replicas available at their last order.
 	Evacuated map[string]bool
 	Full      map[string]bool
-	// Running is how many items ran, and Open how many ran or waited, at the recent
-	// peaks.
+	// Running is the recent peak of running items, and Open the recent peak of open items,
+	// which run or wait.
 	Running int
 	Open    int
 }
--- a/internal/duties/lease/acquire.go
+++ b/internal/duties/lease/acquire.go
@@ -8,8 +8,9 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// Acquire takes or renews the lease. It returns how long to wait first, if another
-// node's calls may still be on their way. Its error is ErrStopped, or that of the store.
+// Acquire acquires or renews the lease in one attempt. A positive duration means that it
+// did neither, since calls of the previous holder may still be in flight, and is the time
+// until the next attempt. The error is ErrStopped or that of the store.
 func (l *Lease) Acquire(ctx context.Context) (time.Duration, error) {
 	next := l.decide(false)
 	if next.action == actionRead {
@@ -33,7 +34,7 @@
 	return l.state.decide(l.clock(), justRead)
 }
 
-// read reads the stored lease.
+// read fetches the stored lease and records it in the state.
 func (l *Lease) read(ctx context.Context) error {
 	object, err := l.store.Get(ctx, leaseKind, leaseName, objectstore.Linearizable)
 	if err != nil && !errors.Is(err, objectstore.ErrNotFound) {
--- a/internal/duties/lease/config.go
+++ b/internal/duties/lease/config.go
@@ -8,18 +8,18 @@
 	"github.com/pathtally/pathtally/internal/clock"
 )
 
-// Config is what a Keeper needs.
+// Config holds the dependencies of a Keeper.
 type Config struct {
 	Node  string
 	Lease *Lease
-	// Clock is that of the lease.
+	// Clock is the clock that Lease uses.
 	Clock  clock.Clock
 	Logger klog.Logger
 	// Nodes lists the nodes that may hold the lease.
 	Nodes func() []string
-	// Silence returns the time since the last heartbeat of a node.
+	// Silence returns the time since the last heartbeat from a node.
 	Silence func(node string) time.Duration
-	// Tell sends what this node knows of the lease to the nodes named, or to all where
-	// they are few.
+	// Announce sends this node's newest observation of the lease to the given nodes, or to
+	// all nodes if the deployment is small.
 	Announce func(nodes []string)
 }
--- a/internal/duties/lease/decision.go
+++ b/internal/duties/lease/decision.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// action is the next step towards getting or keeping the lease.
+// action is the next step in acquiring or keeping the lease.
 type action int
 
 const (
-	// actionNone: this node has given up its duties.
+	// actionNone: this node has stopped performing duties.
 	actionNone action = iota
-	// actionWait: another holder's calls may still be on their way.
+	// actionWait: calls of another holder may still be in flight.
 	actionWait
-	// actionRead: the stored lease has to be read before it is written.
+	// actionRead: the stored lease must be read before it is written.
 	actionRead
-	// actionTake: the lease is free for this node to begin a tenure.
+	// actionTake: this node may write the lease to begin a tenure.
 	actionTake
-	// actionRenew: the write prolongs this node's tenure.
+	// actionRenew: this node may write the lease to extend its tenure.
 	actionRenew
 )
 
-// decision is what a node does next about the lease.
+// decision is a node's next action and its parameters.
 type decision struct {
 	action action
 	// wait is the time until the next decision, set for actionWait.
 	wait time.Duration
-	// replaces is the revision that a write replaces, 0 to create the lease. It belongs
-	// to the same moment as action: an observation made later may bring a holder that
-	// has to be waited for, and must make the write's condition fail.
+	// replaces is the revision that the write must replace, 0 to create the lease. It is
+	// captured together with action: if a later observation reveals a new holder, the
+	// conditional write must fail.
 	replaces uint64
 }
 
-// decide returns what to do next to get or keep the lease. justRead says that the stored
-// lease was read for this decision.
+// decide returns the next action. justRead means that the stored lease has just been read
+// for this decision.
 func (s *state) decide(now time.Time, justRead bool) decision {
 	wait := s.takeoverWait(now)
 	switch {
@@ -46,8 +46,8 @@
 	return decision{action: actionRenew, replaces: s.revision}
 }
 
-// takeoverWait returns how long calls of another holder may still be sent, or be less
-// than the term ago.
+// takeoverWait returns the time until the last possible call of another holder is at least
+// the takeover gap ago, 0 if there is nothing to wait for.
 func (s *state) takeoverWait(now time.Time) time.Duration {
 	if s.revision == 0 || s.holder == s.node || s.released {
 		return 0
@@ -55,12 +55,12 @@
 	return max(0, s.firstSeen.Add(SendWindow+s.term+takeoverMargin).Sub(now))
 }
 
-// mustRead reports whether the stored lease may differ from what this node knows: only
-// a node whose own confirmed write is the newest revision need not read.
+// mustRead reports whether the stored lease may differ from this node's state. It does not
+// if the newest known revision is a confirmed write of this node.
 func (s *state) mustRead() bool { return s.holder != s.node || s.revision == 0 || s.unconfirmed }
 
-// mayRelease reports whether a successor need not wait once this node has stopped: its
-// predecessor's calls are then longer ago than the term.
+// mayRelease reports whether this node may release the lease so that its successor need not
+// wait: the calls of its predecessor must be longer ago than the takeover gap.
 func (s *state) mayRelease(now time.Time) bool {
 	return s.token != 0 && s.holder == s.node && now.Sub(s.tenureStart) >= s.term+takeoverMargin
 }
--- a/internal/duties/lease/errors.go
+++ b/internal/duties/lease/errors.go
@@ -7,22 +7,22 @@
 )
 
 var (
-	// ErrStopped means that this node has given up its duties.
+	// ErrStopped means that this node has stopped performing duties.
 	ErrStopped = merry.Sentinel("node takes no more duties")
-	// ErrUnanswered means that the receiver may have carried a call out, or may yet.
+	// ErrUnanswered means that the receiver may have executed a call, or may still do so.
 	ErrUnanswered = merry.Sentinel("duty call not answered")
-	// ErrFenced means that a call was not carried out, since its receiver has seen a newer
-	// token, or not sent, since this node no longer holds the lease.
+	// ErrFenced means that a call was not executed because its receiver has seen a newer
+	// token, or not sent because this node no longer holds the lease.
 	ErrFenced = merry.Sentinel("fencing token is outdated")
 )
 
-// RejectedError is the receiver's refusal of a call, which was not carried out.
+// RejectedError means that the receiver rejected a call and did not execute it.
 type RejectedError struct {
-	// Status is that of the answer, 0 if the call was never sent.
+	// Status is the status of the response, 0 if the call was never sent.
 	Status int
 }
 
-// Error names the status.
+// Error implements error.
 func (e *RejectedError) Error() string {
 	return fmt.Sprintf("duty call refused: status %d", e.Status)
 }
--- a/internal/duties/lease/keeper.go
+++ b/internal/duties/lease/keeper.go
@@ -7,46 +7,48 @@
 )
 
 const (
-	// PollInterval is the time between attempts of a node that has work to do and not
-	// the lease.
+	// PollInterval is the time between attempts of a node that has work to do but does not
+	// hold the lease.
 	PollInterval = 100 * time.Millisecond
-	// minRemaining is what must be left of the lease for a call. A busy holder so
-	// renews the lease every SendWindow less this, 2.1 s.
+	// minRemaining is the remaining part of the send window below which the lease is
+	// renewed before the next call.
 	minRemaining = 400 * time.Millisecond
-	// maxRetryDelay bounds the time between attempts to get the lease while the store
-	// does not answer.
+	// maxRetryDelay bounds the backoff between attempts to acquire the lease while the
+	// store fails.
 	maxRetryDelay = time.Second
 )
 
-// Keeper decides when this node tries to get the lease, and lets its calls pass only
-// while it holds it. It is safe for use by many goroutines.
+// Keeper decides when this node tries to acquire the lease, and permits calls only while
+// the node holds it. It is safe for concurrent use.
 type Keeper struct {
 	config Config
 
-	// acquiring is held during an attempt to get the lease.
+	// acquiring is held during an attempt to acquire the lease. It guards the next two
+	// fields.
 	acquiring sync.Mutex
-	// retryDelay is the time before the next attempt after one that failed, and
-	// reportedWait the revision whose wait was last logged. acquiring guards them.
+	// retryDelay is the backoff after a failed attempt, and reportedWait the last revision
+	// for which a wait was logged.
 	retryDelay   time.Duration
 	reportedWait uint64
 
 	mutex sync.Mutex
-	// waitingSince is since when each duty has had work that nobody has done.
+	// waitingSince is the time since which each duty has had pending work.
 	waitingSince map[string]time.Time
-	// openCalls counts the calls under way, and unansweredAt is when one last ended
-	// without an answer.
+	// openCalls is the number of calls in flight, and unansweredAt the time when a call
+	// last ended without an answer.
 	openCalls    int
 	unansweredAt time.Time
 	wake         chan struct{}
 }
 
-// NewKeeper returns a keeper for a node's view of the lease.
+// NewKeeper returns a Keeper for a node's view of the lease.
 func NewKeeper(config Config) *Keeper {
 	return &Keeper{config: config, waitingSince: map[string]time.Time{}, wake: make(chan struct{})}
 }
 
-// Ready gets or renews the lease for at least one call, or returns when to try again. It
-// is called while a duty has work to do.
+// Ready acquires or renews the lease if necessary, and reports whether enough of it remains
+// for at least one call; if not, the duration is the time until the next try. It is called
+// while a duty has work to do.
 func (k *Keeper) Ready(ctx context.Context, duty string) (ready bool, again time.Duration) {
 	since := k.markWaiting(duty)
 	if k.config.Lease.Stopped() {
@@ -63,15 +65,15 @@
 	return k.acquire(ctx, duty)
 }
 
-// Idle records that a duty has nothing to do.
+// Idle records that a duty has no pending work.
 func (k *Keeper) Idle(duty string) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	delete(k.waitingSince, duty)
 }
 
-// markWaiting records that a duty has work, and returns since when it has had some that
-// nobody has done.
+// markWaiting records that a duty has pending work, and returns the time since which it has
+// had some.
 func (k *Keeper) markWaiting(duty string) time.Time {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -81,12 +83,13 @@
 	return k.waitingSince[duty]
 }
 
-// acquire tries once to get the lease. acquiring must be held.
+// acquire tries once to acquire the lease. acquiring must be held.
 func (k *Keeper) acquire(ctx context.Context, duty string) (ready bool, again time.Duration) {
 	known := k.config.Lease.LastObserved().Revision
 	wait, err := k.config.Lease.Acquire(ctx)
 	if wait > 0 && k.config.Lease.LastObserved().Revision != known && !k.IsCandidate() {
-		// The holder is at work and sends this node no heartbeats.
+		// The holder has renewed the lease. It is active although it sends no heartbeats
+		// to this node.
 		k.restartDelays()
 	}
 	if err != nil {
@@ -105,15 +108,17 @@
 	return true, 0
 }
 
-// restartDelays counts work that has waited as new.
+// restartDelays restarts the takeover delays of all duties: their pending work counts as
+// new.
 func (k *Keeper) restartDelays() {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	clear(k.waitingSince)
 }
 
-// reportWait logs and announces, once for each revision, that this node waits for its
-// holder: a restarted holder may not know that it is the one who need not wait.
+// reportWait logs that this node waits for the holder of the lease, and announces its
+// observation, once for each revision. The announcement tells a restarted holder that it
+// is the holder and need not wait.
 func (k *Keeper) reportWait(wait time.Duration) {
 	last := k.config.Lease.LastObserved()
 	if last.Revision == k.reportedWait {
@@ -124,8 +129,8 @@
 	k.announce()
 }
 
-// Observe takes an observation that another node has sent. A node may so learn that its
-// own previous process held the lease, and that it need not wait for it.
+// Observe applies an observation that another node has sent. It may show that the previous
+// process of this node held the lease, so that this node need not wait.
 func (k *Keeper) Observe(seen Observation) {
 	if seen.Revision == 0 || !k.config.Lease.Observe(seen) {
 		return
@@ -133,8 +138,7 @@
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if seen.Holder != k.config.Node && !seen.Released {
-		// The holder is at work: a node that is not a candidate gets no other sign
-		// of that.
+		// The holder is active. A node that is not a candidate learns it in no other way.
 		if !k.IsCandidate() {
 			clear(k.waitingSince)
 		}
@@ -144,17 +148,18 @@
 	k.wake = make(chan struct{})
 }
 
-// Woken returns a channel that is closed when this node learns that it need not
-// wait for the lease.
+// Woken returns a channel that is closed when this node learns that it need not wait for
+// the lease.
 func (k *Keeper) Woken() <-chan struct{} {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.wake
 }
 
-// LastObserved returns the newest revision of the lease that this node knows of.
+// LastObserved returns the newest observation of the lease that this node knows of.
 func (k *Keeper) LastObserved() Observation { return k.config.Lease.LastObserved() }
 
-// Tenure returns the token of this node's last renewal while no other node is
-// known to have followed it, else 0. Calls may need a further renewal.
+// Tenure returns the token of this node's last renewal, or 0 once another node is known to
+// have acquired the lease or this node's tenure has ended. The lease may have to be renewed
+// before the next call.
 func (k *Keeper) Tenure() uint64 { return k.config.Lease.Tenure() }
--- a/internal/duties/lease/lease.go
+++ b/internal/duties/lease/lease.go
@@ -8,8 +8,8 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// Lease is this node's view of the lease, and the calls to the store that keep
-// it. It is safe for use by many goroutines.
+// Lease is this node's view of the lease together with the store access that acquires and
+// renews it. It is safe for concurrent use.
 type Lease struct {
 	nonce string
 	store objectstore.Store
@@ -20,16 +20,17 @@
 	writes uint64
 }
 
-// NewLease returns a node's view of the lease that knows nothing yet. The nonce
-// tells the processes of a node apart. A term of 0 means the default. The clock counts
-// suspensions of the machine, after which the lease may be another node's.
+// NewLease returns a Lease that has observed nothing yet. The nonce distinguishes the
+// processes of a node. A takeover gap of 0 means the default. The clock must keep counting
+// while the machine is suspended, because another node may acquire the lease meanwhile.
 func NewLease(node, nonce string, term time.Duration, store objectstore.Store, counting clock.Clock) *Lease {
 	lease := &Lease{nonce: nonce, store: store, clock: counting, state: state{node: node}}
 	lease.SetTerm(term)
 	return lease
 }
 
-// SetTerm changes how long this node waits as a successor; 0 means the default.
+// SetTerm sets the minimum time between the last call of another holder and the first call
+// of this node; 0 means the default.
 func (l *Lease) SetTerm(term time.Duration) {
 	if term <= 0 {
 		term = DefaultTerm
@@ -39,15 +40,15 @@
 	l.state.term = term
 }
 
-// Valid returns the token if calls may be sent now.
+// Valid returns the fencing token, and whether calls may be sent now.
 func (l *Lease) Valid() (uint64, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.state.valid(l.clock())
 }
 
-// Held returns since when neither another node nor a previous process of this one has
-// held the lease, and whether calls may be sent now.
+// Held returns the time since which neither another node nor a previous process of this
+// node has held the lease, and whether calls may be sent now.
 func (l *Lease) Held() (since time.Time, valid bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -55,8 +56,8 @@
 	return l.state.soleSince, valid
 }
 
-// Tenure returns the token of this node's last renewal while no other node is
-// known to have followed it, else 0.
+// Tenure returns the token of this node's last renewal, or 0 once another node is known to
+// have acquired the lease or this node's tenure has ended.
 func (l *Lease) Tenure() uint64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -66,14 +67,14 @@
 	return l.state.token
 }
 
-// Stopped reports whether this node has given up its duties.
+// Stopped reports whether this node has stopped performing duties.
 func (l *Lease) Stopped() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.state.stopped
 }
 
-// Remaining returns how long calls may still be sent, 0 if they may not.
+// Remaining returns how long calls may still be sent, 0 if none may be sent.
 func (l *Lease) Remaining() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -83,7 +84,7 @@
 	return l.clock.Until(l.state.until)
 }
 
-// stop ends this node's tenure, and reports whether it may be released.
+// stop ends this node's duties, and reports whether the lease may be released.
 func (l *Lease) stop() (mayRelease bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/duties/lease/lease_test.go
+++ b/internal/duties/lease/lease_test.go
@@ -16,7 +16,7 @@
 	return NewLease(node, node, testTerm, store, clock.Steady)
 }
 
-// acquireNow acquires without a wait or fails the test.
+// acquireNow acquires the lease, which must need no wait, and returns the token.
 func acquireNow(t *testing.T, held *Lease) uint64 {
 	t.Helper()
 	pause, err := held.Acquire(context.Background())
@@ -30,7 +30,7 @@
 	return token
 }
 
-// awaitLease acquires after the waits that that takes, or fails the test.
+// awaitLease acquires the lease after the necessary waits.
 func awaitLease(t *testing.T, successor *Lease) {
 	t.Helper()
 	for {
@@ -45,8 +45,8 @@
 	}
 }
 
-// A renewal that wrote the same object made no revision, so that a successor
-// that had seen the first write took over while orders were still given.
+// A renewal that doesn't change the stored object makes no new revision, and a successor
+// would take over while the holder still sends calls.
 func TestEachRenewalRaisesTheToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		held := newLease("one", metastore.New())
@@ -57,6 +57,8 @@
 	})
 }
 
+// A successor that waits from an earlier write than the last one would call at the same time
+// as the holder.
 func TestSuccessorWaitsForTheLastWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := metastore.New()
@@ -83,6 +85,7 @@
 	})
 }
 
+// A holder that was paused for the send window would call after another node took over.
 func TestFormerHolderThatWakesGivesNoOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		held := newLease("one", metastore.New())
@@ -94,7 +97,7 @@
 	})
 }
 
-// A write that is done late must not be taken for one made now.
+// A write that is applied late must not be taken for a later renewal.
 func TestUnansweredWriteIsReadBeforeTheNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := metastore.New()
@@ -118,8 +121,8 @@
 	})
 }
 
-// A planned stop hands the lease over without a wait, but not to whoever held it
-// a moment before.
+// A graceful shutdown lets the successor take over without a wait, unless the holder's own
+// predecessor may have sent calls within the takeover gap.
 func TestReleasedLeaseIsTakenAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := metastore.New()
@@ -147,8 +150,8 @@
 	})
 }
 
-// A write that replaces a revision learnt after the wait was over would put this
-// node beside the one that wrote it.
+// A write that replaces a revision observed after the decision to write would take the lease
+// from a new holder without a wait.
 func TestWriteFailsOnWhatIsLearntAfterTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := metastore.New()
@@ -168,7 +171,8 @@
 	})
 }
 
-// What a holder keeps in memory is whole only since no other node has held the lease.
+// The in-memory state of a holder is complete only from the time since which no other node
+// has held the lease.
 func TestAHolderKnowsSinceWhenItIsAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := metastore.New()
@@ -198,8 +202,8 @@
 	})
 }
 
-// A holder's machine is suspended for longer than its window: when it wakes, another node
-// may hold the lease. The steady clock has not moved meanwhile.
+// The monotonic clock stops while the machine is suspended. A holder that used it would call
+// after another node took over.
 func TestALeaseRunsOutWhileTheMachineIsSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		suspended := time.Duration(0)
@@ -211,7 +215,7 @@
 		if _, valid := held.Valid(); valid || held.Remaining() != 0 {
 			t.Error("the lease is valid after the suspension")
 		}
-		// The write of a renewal was sent before a further one, and answered after it.
+		// The machine is suspended again between the write of a renewal and its result.
 		store.SetDelay(func(metastore.Call) metastore.Delay {
 			suspended += SendWindow
 			return metastore.Delay{}
@@ -225,8 +229,8 @@
 	})
 }
 
-// The lease was overwritten by another writer, with bytes that could not be read. Every
-// node failed to read it from then on, and nobody gave orders or reported usage any more.
+// A stored lease that can't be decoded must be replaced. Otherwise no node could ever perform
+// the duties again.
 func TestALeaseThatCannotBeReadEndsNoDuty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := metastore.New()
--- a/internal/duties/lease/model_key_test.go
+++ b/internal/duties/lease/model_key_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// key names a world but for what makes no difference: how late it is, the
-// numbers of revisions, and how long ago what is long ago was.
+// key identifies a world up to differences that don't matter: absolute times, absolute
+// revisions, and ages beyond modelAge.
 func (w modelWorld) key() string {
 	revisions := []uint64{0, w.revision, w.token}
 	for i := range w.nodes {
--- a/internal/duties/lease/model_steps_test.go
+++ b/internal/duties/lease/model_steps_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// next lists the worlds that may follow, and what is wrong with a call.
+// next returns the possible successors of a world, or the violation if a call violates the
+// guarantees.
 func (w modelWorld) next(fault planted, allowed disruption) (following []modelWorld, wrong string) {
 	following = append(following, w.later())
 	for i := range w.nodes {
@@ -32,7 +33,7 @@
 	return w
 }
 
-// storeSteps are those of a node's calls to the store.
+// storeSteps returns the worlds after the possible steps of a node's store access.
 func (w modelWorld) storeSteps(i int, fault planted, allowed disruption) (following []modelWorld) {
 	node := w.nodes[i]
 	if node.inFlight == nil && node.done == nil && !node.ready && !node.state.stopped {
@@ -71,18 +72,18 @@
 	return following
 }
 
-// decide has a node decide as the product does.
+// decide returns a node's decision by the product code, with the injected fault.
 func (w modelWorld) decide(i int, fault planted, justRead bool) decision {
 	known := w.nodes[i].state
 	if fault.noWait {
-		// A released lease is not waited for.
+		// The product code does not wait for a released lease.
 		known.released = true
 	}
 	return known.decide(w.clock(i), justRead)
 }
 
-// prepareWrite has a node read the lease if it must, and be ready to write it where it
-// still need not wait.
+// prepareWrite makes a node read the lease if it must, and prepares its write if it then need
+// not wait.
 func (w modelWorld) prepareWrite(i int, fault planted, next decision) modelWorld {
 	if next.action == actionRead {
 		w.nodes[i].state.recordRead(w.clock(i), w.stored())
@@ -94,8 +95,8 @@
 	return w
 }
 
-// unlessLost has a write that was sent done and answered at once, where nothing
-// is lost: that saves most of the steps.
+// unlessLost applies and confirms a write immediately if no responses are lost, which saves
+// most of the steps.
 func (w modelWorld) unlessLost(i int, allowed disruption) modelWorld {
 	if allowed.lost {
 		return w
@@ -107,7 +108,7 @@
 	return carried
 }
 
-// answer has a node take the answer to its write.
+// answer makes a node receive the result of its write.
 func (w modelWorld) answer(i int) modelWorld {
 	node := &w.nodes[i]
 	if node.done.release {
@@ -119,8 +120,8 @@
 	return w
 }
 
-// writeSteps are what may become of a write in flight: it is done, its condition
-// does not hold, or its sender gives it up and it may be done later.
+// writeSteps returns the worlds after the possible outcomes of a write in flight: it is
+// applied, its condition fails, or its sender times out and it may be applied later.
 func (w modelWorld) writeSteps(i int, allowed disruption) []modelWorld {
 	write := w.nodes[i].inFlight
 	carried := w
@@ -139,7 +140,8 @@
 	return []modelWorld{carried, givenUp}
 }
 
-// nodeSteps are a start anew and a heartbeat from the other node.
+// nodeSteps returns the worlds after a restart of a node, and after a heartbeat from the other
+// node.
 func (w modelWorld) nodeSteps(i int, allowed disruption) (following []modelWorld) {
 	node := w.nodes[i]
 	if allowed.crashes || (node.state.stopped && node.inFlight == nil && node.done == nil) {
@@ -159,7 +161,7 @@
 	return following
 }
 
-// stops are the planned stops of a node.
+// stops returns the worlds after a graceful shutdown of a node.
 func (w modelWorld) stops(i int, fault planted, allowed disruption) (following []modelWorld) {
 	node := w.nodes[i]
 	if node.state.stopped || node.inFlight != nil || node.done != nil {
@@ -176,7 +178,7 @@
 	return append(following, stopped)
 }
 
-// call has a node send a call, if it may, and judges it as receivers do.
+// call makes a node send a call if it may, and checks the guarantees to receivers.
 func (w modelWorld) call(i int, fault planted) (called modelWorld, calls bool, wrong string) {
 	token, valid := w.nodes[i].state.valid(w.clock(i))
 	if fault.beyond && token != 0 {
@@ -186,8 +188,8 @@
 		return w, false, ""
 	}
 	switch {
-	// Where clocks stand still, since when a node is alone does not compare with the
-	// calls of the other.
+	// If clocks stop in a suspension, the start of sole tenure can't be compared with the
+	// times of the other node's calls.
 	case token < w.token:
 		return w, false, fmt.Sprintf("token %d after %d", token, w.token)
 	case token == w.token && w.last != i:
@@ -202,7 +204,7 @@
 	return w, true, ""
 }
 
-// aloneSince is since when a node believes that no other has held the lease.
+// aloneSince returns the time since which a node assumes that no other has held the lease.
 func (n *modelNode) aloneSince(world modelWorld, fault planted) time.Time {
 	if fault.everAlone {
 		return world.at(-modelAge)
--- a/internal/duties/lease/model_test.go
+++ b/internal/duties/lease/model_test.go
@@ -5,55 +5,54 @@
 	"time"
 )
 
-// The model check goes through what may happen to two nodes that contend for the
-// lease: calls to the store whose answers are lost or late, writes that are done
-// seconds later, nodes that stand still or whose machine is suspended, are started anew or stop as planned, and
-// heartbeats that bring old or new word. It uses the state of the product as it
-// is, with two seconds a tick.
+// The model check explores the behavior of two nodes that compete for the lease: store
+// access whose results are lost or delayed, writes that are applied seconds later, paused
+// nodes, suspended machines, crashes, graceful shutdowns, and heartbeats with old or new
+// observations. It uses the product's state type, with modelTick as the unit of time.
 
 const (
 	modelTick = 2 * time.Second
-	// modelAge is from which age in ticks on instants are alike: all spans of the
+	// modelAge is the age in ticks from which times are equivalent, since all periods of the
 	// lease are shorter.
 	modelAge = 4
-	// modelStates bounds the search. It is reached: the instants since which
-	// something holds combine freely.
+	// modelStates is the maximum number of states of a search. The search reaches it before
+	// it has explored all states.
 	modelStates = 150_000
 )
 
-// planted is a fault that the check has to find.
+// planted is a fault injected into the product's behavior, which the check must detect.
 type planted struct {
 	name string
-	// noWait has successors not wait for the last holder.
+	// noWait makes successors take over without a wait.
 	noWait bool
-	// early has holders release the lease whatever their tenure.
+	// early makes holders release the lease after any length of tenure.
 	early bool
-	// newest has writes replace the newest revision known when they are sent, and
-	// not the one known when the wait was over.
+	// newest makes writes replace the newest revision known when they are sent, instead of
+	// the one known when the node decided to write.
 	newest bool
-	// beyond has holders send calls after their window.
+	// beyond makes holders send calls after the send window.
 	beyond bool
-	// everAlone has holders believe that no other node ever held the lease.
+	// everAlone makes holders assume that no other node ever held the lease.
 	everAlone bool
-	// standsStill has the clock of a node stand still while its machine is suspended.
+	// standsStill makes the clock of a node stop while its machine is suspended.
 	standsStill bool
 }
 
-// disruption is what may go wrong in a search. Without lost answers it gets much
-// further in as many states.
+// disruption selects the disturbances in a search. With fewer of them, a search gets further
+// in the same number of states.
 type disruption struct {
-	// lost has answers of the store get lost and writes be done late, crashes has
-	// nodes be started anew at any moment and not after a planned stop alone, and
-	// told has heartbeats arrive.
+	// lost makes the store lose results and apply writes late, crashes makes nodes restart
+	// at any time instead of only after a graceful shutdown, and told makes heartbeats
+	// arrive.
 	lost, crashes, told bool
 }
 
-// The searches: whatever may happen, without what is lost, and planned stops
-// alone, which take the most steps.
+// searches are the combinations of disturbances that are searched: all of them, no lost
+// results, and graceful shutdowns only, which take the most steps.
 var searches = []disruption{{lost: true, crashes: true, told: true}, {crashes: true, told: true}, {}}
 
-// search goes through the worlds breadth first and returns what is wrong with
-// one, or how many there were.
+// search explores the worlds breadth first, and returns the first violation, "" if there is
+// none, and the number of worlds found.
 func search(fault planted, allowed disruption, most int) (wrong string, worlds int) {
 	queue := []modelWorld{firstWorld()}
 	visited := map[string]bool{queue[0].key(): true}
@@ -79,6 +78,7 @@
 	return "", len(visited)
 }
 
+// Calls of two holders that are closer than the takeover gap could be executed out of order.
 func TestNoTwoHoldersCallInTurns(t *testing.T) {
 	for _, allowed := range searches {
 		wrong, worlds := search(planted{}, allowed, modelStates)
@@ -89,7 +89,7 @@
 	}
 }
 
-// The check is worth something: it finds each fault that is planted.
+// A model check that misses injected faults proves nothing.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	for _, test := range []struct {
 		fault   planted
--- a/internal/duties/lease/model_world_test.go
+++ b/internal/duties/lease/model_world_test.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// modelWrite is a write on condition, on its way or done.
+// modelWrite is a conditional write, in flight or applied.
 type modelWrite struct {
 	replaces uint64
 	release  bool
-	// sent is when its node sent it, in ticks.
+	// sent is the time when its node sent it, in ticks of the node's clock.
 	sent int
 }
 
 // modelNode is a node in the model.
 type modelNode struct {
 	state state
-	// ready is set once the lease has been found free to be written, to replace a
-	// revision.
+	// ready is set when the node has decided to write the lease, to replace the revision
+	// replaces.
 	ready    bool
 	replaces uint64
-	// inFlight is a write that has not been done, and done one that has been and
-	// whose answer is under way, with its revision.
+	// inFlight is a write that has not been applied. done is a write that has been applied
+	// as revision and whose result is in flight.
 	inFlight *modelWrite
 	done     *modelWrite
 	revision uint64
-	// behind is by how many ticks the node's clock is behind: those in which its machine
-	// was suspended, where the clock stands still meanwhile.
+	// behind is the number of ticks by which the node's clock is behind, because it stopped
+	// while the machine was suspended.
 	behind int
 }
 
-// modelWorld is one state of the whole. It is copied and never changed.
+// modelWorld is one state of the whole system. Steps change a copy of it.
 type modelWorld struct {
 	now      int
 	nodes    [2]modelNode
 	revision uint64
 	holder   int
 	released bool
-	// late are writes whose senders have given up on them, by node.
+	// late are the writes whose senders have timed out, by node.
 	late [2]*modelWrite
-	// acted is when each node last sent a call, and last who did so last, with
-	// its token.
+	// acted is the time of each node's last call. last is the node that called last, and
+	// token the token of that call.
 	acted [2]int
 	last  int
 	token uint64
@@ -49,7 +49,7 @@
 	return time.Unix(0, 0).Add(time.Duration(tick) * modelTick)
 }
 
-// clock is the instant of now as a node reads it.
+// clock returns the current time by a node's clock.
 func (w modelWorld) clock(node int) time.Time { return w.at(w.now - w.nodes[node].behind) }
 
 func firstWorld() modelWorld {
@@ -60,8 +60,7 @@
 	return world
 }
 
-// apply carries out a write at the store and returns its revision, 0 where its
-// condition does not hold.
+// apply applies a write at the store and returns its revision, 0 if its condition fails.
 func (w *modelWorld) apply(node int, write *modelWrite) uint64 {
 	if write.replaces != w.revision {
 		return 0
@@ -71,12 +70,12 @@
 	return w.revision
 }
 
-// stored is the lease as the store has it.
+// stored returns the stored lease.
 func (w *modelWorld) stored() Observation {
 	return Observation{Holder: w.holderName(), Revision: w.revision, Released: w.released}
 }
 
-// holderName is who the store names.
+// holderName returns the holder of the stored lease, "" if there is none.
 func (w *modelWorld) holderName() string {
 	if w.holder < 0 {
 		return ""
--- a/internal/duties/lease/observation.go
+++ b/internal/duties/lease/observation.go
@@ -1,23 +1,24 @@
 package lease
 
-// Observation is the newest revision of the lease that a node knows of.
+// Observation is a revision of the lease as one node has observed it.
 type Observation struct {
-	// Holder is the node that wrote Revision, "" and 0 if the lease was never observed.
+	// Holder is the node that wrote Revision. Both are zero if the lease was never
+	// observed.
 	Holder   string
 	Revision uint64
-	// Released says that the holder gave the lease up with it.
+	// Released means that the holder released the lease with this write.
 	Released bool
 }
 
-// Observe takes an observation that another node has sent, and reports whether it is
-// newer than what this node knew.
+// Observe applies an observation that another node has sent, and reports whether it is
+// newer than the last one.
 func (l *Lease) Observe(seen Observation) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.state.observe(l.clock(), seen)
 }
 
-// LastObserved returns the newest revision of the lease that this node knows of.
+// LastObserved returns the newest observation of the lease that this node knows of.
 func (l *Lease) LastObserved() Observation {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/duties/lease/permit.go
+++ b/internal/duties/lease/permit.go
@@ -1,15 +1,15 @@
 package lease
 
-// Permit allows one call under the lease.
+// Permit permits one call under the lease.
 type Permit struct {
-	// Holder and Token are what the call names.
+	// Holder and Token identify the lease in the call.
 	Holder string
 	Token  uint64
 	keeper *Keeper
 }
 
-// Begin allows a call that is sent at once, if the lease is valid now. Done is
-// called when it has ended.
+// Begin returns a permit for a call that is sent immediately, if the lease is valid now.
+// The caller must call Done when the call has ended.
 func (k *Keeper) Begin() (Permit, bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -21,8 +21,8 @@
 	return Permit{Holder: k.config.Node, Token: token, keeper: k}, true
 }
 
-// Done records that the call has ended, and whether it was answered: one that was
-// not may still arrive.
+// Done records that the call has ended and whether it was answered. A call that was not
+// answered may still arrive.
 func (p Permit) Done(answered bool) {
 	p.keeper.mutex.Lock()
 	defer p.keeper.mutex.Unlock()
--- a/internal/duties/lease/rank.go
+++ b/internal/duties/lease/rank.go
@@ -7,25 +7,23 @@
 )
 
 const (
-	// candidateCount is how many nodes besides the last holder check all the time
-	// whether there is work to do. More would do the same work in vain: each
-	// further one waits rankDelay longer.
+	// candidateCount is the number of successors that continuously look for pending work,
+	// like the last holder. Others need not, because each rank waits rankDelay longer.
 	candidateCount = 5
-	// informedFollowers is how many nodes receive each renewal, in the order in which
-	// they would follow its holder. The next ones wait for half a minute and more
-	// before they read the store themselves.
+	// informedFollowers is the number of successors that each renewal is announced to. The
+	// others read the store by themselves, after a long takeover delay.
 	informedFollowers = 48
 )
 
-// IsCandidate reports whether this node is the last holder of the lease or one of
-// the first to follow it.
+// IsCandidate reports whether this node is the last holder of the lease or one of its first
+// successors.
 func (k *Keeper) IsCandidate() bool {
 	holder := k.config.Lease.LastObserved().Holder
 	return holder == k.config.Node || k.rank(holder) < candidateCount
 }
 
-// Candidates names the nodes that follow this one as holder of the lease, if it
-// is the last one.
+// Candidates returns the first successors of this node if it is the last holder of the
+// lease, else nil.
 func (k *Keeper) Candidates() []string {
 	if k.Tenure() == 0 {
 		return nil
@@ -33,8 +31,8 @@
 	return k.first(candidateCount, k.config.Node)
 }
 
-// Informed names the nodes that have to know what the duties need: the last
-// holder, and the first of those that would follow it.
+// Informed returns a number of first successors of the last holder, followed by the last
+// holder itself. These nodes receive the data that the duties need.
 func (k *Keeper) Informed(followers int) []string {
 	holder := k.config.Lease.LastObserved().Holder
 	named := k.first(followers, holder)
@@ -44,20 +42,22 @@
 	return named
 }
 
-// announce sends what this node knows of the lease to the last holder and its followers.
+// announce sends this node's newest observation to the last holder and its successors.
 func (k *Keeper) announce() { k.config.Announce(k.Informed(informedFollowers)) }
 
-// first names the first nodes in rank to follow a holder.
+// first returns the first successors of a holder.
 func (k *Keeper) first(count int, holder string) []string {
 	ranked := k.ranked(holder)
 	return ranked[:min(count, len(ranked))]
 }
 
-// ranked lists the nodes other than a holder, in the order in which they follow it.
+// ranked returns all successors of a holder, the nodes other than the holder, in the order
+// in which they try to take over the lease.
 func (k *Keeper) ranked(holder string) []string {
 	others := slices.DeleteFunc(slices.Clone(k.config.Nodes()), func(node string) bool { return node == holder })
 	return rendezvous.RankNames(leaseName, others)
 }
 
-// rank is this node's place among the followers of a holder, -1 if it is not listed.
+// rank returns this node's rank among the successors of a holder, from 0, or -1 if it is
+// not among them.
 func (k *Keeper) rank(holder string) int { return slices.Index(k.ranked(holder), k.config.Node) }
--- a/internal/duties/lease/release.go
+++ b/internal/duties/lease/release.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// lateCallPeriod is how long a call without an answer may still arrive:
-	// none is carried out later (docs/PLATFORM.md, "Who runs a job").
+	// lateCallPeriod is the time during which a call that was not answered may still
+	// arrive. Receivers execute none later (docs/PLATFORM.md, "Who runs a job").
 	lateCallPeriod = 8 * time.Second
 	// releaseTimeout bounds the release of the lease.
 	releaseTimeout = 1200 * time.Millisecond
-	// releasePollInterval is the time between checks of the calls still open.
+	// releasePollInterval is the time between checks for open calls.
 	releasePollInterval = 10 * time.Millisecond
 )
 
-// Release ends this node's duties for a planned stop. The lease is given up if
-// that is safe, so that a successor need not wait; else it runs out.
+// Release ends this node's duties for a graceful shutdown. It releases the lease if that is
+// safe, so that the successor need not wait; otherwise the lease expires.
 func (k *Keeper) Release(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
@@ -34,7 +34,7 @@
 	k.announce()
 }
 
-// awaitCalls waits until no call is open, and reports whether none may still arrive.
+// awaitCalls waits until no call is open, and reports whether none can still arrive.
 func (k *Keeper) awaitCalls(ctx context.Context) bool {
 	for {
 		open, late := k.pendingCalls()
@@ -52,7 +52,7 @@
 	}
 }
 
-// pendingCalls returns how many calls are open, and whether one that ended without an
+// pendingCalls returns the number of open calls, and whether a call that ended without an
 // answer may still arrive.
 func (k *Keeper) pendingCalls() (open int, late bool) {
 	k.mutex.Lock()
--- a/internal/duties/lease/stored.go
+++ b/internal/duties/lease/stored.go
@@ -10,27 +10,27 @@
 
 const (
 	leaseKind = "leases"
-	// leaseName is that of the first duty there was. It stays, so that nodes of
-	// an earlier version contend for the same object.
+	// leaseName names the lease of all duties, not just that of weight orders. Changing it
+	// would let nodes of different versions hold the lease at the same time.
 	leaseName = "weight-orders"
-	// unknownHolder stands for the writer of a lease that cannot be read. No node has
-	// this name.
+	// unknownHolder is the holder of a lease that cannot be decoded. No node has this name.
 	unknownHolder = "?"
 )
 
-// storedLease is the lease in the store.
+// storedLease is the stored form of the lease.
 type storedLease struct {
 	Node  string `json:"node"`
 	Nonce string `json:"nonce"`
-	// Writes counts the writes of one process, so that each of them changes
-	// the object, and with it the revision that successors wait by.
+	// Writes counts the writes of the process, so that each write changes the object and
+	// with it the revision, by which successors detect renewals.
 	Writes uint64 `json:"writes"`
-	// Released says that the node sends no more calls.
+	// Released means that the node sends no more calls.
 	Released bool `json:"released,omitempty"`
 }
 
-// decodeLease reads the stored lease. One that cannot be read counts as another node's:
-// it is waited for and then replaced, since otherwise nobody could hold the lease again.
+// decodeLease decodes the stored lease. A lease that cannot be decoded is treated as held by
+// another node: after the usual wait it is replaced, since otherwise no node could ever
+// acquire it again.
 func decodeLease(object objectstore.Object) Observation {
 	var stored storedLease
 	if err := json.Unmarshal(object.Spec, &stored); err != nil {
--- a/internal/duties/lease/takeover.go
+++ b/internal/duties/lease/takeover.go
@@ -3,27 +3,28 @@
 import "time"
 
 const (
-	// rankDelay is what each further node waits for those before it in rank.
+	// rankDelay is the additional delay for each rank in the order of succession.
 	rankDelay = 700 * time.Millisecond
-	// holderTimeout is how long the last holder is left to go on by itself.
+	// holderTimeout is the time that the last holder is given to process pending work, and
+	// the time without a heartbeat after which it counts as inactive.
 	holderTimeout = 1200 * time.Millisecond
-	// activeHolderDelay is added while the last holder sends heartbeats: one that gets
-	// nothing done is replaced in the end.
+	// activeHolderDelay is the additional delay while the last holder sends heartbeats. A
+	// holder that is alive but makes no progress is replaced after it.
 	activeHolderDelay = 6 * time.Second
 )
 
-// succession is what decides how long a node leaves work to the nodes before it.
+// succession holds the inputs of takeoverDelay.
 type succession struct {
-	// rank is the node's place among those that follow the last holder, from 0.
+	// rank is the node's rank among the successors of the last holder, from 0.
 	rank int
-	// holderMayGoOn is set where there is a last holder that did not release the lease.
+	// holderMayGoOn is set if there is a last holder that did not release the lease.
 	holderMayGoOn bool
-	// holderSilence is the time since the last heartbeat of such a holder.
+	// holderSilence is the time since the last heartbeat of that holder.
 	holderSilence time.Duration
 }
 
-// takeoverDelay returns how long work must have waited before the node tries to get the
-// lease.
+// takeoverDelay returns how long work must have been pending before the node tries to
+// acquire the lease.
 func takeoverDelay(s succession) time.Duration {
 	delay := time.Duration(s.rank) * rankDelay
 	if !s.holderMayGoOn {
@@ -36,8 +37,9 @@
 	return delay
 }
 
-// isNext reports whether this node is the one to try to get the lease, where work has
-// waited since an instant: the last holder at once, the others by rank when it does not.
+// isNext reports whether it is this node's turn to acquire the lease, given the time since
+// which work has been pending. The last holder tries immediately, its successors after
+// their takeover delay.
 func (k *Keeper) isNext(since time.Time) bool {
 	last := k.config.Lease.LastObserved()
 	if last.Holder == k.config.Node {
@@ -54,8 +56,7 @@
 	return known
 }
 
-// RankDelay returns how long this node leaves work to the nodes that follow the last
-// holder before it does.
+// RankDelay returns the part of this node's takeover delay that is due to its rank.
 func (k *Keeper) RankDelay() time.Duration {
 	return time.Duration(max(0, k.rank(k.config.Lease.LastObserved().Holder))) * rankDelay
 }
--- a/internal/duties/lease/write.go
+++ b/internal/duties/lease/write.go
@@ -11,8 +11,8 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// write makes this node the holder, or releases the lease, if the stored lease has the
-// expected revision; 0 expects none.
+// write writes the lease with this node as the holder, or as released, on condition that
+// the stored lease has the expected revision; 0 means that none is stored.
 func (l *Lease) write(ctx context.Context, expected uint64, release bool) error {
 	spec, err := l.encode(release)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return json.Marshal(storedLease{Node: l.state.node, Nonce: l.nonce, Writes: l.writes, Released: release})
 }
 
-// recordOutcome records what became of a write, and returns its error.
+// recordOutcome records the outcome of a write in the state, and returns the write's error.
 func (l *Lease) recordOutcome(sent time.Time, written objectstore.Object, release bool, err error) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -53,7 +53,7 @@
 	return err
 }
 
-// release gives the lease up, so that a successor need not wait.
+// release marks the stored lease as released, so that the successor need not wait.
 func (l *Lease) release(ctx context.Context) error {
 	return l.write(ctx, l.LastObserved().Revision, true)
 }
--- a/internal/duties/usage/clock.go
+++ b/internal/duties/usage/clock.go
@@ -9,61 +9,64 @@
 )
 
 const (
-	// maxSlewOffset is up to which difference the time of day is followed, and slewStep by
-	// how much at each comparison. Machines are kept within some milliseconds of true
-	// time.
+	// maxSlewOffset is the maximum offset of the wall clock that is corrected by slewing.
+	// Larger offsets are treated as steps. slewStep is the maximum correction per
+	// comparison.
 	maxSlewOffset = 100 * time.Millisecond
 	slewStep      = 5 * time.Millisecond
-	// lastingStepAge is after how long a step of the time of day counts as a
-	// correction. Clocks that jump for seconds are back before.
+	// lastingStepAge is the time after which a step of the wall clock is adopted as a
+	// correction. Erroneous steps are assumed to be reverted sooner.
 	lastingStepAge = time.Minute
-	// maxPeerOffset is beyond which difference the peers' estimate replaces this node's
-	// own, and minPeers how many of them must have sent theirs.
+	// maxPeerOffset is the median offset from the peers above which their estimate
+	// replaces this node's, and minPeers the minimum number of peers for that.
 	maxPeerOffset = 250 * time.Millisecond
 	minPeers      = 3
-	// peerOffsetAge is how long a peer's estimate counts.
+	// peerOffsetAge is the time after which a peer's offset is dropped.
 	peerOffsetAge = 30 * time.Second
 )
 
-// Clock estimates true time. It follows the steady clock from the time of day at
-// the start of the process, so that steps of the time of day do not move it: they
-// are logged, and followed only when they last or when peers agree. It is safe for
-// use by many goroutines.
+// Clock estimates the true time. It starts with the wall clock's time and advances with the
+// monotonic clock, so that steps of the wall clock do not affect it. Steps are logged, and
+// adopted only if they last or if most peers agree. It is safe for concurrent use.
 type Clock struct {
 	logger klog.Logger
 
 	mutex sync.Mutex
-	// start is an instant of the steady clock, and unix the time of day then.
+	// start is a reading of the monotonic clock, and unix the estimated time at it since
+	// the Unix epoch.
 	start time.Time
 	unix  time.Duration
-	// stepAt is since when the time of day has differed, zero if it does not.
+	// stepAt is the time when the current step of the wall clock was detected, zero if
+	// there is none.
 	stepAt time.Time
 	peers  map[string]peerOffset
 }
 
-// peerOffset is by how much a peer's estimate is ahead of this node's.
+// peerOffset is the offset of a peer's estimate from this node's, positive if it is ahead.
 type peerOffset struct {
 	offset time.Duration
 	at     time.Time
 }
 
-// NewClock returns a clock that starts from the time of day now.
+// NewClock returns a Clock that starts with the current time of the wall clock.
 func NewClock(logger klog.Logger) *Clock { return newClockAt(time.Now(), time.Now(), logger) }
 
-// newClockAt returns a clock for a steady instant and the time of day then.
+// newClockAt returns a Clock that starts with the given simultaneous readings of the
+// monotonic clock and the wall clock.
 func newClockAt(steady, timeOfDay time.Time, logger klog.Logger) *Clock {
 	return &Clock{logger: logger, start: steady, unix: time.Duration(timeOfDay.UnixNano()), peers: map[string]peerOffset{}}
 }
 
-// Unix returns the estimated time at an instant of the steady clock, as a duration since
-// the start of 1970.
+// Unix returns the estimated time at a reading of the monotonic clock, as a duration since
+// the Unix epoch.
 func (c *Clock) Unix(at time.Time) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.unix + at.Sub(c.start)
 }
 
-// Compare compares the clock with the time of day. It is called about once a second.
+// Compare compares the clock with the wall clock, and corrects it by slewing or by adopting
+// a lasting step. It is called about once a second.
 func (c *Clock) Compare(steady, timeOfDay time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -83,7 +86,8 @@
 	}
 }
 
-// ObservePeer takes a peer's estimate: by how much it is ahead of this clock.
+// ObservePeer records the offset of a peer's estimate from this clock, positive if the peer
+// is ahead, and adopts the median offset if it is too large.
 func (c *Clock) ObservePeer(peer string, offset time.Duration, steady time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -105,7 +109,7 @@
 	}
 }
 
-// adopt moves the clock. The mutex must be held.
+// adopt corrects the clock by an offset. The mutex must be held.
 func (c *Clock) adopt(offset time.Duration, reason string) {
 	c.unix += offset
 	c.stepAt = time.Time{}
--- a/internal/duties/usage/clock_test.go
+++ b/internal/duties/usage/clock_test.go
@@ -7,7 +7,8 @@
 	"k8s.io/klog/v2"
 )
 
-// clockAt returns a clock that took an instant for true time, and the instant.
+// clockAt returns a clock that starts at 1,000,000 s since the Unix epoch, and the reading of
+// the monotonic clock at its start.
 func clockAt() (*Clock, time.Time) {
 	start := time.Now()
 	return newClockAt(start, time.Unix(1_000_000, 0), klog.Background()), start
@@ -46,7 +47,7 @@
 	clock, start := clockAt()
 	for second := range 200 {
 		passed := time.Duration(second) * time.Second
-		// Two thousandths too slow.
+		// The monotonic clock is too slow by 0.2 %.
 		clock.Compare(start.Add(passed), time.Unix(1_000_000, 0).Add(passed+passed/500))
 	}
 	behind := 200*time.Second/500 - (clock.Unix(start) - 1_000_000*time.Second)
--- a/internal/duties/usage/collector.go
+++ b/internal/duties/usage/collector.go
@@ -8,14 +8,14 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// source is a process that has counted requests.
+// source identifies a process that has counted requests.
 type source struct {
 	node        string
 	incarnation uint64
 }
 
-// collector keeps the counts that all nodes have pushed. It is safe for use by many
-// goroutines.
+// collector holds the counts that all nodes have pushed, by window. It is safe for
+// concurrent use.
 type collector struct {
 	mutex   sync.Mutex
 	windows map[int64]map[source]Counts
@@ -23,7 +23,7 @@
 
 func newCollector() *collector { return &collector{windows: map[int64]map[source]Counts{}} }
 
-// add adds a push. Counts only rise, so that the greatest is the newest.
+// add merges a push. Counts only increase, so the greatest one is the newest.
 func (c *collector) add(push *wire.UsagePush) {
 	from := source{node: push.Node, incarnation: push.Incarnation}
 	c.mutex.Lock()
@@ -45,7 +45,8 @@
 	}
 }
 
-// sum adds up a window, and returns how many processes have counted in it.
+// sum returns the total counts of a window, and the number of processes that have reported
+// counts for it.
 func (c *collector) sum(number int64) (total Counts, sources int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -58,7 +59,7 @@
 	return total, len(c.windows[number])
 }
 
-// first returns the oldest window after one of which there are counts.
+// first returns the oldest window with counts that is newer than a given one.
 func (c *collector) first(after int64) (number int64, known bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -70,7 +71,7 @@
 	return 0, false
 }
 
-// forget drops the windows before one.
+// forget drops the windows older than a given one.
 func (c *collector) forget(before int64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/duties/usage/collector_test.go
+++ b/internal/duties/usage/collector_test.go
@@ -8,15 +8,15 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// pushOf is a push of one window with a count of one tenant.
+// pushOf returns a push with one tenant's count of one window.
 func pushOf(node string, incarnation uint64, window int64, tenant string, count uint64) *wire.UsagePush {
 	return &wire.UsagePush{Node: node, Incarnation: incarnation, Windows: []wire.UsageWindow{
 		{Number: window, Counts: []wire.TenantCount{{Tenant: tenant, Count: count}}},
 	}}
 }
 
-// Pushes that are lost, repeated and reordered give the same sum, as long as the
-// newest of each process arrives.
+// Repeated and reordered pushes must not change the sum, as long as the newest push of each
+// process arrives.
 func TestSumsDoNotDependOnTheOrderOfPushes(t *testing.T) {
 	var pushes []*wire.UsagePush
 	want := Counts{}
--- a/internal/duties/usage/config.go
+++ b/internal/duties/usage/config.go
@@ -11,12 +11,12 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// Config is what a Service needs.
+// Config holds the parameters and dependencies of a Service.
 type Config struct {
 	Node        string
 	Incarnation uint64
-	// Window is the length of the windows, and Late how long after its end a
-	// window's report is due.
+	// Window is the length of a window, and Late the time after its end within which its
+	// report is due.
 	Window   time.Duration
 	Late     time.Duration
 	Keeper   *lease.Keeper
@@ -25,10 +25,10 @@
 	Peers    environment.Peers
 	Logger   klog.Logger
 	Registry prometheus.Registerer
-	// Nodes lists all nodes, and Peer returns where one is and which of its processes
-	// sent the last heartbeat.
+	// Nodes returns all nodes, and Peer the address of a node and the incarnation of the
+	// process that sent its last heartbeat.
 	Nodes func() []string
 	Peer  func(node string) (address string, incarnation uint64, known bool)
-	// HeartbeatSoon sends the peers that follow the reports a heartbeat now.
+	// HeartbeatSoon sends a heartbeat soon, which contains the progress of the reports.
 	HeartbeatSoon func()
 }
--- a/internal/duties/usage/counter.go
+++ b/internal/duties/usage/counter.go
@@ -6,33 +6,32 @@
 	"time"
 )
 
-// tally is what this process has counted in one window.
+// tally holds this process's counts of one window.
 type tally struct {
 	counts Counts
-	// changed is the counter's version at the last change.
+	// changed is the version of the counter at the last change.
 	changed uint64
 }
 
-// Counter counts the requests that this node sends to replicas. It is safe for
-// use by many goroutines.
+// Counter counts the requests that this node sends to replicas, by window and tenant. It is
+// safe for concurrent use.
 type Counter struct {
 	clock  *Clock
 	window time.Duration
 
 	mutex   sync.Mutex
 	tallies map[int64]*tally
-	// version counts the requests.
+	// version is incremented with each counted request.
 	version uint64
 	wake    chan struct{}
 }
 
-// NewCounter returns a counter for windows of a length.
+// NewCounter returns a Counter with the given length of windows.
 func NewCounter(clock *Clock, window time.Duration) *Counter {
 	return &Counter{clock: clock, window: window, tallies: map[int64]*tally{}, wake: make(chan struct{}, 1)}
 }
 
-// Began counts a request of a tenant's that began to run at an instant of the
-// steady clock.
+// Began counts a request of a tenant that began to run at a time of the monotonic clock.
 func (c *Counter) Began(tenant string, at time.Time) {
 	if tenant == "" {
 		return
@@ -54,15 +53,17 @@
 	}
 }
 
-// numberAt returns the number of the window that an instant lies in.
+// numberAt returns the number of the window that contains a time.
 func (c *Counter) numberAt(at time.Time) int64 { return int64(c.clock.Unix(at) / c.window) }
 
-// sinceEnd returns how long before an instant a window ended; negative while it lasts.
+// sinceEnd returns the time from the end of a window to the given time, negative if the
+// window ends later.
 func (c *Counter) sinceEnd(number int64, at time.Time) time.Duration {
 	return c.clock.Unix(at) - time.Duration(number+1)*c.window
 }
 
-// since returns copies of the windows changed after a version, and the version now.
+// since returns copies of the windows that have changed after a version, and the current
+// version.
 func (c *Counter) since(version uint64) (windows map[int64]Counts, now uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -75,14 +76,14 @@
 	return windows, c.version
 }
 
-// newest returns the version now.
+// newest returns the current version.
 func (c *Counter) newest() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.version
 }
 
-// forget drops the windows before one.
+// forget drops the windows older than a given one.
 func (c *Counter) forget(before int64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/duties/usage/counts.go
+++ b/internal/duties/usage/counts.go
@@ -1,6 +1,6 @@
 package usage
 
-// Counts are numbers of requests by tenant.
+// Counts are the numbers of requests by tenant.
 type Counts map[string]uint64
 
 // total returns the number of requests of all tenants.
--- a/internal/duties/usage/doc.go
+++ b/internal/duties/usage/doc.go
@@ -1,18 +1,18 @@
-// Package usage reports to the platform how many requests of each tenant began to
-// run in each window of time.
+// Package usage reports to the platform the number of requests of each tenant that began to
+// run in each time window.
 //
 // Each node counts the requests that it sends to replicas, by tenant and window (Counter),
-// and pushes its counts to the holder of the duty lease and to those that would follow it
-// (pusher). Counts are those since the process started, so that a push that is repeated or
-// overtaken does no harm: receivers keep the greatest (collector). Some time after a window
-// has ended the holder adds up what it has received, settles the sum in the metadata store
-// (ledger), and reports it (report.go). The next holder of the lease reports the same sum:
-// two reports of a window never differ.
+// and pushes its counts to the holder of the duty lease and its first successors (pusher).
+// The counts of a window are cumulative, and receivers keep the greatest one, so that
+// repeated and reordered pushes are harmless (collector). Some time after a window has
+// ended, the holder sums the counts that it has received, settles the sum in the metadata
+// store (ledger), and reports it (report.go). A settled sum never changes, so that reports of
+// the same window by different holders never differ.
 //
-// What cannot be known is not reported: a window during which this node was not running,
-// and of which it has received no counts.
+// A window is not reported if this node was not running during all of it and has received
+// no counts for it: whether there were any requests is unknown.
 //
-// It owns the ledger, and in each process the counts of the last windows. It relies on the
-// duty lease, on peers for pushes, and on an estimate of the true time (Clock), since
-// windows are numbered by it.
+// The package owns the ledger and, in each process, the counts of recent windows. It relies
+// on the duty lease, on peers to deliver pushes, and on an estimate of the true time
+// (Clock), which determines the window numbers.
 package usage
--- a/internal/duties/usage/ledger.go
+++ b/internal/duties/usage/ledger.go
@@ -14,39 +14,38 @@
 const (
 	ledgerKind = "usage"
 	ledgerName = "settled"
-	// maxSettledWindows is how many windows the ledger holds: those whose reports the
-	// next holder of the lease may repeat, a minute of windows of the usual length.
-	// Older ones are never reported again.
+	// maxSettledWindows is the number of windows that the ledger holds. Older windows are
+	// never reported again.
 	maxSettledWindows = 12
 )
 
-// ErrTooOld means that a window is older than all that the ledger holds, so that another
-// sum may have been settled for it.
+// ErrTooOld means that a window is older than those that the ledger holds, so that another
+// sum may have been settled for it before.
 var ErrTooOld = merry.Sentinel("window is older than the ledger")
 
-// entry is a window whose sum is settled.
+// entry is a window with its settled sum.
 type entry struct {
 	Window int64  `json:"window"`
 	Counts Counts `json:"counts"`
 }
 
-// ledgerSpec is the stored ledger, oldest window first.
+// ledgerSpec is the stored form of the ledger, with the oldest window first.
 type ledgerSpec struct {
 	Settled []entry `json:"settled"`
 }
 
-// ledger settles the sum of each window once for all nodes: one object in the
-// metadata store, written on condition. It belongs to one goroutine.
+// ledger settles the sum of each window once for all nodes. It is one object in the metadata
+// store, updated by conditional writes. It is not safe for concurrent use.
 type ledger struct {
 	store objectstore.Store
-	// known is what the store held at revision, if read is set.
+	// known is the content of the stored object at revision. It is valid if read is set.
 	known    ledgerSpec
 	revision uint64
 	read     bool
 }
 
-// settle returns the settled sum of a window: the given one unless another was settled
-// before. An error means that none is known to be settled.
+// settle returns the settled sum of a window: the given one, unless another was settled
+// before. After an error it is unknown whether a sum is settled.
 func (l *ledger) settle(ctx context.Context, window int64, counts Counts) (Counts, error) {
 	if !l.read {
 		if err := l.load(ctx); err != nil {
@@ -71,7 +70,7 @@
 	return nil, false
 }
 
-// load reads the ledger.
+// load reads the stored ledger.
 func (l *ledger) load(ctx context.Context) error {
 	object, err := l.store.Get(ctx, ledgerKind, ledgerName, objectstore.Linearizable)
 	if errors.Is(err, objectstore.ErrNotFound) {
@@ -93,8 +92,8 @@
 	return nil
 }
 
-// append writes a further window. Where another node has written meanwhile, what is
-// stored is known afterwards and the caller tries again.
+// append adds a window to the stored ledger. If another node has written it meanwhile,
+// append fails, and the stored content is known to the next attempt.
 func (l *ledger) append(ctx context.Context, added entry) (Counts, error) {
 	next := ledgerSpec{Settled: append(slices.Clone(l.known.Settled), added)}
 	slices.SortFunc(next.Settled, func(a, b entry) int { return int(a.Window - b.Window) })
@@ -116,7 +115,7 @@
 	case errors.As(err, &conflict):
 		return nil, errors.Join(err, l.take(conflict.Current))
 	case err != nil:
-		// The write may have been applied, or may be applied yet.
+		// The write may have been applied, or may still be.
 		l.read = false
 		return nil, err
 	}
--- a/internal/duties/usage/ledger_test.go
+++ b/internal/duties/usage/ledger_test.go
@@ -20,7 +20,7 @@
 			t.Errorf("settled as %v, %v", got, err)
 		}
 	}
-	// The first does not know of what the second has written since.
+	// The first ledger does not know the newest write of the second one.
 	if _, err := second.settle(ctx, 6, Counts{"t": 7}); err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,8 @@
 	}
 }
 
-// A write without an answer may be done later, or have been done.
+// A write that was not answered may have been applied, or may be applied later. A second sum
+// must not be settled beside it.
 func TestAWriteWithoutAnAnswerIsReadFirst(t *testing.T) {
 	for _, fault := range []metastore.Fault{metastore.Late, metastore.Unanswered} {
 		store := metastore.New()
--- a/internal/duties/usage/metrics.go
+++ b/internal/duties/usage/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Outcomes of reports, as metrics name them.
+// Outcomes of reports, as label values of metrics.
 const (
 	outcomeReported = "reported"
 	outcomeFailed   = "failed"
--- a/internal/duties/usage/platform.go
+++ b/internal/duties/usage/platform.go
@@ -4,18 +4,18 @@
 
 // Report is the usage of one window.
 type Report struct {
-	// Window is its number, in windows since the start of 1970.
+	// Window is the number of the window, counted from the Unix epoch.
 	Window int64
-	// Holder and Token name the lease under which it is reported.
+	// Holder and Token identify the lease under which the report is sent.
 	Holder string
 	Token  uint64
 	Counts Counts
 }
 
-// Platform takes reports.
+// Platform accepts reports of usage.
 type Platform interface {
-	// Report sends one report. Its error is lease.ErrUnanswered where the platform may
-	// have taken it, lease.ErrFenced where it has seen a newer token, or a
+	// Report sends one report. The error is lease.ErrUnanswered if the platform may have
+	// accepted it, lease.ErrFenced if the platform has seen a newer token, or a
 	// *lease.RejectedError.
 	Report(ctx context.Context, report Report) error
 }
--- a/internal/duties/usage/progress.go
+++ b/internal/duties/usage/progress.go
@@ -2,11 +2,11 @@
 
 import "github.com/pathtally/pathtally/internal/wire"
 
-// Done returns the newest window up to which all have been reported or given up, 0
-// while none is known.
+// Done returns the newest window up to which all windows have been reported or abandoned, 0
+// if none is known.
 func (s *Service) Done() int64 { return s.done.Load() }
 
-// ObserveDone takes the newest window up to which another node has reported all.
+// ObserveDone records that all windows up to a given one have been reported or abandoned.
 func (s *Service) ObserveDone(number int64) {
 	for {
 		known := s.done.Load()
@@ -16,11 +16,11 @@
 	}
 }
 
-// FillHeartbeat adds to a heartbeat up to which window all have been reported.
+// FillHeartbeat adds this node's knowledge of the completed windows to a heartbeat.
 func (s *Service) FillHeartbeat(heartbeat *wire.NodeBeat) { heartbeat.UsageDone = s.Done() }
 
-// ReceiveHeartbeat learns from a heartbeat which windows have been reported, and drops old
-// windows.
+// ReceiveHeartbeat records the completed windows of a heartbeat, and drops the counts that
+// are no longer needed.
 func (s *Service) ReceiveHeartbeat(heartbeat *wire.NodeBeat) {
 	if heartbeat.UsageDone <= s.Done() {
 		return
@@ -29,7 +29,7 @@
 	s.forgetSettled(heartbeat.UsageDone)
 }
 
-// finish ends the work on a window and forgets what is no longer needed.
+// finish completes a window with an outcome, and drops the counts that are no longer needed.
 func (s *Service) finish(number int64, outcome string) {
 	s.metrics.reports.WithLabelValues(outcome).Inc()
 	s.ObserveDone(number)
@@ -37,8 +37,8 @@
 	s.forgetSettled(number)
 }
 
-// forgetSettled drops the counts of windows that have left the ledger, once all windows up
-// to one are done.
+// forgetSettled drops the counts of windows that the ledger no longer holds, given the newest
+// completed window.
 func (s *Service) forgetSettled(done int64) {
 	before := done - maxSettledWindows
 	s.collector.forget(before)
--- a/internal/duties/usage/pusher.go
+++ b/internal/duties/usage/pusher.go
@@ -13,44 +13,44 @@
 )
 
 const (
-	// followers is how many of the nodes that would hold the lease next receive all
-	// counts, besides the holder. Where all of these are lost at once, the others push
-	// what they have to the next.
+	// followers is the number of successors that receive all counts besides the holder. If
+	// all of these nodes fail at once, the other nodes push their counts to the next
+	// successors.
 	followers = 3
-	// minPushInterval is the least time between two pushes of a node: what a killed node
-	// has not pushed is lost, which must be little beside the tolerance of the reports.
+	// minPushInterval is the minimum time between pushes of a node. The counts that a
+	// killed node has not pushed are lost, so it bounds the error of the reports.
 	minPushInterval = 250 * time.Millisecond
-	// maxReceivedPushes is how many pushes a second one receiver should get. In
-	// deployments of hundreds of nodes each node pushes less often.
+	// maxReceivedPushes is the maximum rate of pushes to a receiver, per second. In large
+	// deployments each node pushes less often to stay below it.
 	maxReceivedPushes = 100
-	// pushTimeout bounds one push; one without an answer is repeated. Between the end of
-	// a window and its settling there is time for five.
+	// pushTimeout bounds one push. It is short enough for several retries between the end
+	// of a window and its settling.
 	pushTimeout = 500 * time.Millisecond
-	// flushTimeout bounds the pushes of a planned stop, and flushPollInterval is the
-	// time between checks of them.
+	// flushTimeout bounds the pushes of a graceful shutdown, and flushPollInterval is the
+	// time between checks for their completion.
 	flushTimeout      = time.Second
 	flushPollInterval = 10 * time.Millisecond
-	// receiverPollInterval is the time between two checks of a node that counts nothing
-	// whether there are other receivers.
+	// receiverPollInterval is the time between checks for new receivers while the node
+	// counts no requests.
 	receiverPollInterval = time.Second
 )
 
-// receiver is a process that counts are pushed to.
+// receiver identifies a process that counts are pushed to.
 type receiver struct {
 	node        string
 	address     string
 	incarnation uint64
 }
 
-// pusher pushes the counts of this node to others.
+// pusher pushes the counts of this node to the receivers.
 type pusher struct {
 	config  Config
 	counter *Counter
 	clock   *Clock
 
 	mutex sync.Mutex
-	// pushed is up to which version of the counter each receiver knows, and
-	// pushing holds the receivers that a push is under way to.
+	// pushed is the version of the counter that each receiver has confirmed, and pushing
+	// the set of receivers with a push in flight.
 	pushed  map[receiver]uint64
 	pushing map[receiver]bool
 }
@@ -59,7 +59,7 @@
 	return &pusher{config: config, counter: counter, clock: clock, pushed: map[receiver]uint64{}, pushing: map[receiver]bool{}}
 }
 
-// run pushes until the context ends.
+// run pushes counts until the context is done.
 func (p *pusher) run(ctx context.Context) {
 	for {
 		behind := p.push(ctx)
@@ -78,8 +78,8 @@
 	}
 }
 
-// flush pushes until all receivers know everything, at most for flushTimeout, and returns
-// whether they do.
+// flush pushes until all receivers have confirmed all counts, for flushTimeout at most, and
+// returns whether they have.
 func (p *pusher) flush(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
@@ -91,12 +91,12 @@
 	return true
 }
 
-// pushInterval returns the time between two pushes.
+// pushInterval returns the time between pushes of this node.
 func (p *pusher) pushInterval() time.Duration {
 	return max(minPushInterval, time.Duration(len(p.config.Nodes()))*time.Second/maxReceivedPushes)
 }
 
-// receivers returns the processes that counts are pushed to, this one left out.
+// receivers returns the processes that counts are pushed to, without this one.
 func (p *pusher) receivers() []receiver {
 	var named []receiver
 	for _, node := range p.config.Keeper.Informed(followers) {
@@ -108,9 +108,9 @@
 	return named
 }
 
-// push begins a push to each receiver that lacks something and has none under
-// way, and returns whether any lacks something. One that does not answer delays no
-// other.
+// push starts a push to each receiver that lacks counts and has no push in flight, and
+// returns whether any receiver lacks counts. It does not wait for responses, so that one
+// unresponsive receiver does not delay the others.
 func (p *pusher) push(ctx context.Context) (behind bool) {
 	receivers := p.receivers()
 	version := p.counter.newest()
@@ -130,7 +130,8 @@
 	return behind
 }
 
-// pushTo pushes to one receiver what it lacks.
+// pushTo pushes the windows changed after a version to a receiver. The reply also gives the
+// offset of the receiver's clock.
 func (p *pusher) pushTo(ctx context.Context, to receiver, known uint64) {
 	windows, version := p.counter.since(known)
 	sent := time.Now()
@@ -149,7 +150,7 @@
 	}
 }
 
-// message is a push of some windows.
+// message returns the push message for some windows.
 func (p *pusher) message(windows map[int64]Counts, sent time.Time) *wire.UsagePush {
 	push := &wire.UsagePush{Node: p.config.Node, Incarnation: p.config.Incarnation, UnixMs: p.clock.Unix(sent).Milliseconds()}
 	for _, number := range slices.Sorted(maps.Keys(windows)) {
--- a/internal/duties/usage/report.go
+++ b/internal/duties/usage/report.go
@@ -11,37 +11,36 @@
 )
 
 const (
-	// dutyName names the reports among the duties of the lease.
+	// dutyName identifies this duty to the lease.
 	dutyName = "usage"
-	// maxSettleDelay is how long after its end a window's sum is settled, or settleShare
-	// of the time until its report is due where that is less. By then requests that
-	// began in it have been answered and pushed; the rest is for another node to take
-	// the lease over.
+	// maxSettleDelay is the maximum time from the end of a window to its settling, during
+	// which the nodes push its last counts.
 	maxSettleDelay = 2500 * time.Millisecond
-	settleShare    = 0.25
-	// giveUpFactor is for how many times its allowed lateness a report is retried. The
-	// platform still wants it then, for billing.
+	// settleShare is the same time as a fraction of the time until the report is due, if
+	// that is shorter. The rest is reserved for a takeover of the lease.
+	settleShare = 0.25
+	// giveUpFactor is the multiple of the deadline after which a report is abandoned. The
+	// platform accepts late reports for billing.
 	giveUpFactor = 3
-	// reportTimeout bounds one report, and reportRetryDelay is the time before one that
-	// the platform did not take is sent again.
+	// reportTimeout bounds one report, and reportRetryDelay is the time before a failed
+	// report is retried.
 	reportTimeout    = 900 * time.Millisecond
 	reportRetryDelay = 300 * time.Millisecond
-	// listenPeriod is how long a node must have been one that others push to before it
-	// settles a window. Others learn of a new holder from its announcement, check their
-	// receivers each second, and push within a quarter.
+	// listenPeriod is how long a node must have been a receiver of pushes before it settles
+	// a window. It exceeds receiverPollInterval plus minPushInterval, which gives the other
+	// nodes time to push their counts to a new holder.
 	listenPeriod = 1500 * time.Millisecond
 	// windowPollInterval is the time between checks for windows to report.
 	windowPollInterval = 200 * time.Millisecond
 )
 
-// report reports windows while this node holds the lease, until the context ends.
+// report reports windows while this node holds the lease, until the context is done.
 func (s *Service) report(ctx context.Context) {
 	for objectstore.Sleep(ctx, s.reportStep(ctx)) {
 	}
 }
 
-// reportStep reports the window that is due, if any, and returns the time until the next
-// step.
+// reportStep reports the next window if it is due, and returns the time until the next step.
 func (s *Service) reportStep(ctx context.Context) time.Duration {
 	s.recordInformed()
 	number, due := s.nextWindow()
@@ -59,7 +58,7 @@
 	return s.reportOne(ctx, number)
 }
 
-// recordInformed records since when this node is one that others push to.
+// recordInformed records whether other nodes push their counts to this node, and since when.
 func (s *Service) recordInformed() {
 	switch informed := slices.Contains(s.config.Keeper.Informed(followers), s.config.Node); {
 	case !informed:
@@ -69,8 +68,8 @@
 	}
 }
 
-// listenFor returns how long this node has to wait for what others push, not positive if
-// it need not.
+// listenFor returns how long this node must still wait for the pushes of other nodes, 0 or
+// less if it need not wait.
 func (s *Service) listenFor() time.Duration {
 	if s.informedAt.IsZero() {
 		return windowPollInterval
@@ -78,31 +77,31 @@
 	return time.Until(s.informedAt.Add(listenPeriod))
 }
 
-// nextWindow returns the oldest window not yet reported, and whether it is to be reported
-// now.
+// nextWindow returns the oldest window that is not completed, and whether it is due to be
+// settled and reported.
 func (s *Service) nextWindow() (number int64, due bool) {
 	s.collectOwn()
 	done := s.done.Load()
 	number, known := s.collector.first(done)
 	if done > 0 && (!known || number > done+1) && s.ranThrough(done+1) {
-		// Nobody has counted anything in the next window: this node would have
-		// received it.
+		// The next window has no requests: this node was running and would have received
+		// their counts.
 		number, known = done+1, true
 	}
 	return number, known && s.counter.sinceEnd(number, time.Now()) >= s.settleDelay()
 }
 
-// settleDelay returns how long after its end a window is settled.
+// settleDelay returns the time from the end of a window to its settling.
 func (s *Service) settleDelay() time.Duration {
 	return min(maxSettleDelay, time.Duration(settleShare*float64(s.config.Late)))
 }
 
-// ranThrough reports whether this node has been running for the whole of a window.
+// ranThrough reports whether this process has been running since before a window began.
 func (s *Service) ranThrough(number int64) bool {
 	return s.counter.sinceEnd(number, s.started) < -s.config.Window
 }
 
-// collectOwn adds this node's own counts to the pushed ones.
+// collectOwn adds this node's own counts to the collected ones.
 func (s *Service) collectOwn() {
 	windows, _ := s.counter.since(0)
 	if len(windows) > 0 {
@@ -110,7 +109,8 @@
 	}
 }
 
-// reportOne settles and reports a window, and returns the time until the next step.
+// reportOne settles and reports a window, or abandons it if it is too late, and returns the
+// time until the next step.
 func (s *Service) reportOne(ctx context.Context, number int64) time.Duration {
 	late := s.counter.sinceEnd(number, time.Now())
 	if late > giveUpFactor*s.config.Late {
@@ -140,7 +140,7 @@
 	return 0
 }
 
-// send sends one report under the lease.
+// send sends a report under the lease.
 func (s *Service) send(ctx context.Context, number int64, counts Counts) error {
 	permit, valid := s.config.Keeper.Begin()
 	if !valid {
--- a/internal/duties/usage/service.go
+++ b/internal/duties/usage/service.go
@@ -10,10 +10,11 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// clockPollInterval is the time between two comparisons with the time of day.
+// clockPollInterval is the time between comparisons with the wall clock.
 const clockPollInterval = time.Second
 
-// Service counts, pushes and reports. It is safe for use by many goroutines.
+// Service counts the requests of this node, pushes its counts, and reports the sums of all
+// nodes while this node holds the lease. It is safe for concurrent use.
 type Service struct {
 	config    Config
 	clock     *Clock
@@ -23,14 +24,14 @@
 	ledger    ledger
 	metrics   *metrics
 	started   time.Time
-	// informedAt is since when others push their counts to this node, zero if they
-	// do not. It belongs to the goroutine that reports.
+	// informedAt is the time since which other nodes push their counts to this node, zero
+	// if they do not. Only the reporting goroutine uses it.
 	informedAt time.Time
-	// done is the newest window up to which all have been reported or given up.
+	// done is the newest window up to which all windows have been reported or abandoned.
 	done atomic.Int64
 }
 
-// NewService returns a service that does nothing but count before Run.
+// NewService returns a Service that only counts requests before Run is called.
 func NewService(config Config) *Service {
 	clock := NewClock(config.Logger)
 	counter := NewCounter(clock, config.Window)
@@ -41,16 +42,16 @@
 	}
 }
 
-// Began counts a request of a tenant's that began to run at an instant.
+// Began counts a request of a tenant that began to run at a time of the monotonic clock.
 func (s *Service) Began(tenant string, at time.Time) { s.counter.Began(tenant, at) }
 
-// ReceivePush answers another node's push.
+// ReceivePush records another node's counts, and returns the reply.
 func (s *Service) ReceivePush(push *wire.UsagePush) *wire.UsageTaken {
 	s.collector.add(push)
 	return &wire.UsageTaken{UnixMs: s.clock.Unix(time.Now()).Milliseconds()}
 }
 
-// Run works until the context ends.
+// Run pushes and reports counts until the context is done.
 func (s *Service) Run(ctx context.Context) {
 	var duties sync.WaitGroup
 	duties.Go(func() { s.pusher.run(ctx) })
@@ -66,7 +67,7 @@
 	}
 }
 
-// Flush pushes what this node has counted, for a planned stop.
+// Flush pushes this node's counts before a graceful shutdown.
 func (s *Service) Flush(ctx context.Context) {
 	if !s.pusher.flush(ctx) {
 		s.config.Logger.Info("usage counts not pushed to all at the stop")
--- a/internal/duties/usage/service_test.go
+++ b/internal/duties/usage/service_test.go
@@ -25,19 +25,22 @@
 	testLate   = 10 * time.Second
 )
 
-// received is a report as the platform took it.
+// received is a report that the platform has accepted, with the delay since the end of its
+// window.
 type received struct {
 	Report
 	late time.Duration
 }
 
-// billing stands in for the platform. It checks what it would judge.
+// billing is a fake platform. It checks that tokens never decrease and that reports of a
+// window never differ.
 type billing struct {
 	t       *testing.T
 	mutex   sync.Mutex
 	reports map[int64]received
 	token   uint64
-	// away has it answer nothing until an instant; what it gets it takes.
+	// away is the time until which the platform does not respond, though it accepts
+	// reports.
 	away time.Time
 }
 
@@ -62,11 +65,11 @@
 	return nil
 }
 
-// net joins the nodes of a test.
+// net connects the nodes of a test.
 type net struct {
 	mutex sync.Mutex
 	nodes map[string]*testNode
-	// lost is the part of the messages that is lost, in percent.
+	// lost is the percentage of lost messages.
 	lost   int
 	random *rand.Rand
 }
@@ -91,7 +94,7 @@
 	stop        context.CancelFunc
 }
 
-// Send implements environment.Peers; the service sends nothing one way.
+// Send implements environment.Peers. The service sends no one-way messages.
 func (*testNode) Send(string, wire.Message) {}
 
 // Broadcast implements environment.Peers.
@@ -111,7 +114,7 @@
 	}()
 }
 
-// announce is a heartbeat of a node to all.
+// announce sends a node's heartbeat to all other nodes.
 func (n *testNode) announce() {
 	beat := &wire.NodeBeat{}
 	n.service.FillHeartbeat(beat)
@@ -165,7 +168,7 @@
 	return node
 }
 
-// kill ends a process at once.
+// kill ends a process immediately.
 func (n *net) kill(node *testNode) {
 	n.mutex.Lock()
 	delete(n.nodes, node.name)
@@ -173,7 +176,7 @@
 	node.stop()
 }
 
-// day is a run of some nodes with requests of two tenants.
+// day is a test run of some nodes that serve requests of several tenants.
 type day struct {
 	t       *testing.T
 	ctx     context.Context
@@ -181,7 +184,7 @@
 	store   *metastore.Store
 	billing *billing
 	names   []string
-	// truth is what began, by window.
+	// truth is the true number of requests, by window.
 	truth map[int64]Counts
 }
 
@@ -199,7 +202,7 @@
 	return d
 }
 
-// serve has all living nodes serve a request every 20 ms for a time.
+// serve makes a running node begin a request every 20 ms, for a time. The nodes take turns.
 func (d *day) serve(span time.Duration) {
 	for number, end := 0, time.Now().Add(span); time.Now().Before(end); number++ {
 		time.Sleep(20 * time.Millisecond)
@@ -218,8 +221,9 @@
 	}
 }
 
-// judge compares the reports with the truth, all but the first and the last two
-// windows, and returns how many were missed or off by more than a part.
+// judge compares the reports with the truth, without the first and the last two windows. It
+// returns the number of windows, and how many were missed: not reported in time, or with a
+// relative error above the tolerance.
 func (d *day) judge(tolerance float64) (windows, missed int) {
 	d.billing.mutex.Lock()
 	defer d.billing.mutex.Unlock()
@@ -260,8 +264,8 @@
 	time.Sleep(time.Minute)
 }
 
-// expectAllReported ends the day and checks that no window was missed, of some
-// at least.
+// expectAllReported ends the run and checks that no window was missed, and that there were
+// enough windows.
 func (d *day) expectAllReported(tolerance float64, least int) {
 	d.t.Helper()
 	d.end()
@@ -281,8 +285,8 @@
 	}
 }
 
-// Whoever takes the duty over reports what has been settled, and what the dead
-// had pushed.
+// A new holder must report the sums that its predecessor settled, and the counts that killed
+// nodes had pushed.
 func TestHoldersAreKilled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDay(t, 8, 0)
@@ -298,7 +302,7 @@
 	})
 }
 
-// Half of the nodes are killed at the same moment and started anew.
+// If half of the nodes crash at the same time, at most one window may be lost.
 func TestHalfOfTheNodesAreStartedAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDay(t, 12, 0)
@@ -319,7 +323,7 @@
 	})
 }
 
-// While the platform answers nothing, reports are repeated as they are.
+// While the platform does not respond, reports must be repeated unchanged.
 func TestReportsAreRepeatedWhileThePlatformIsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDay(t, 5, 0)
@@ -332,7 +336,7 @@
 	})
 }
 
-// An outage of the store of some seconds costs no window.
+// A store outage of a few seconds must not lose a window.
 func TestTheStoreIsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDay(t, 5, 0)
--- a/internal/duties/weightorders/candidates.go
+++ b/internal/duties/weightorders/candidates.go
@@ -3,17 +3,18 @@
 import "github.com/pathtally/pathtally/internal/replicas/routing"
 
 const (
-	// minCandidates is how many replicas the items of a model are placed among at least.
+	// minCandidates is the minimum number of candidates of a model, if there are as many
+	// replicas.
 	minCandidates = 256
-	// candidatesPerHome is how many there are for each home of the model: a replica of
-	// great weight for a model is nearly always one of its homes.
+	// candidatesPerHome is the number of candidates for each home of the model. Nearly all
+	// homes are among this many replicas with the highest rendezvous weights.
 	candidatesPerHome = 2
 )
 
 // Candidates returns the replicas of a plan among which the items of a model's jobs are
-// placed: all where they are few, else those of greatest weight for the model, which
-// include its homes. A node that runs jobs cannot weigh thousands of replicas for each
-// item.
+// placed: all of them if they are few, else those with the highest rendezvous weights for
+// the model, which include nearly all of its homes. This bounds the cost of placing an item
+// in deployments with thousands of replicas.
 func Candidates(plan *routing.Plan, model string, items int) []*routing.Endpoint {
 	endpoints := plan.Endpoints()
 	count := max(minCandidates, candidatesPerHome*homesNeeded(items, slotsOf(plan)))
@@ -23,7 +24,7 @@
 	return heaviest(endpoints, func(endpoint *routing.Endpoint) string { return endpoint.Name }, model, count)
 }
 
-// slotsOf is how many slots the smallest replica of a plan has.
+// slotsOf returns the number of slots of the smallest replica of a plan, at least 1.
 func slotsOf(plan *routing.Plan) int {
 	if plan == nil {
 		return 1
--- a/internal/duties/weightorders/candidates_test.go
+++ b/internal/duties/weightorders/candidates_test.go
@@ -7,7 +7,8 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// planOfIDs is a plan whose endpoints have the ids of a coordinator's replicas.
+// planOfIDs returns a routing plan whose endpoints are named like the replicas of
+// coordinatorOf.
 func planOfIDs(count int) *routing.Plan {
 	endpoints := make([]*routing.Endpoint, count)
 	for number := range endpoints {
@@ -16,7 +17,7 @@
 	return routing.NewRankedPlan(routing.Place{}, endpoints)
 }
 
-// Items are placed among replicas that get their weights.
+// Items that are placed on replicas other than homes find old weights.
 func TestCandidatesHoldNearlyAllHomes(t *testing.T) {
 	coordinator, table := coordinatorOf(4000, Demand{Items: map[string]int{"m": 128, "n": 128}})
 	candidates := map[string]bool{}
@@ -38,7 +39,7 @@
 	}
 }
 
-// What a look at the replicas costs does not grow with their number.
+// The cost of placing an item must not grow with the number of replicas.
 func TestCandidatesDoNotGrowWithTheReplicas(t *testing.T) {
 	few, many := len(Candidates(planOfIDs(1000), "m", 128)), len(Candidates(planOfIDs(8000), "m", 128))
 	if few != many {
--- a/internal/duties/weightorders/config.go
+++ b/internal/duties/weightorders/config.go
@@ -9,22 +9,22 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// Config is what a Coordinator needs.
+// Config holds the dependencies of a Coordinator.
 type Config struct {
 	Keeper    *lease.Keeper
 	Directory *directory.Table
 	Replicas  Replicas
 	Logger    klog.Logger
 	Registry  prometheus.Registerer
-	// RunningItems returns how many items of batch jobs run at a replica.
+	// RunningItems returns the number of batch items that run at a replica.
 	RunningItems func(replica string) int
-	// Tolerance returns by how many versions the batch jobs of a model let the
-	// weights be behind.
+	// Tolerance returns the number of versions by which a model's weights may lag behind
+	// the newest version for its batch jobs.
 	Tolerance func(model string) int64
-	// Demand returns the work that the recent jobs of each model brought.
+	// Demand returns the demand for each model, estimated from its recent jobs.
 	Demand func() Demand
-	// OnChange is called with each change of a replica's version.
+	// OnChange is called when a replica's version changes or begins to.
 	OnChange func(change wire.ReplicaVersion)
-	// Announce sends the peers concerned a heartbeat now.
+	// Announce sends a heartbeat with the announced versions soon.
 	Announce func()
 }
--- a/internal/duties/weightorders/coordinator.go
+++ b/internal/duties/weightorders/coordinator.go
@@ -12,41 +12,43 @@
 )
 
 const (
-	// dutyName names weight orders among the duties of the lease.
+	// dutyName identifies this duty to the lease.
 	dutyName = "weight-orders"
-	// pollInterval is the time between steps while there is work, idleInterval without
-	// work; a change of the directory ends either.
+	// pollInterval is the time between steps while loads are pending or running, and
+	// idleInterval the time otherwise. A change of the directory ends either early.
 	pollInterval = 100 * time.Millisecond
 	idleInterval = 10 * time.Second
-	// nonCandidateInterval is the least time between steps of nodes that are no
-	// candidates for the lease. They act only once all candidates are gone.
+	// nonCandidateInterval is the minimum time between steps of a node that is not a
+	// candidate for the lease. It becomes active only when all candidates have failed.
 	nonCandidateInterval = 2 * time.Second
 )
 
-// Coordinator gives orders while it holds the lease. It is safe for use by
-// many goroutines.
+// Coordinator orders loads of weights while its node holds the lease. It is safe for
+// concurrent use.
 type Coordinator struct {
 	config Config
 	loads  prometheus.Counter
 
 	mutex sync.Mutex
-	// versions are those that replicas were seen to have, newer than what the
-	// directory lists, by replica and model.
+	// versions are the versions that replicas were observed to have, by replica and model.
+	// They may be newer than those in the directory.
 	versions map[string]map[string]int64
-	// loading are the loads under way, by replica.
+	// loading holds the running loads, by replica.
 	loading map[string]wire.ReplicaVersion
-	// retryAt is until when a replica gets no order, since its last load failed.
+	// retryAt is the end of the backoff of each replica whose last load failed.
 	retryAt map[string]time.Time
-	// announced are the changes that heartbeats repeat, oldest first.
+	// announced are the finished changes that heartbeats repeat, oldest first.
 	announced []wire.ReplicaVersion
 	wake      chan struct{}
-	// plannedDemand is the demand by which homes are shared out. It belongs to Run.
+	// plannedDemand is the demand that the current homes are based on. Only the goroutine
+	// of Run uses it.
 	plannedDemand Demand
-	// homePlans are the homes of the models of each service. They belong to Run.
+	// homePlans caches the homes of the models, by service. Only the goroutine of Run uses
+	// it.
 	homePlans map[string]*homePlan
 }
 
-// NewCoordinator returns a coordinator that has not started.
+// NewCoordinator returns a Coordinator that orders nothing before Run is called.
 func NewCoordinator(config Config) *Coordinator {
 	loads := prometheus.NewCounter(prometheus.CounterOpts{Name: "pathtally_weight_loads_total", Help: "Loads of weights ordered by this node."})
 	config.Registry.MustRegister(loads)
@@ -57,14 +59,14 @@
 	}
 }
 
-// Run works until the context ends.
+// Run orders loads until the context is done.
 func (c *Coordinator) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := c.config.Directory.Changed()
 		pause := c.step(ctx)
 		if !c.config.Keeper.IsCandidate() {
-			// Changes are for the candidates to see at once. The longer they all go
-			// before this node, the less often it looks for work.
+			// Only candidates have to respond to changes immediately. The later this
+			// node's turn to take over, the less often it looks for work.
 			changed, pause = nil, max(pause, nonCandidateInterval, c.config.Keeper.RankDelay()/2)
 		}
 		timer := time.NewTimer(pause)
@@ -79,7 +81,7 @@
 	}
 }
 
-// step gives the orders that are due and returns the time until the next step.
+// step starts the loads that are due, and returns the time until the next step.
 func (c *Coordinator) step(ctx context.Context) time.Duration {
 	view := c.config.Directory.View()
 	c.forgetGone(view.Replicas)
@@ -99,8 +101,8 @@
 	return pollInterval
 }
 
-// currentDemand returns the demand by which homes are shared out: the one known now,
-// but for small differences.
+// currentDemand returns the demand that homes are based on. It changes only when the
+// estimated demand differs enough.
 func (c *Coordinator) currentDemand() Demand {
 	if demand := c.config.Demand(); demand.differsFrom(c.plannedDemand) {
 		c.plannedDemand = demand
@@ -108,7 +110,7 @@
 	return c.plannedDemand
 }
 
-// wakeUp has the next step begin now.
+// wakeUp makes Run take the next step immediately.
 func (c *Coordinator) wakeUp() {
 	select {
 	case c.wake <- struct{}{}:
--- a/internal/duties/weightorders/coordinator_test.go
+++ b/internal/duties/weightorders/coordinator_test.go
@@ -19,7 +19,7 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// orderedReplicas are replicas that carry every order out at once.
+// orderedReplicas is a fake client of replicas that execute every order immediately.
 type orderedReplicas struct {
 	mutex    sync.Mutex
 	versions map[string]int64
@@ -41,14 +41,14 @@
 	return false, nil
 }
 
-// newest is the order given last, and when.
+// newest returns the last order and its time.
 func (r *orderedReplicas) newest() (Order, time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.orders[len(r.orders)-1], r.last
 }
 
-// fleet is a set of coordinators before the same replicas.
+// fleet is a set of coordinators of the same replicas.
 type fleet struct {
 	store        *metastore.Store
 	table        *directory.Table
@@ -65,7 +65,7 @@
 	return f
 }
 
-// start runs a process of each node.
+// start runs a new process of each of some nodes.
 func (f *fleet) start(ctx context.Context, nonce string, nodes ...string) {
 	ctx, f.stop = context.WithCancel(ctx)
 	var coordinators []*Coordinator
@@ -90,7 +90,7 @@
 	}
 }
 
-// list writes a replica's entry anew once it has another version.
+// list updates a replica's entry in the directory when its version has changed.
 func (f *fleet) list(change wire.ReplicaVersion) {
 	if !change.Loading {
 		f.table.ApplyReplicas([]directory.ReplicaChange{{Name: change.Replica, Replica: &directory.Replica{
@@ -99,7 +99,7 @@
 	}
 }
 
-// announce is a heartbeat of one node to all.
+// announce sends a node's observation of the lease to all other nodes.
 func (f *fleet) announce(from *lease.Keeper) {
 	seen := from.LastObserved()
 	f.mutex.Lock()
@@ -111,9 +111,8 @@
 	}
 }
 
-// inc-8541: all nodes lost power. Whoever is first in rank found the lease held
-// by another and waited for its time, and the holder, back within a second, did
-// not know that it need not.
+// When all nodes restart, the previous holder must learn that it is the holder and resume
+// without the wait of a successor.
 func TestHolderThatWasStartedAnewGoesOnAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
@@ -121,8 +120,7 @@
 		for number := range 12 {
 			nodes = append(nodes, fmt.Sprintf("node-%d", number))
 		}
-		// Those first in rank are away one after the other, so that the lease
-		// comes to one far back.
+		// Each round stops the holder, so that the lease moves to a node with a low rank.
 		current := slices.Clone(nodes)
 		version := int64(2)
 		for range 8 {
@@ -149,7 +147,8 @@
 	})
 }
 
-// A holder that does not come back is waited for as long as its lease may hold.
+// A successor that takes over before the holder's lease has expired would send orders at the
+// same time.
 func TestSuccessorWaitsForAHolderThatStaysAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
--- a/internal/duties/weightorders/demand.go
+++ b/internal/duties/weightorders/demand.go
@@ -6,20 +6,19 @@
 	"slices"
 )
 
-// Demand is the work that the recent jobs of each model brought.
+// Demand is the demand for each model, estimated from its recent jobs.
 type Demand struct {
-	// Tokens is how many tokens a job is expected to produce, as a mean over the jobs.
+	// Tokens is the mean number of tokens that a job is expected to produce, by model.
 	Tokens map[string]float64
-	// Items is how many items the largest of the jobs has, 0 for unknown.
+	// Items is the number of items of the largest job, by model; 0 if unknown.
 	Items map[string]int
 }
 
-// demandChange is by what part, between 0 and 1, the demand for a model must differ from
-// that of the plan in force for a new plan. Each move of a model to another replica is a
-// load, and the estimates of a trainer's jobs differ by some tenths.
+// demandChange is the relative change of a model's demand, between 0 and 1, above which homes
+// are planned again. Estimates vary from job to job, and each new home costs a load.
 const demandChange = 0.25
 
-// differsFrom reports whether a demand is far enough from the planned one for a new plan.
+// differsFrom reports whether the demand differs enough from the planned one for a new plan.
 func (d Demand) differsFrom(planned Demand) bool {
 	return differs(planned.Tokens, d.Tokens) || differs(asFloats(planned.Items), asFloats(d.Items))
 }
@@ -32,7 +31,8 @@
 	return floats
 }
 
-// differs reports whether an amount of any model is far from the planned one.
+// differs reports whether the demand for any model differs from the planned one by more than
+// demandChange.
 func differs(planned, demand map[string]float64) bool {
 	if len(planned) != len(demand) {
 		return true
--- a/internal/duties/weightorders/doc.go
+++ b/internal/duties/weightorders/doc.go
@@ -1,22 +1,23 @@
-// Package weightorders brings the weight versions that trainers name onto the replicas.
-// One node at a time gives orders, each under a permit of the duty lease
-// (internal/duties/lease); the versions that replicas have are learned from the
-// directory, from orders, and from the heartbeats of the former holder.
+// Package weightorders rolls out weight versions to the replicas. When a trainer names a new
+// version of a model, the holder of the duty lease (internal/duties/lease) orders replicas
+// to load it, each order under a permit of the lease. It learns the versions that replicas
+// have loaded from the directory, from the replicas themselves, and from the heartbeats of
+// other nodes.
 //
-// Which replica loads which version when is decided without input or output:
+// The decisions are pure functions:
 //
-//  1. sharesOf and apportion (share.go): how many replicas of a service each of its
-//     models has, by the work that its jobs bring;
-//  2. homes (homes.go): which replicas these are, the model's homes;
-//  3. tasksOf (plan.go): which homes lack the named version, and whether they can do
-//     without it for now;
-//  4. chooseLoads (queue.go): which of them load next, of which model, and how many at
-//     a time.
+//  1. sharesOf and apportion (share.go) divide the replicas of a service among its models
+//     in proportion to their demand.
+//  2. homes (homes.go) assigns replicas to each model, its homes.
+//  3. tasksOf (plan.go) lists the homes that lack the named version, and whether each load
+//     is required now.
+//  4. chooseLoads (queue.go) selects the loads to start next, within the limits on
+//     concurrent loads.
 //
-// Coordinator carries that out (load.go): it asks the replica, orders the load, and asks
-// again until the replica has the version, the load times out, or the replica turns out
-// to have taken no order. A replica whose load failed is left alone for retryDelay.
+// Coordinator executes them (load.go): it reads the replica's status, orders the load, and
+// polls until the replica has the version, the load times out, or the replica appears not
+// to have accepted the order. After a failed load the replica gets no order for retryDelay.
 //
-// A Coordinator owns what this node has learned of replicas' versions. All of it can be
-// lost: the next holder of the lease learns it again.
+// A Coordinator owns this node's knowledge of the replicas' versions. It is not persisted:
+// the next holder of the lease learns it again.
 package weightorders
--- a/internal/duties/weightorders/errors.go
+++ b/internal/duties/weightorders/errors.go
@@ -2,17 +2,19 @@
 
 import "github.com/ansel1/merry/v2"
 
-// Errors of an order.
+// Errors of an order to load weights.
 var (
-	// ErrConflict means that another order is under way or has been taken.
+	// ErrConflict means that the replica is executing another order or has accepted one
+	// since its status was read.
 	ErrConflict = merry.Sentinel("another order was first")
-	// ErrFenced means that the replica has seen a newer token, or that this node does
-	// not hold the lease.
+	// ErrFenced means that the replica has seen a newer token, or that this node does not
+	// hold the lease.
 	ErrFenced = merry.Sentinel("fencing token is outdated")
-	// ErrOtherReplica means that another start of a replica has the address.
+	// ErrOtherReplica means that another replica, or another incarnation of the replica,
+	// has the address.
 	ErrOtherReplica = merry.Sentinel("another replica has the address")
-	// ErrRejected means that the replica knows no such order.
+	// ErrRejected means that the replica rejected the order as invalid.
 	ErrRejected = merry.Sentinel("order rejected")
-	// ErrUnanswered means that the order may be carried out, now or later.
+	// ErrUnanswered means that the replica may have accepted the order, or may still do so.
 	ErrUnanswered = merry.Sentinel("order not answered")
 )
--- a/internal/duties/weightorders/heaviest.go
+++ b/internal/duties/weightorders/heaviest.go
@@ -7,15 +7,15 @@
 	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
 )
 
-// weighed is a replica, in some form, with its weight for a model.
+// weighed is a replica, in any representation, with its rendezvous weight for a model.
 type weighed[T any] struct {
 	value  T
 	id     string
 	weight uint64
 }
 
-// heaviest returns the replicas of greatest weight for a model, so that few change when
-// replicas come and go.
+// heaviest returns the replicas with the highest rendezvous weights for a model, so that few
+// of them change when replicas are added or removed.
 func heaviest[T any](replicas []T, idOf func(T) string, model string, count int) []T {
 	modelHash := rendezvous.Hash(model)
 	all := make([]weighed[T], len(replicas))
@@ -33,7 +33,7 @@
 	return chosen
 }
 
-// pairWeight is the weight of a replica for a model.
+// pairWeight returns the rendezvous weight of a replica for a model.
 func pairWeight(replica, model string) uint64 {
 	return rendezvous.Weight(rendezvous.Hash(replica), rendezvous.Hash(model))
 }
--- a/internal/duties/weightorders/home_bounds_test.go
+++ b/internal/duties/weightorders/home_bounds_test.go
@@ -9,8 +9,8 @@
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
-// coordinatorOf returns a coordinator before some replicas of two models, whose versions
-// were both named anew.
+// coordinatorOf returns a coordinator of a number of replicas and two models, "m" and "n",
+// with newly named versions.
 func coordinatorOf(count int, demand Demand) (*Coordinator, *directory.Table) {
 	table := directory.NewTable("node", "zone", nil, klog.Background())
 	table.SetConfiguration(&directory.Configuration{Services: map[string]directory.Service{"s": {Engine: &directory.Engine{Models: []string{"m", "n"}}}}}, 1)
@@ -27,10 +27,8 @@
 	}, table
 }
 
-// Symptom: with 7,777 replicas each version of a model is brought to 1,296 of them, three
-// calls and a load each, by one node.
-//
-// Cause: the homes of a model were its share of all replicas, whatever its jobs need.
+// The number of loads per version must depend on the size of the jobs. Otherwise one node has
+// to order thousands of loads in a large deployment.
 func TestOrdersFollowTheItemsAndNotTheReplicas(t *testing.T) {
 	demand := Demand{Tokens: map[string]float64{"m": 100, "n": 100}, Items: map[string]int{"m": 72, "n": 120}}
 	want := homesNeeded(72, 6) + homesNeeded(120, 6)
@@ -42,8 +40,8 @@
 	}
 }
 
-// Where the items need all replicas, or nothing is known of them, each model keeps its
-// share and a third more.
+// If the items need all replicas, or the demand is unknown, the homes of each model are its
+// share of the replicas times homeShareFactor.
 func TestSmallDeploymentsKeepTheirShares(t *testing.T) {
 	for _, items := range []int{0, 72} {
 		coordinator, _ := coordinatorOf(30, Demand{Items: map[string]int{"m": items, "n": items}})
@@ -53,7 +51,7 @@
 	}
 }
 
-// A node that has just taken the orders over knows of no job yet.
+// A new holder of the lease knows no jobs yet and must not start thousands of loads.
 func TestOrdersAreBoundedWhileNoJobIsKnown(t *testing.T) {
 	coordinator, _ := coordinatorOf(3200, Demand{})
 	if open := coordinator.openTasks(coordinator.config.Directory.View(), coordinator.currentDemand()); len(open) != 2*maxHomesUnknownDemand {
@@ -61,7 +59,7 @@
 	}
 }
 
-// Few replicas change their model when others come and go.
+// Each home that moves when replicas are added or removed costs a load.
 func TestBoundedHomesStayWhenReplicasGo(t *testing.T) {
 	demand := Demand{Items: map[string]int{"m": 72, "n": 72}}
 	coordinator, table := coordinatorOf(400, demand)
@@ -87,7 +85,7 @@
 	}
 }
 
-// The homes are worked out once for replicas that stay.
+// Homes are needed several times a second and must be computed only when their inputs change.
 func TestHomesAreKeptBetweenLooks(t *testing.T) {
 	coordinator, table := coordinatorOf(400, Demand{Items: map[string]int{"m": 72, "n": 72}})
 	coordinator.openTasks(table.View(), coordinator.currentDemand())
@@ -104,7 +102,7 @@
 	}
 }
 
-// The order of a thousand tasks, from which as many loads begin.
+// BenchmarkTurnsOfAThousandTasks measures the choice of all of 1,000 pending loads.
 func BenchmarkTurnsOfAThousandTasks(b *testing.B) {
 	open := make([]task, 1000)
 	for i := range open {
--- a/internal/duties/weightorders/home_cache.go
+++ b/internal/duties/weightorders/home_cache.go
@@ -8,23 +8,23 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// homePlan is the homes of a service's models, kept until something that they depend on
-// changes: the coordinator needs them ten times a second, and replicas come and go seldom.
+// homePlan caches the homes of a service's models until their inputs change. The coordinator
+// reads them several times a second, while replicas are added or removed rarely.
 type homePlan struct {
-	// plan is that of the routing, which stays while no replica comes or goes.
+	// plan is the routing plan, which is replaced when replicas are added or removed.
 	plan          *routing.Plan
 	configuration *directory.Configuration
-	// evacuated are zones.
+	// evacuated lists the evacuated zones.
 	evacuated []string
 	shares    []share
-	// maxHomes bounds the homes of each model.
+	// maxHomes is the maximum number of homes, by model.
 	maxHomes map[string]int
-	// homes are the ids of the replicas of each model.
+	// homes are the replica ids of the homes, by model.
 	homes map[string][]string
 }
 
-// homesOf returns the ids of the homes of each model of a service. Replicas of evacuated
-// zones get nothing and are no homes.
+// homesOf returns the replica ids of the homes of each model of a service. Replicas in
+// evacuated zones are not homes.
 func (c *Coordinator) homesOf(view *directory.View, service string, shares []share, maxHomes map[string]int) map[string][]string {
 	next := &homePlan{
 		plan: view.Plans[service], configuration: view.Configuration,
@@ -49,7 +49,7 @@
 	return next.homes
 }
 
-// sameInputs reports whether two plans are made from the same inputs.
+// sameInputs reports whether two plans have the same inputs.
 func (p *homePlan) sameInputs(next *homePlan) bool {
 	return p.plan == next.plan && p.configuration == next.configuration && slices.Equal(p.evacuated, next.evacuated) &&
 		slices.Equal(p.shares, next.shares) && maps.Equal(p.maxHomes, next.maxHomes)
--- a/internal/duties/weightorders/homes.go
+++ b/internal/duties/weightorders/homes.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// homeShareFactor is how many homes a model has, as a multiple of its share of the
-	// replicas: more leave room where others are busy, but each takes loads.
+	// homeShareFactor is the number of homes of a model as a multiple of its share of the
+	// replicas. Overlapping homes let a model use slots that other models leave free, but
+	// each home costs loads.
 	homeShareFactor = 4.0 / 3
-	// slotsPerItem is how many slots the homes of a model have for each item of a job:
-	// the items of two jobs at once, while half of the homes load or are a version
-	// behind. More homes would load in vain.
+	// slotsPerItem is the number of slots at the homes of a model for each item of a job:
+	// enough for two concurrent jobs while half of the homes load or lag a version behind.
 	slotsPerItem = 4
-	// maxHomesUnknownDemand bounds the homes of a model while nothing is known of its
-	// jobs: a new holder of the lease learns of them within a second, and must not begin
-	// with thousands of loads.
+	// maxHomesUnknownDemand is the maximum number of homes of a model whose demand is
+	// unknown. It keeps a new holder of the lease, which has not heard of any jobs yet,
+	// from starting thousands of loads.
 	maxHomesUnknownDemand = 256
-	// minHomes is how many homes a model has however small its jobs are, so that the
-	// loss of one stops nothing.
+	// minHomes is the lower bound of homesNeeded, so that a model stays available if one of
+	// its homes fails.
 	minHomes = 2
 )
 
-// homesNeeded returns how many homes a model needs for jobs of some items, 0 for unknown,
-// at replicas of some slots.
+// homesNeeded returns the number of homes that a model needs, given the number of items of
+// its largest job, 0 if unknown, and the number of slots of a replica.
 func homesNeeded(items, slots int) int {
 	if items <= 0 {
 		return maxHomesUnknownDemand
@@ -35,11 +35,11 @@
 	return max(minHomes, (slotsPerItem*items+slots-1)/slots)
 }
 
-// homes gives each model its homes, the replicas that keep up with it, those that are
-// only its own first. First each replica gets one model, so that each model has its share
-// of them; then each model gets some more, so that models with much work find slots where
-// others leave them. A replica with few models loads seldom, and the loads that run at
-// once are bounded. No model has more homes than maxHomes gives for it, if any.
+// homes assigns to each model its homes, the replicas that load its new versions. First each
+// replica is assigned to one model according to the models' shares. Then each model gets
+// additional homes among the replicas of other models, so that it can use slots that those
+// leave free. A replica is assigned to few models, because each costs loads and concurrent
+// loads are limited. A positive entry of maxHomes limits the homes of its model.
 func homes(replicas []*directory.Replica, shares []share, maxHomes map[string]int) map[string][]*directory.Replica {
 	if len(shares) == 0 {
 		return map[string][]*directory.Replica{}
@@ -56,7 +56,7 @@
 	return kept
 }
 
-// ownHomes gives each replica one model, by the models' shares.
+// ownHomes assigns each replica to one model, according to the models' shares.
 func ownHomes(ordered []*directory.Replica, shares []share) map[string][]*directory.Replica {
 	kept := map[string][]*directory.Replica{}
 	apportioned := apportion(len(ordered), shares)
@@ -68,8 +68,8 @@
 	return kept
 }
 
-// addSharedHomes gives each model homeShareFactor times its share of the replicas, each of
-// which has one model already.
+// addSharedHomes adds homes to each model, up to homeShareFactor times its share of the
+// replicas. Each replica has been assigned to one model before.
 func addSharedHomes(kept map[string][]*directory.Replica, ordered []*directory.Replica, shares []share) {
 	models := make(map[string]int, len(ordered))
 	for _, replica := range ordered {
@@ -84,7 +84,7 @@
 	}
 }
 
-// preferred returns the model of greatest weight for a replica among those allowed.
+// preferred returns the allowed model with the highest rendezvous weight for a replica.
 func preferred(shares []share, replica *directory.Replica, allowed func(model string) bool) string {
 	best, bestWeight := "", uint64(0)
 	for _, share := range shares {
@@ -96,8 +96,8 @@
 	return best
 }
 
-// leastShared returns some replicas that are no homes of a model yet: those with the
-// fewest models, and among these those of greatest weight.
+// leastShared returns a number of replicas that are not yet homes of a model: those with the
+// fewest models first, and among equals those with the highest rendezvous weight.
 func leastShared(replicas []*directory.Replica, model string, models map[string]int, has []*directory.Replica, some int) []*directory.Replica {
 	if some <= 0 {
 		return nil
@@ -122,8 +122,8 @@
 	return least
 }
 
-// sharedReplica is a replica with how many models it is a home of, and its weight for a
-// further one.
+// sharedReplica is a replica with the number of models that it is a home of, and its
+// rendezvous weight for another model.
 type sharedReplica struct {
 	*directory.Replica
 	models int
--- a/internal/duties/weightorders/homes_test.go
+++ b/internal/duties/weightorders/homes_test.go
@@ -8,8 +8,8 @@
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
-// leastSharedOneByOne picks the replicas as they were picked before: each anew
-// from all that are left.
+// leastSharedOneByOne is a simple reference implementation of leastShared. It selects each
+// replica with a search of all that are left.
 func leastSharedOneByOne(replicas []*directory.Replica, model string, counts map[string]int, has []*directory.Replica, some int) []*directory.Replica {
 	var picked []*directory.Replica
 	for range some {
@@ -31,6 +31,7 @@
 	return picked
 }
 
+// Sorting the replicas once must select the same ones as the reference implementation.
 func TestTheSameReplicasArePickedAtOnceAsOneByOne(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
 	for range 100 {
@@ -51,8 +52,8 @@
 	}
 }
 
-// With 3,000 replicas one plan took seconds: each further replica was looked for
-// among all of them, and each of those in the list of the model's own.
+// BenchmarkHomesOfThreeThousandReplicas guards against quadratic time in the number of
+// replicas.
 func BenchmarkHomesOfThreeThousandReplicas(b *testing.B) {
 	all := replicas(3000)
 	shares := sharesOf([]string{"a", "b", "c"}, map[string]float64{"a": 2, "b": 1, "c": 1})
--- a/internal/duties/weightorders/load.go
+++ b/internal/duties/weightorders/load.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// usualLoadTime is about what a load takes: a replica is not asked before.
+	// usualLoadTime is the usual duration of a load. The replica is not polled earlier.
 	usualLoadTime = 800 * time.Millisecond
-	// loadTimeout is when a load counts as failed.
+	// loadTimeout is the time after which a load has failed.
 	loadTimeout = 6 * time.Second
-	// reportInterval is the time between questions to a replica that loads.
+	// reportInterval is the time between polls of a replica that is loading.
 	reportInterval = 120 * time.Millisecond
 	// callTimeout bounds one call to a replica.
 	callTimeout = 900 * time.Millisecond
-	// retryDelay is how long a replica is left alone after a failed load.
+	// retryDelay is the backoff of a replica after a failed load.
 	retryDelay = 500 * time.Millisecond
-	// idleReports is how many reports without an order under way show that an
-	// unanswered order has not been taken, or not yet.
+	// idleReports is the number of polls that find the replica idle, without the version,
+	// after which the order counts as not accepted.
 	idleReports = 3
 )
 
-// startLoads starts as many loads as may run at once.
+// startLoads starts pending loads until the maximum number of concurrent loads is running.
 func (c *Coordinator) startLoads(ctx context.Context, open []task, atOnce int) {
 	loading := c.loadingByModel()
 	for i := range open {
@@ -39,7 +39,7 @@
 	}
 }
 
-// loadingByModel counts the loads under way of each model.
+// loadingByModel returns the number of running loads by model.
 func (c *Coordinator) loadingByModel() map[string]int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -50,14 +50,14 @@
 	return loading
 }
 
-// loadsUnderWay counts the loads under way.
+// loadsUnderWay returns the number of running loads.
 func (c *Coordinator) loadsUnderWay() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return len(c.loading)
 }
 
-// bringToVersion brings one replica to a version, and records and announces the outcome.
+// bringToVersion makes one replica load a version, and records and announces the outcome.
 func (c *Coordinator) bringToVersion(ctx context.Context, next task) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
@@ -78,7 +78,7 @@
 	c.wakeUp()
 }
 
-// endLoad records that a load has ended, with an error if it failed.
+// endLoad records that a load has ended, and starts the replica's backoff if it failed.
 func (c *Coordinator) endLoad(replica string, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -88,8 +88,8 @@
 	}
 }
 
-// load orders a load, unless the replica has the version or another order is under way,
-// and waits until the replica has the version.
+// load orders a load, unless the replica has the version or is executing another order, and
+// waits until the replica has the version.
 func (c *Coordinator) load(ctx context.Context, next task) error {
 	report, reached, err := c.readReport(ctx, next)
 	if err != nil || reached {
@@ -116,7 +116,8 @@
 	return c.awaitVersion(ctx, next)
 }
 
-// order sends an order under the lease.
+// order sends an order under the lease, and returns whether the replica has the version
+// already.
 func (c *Coordinator) order(ctx context.Context, next task, sequence int64) (holds bool, err error) {
 	permit, valid := c.config.Keeper.Begin()
 	if !valid {
@@ -130,7 +131,8 @@
 	})
 }
 
-// awaitVersion asks a replica until it has the version, or seems to have taken no order.
+// awaitVersion polls a replica until it has the version. It fails if the replica is
+// repeatedly idle without it.
 func (c *Coordinator) awaitVersion(ctx context.Context, next task) error {
 	idle := 0
 	for {
@@ -149,8 +151,8 @@
 	}
 }
 
-// readReport asks a replica once, records what it reports, and returns whether it has
-// reached the version.
+// readReport reads a replica's status once, records its versions, and returns whether it
+// has the version of the task.
 func (c *Coordinator) readReport(ctx context.Context, next task) (report Report, reached bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/duties/weightorders/plan.go
+++ b/internal/duties/weightorders/plan.go
@@ -2,31 +2,31 @@
 
 import "github.com/pathtally/pathtally/internal/replicas/directory"
 
-// home is a replica that keeps up with a model, and the newest version of it that the
-// replica is known to have.
+// home is a replica assigned to a model, with the newest version of the model that the
+// replica is known to have loaded.
 type home struct {
 	replica *directory.Replica
 	held    int64
 }
 
-// modelState is what decides which homes of a model need a load.
+// modelState holds the inputs of tasksOf.
 type modelState struct {
 	model string
-	// named is the version that the model's trainer has named last, and tolerance by
-	// how many versions the model's batch jobs let the weights be behind.
+	// named is the version that the model's trainer named last, and tolerance the number
+	// of versions by which the weights may lag behind it for the model's batch jobs.
 	named     int64
 	tolerance int64
 	homes     []home
 }
 
-// isRequired reports whether a home has to be brought to the named version. One that a new
-// batch job would take as it is can do without: where loads are slower than versions,
-// replicas that skip some still keep up.
+// isRequired reports whether a home must load the named version because its version lags too
+// far behind for new batch jobs. Other homes may skip the version, which lets replicas keep
+// up if versions are named faster than they load.
 func (m modelState) isRequired(held int64) bool { return held < m.named-m.tolerance }
 
-// tasksOf returns the homes of one model that lack its named version. Those that new batch
-// jobs would not take as they are have to be brought to it. The others may be brought to it
-// ahead, so that the next job finds more of them ready.
+// tasksOf returns a task for each home of a model that lacks the named version. A load is
+// required if the home's version is too old for new batch jobs. Otherwise it is optional:
+// done ahead, it lets the next jobs find more homes with the named version.
 func tasksOf(known modelState) []task {
 	var open []task
 	lacking := 0
@@ -46,8 +46,7 @@
 	return open
 }
 
-// openTasks returns all replicas that lack the named version of a model of which they are
-// homes.
+// openTasks returns the tasks of all models of all services with an engine.
 func (c *Coordinator) openTasks(view *directory.View, demand Demand) []task {
 	if view.Configuration == nil {
 		return nil
@@ -69,7 +68,7 @@
 	return open
 }
 
-// modelState is what this node knows of a model and its homes.
+// modelState returns this node's knowledge of a model and its homes.
 func (c *Coordinator) modelState(view *directory.View, model string, ids []string) modelState {
 	known := modelState{model: model, named: view.Named[model], tolerance: c.config.Tolerance(model)}
 	for _, id := range ids {
@@ -80,7 +79,7 @@
 	return known
 }
 
-// engineReplicas counts the replicas that are model engines.
+// engineReplicas returns the number of replicas that are model engines.
 func engineReplicas(view *directory.View) int {
 	if view.Configuration == nil {
 		return 0
--- a/internal/duties/weightorders/plan_test.go
+++ b/internal/duties/weightorders/plan_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// The loss of one replica moves few others to another model.
+// Each home that moves when a replica is removed costs a load.
 func TestHomesStayWhenAReplicaGoes(t *testing.T) {
 	models := []string{"a", "b", "c"}
 	all := replicas(9)
@@ -88,8 +88,7 @@
 	}
 }
 
-// inc-603f: the model whose trainer was slowest, and so least behind, waited
-// for every load of the others.
+// A model that lags less than others must not wait until all their loads are done.
 func TestModelsTakeTurns(t *testing.T) {
 	open := []task{
 		{target: Target{ID: "a1"}, model: "a", version: 3, held: 1, currentHomes: 2, homes: 4}, {target: Target{ID: "a2"}, model: "a", version: 3, held: 1, currentHomes: 2, homes: 4},
@@ -109,8 +108,8 @@
 	}
 }
 
-// A trainer with half of the work had as many current replicas as one with a fifth
-// of it, and was a step behind at the end of the day.
+// Models must be compared by the fraction of up-to-date homes. By their number, a model with
+// many homes would lag behind.
 func TestModelsWithMoreReplicasLoadMore(t *testing.T) {
 	open := []task{
 		{target: Target{ID: "small"}, model: "small", version: 2, held: 1, currentHomes: 2, homes: 5},
@@ -121,8 +120,7 @@
 	}
 }
 
-// Two at a time could not keep thirty-five replicas of three models current
-// between two versions.
+// A fixed number of concurrent loads can't keep a large deployment up to date.
 func TestLoadsAtOnceGrowWithTheEngines(t *testing.T) {
 	for _, test := range []struct{ engines, others, want int }{{8, 3, 2}, {9, 4, 2}, {35, 9, 7}, {600, 20, 120}, {1, 0, 2}} {
 		view := &directory.View{
@@ -135,7 +133,7 @@
 	}
 }
 
-// planOf is a plan with some endpoints.
+// planOf returns a routing plan with a number of endpoints.
 func planOf(count int) *routing.Plan {
 	endpoints := make([]*routing.Endpoint, count)
 	for number := range endpoints {
@@ -144,6 +142,7 @@
 	return routing.NewRankedPlan(routing.Place{}, endpoints)
 }
 
+// An optional load must not delay a required one.
 func TestReplicasThatCanDoWithoutAVersionLoadItLast(t *testing.T) {
 	known := modelState{model: "m", named: 7, tolerance: 1}
 	for i, held := range []int64{7, 6, 5} {
@@ -161,7 +160,7 @@
 	}
 }
 
-// Replicas of an evacuated zone are to get nothing; no model is left to them alone.
+// A model whose homes are all in an evacuated zone would not be served.
 func TestModelsAreSharedAmongReplicasOutsideEvacuatedZones(t *testing.T) {
 	table := directory.NewTable("node", "a", nil, klog.Background())
 	table.SetConfiguration(&directory.Configuration{Services: map[string]directory.Service{"s": {Engine: &directory.Engine{Models: []string{"m", "n"}}}}}, 1)
--- a/internal/duties/weightorders/queue.go
+++ b/internal/duties/weightorders/queue.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// loadsDivisor gives the part of the replicas that may load at a time, one in so
-	// many, and minLoads how many may in any case: more at a time take longer each.
+	// loadsDivisor limits concurrent loads to one in this many replicas, since concurrent
+	// loads slow each other down. minLoads is the lower bound of this limit.
 	loadsDivisor = 5
 	minLoads     = 2
-	// aheadLoadsDivisor gives the part of a model's homes that may load ahead of need
-	// at a time, one in so many: the others go on taking items.
+	// aheadLoadsDivisor limits concurrent optional loads to one in this many homes of the
+	// model, so that the other homes continue to accept items.
 	aheadLoadsDivisor = 2
 )
 
-// loadsAtOnce returns how many of some replicas may load at a time.
+// loadsAtOnce returns the maximum number of concurrent loads for a number of replicas.
 func loadsAtOnce(replicas int) int { return max(minLoads, replicas/loadsDivisor) }
 
-// chooseLoads returns the tasks to start now, where loading gives how many replicas load
-// each model already and atOnce how many may load in all. It counts the chosen ones in
-// loading.
+// chooseLoads returns the tasks to start now. loading is the number of running loads by
+// model, to which the chosen tasks are added, and atOnce the maximum number of loads in
+// all.
 func chooseLoads(open []task, loading map[string]int, atOnce int) []task {
 	underWay := 0
 	for _, count := range loading {
@@ -38,16 +38,17 @@
 	return chosen
 }
 
-// loadQueue hands out tasks in the order in which they are to be done: those that must
-// before those done ahead; of the model with the smallest part of its homes current, those
-// that load now among them, so that no model waits for all loads of another and one with
-// more work gets more; then of the replica furthest behind, then of the least used. Each
-// model's tasks are sorted once.
+// loadQueue returns tasks in order of priority: required loads before optional ones, then
+// the model with the smallest fraction of up-to-date homes, then the replica furthest
+// behind, then the replica with the fewest running items. Homes that are loading count as
+// up to date, so that models take turns and those with more homes load more. The tasks of
+// each model are sorted once.
 type loadQueue struct {
 	byModel map[string][]task
-	// loading is how many replicas load each model now.
+	// loading is the number of running loads by model.
 	loading map[string]int
-	// chosen are the replicas that have a task: none loads two models at once.
+	// chosen are the replicas of the tasks returned so far. A replica loads only one model
+	// at a time.
 	chosen map[Target]bool
 }
 
@@ -62,7 +63,7 @@
 	return made
 }
 
-// next takes the task that is to be done next; false if there is none.
+// next removes and returns the task with the highest priority, or false if none may start.
 func (q *loadQueue) next() (task, bool) {
 	best, found := task{}, false
 	for model := range q.byModel {
@@ -80,7 +81,8 @@
 	return best, true
 }
 
-// head is the first task of a model whose replica has none yet.
+// head returns the first task of a model whose replica has not been chosen, or false if
+// there is none or it would exceed the limit of optional loads.
 func (q *loadQueue) head(model string) (task, bool) {
 	tasks := q.byModel[model]
 	for len(tasks) > 0 && q.chosen[tasks[0].target] {
@@ -96,7 +98,7 @@
 	return tasks[0], true
 }
 
-// compare orders the first tasks of two models.
+// compare compares the first tasks of two models by priority.
 func (q *loadQueue) compare(a, b task) int {
 	return cmp.Or(
 		compareAhead(a, b),
--- a/internal/duties/weightorders/replicas.go
+++ b/internal/duties/weightorders/replicas.go
@@ -2,11 +2,11 @@
 
 import "context"
 
-// Replicas asks and orders replicas.
+// Replicas is a client of the replicas.
 type Replicas interface {
-	// Report asks a replica about its weights.
+	// Report returns the status of a replica's weights.
 	Report(ctx context.Context, target Target) (Report, error)
-	// Order gives an order. It returns whether the replica has the version already. Its
-	// error is one of this package's, where the replica answered or may have taken it.
+	// Order sends an order. It returns whether the replica has the version already. The
+	// error is one of this package if the replica responded or may have accepted the order.
 	Order(ctx context.Context, target Target, order Order) (holds bool, err error)
 }
--- a/internal/duties/weightorders/report.go
+++ b/internal/duties/weightorders/report.go
@@ -1,11 +1,11 @@
 package weightorders
 
-// Report is a replica's answer about its weights.
+// Report is the status of a replica's weights.
 type Report struct {
-	// Busy means that an order is under way.
+	// Busy means that the replica is executing an order.
 	Busy bool
-	// Sequence counts the orders that the replica has taken.
+	// Sequence is the number of orders that the replica has accepted.
 	Sequence int64
-	// Versions gives the weight version of each model.
+	// Versions is the loaded version by model.
 	Versions map[string]int64
 }
--- a/internal/duties/weightorders/share.go
+++ b/internal/duties/weightorders/share.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// share is the part of a service's replicas that a model is to have.
+// share is a model's share of the replicas of a service.
 type share struct {
 	model string
-	// part is between 0 and 1; the parts of all models add up to 1.
+	// part is between 0 and 1. The parts of all models add up to 1.
 	part float64
 }
 
-// sharesOf gives each model its part by the demand for it. Models without a
-// known demand get the mean of the others.
+// sharesOf returns each model's share in proportion to its demand. A model whose demand is
+// unknown counts with the mean of the known ones.
 func sharesOf(models []string, demand map[string]float64) []share {
 	known, sum := 0, 0.0
 	for _, model := range models {
@@ -39,10 +39,9 @@
 	return shares
 }
 
-// apportion divides replicas among models by the method of the largest
-// remainder: the whole part of each quota first, then one each to the largest
-// fractions. Where there are enough, each model gets at least one. The numbers
-// add up to the replicas.
+// apportion divides a number of replicas among models by the largest remainder method. Each
+// model gets at least one if there are enough. The results add up to the number of
+// replicas.
 func apportion(replicas int, shares []share) map[string]int {
 	quotas := make([]float64, len(shares))
 	whole := map[string]int{}
@@ -72,7 +71,7 @@
 
 func fraction(quota float64) float64 { return quota - math.Floor(quota) }
 
-// largest returns the model with the most replicas, the first of several.
+// largest returns the model with the most replicas, the first one if there are several.
 func largest(shares []share, whole map[string]int) string {
 	best := shares[0].model
 	for _, share := range shares {
--- a/internal/duties/weightorders/share_test.go
+++ b/internal/duties/weightorders/share_test.go
@@ -55,8 +55,7 @@
 	}
 }
 
-// On Kotuku large trainers with 128 items had as many replicas as one with 72,
-// and were served worst.
+// Equal numbers of homes would slow down the models with the highest demand.
 func TestAModelWithMoreWorkHasMoreHomes(t *testing.T) {
 	demand := map[string]float64{"small": 100, "large": 300}
 	kept := homes(replicas(40), sharesOf([]string{"small", "large"}, demand), nil)
--- a/internal/duties/weightorders/target.go
+++ b/internal/duties/weightorders/target.go
@@ -2,24 +2,24 @@
 
 import "github.com/pathtally/pathtally/internal/replicas/directory"
 
-// Target is one start of a replica.
+// Target is one incarnation of a replica, to which calls are sent.
 type Target struct {
-	// ID is that of the replica's start.
+	// ID identifies the incarnation.
 	ID string
-	// Instance is the name that the replica answers to.
+	// Instance is the name by which calls address the replica; "" means the same as ID.
 	Instance string
-	// Born is when the replica started by its own clock, in milliseconds since the start
-	// of 1970; 0 for unknown.
+	// Born is the start time of the replica by its own clock, in milliseconds since the
+	// Unix epoch; 0 if unknown.
 	Born    int64
 	Address string
 }
 
-// targetOf returns a listed replica as it is asked and ordered.
+// targetOf returns the target for a replica of the directory.
 func targetOf(replica *directory.Replica) Target {
 	return Target{ID: replica.ID, Instance: replica.InstanceName(), Born: replica.Born, Address: replica.Address}
 }
 
-// InstanceName returns the name that the replica answers to.
+// InstanceName returns the name by which calls address the replica.
 func (t Target) InstanceName() string {
 	if t.Instance == "" {
 		return t.ID
--- a/internal/duties/weightorders/task.go
+++ b/internal/duties/weightorders/task.go
@@ -2,29 +2,31 @@
 
 import "cmp"
 
-// task is a replica that is to get a model's version.
+// task is a pending load of a version of a model by a replica.
 type task struct {
 	target Target
 	model  string
-	// version is the named one, and held the newest that the replica is known to have.
+	// version is the named version, and held the newest version that the replica is known
+	// to have loaded.
 	version int64
 	held    int64
-	// homes is how many homes the model has, and currentHomes how many of them need no
-	// load.
+	// currentHomes is the number of homes of the model without a required load, and homes
+	// the number of all its homes.
 	currentHomes int
 	homes        int
-	// ahead is set where the replica can do without the version for now.
+	// ahead is set if the load is optional: new jobs accept the replica's version.
 	ahead bool
-	// runningItems is how many items run at the replica.
+	// runningItems is the number of items that run at the replica.
 	runningItems int
 }
 
-// currentPart is the part of a model's homes that are current or load now.
+// currentPart returns the fraction of the model's homes that need no required load or are
+// loading.
 func (t task) currentPart(loading map[string]int) float64 {
 	return float64(t.currentHomes+loading[t.model]) / float64(t.homes)
 }
 
-// compareAhead orders tasks that must be done before those done ahead.
+// compareAhead sorts required loads before optional ones.
 func compareAhead(a, b task) int {
 	switch {
 	case a.ahead == b.ahead:
@@ -35,8 +37,9 @@
 	return 1
 }
 
-// compareWithinModel orders tasks of one model, or of two of which neither has to wait:
-// the replica furthest behind first, then the one with the fewest items.
+// compareWithinModel compares tasks of one model, or of models with equal priority: required
+// loads first, then the replica furthest behind, then the one with the fewest running
+// items.
 func compareWithinModel(a, b task) int {
 	return cmp.Or(
 		compareAhead(a, b),
--- a/internal/duties/weightorders/versions.go
+++ b/internal/duties/weightorders/versions.go
@@ -9,17 +9,18 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// maxAnnounced bounds how many changes heartbeats repeat.
+// maxAnnounced is the maximum number of finished changes in a heartbeat.
 const maxAnnounced = 24
 
-// ObserveVersion takes a replica's version that another node has sent.
+// ObserveVersion applies a replica's version that another node has sent.
 func (c *Coordinator) ObserveVersion(change wire.ReplicaVersion) {
 	if !change.Loading {
 		c.learn(change.Replica, change.Model, change.Version)
 	}
 }
 
-// Versions returns the changes of replicas that this node's heartbeats carry.
+// Versions returns the finished and running changes of replicas' versions that this node's
+// heartbeats contain.
 func (c *Coordinator) Versions() []wire.ReplicaVersion {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -30,7 +31,7 @@
 	return changes
 }
 
-// keepAnnouncing adds a change to those that the next heartbeats carry.
+// keepAnnouncing adds a finished change to the next heartbeats.
 func (c *Coordinator) keepAnnouncing(change wire.ReplicaVersion) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -43,7 +44,7 @@
 	}
 }
 
-// learn records that a replica has a version.
+// learn records that a replica has loaded a version.
 func (c *Coordinator) learn(replica, model string, version int64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -53,7 +54,7 @@
 	c.versions[replica][model] = max(c.versions[replica][model], version)
 }
 
-// version returns the newest version known of a replica's model.
+// version returns the newest version of a model that a replica is known to have loaded.
 func (c *Coordinator) version(replica, model string) int64 {
 	known := int64(0)
 	if listed := c.config.Directory.View().Replicas[replica]; listed != nil {
@@ -64,7 +65,7 @@
 	return max(known, c.versions[replica][model])
 }
 
-// forgetGone forgets the replicas that are no longer listed.
+// forgetGone drops the state of replicas that are no longer listed in the directory.
 func (c *Coordinator) forgetGone(listed map[string]*directory.Replica) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -72,7 +73,8 @@
 	maps.DeleteFunc(c.retryAt, func(id string, _ time.Time) bool { return listed[id] == nil })
 }
 
-// isUnderWay reports whether a task's replica loads now or is left alone.
+// isUnderWay reports whether a task must not start now, because its replica is loading or in
+// backoff after a failed load.
 func (c *Coordinator) isUnderWay(next task) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
