--- a/internal/duties/usage/progress.go
+++ b/internal/duties/usage/progress.go
@@ -2,11 +2,11 @@
 
 import "github.com/pathtally/pathtally/internal/wire"
 
-// Done returns the newest window up to which all windows have been reported or abandoned, 0
+// Done returns the newest window up to which all windows have been reported or given up, 0
 // if none is known.
 func (s *Service) Done() int64 { return s.done.Load() }
 
-// ObserveDone records that all windows up to a given one have been reported or abandoned.
+// ObserveDone records that all windows up to a given one have been reported or given up.
 func (s *Service) ObserveDone(number int64) {
 	for {
 		known := s.done.Load()
--- a/internal/duties/usage/report.go
+++ b/internal/duties/usage/report.go
@@ -19,7 +19,7 @@
 	// settleShare is the same time as a fraction of the time until the report is due, if
 	// that is shorter. The rest is reserved for a takeover of the lease.
 	settleShare = 0.25
-	// giveUpFactor is the multiple of the deadline after which a report is abandoned. The
+	// giveUpFactor is the multiple of the deadline after which a report is given up. The
 	// platform accepts late reports for billing.
 	giveUpFactor = 3
 	// reportTimeout bounds one report, and reportRetryDelay is the time before a failed
@@ -109,7 +109,7 @@
 	}
 }
 
-// reportOne settles and reports a window, or abandons it if it is too late, and returns the
+// reportOne settles and reports a window, or gives it up if it is too late, and returns the
 // time until the next step.
 func (s *Service) reportOne(ctx context.Context, number int64) time.Duration {
 	late := s.counter.sinceEnd(number, time.Now())
--- a/internal/duties/usage/service.go
+++ b/internal/duties/usage/service.go
@@ -27,7 +27,7 @@
 	// informedAt is the time since which other nodes push their counts to this node, zero
 	// if they do not. Only the reporting goroutine uses it.
 	informedAt time.Time
-	// done is the newest window up to which all windows have been reported or abandoned.
+	// done is the newest window up to which all windows have been reported or given up.
 	done atomic.Int64
 }
 
