--- a/internal/callers/quarantine/recorder.go
+++ b/internal/callers/quarantine/recorder.go
@@ -68,7 +68,7 @@
 		for r.isBehind() {
 			if err := r.write(ctx); err != nil {
 				r.logger.Info("quarantine not recorded yet", "error", err.Error(), "retryMs", writeRetryDelay.Milliseconds())
-				if !objectstore.Pause(ctx, writeRetryDelay) {
+				if !objectstore.SleepWithJitter(ctx, writeRetryDelay) {
 					return
 				}
 			}
--- a/internal/callers/quarantine/sink.go
+++ b/internal/callers/quarantine/sink.go
@@ -22,7 +22,7 @@
 	for _, change := range changes {
 		switch {
 		case change.Object.Name != ObjectName:
-		case change.Gone:
+		case change.Deleted:
 			s.table.ApplyStored(nil, s.config.Clock())
 		default:
 			s.applyRecord(change.Object)
--- a/internal/cluster/peering/config.go
+++ b/internal/cluster/peering/config.go
@@ -29,9 +29,9 @@
 	FillHeartbeat func(heartbeat *wire.NodeBeat)
 	// OnHeartbeat is called with each heartbeat received from another node.
 	OnHeartbeat func(heartbeat *wire.NodeBeat)
-	// Watchers returns the names of the nodes that get every heartbeat of this node,
+	// HeartbeatTargets returns the names of the nodes that get every heartbeat of this node,
 	// besides the active peers; nil for none.
-	Watchers func() []string
+	HeartbeatTargets func() []string
 	// MaxBroadcastPeers is the number of peers up to which Announce reaches all of them, 0
 	// for the default of 128.
 	MaxBroadcastPeers int
--- a/internal/cluster/peering/greet.go
+++ b/internal/cluster/peering/greet.go
@@ -36,7 +36,7 @@
 			return
 		}
 		if heartbeat, ok := reply.(*wire.NodeBeat); ok && err == nil {
-			t.Receive(heartbeat)
+			t.HandleHeartbeat(heartbeat)
 			return
 		}
 		if round+1 < greetAttempts && !t.Joined() {
@@ -45,11 +45,11 @@
 	})
 }
 
-// AnswerGreeting handles another node's join request. It replies with a heartbeat that
+// HandleJoin handles another node's join request. It replies with a heartbeat that
 // lists all known peers, or only those in the joining node's zone if there are more than
 // maxFullAnswer.
-func (t *Table) AnswerGreeting(heartbeat *wire.NodeBeat) *wire.NodeBeat {
-	t.Receive(heartbeat)
+func (t *Table) HandleJoin(heartbeat *wire.NodeBeat) *wire.NodeBeat {
+	t.HandleHeartbeat(heartbeat)
 	answer := t.newHeartbeat()
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/cluster/peering/heartbeat.go
+++ b/internal/cluster/peering/heartbeat.go
@@ -58,9 +58,9 @@
 	t.sendToWatchersAnd(concerned)
 }
 
-// Heartbeat sends this node's heartbeat to its watchers and to the active peers, whose
+// SendHeartbeat sends this node's heartbeat to its watchers and to the active peers, whose
 // number doesn't grow with the number of nodes.
-func (t *Table) Heartbeat() { t.sendToWatchersAnd(nil) }
+func (t *Table) SendHeartbeat() { t.sendToWatchersAnd(nil) }
 
 // sendToWatchersAnd sends this node's heartbeat to its watchers, to the active peers, and
 // to the given nodes.
@@ -69,8 +69,8 @@
 	for _, node := range more {
 		recipients[node] = true
 	}
-	if t.config.Watchers != nil {
-		for _, watcher := range t.config.Watchers() {
+	if t.config.HeartbeatTargets != nil {
+		for _, watcher := range t.config.HeartbeatTargets() {
 			recipients[watcher] = true
 		}
 	}
@@ -79,9 +79,9 @@
 	}))
 }
 
-// HeartbeatSoon sends a heartbeat because its content has changed: at once, or up to
+// ScheduleHeartbeat sends a heartbeat because its content has changed: at once, or up to
 // minHeartbeatInterval later if one has just been sent.
-func (t *Table) HeartbeatSoon() {
+func (t *Table) ScheduleHeartbeat() {
 	t.mutex.Lock()
 	if t.heartbeatDue {
 		t.mutex.Unlock()
@@ -91,14 +91,14 @@
 	t.heartbeatDue = pause > 0
 	t.mutex.Unlock()
 	if pause <= 0 {
-		t.Heartbeat()
+		t.SendHeartbeat()
 		return
 	}
 	time.AfterFunc(pause, func() {
 		t.mutex.Lock()
 		t.heartbeatDue = false
 		t.mutex.Unlock()
-		t.Heartbeat()
+		t.SendHeartbeat()
 	})
 }
 
--- a/internal/cluster/peering/join.go
+++ b/internal/cluster/peering/join.go
@@ -29,7 +29,7 @@
 		if joined {
 			return
 		}
-		objectstore.Pause(ctx, joinRetryInterval)
+		objectstore.SleepWithJitter(ctx, joinRetryInterval)
 		t.greetSeeds(ctx)
 	}
 }
--- a/internal/cluster/peering/lookup.go
+++ b/internal/cluster/peering/lookup.go
@@ -39,8 +39,8 @@
 	return peers
 }
 
-// Nodes returns the sorted names of all known nodes, including this one.
-func (t *Table) Nodes() []string {
+// NodeNames returns the sorted names of all known nodes, including this one.
+func (t *Table) NodeNames() []string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	nodes := make([]string, 0, len(t.peers)+1)
@@ -64,9 +64,9 @@
 	return capacities
 }
 
-// Membership returns a counter that increases with each change of the set of nodes or of
+// MembershipVersion returns a counter that increases with each change of the set of nodes or of
 // their zones. Callers cache what they derive from these until it changes.
-func (t *Table) Membership() uint64 {
+func (t *Table) MembershipVersion() uint64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.membership
--- a/internal/cluster/peering/registration.go
+++ b/internal/cluster/peering/registration.go
@@ -8,8 +8,8 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// Kind is the object kind of node entries in the metadata store.
-const Kind = "nodes"
+// NodeKind is the object kind of node entries in the metadata store.
+const NodeKind = "nodes"
 
 // register writes this node's entry and reports whether there was none. It replaces the
 // entry of an earlier process, so that the peers learn of the new one.
@@ -23,7 +23,7 @@
 	if err != nil {
 		return false, &EntryError{Node: t.config.Node, Cause: err}
 	}
-	_, err = t.config.Store.Create(ctx, Kind, t.config.Node, spec)
+	_, err = t.config.Store.Create(ctx, NodeKind, t.config.Node, spec)
 	var conflict *objectstore.ConflictError
 	if !errors.As(err, &conflict) {
 		return err == nil, err
@@ -34,13 +34,13 @@
 	} else if existing.Address == t.config.Address && existing.Incarnation == t.config.Incarnation {
 		return false, nil
 	}
-	_, err = t.config.Store.Replace(ctx, Kind, t.config.Node, spec, objectstore.Unconditional)
+	_, err = t.config.Store.Replace(ctx, NodeKind, t.config.Node, spec, objectstore.Unconditional)
 	return false, err
 }
 
 // readEntries reads the entries of all nodes.
 func (t *Table) readEntries(ctx context.Context) error {
-	return objectstore.ListPages(ctx, t.config.Store, Kind, objectstore.Linearizable, func(page objectstore.Page) {
+	return objectstore.ListPages(ctx, t.config.Store, NodeKind, objectstore.Linearizable, func(page objectstore.Page) {
 		t.Replace(page.Objects, false)
 	})
 }
--- a/internal/cluster/peering/seeds.go
+++ b/internal/cluster/peering/seeds.go
@@ -86,7 +86,7 @@
 			return false, nil
 		case answer := <-answers:
 			if answer.heartbeat != nil {
-				t.Receive(answer.heartbeat)
+				t.HandleHeartbeat(answer.heartbeat)
 				return answer.heartbeat.PeersKnown, seeds[answer.place:]
 			}
 			silent++
--- a/internal/cluster/peering/sink.go
+++ b/internal/cluster/peering/sink.go
@@ -13,7 +13,7 @@
 // Apply applies changes of the nodes' entries. It removes a node whose entry was deleted.
 func (t *Table) Apply(changes []objectstore.Change, _ bool) {
 	for _, change := range changes {
-		if change.Gone {
+		if change.Deleted {
 			t.forget(change.Object.Name)
 			continue
 		}
--- a/internal/cluster/peering/start_test.go
+++ b/internal/cluster/peering/start_test.go
@@ -31,7 +31,7 @@
 		done(nil, environment.ErrPeerUnreachable)
 		return
 	}
-	answer := table.AnswerGreeting(message.(*wire.NodeBeat))
+	answer := table.HandleJoin(message.(*wire.NodeBeat))
 	n.mutex.Lock()
 	n.answers++
 	n.peers += len(answer.Peers)
--- a/internal/cluster/peering/table.go
+++ b/internal/cluster/peering/table.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// Receive handles a heartbeat of another node.
-func (t *Table) Receive(heartbeat *wire.NodeBeat) {
+// HandleHeartbeat handles a heartbeat of another node.
+func (t *Table) HandleHeartbeat(heartbeat *wire.NodeBeat) {
 	if heartbeat.Node == t.config.Node {
 		return
 	}
--- a/internal/cluster/peering/table_test.go
+++ b/internal/cluster/peering/table_test.go
@@ -60,13 +60,13 @@
 func newTestTable(node string, store objectstore.Store, peers environment.Peers, watchers ...string) *Table {
 	return NewTable(Config{
 		Node: node, Address: "address-of-" + node, Zone: "zone", Incarnation: 1, Store: store, Peers: peers, Logger: klog.Background(),
-		FillHeartbeat: func(*wire.NodeBeat) {}, OnHeartbeat: func(*wire.NodeBeat) {}, Watchers: func() []string { return watchers },
+		FillHeartbeat: func(*wire.NodeBeat) {}, OnHeartbeat: func(*wire.NodeBeat) {}, HeartbeatTargets: func() []string { return watchers },
 	})
 }
 
 // receiveHeartbeat makes a table receive the heartbeat of a peer.
 func receiveHeartbeat(table *Table, node string, jobs ...string) {
-	table.Receive(&wire.NodeBeat{Node: node, Address: "address-of-" + node, Zone: "zone", Incarnation: 1, Jobs: jobs})
+	table.HandleHeartbeat(&wire.NodeBeat{Node: node, Address: "address-of-" + node, Zone: "zone", Incarnation: 1, Jobs: jobs})
 }
 
 // Guards against each owner of jobs sending its heartbeats to all of hundreds of nodes.
@@ -77,7 +77,7 @@
 		receiveHeartbeat(table, fmt.Sprintf("node-%d", number))
 	}
 	receiveHeartbeat(table, "node-3", "job")
-	table.Heartbeat()
+	table.SendHeartbeat()
 	if got, want := network.last(), []string{"address-of-node-3", "address-of-node-7"}; !slices.Equal(got, want) {
 		t.Errorf("heartbeat sent to %v, want %v", got, want)
 	}
@@ -92,7 +92,7 @@
 	table := newTestTable("self", metastore.New(), network)
 	receiveHeartbeat(table, "owner", "job")
 	table.peers["owner"].LastActive = time.Now().Add(-activeTimeout)
-	table.Heartbeat()
+	table.SendHeartbeat()
 	if got := network.count(); got != 0 {
 		t.Errorf("%d heartbeats sent to %v", got, network.last())
 	}
@@ -103,7 +103,7 @@
 	table := newTestTable("self", metastore.New(), network, "watcher")
 	receiveHeartbeat(table, "watcher")
 	for range 1000 {
-		table.HeartbeatSoon()
+		table.ScheduleHeartbeat()
 	}
 	first := network.count()
 	if first == 0 {
@@ -143,7 +143,7 @@
 		table := newTestTable("self", store, network)
 		table.SetSeeds(test.seeds)
 		table.Join(ctx)
-		if got := len(table.Nodes()); got != 51 {
+		if got := len(table.NodeNames()); got != 51 {
 			t.Errorf("%d nodes are known, want 51", got)
 		}
 		if !slices.Equal(network.calls, test.called) {
@@ -158,10 +158,10 @@
 func TestAGreetedNodeTellsWhomItKnows(t *testing.T) {
 	table := newTestTable("seed", metastore.New(), &recorder{})
 	receiveHeartbeat(table, "other")
-	answer := table.AnswerGreeting(&wire.NodeBeat{Node: "new", Address: "address-of-new", Zone: "zone", Incarnation: 1})
+	answer := table.HandleJoin(&wire.NodeBeat{Node: "new", Address: "address-of-new", Zone: "zone", Incarnation: 1})
 	learner := newTestTable("new", metastore.New(), &recorder{})
-	learner.Receive(answer)
-	if got, want := learner.Nodes(), []string{"new", "other", "seed"}; !slices.Equal(got, want) {
+	learner.HandleHeartbeat(answer)
+	if got, want := learner.NodeNames(), []string{"new", "other", "seed"}; !slices.Equal(got, want) {
 		t.Errorf("knows %v, want %v", got, want)
 	}
 	if peer, _ := learner.Get("other"); peer.Zone != "zone" || peer.Address != "address-of-other" {
@@ -199,20 +199,20 @@
 		return objectstore.Object{Name: name, Spec: []byte(spec)}
 	}
 	table.Replace([]objectstore.Object{object("a", `{"address":"a1","zone":"z","incarnation":5}`), object("broken", `[`)}, false)
-	before := table.Membership()
+	before := table.MembershipVersion()
 	table.Apply([]objectstore.Change{{Object: object("a", `{"address":"a2","zone":"z","incarnation":6}`)}}, false)
 	if peer, _ := table.Get("a"); peer.Address != "a2" || peer.Incarnation != 6 {
 		t.Errorf("after a change: %+v", peer)
 	}
-	if table.Membership() != before {
+	if table.MembershipVersion() != before {
 		t.Error("a new address counts as a new member")
 	}
 	receiveHeartbeat(table, "a") // an older process's heartbeat that was late
 	if peer, _ := table.Get("a"); peer.Address != "a2" || !peer.LastHeartbeat.IsZero() {
 		t.Errorf("after an old heartbeat: %+v", peer)
 	}
-	table.Apply([]objectstore.Change{{Gone: true, Object: object("a", ``)}}, false)
-	if _, known := table.Get("a"); known || table.Membership() == before {
+	table.Apply([]objectstore.Change{{Deleted: true, Object: object("a", ``)}}, false)
+	if _, known := table.Get("a"); known || table.MembershipVersion() == before {
 		t.Error("a removed node is still a member")
 	}
 }
--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -81,7 +81,7 @@
 	p.peers = peering.NewTable(peering.Config{
 		Node: p.self.Node, Address: p.self.Address, Zone: p.settings.Zone, Incarnation: p.self.Incarnation, Capacity: p.settings.Capacity(), Seeds: p.settings.Seeds,
 		Store: p.adapter.Store, Peers: p.transport, Logger: p.logger, FillHeartbeat: p.fillHeartbeat, OnHeartbeat: p.receiveHeartbeat,
-		Watchers: p.watchers,
+		HeartbeatTargets: p.watchers,
 	})
 	p.lookup = &peerLookup{peers: p.peers, directory: p.directory, settings: p.settings}
 }
@@ -90,10 +90,10 @@
 func (p *parts) assembleStore() {
 	p.source = watchcache.NewSource(watchcache.Config{
 		Self: watchcache.Node{Name: p.self.Node, Address: p.self.Address, Zone: p.settings.Zone, Capacity: p.settings.Capacity()}, Regions: p.settings.Regions, Store: p.adapter.Store, Peers: p.transport,
-		Nodes: p.lookup.storeNodes, Joined: p.peers.JoinAttempted, ProbeKind: peering.Kind, ProbeName: p.self.Node, Clock: p.clock, Logger: p.logger, Registry: p.registry,
+		Nodes: p.lookup.storeNodes, JoinAttempted: p.peers.JoinAttempted, ProbeKind: peering.NodeKind, ProbeName: p.self.Node, Clock: p.clock, Logger: p.logger, Registry: p.registry,
 	})
 	p.store = storerelay.New(storerelay.Config{
-		Own: p.adapter.Store, Peers: p.transport, CurrentPeer: p.source.CurrentPeer, LargeCallHelpers: p.lookup.storeHelpers, Region: p.lookup.regionAt, Logger: p.logger, Registry: p.registry,
+		Direct: p.adapter.Store, Peers: p.transport, PeerWithStoreAccess: p.source.PeerWithStoreAccess, LargeCallHelpers: p.lookup.storeHelpers, Region: p.lookup.regionAt, Logger: p.logger, Registry: p.registry,
 	})
 }
 
@@ -101,7 +101,7 @@
 func (p *parts) assembleQuarantine(ctx context.Context) {
 	p.quarantine = quarantine.NewService(ctx, quarantine.Config{
 		Node: p.settings.Node, Span: p.settings.Quarantine.Std(), Prober: p.pool, Store: p.store, Peers: p.transport, Logger: p.logger,
-		Registry: p.registry, Clock: p.clock, Nodes: p.peers.Nodes, Address: p.lookup.address,
+		Registry: p.registry, Clock: p.clock, Nodes: p.peers.NodeNames, Address: p.lookup.address,
 	})
 }
 
@@ -109,11 +109,11 @@
 func (p *parts) assembleDuties(duties Duties) {
 	p.lease = lease.NewLease(p.self.Node, strconv.FormatUint(p.self.Incarnation, nonceBase), p.settings.DutyLease.Std(), p.store, p.clock)
 	p.keeper = lease.NewKeeper(lease.Config{
-		Node: p.self.Node, Lease: p.lease, Clock: p.clock, Logger: p.logger, Nodes: p.peers.Nodes, Silence: p.lookup.silence, Announce: p.peers.Announce,
+		Node: p.self.Node, Lease: p.lease, Clock: p.clock, Logger: p.logger, Nodes: p.peers.NodeNames, Silence: p.lookup.silence, Announce: p.peers.Announce,
 	})
 	p.weights = weightorders.NewCoordinator(weightorders.Config{
 		Keeper: p.keeper, Directory: p.directory, Replicas: p.adapter.Orders(p.pool), Logger: p.logger, Registry: p.registry,
-		RunningItems: p.jobs.Load, Tolerance: p.jobs.Tolerance, Demand: p.jobs.Demand, OnChange: p.jobs.LearnVersion, Announce: p.peers.HeartbeatSoon,
+		RunningItems: p.jobs.Load, Tolerance: p.jobs.Tolerance, Demand: p.jobs.Demand, OnChange: p.jobs.LearnVersion, Announce: p.peers.ScheduleHeartbeat,
 	})
 	if duties.Usage != nil {
 		p.usage = p.newUsage(duties.Usage)
@@ -135,7 +135,7 @@
 	p.handler = ingress.NewHandler(ingress.Config{
 		Directory: p.directory, Forwarder: p.forwarder, Headers: p.adapter.Headers, Logger: p.logger,
 		Jobs: &batch.Handler{Service: p.jobs, Headers: p.adapter.Headers}, BodyBytes: bodyBytes(p.settings.MemoryMB),
-		Metrics: ingress.NewMetrics(p.registry), ConfigurationAge: p.source.Age,
+		Metrics: ingress.NewMetrics(p.registry), ConfigurationAge: p.source.CacheAge,
 		KeyBound: p.live.keyBound,
 	})
 }
--- a/internal/instance/connections.go
+++ b/internal/instance/connections.go
@@ -42,7 +42,7 @@
 		changed := b.directory.Changed()
 		// A starting node knows no replica yet: bounds would close what it opens.
 		if view := b.directory.View(); view.Configuration != nil && len(view.Replicas) > 0 {
-			b.pool.SetBounds(connectionBounds(view, len(b.peers.Nodes())))
+			b.pool.SetBounds(connectionBounds(view, len(b.peers.NodeNames())))
 			objectstore.Sleep(ctx, minBoundsInterval)
 		}
 		select {
--- a/internal/instance/evacuations.go
+++ b/internal/instance/evacuations.go
@@ -29,7 +29,7 @@
 		return
 	}
 	p.directory.AwaitEvacuations()
-	p.source.Add(p.adapter.Kinds.Evacuations, directory.EvacuationSink{Table: p.directory}, watchcache.PromptWait)
+	p.source.Add(p.adapter.Kinds.Evacuations, directory.EvacuationSink{Table: p.directory}, watchcache.ShortWatchTimeout)
 	p.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "pathtally_evacuated_zones", Help: "Zones whose replicas get nothing from this node because they are evacuated.",
 	}, func() float64 { return float64(len(p.directory.View().Evacuated)) }))
@@ -41,7 +41,7 @@
 	if bound <= 0 {
 		return
 	}
-	watch := &evacuationWatch{logger: p.logger, age: p.source.Age, maxAge: bound - time.Duration(evacuationMargin*float64(bound)), empty: map[string]bool{}}
+	watch := &evacuationWatch{logger: p.logger, age: p.source.CacheAge, maxAge: bound - time.Duration(evacuationMargin*float64(bound)), empty: map[string]bool{}}
 	for ctx.Err() == nil {
 		changed := p.directory.Changed()
 		timer := time.NewTimer(watch.check(p.directory.View()))
--- a/internal/instance/messages.go
+++ b/internal/instance/messages.go
@@ -11,13 +11,13 @@
 func (p *parts) handle(ctx context.Context, message wire.Message, reply func(wire.Message)) {
 	switch message := message.(type) {
 	case *wire.NodeBeat:
-		reply(p.peers.AnswerGreeting(message))
+		reply(p.peers.HandleJoin(message))
 		return
 	case *wire.WatchPoll:
-		reply(p.source.Answer(ctx, message))
+		reply(p.source.HandlePoll(ctx, message))
 		return
 	case *wire.StoreCall:
-		reply(p.store.Answer(ctx, message))
+		reply(p.store.HandleCall(ctx, message))
 		return
 	case *wire.CrashReport:
 		p.quarantine.ReceiveReport(message)
--- a/internal/instance/retirements.go
+++ b/internal/instance/retirements.go
@@ -58,7 +58,7 @@
 // Apply implements watchcache.Sink.
 func (r *retirements) Apply(changes []objectstore.Change, _ bool) {
 	for _, change := range changes {
-		if change.Gone {
+		if change.Deleted {
 			r.forget(change.Object.Name)
 			continue
 		}
@@ -107,7 +107,7 @@
 			r.forget(machine)
 			return
 		}
-		if !objectstore.Pause(r.ctx, retirementRankDelay) {
+		if !objectstore.SleepWithJitter(r.ctx, retirementRankDelay) {
 			return
 		}
 	}
--- a/internal/instance/retirements_test.go
+++ b/internal/instance/retirements_test.go
@@ -41,7 +41,7 @@
 	}{
 		{"nothing is heard of it", func(*retirements) {}},
 		{"it is heard of", func(r *retirements) {
-			r.Apply([]objectstore.Change{{Object: objectstore.Object{Name: retiredMachine}, Gone: true}}, false)
+			r.Apply([]objectstore.Change{{Object: objectstore.Object{Name: retiredMachine}, Deleted: true}}, false)
 		}},
 		{"a listing lacks it", func(r *retirements) { r.Replace(nil, false) }},
 	} {
--- a/internal/instance/run.go
+++ b/internal/instance/run.go
@@ -21,16 +21,16 @@
 func (p *parts) followStore(ctx context.Context) {
 	kinds := p.adapter.Kinds
 	decoder := p.adapter.Decoder
-	p.source.Add(kinds.Configuration, directory.ConfigurationSink{Table: p.directory, Decoder: decoder, Name: kinds.ConfigurationName}, watchcache.PromptWait)
-	p.source.Add(kinds.Replicas, directory.ReplicaSink{Table: p.directory, Decoder: decoder, KeepMissing: p.live.keepMissing}, watchcache.PromptWait)
-	p.source.Add(kinds.Versions, directory.VersionSink{Table: p.directory, Decoder: decoder}, watchcache.PromptWait)
+	p.source.Add(kinds.Configuration, directory.ConfigurationSink{Table: p.directory, Decoder: decoder, Name: kinds.ConfigurationName}, watchcache.ShortWatchTimeout)
+	p.source.Add(kinds.Replicas, directory.ReplicaSink{Table: p.directory, Decoder: decoder, KeepMissing: p.live.keepMissing}, watchcache.ShortWatchTimeout)
+	p.source.Add(kinds.Versions, directory.VersionSink{Table: p.directory, Decoder: decoder}, watchcache.ShortWatchTimeout)
 	p.followEvacuations()
-	p.source.Add(quarantine.Kind, p.quarantine, watchcache.LongWait)
-	p.source.Add(peering.Kind, p.peers, watchcache.LongWait)
+	p.source.Add(quarantine.Kind, p.quarantine, watchcache.LongWatchTimeout)
+	p.source.Add(peering.NodeKind, p.peers, watchcache.LongWatchTimeout)
 	p.source.Add(kinds.Retirements, &retirements{
-		kind: kinds.Retirements, store: p.store, codec: p.adapter.Retirements, node: p.settings.Node, nodes: p.peers.Nodes,
+		kind: kinds.Retirements, store: p.store, codec: p.adapter.Retirements, node: p.settings.Node, nodes: p.peers.NodeNames,
 		logger: p.logger, ctx: ctx, pending: map[string]bool{},
-	}, watchcache.LongWait)
+	}, watchcache.LongWatchTimeout)
 }
 
 // loops lists what runs for the life of the node.
--- a/internal/instance/stop.go
+++ b/internal/instance/stop.go
@@ -43,7 +43,7 @@
 // leave waits until callers are gone and closes the server.
 func (p *parts) leave(begun time.Time) {
 	p.handler.Closing.Store(true)
-	p.source.Leave()
+	p.source.AnnounceShutdown()
 	p.handOverDuties()
 	grace := p.live.grace()
 	limit := begun.Add(grace - graceMargin)
--- a/internal/instance/usage.go
+++ b/internal/instance/usage.go
@@ -19,7 +19,7 @@
 		Node: p.self.Node, Incarnation: p.self.Incarnation,
 		Window: durationOr(p.settings.UsageWindow.Std(), defaultUsageWindow), Late: durationOr(p.settings.UsageLate.Std(), defaultUsageLate),
 		Keeper: p.keeper, Store: p.store, Platform: platform, Peers: p.transport, Logger: p.logger, Registry: p.registry,
-		Nodes: p.peers.Nodes, Peer: p.lookup.process, HeartbeatSoon: p.peers.HeartbeatSoon,
+		Nodes: p.peers.NodeNames, Peer: p.lookup.process, HeartbeatSoon: p.peers.ScheduleHeartbeat,
 	})
 }
 
--- a/internal/jobs/batch/harness_test.go
+++ b/internal/jobs/batch/harness_test.go
@@ -207,7 +207,7 @@
 
 func (n *testNode) take(message wire.Message, reply func(wire.Message)) {
 	if heartbeat, isBeat := message.(*wire.NodeBeat); isBeat {
-		reply(n.table.AnswerGreeting(heartbeat))
+		reply(n.table.HandleJoin(heartbeat))
 		return
 	}
 	n.Answer(message, reply)
@@ -306,7 +306,7 @@
 }
 
 func (c *cluster) start(node *testNode) {
-	go watchcache.NewInformer(c.store, peering.Kind, node.table, klog.Background()).Run(node.ctx)
+	go watchcache.NewInformer(c.store, peering.NodeKind, node.table, klog.Background()).Run(node.ctx)
 	go node.Run(node.ctx)
 }
 
@@ -331,7 +331,7 @@
 	node.table = peering.NewTable(peering.Config{
 		Node: name, Address: name, Zone: c.places[name], Incarnation: self.Incarnation, Store: c.store, Peers: link{c.peers, name}, Logger: logger,
 		FillHeartbeat: func(heartbeat *wire.NodeBeat) { node.FillHeartbeat(heartbeat) }, OnHeartbeat: func(heartbeat *wire.NodeBeat) { node.ReceiveHeartbeat(heartbeat) },
-		Watchers: func() []string { return node.Watchers() }, MaxBroadcastPeers: c.mostTold,
+		HeartbeatTargets: func() []string { return node.Watchers() }, MaxBroadcastPeers: c.mostTold,
 	})
 	node.Service = NewService(ctx, Config{
 		Clock: clock.Steady,
--- a/internal/jobs/batch/heartbeat.go
+++ b/internal/jobs/batch/heartbeat.go
@@ -173,7 +173,7 @@
 			quiet++
 		}
 		if quiet <= idleHeartbeats {
-			s.config.Table.Heartbeat()
+			s.config.Table.SendHeartbeat()
 		}
 	}
 }
--- a/internal/jobs/batch/homes.go
+++ b/internal/jobs/batch/homes.go
@@ -134,7 +134,7 @@
 // logJobsWithoutSuccessor logs the jobs that this node cannot give away, since no other
 // node known may have them: they wait until there is one. The mutex must be held.
 func (s *Service) logJobsWithoutSuccessor() {
-	nodes := s.config.Table.Nodes()
+	nodes := s.config.Table.NodeNames()
 	for id, held := range s.jobs {
 		from := originOf(held.record)
 		if held.open() && len(ownership.Successors(s.insiders(&from, nodes), s.config.Self.Node)) == 0 {
--- a/internal/jobs/batch/homes_test.go
+++ b/internal/jobs/batch/homes_test.go
@@ -34,7 +34,7 @@
 	}
 	eventually(t, "all nodes know each other", func() bool {
 		for _, node := range c.nodes {
-			if len(node.table.Nodes()) != len(c.nodes) || !node.Recovered() {
+			if len(node.table.NodeNames()) != len(c.nodes) || !node.Recovered() {
 				return false
 			}
 		}
--- a/internal/jobs/batch/locate.go
+++ b/internal/jobs/batch/locate.go
@@ -20,7 +20,7 @@
 
 // locatorsOf names the nodes that hear of a job's start and end.
 func (s *Service) locatorsOf(id string) []string {
-	return ownership.LocatorsOf(id, s.config.Table.Nodes())
+	return ownership.LocatorsOf(id, s.config.Table.NodeNames())
 }
 
 // announce sends a heartbeat about a job's start or end to the job's locators and to some
--- a/internal/jobs/batch/locate_test.go
+++ b/internal/jobs/batch/locate_test.go
@@ -21,7 +21,7 @@
 		large.addOutsider(fmt.Sprintf("node-%d", number), engines)
 	}
 	for _, node := range large.nodes {
-		eventually(t, "all nodes know one another", func() bool { return len(node.table.Nodes()) == nodes })
+		eventually(t, "all nodes know one another", func() bool { return len(node.table.NodeNames()) == nodes })
 	}
 	return large
 }
--- a/internal/jobs/batch/rank.go
+++ b/internal/jobs/batch/rank.go
@@ -31,7 +31,7 @@
 // rank is this node's place among those that may take a job over, ownership.Outside where
 // it may not. The mutex must be held.
 func (s *Service) rank(id string, remote *remoteJob) int {
-	nodes, owner := s.insiders(remote.origin, s.config.Table.Nodes()), remote.owner.Node
+	nodes, owner := s.insiders(remote.origin, s.config.Table.NodeNames()), remote.owner.Node
 	if owner == s.config.Self.Node {
 		owner = ""
 	}
@@ -45,7 +45,7 @@
 // cachedRank is this node's rank for a job, worked out anew when the nodes, the
 // configuration or the owner change. The mutex must be held.
 func (s *Service) cachedRank(id string, remote *remoteJob) int {
-	membership, configuration := s.config.Table.Membership()+1, s.config.Directory.View().Configuration
+	membership, configuration := s.config.Table.MembershipVersion()+1, s.config.Directory.View().Configuration
 	if remote.membership != membership || remote.rankedIn != configuration {
 		remote.rank, remote.membership, remote.rankedIn = s.rank(id, remote), membership, configuration
 	}
--- a/internal/jobs/batch/recover.go
+++ b/internal/jobs/batch/recover.go
@@ -42,7 +42,7 @@
 			s.mutex.Unlock()
 			return
 		}
-		objectstore.Pause(ctx, readRetryPause)
+		objectstore.SleepWithJitter(ctx, readRetryPause)
 	}
 }
 
--- a/internal/jobs/batch/reward.go
+++ b/internal/jobs/batch/reward.go
@@ -62,7 +62,7 @@
 				}
 			}
 		}
-		if !objectstore.Pause(work.job.ctx, pause) {
+		if !objectstore.SleepWithJitter(work.job.ctx, pause) {
 			break
 		}
 		pause = min(2*pause, longestRewardPause)
--- a/internal/jobs/batch/runner_test.go
+++ b/internal/jobs/batch/runner_test.go
@@ -16,7 +16,7 @@
 	c.t.Helper()
 	eventually(c.t, "all nodes know each other", func() bool {
 		for _, node := range c.nodes {
-			if len(node.table.Nodes()) != len(c.nodes) || !node.Recovered() {
+			if len(node.table.NodeNames()) != len(c.nodes) || !node.Recovered() {
 				return false
 			}
 		}
@@ -65,7 +65,7 @@
 	ranked := cluster.byRank()
 	largest := ranked[2].config.Self.Node
 	for _, node := range cluster.nodes {
-		node.table.Receive(&wire.NodeBeat{Node: largest, Address: ranked[2].config.Self.Address, Incarnation: ranked[2].config.Self.Incarnation, Capacity: 800})
+		node.table.HandleHeartbeat(&wire.NodeBeat{Node: largest, Address: ranked[2].config.Self.Address, Incarnation: ranked[2].config.Self.Incarnation, Capacity: 800})
 	}
 	for _, node := range cluster.nodes {
 		if first := node.runners("m")[0]; node != ranked[2] && first != largest {
--- a/internal/jobs/batch/takeover.go
+++ b/internal/jobs/batch/takeover.go
@@ -61,7 +61,7 @@
 			return
 		}
 		s.config.Logger.Error(err, "batch job not loaded", "request", stored.ID)
-		objectstore.Pause(ctx, readRetryPause)
+		objectstore.SleepWithJitter(ctx, readRetryPause)
 	}
 }
 
@@ -74,7 +74,7 @@
 		stored, err := s.config.JobStore.Read(ctx, read.ID)
 		if err != nil {
 			s.config.Logger.Info("record of batch job not read before its start", "request", read.ID, "error", err.Error())
-			objectstore.Pause(ctx, readRetryPause)
+			objectstore.SleepWithJitter(ctx, readRetryPause)
 			continue
 		}
 		if may, _ := ownership.DecideStart(stored, s.config.Self, read.Record.Epoch); !may {
--- a/internal/jobs/batch/watchers.go
+++ b/internal/jobs/batch/watchers.go
@@ -16,7 +16,7 @@
 
 // Watchers names the nodes that watch over the jobs of this node.
 func (s *Service) Watchers() []string {
-	nodes := s.config.Table.Nodes()
+	nodes := s.config.Table.NodeNames()
 	s.mutex.Lock()
 	open := map[string]origin{}
 	for id, held := range s.jobs {
--- a/internal/jobs/batch/watchers_test.go
+++ b/internal/jobs/batch/watchers_test.go
@@ -42,7 +42,7 @@
 	owner := made.nodes[0]
 	eventually(t, "all nodes know each other", func() bool {
 		for _, node := range made.nodes {
-			if len(node.table.Nodes()) != len(made.nodes) {
+			if len(node.table.NodeNames()) != len(made.nodes) {
 				return false
 			}
 		}
@@ -75,7 +75,7 @@
 		node.remoteJobs["job"].lastHeartbeat = time.Time{}
 		node.mutex.Unlock()
 	}
-	cluster.nodes[0].table.Heartbeat()
+	cluster.nodes[0].table.SendHeartbeat()
 	heard := func(node *testNode) bool {
 		node.mutex.Lock()
 		defer node.mutex.Unlock()
@@ -184,7 +184,7 @@
 		t.Fatal(err)
 	}
 	cluster.store.SetFault(func(call metastore.Call) metastore.Fault {
-		if call.Kind == peering.Kind {
+		if call.Kind == peering.NodeKind {
 			return metastore.Refused
 		}
 		return metastore.Sound
--- a/internal/jobs/jobstore/accept.go
+++ b/internal/jobs/jobstore/accept.go
@@ -26,11 +26,11 @@
 	if err != nil {
 		return Record{}, false, &NotTakenError{Cause: err}
 	}
-	object, outcome, err := objectstore.CreateSettled(ctx, s.store, KindJobs, id, spec)
+	object, outcome, err := objectstore.CreateWithRetry(ctx, s.store, KindJobs, id, spec)
 	switch outcome {
-	case objectstore.NeverSent:
+	case objectstore.NotCreated:
 		return Record{}, false, &NotTakenError{Cause: err}
-	case objectstore.Unknown:
+	case objectstore.OutcomeUnknown:
 		return Record{}, false, &UncertainError{Cause: err}
 	}
 	stored, _, err = readRecord(object)
@@ -48,8 +48,8 @@
 		if err != nil {
 			return err
 		}
-		_, outcome, err := objectstore.CreateSettled(ctx, s.store, KindPayloads, partName(id, part), encoded)
-		if outcome != objectstore.Created && outcome != objectstore.Existed {
+		_, outcome, err := objectstore.CreateWithRetry(ctx, s.store, KindPayloads, partName(id, part), encoded)
+		if outcome != objectstore.Created && outcome != objectstore.AlreadyExists {
 			return err
 		}
 	}
--- a/internal/jobs/jobstore/results.go
+++ b/internal/jobs/jobstore/results.go
@@ -93,11 +93,11 @@
 	if err != nil {
 		return Chunk{}, false, err
 	}
-	object, outcome, err := objectstore.CreateSettled(ctx, s.store, KindResults, ChunkName(id, index), spec)
+	object, outcome, err := objectstore.CreateWithRetry(ctx, s.store, KindResults, ChunkName(id, index), spec)
 	switch outcome {
 	case objectstore.Created:
 		return written, true, nil
-	case objectstore.Existed:
+	case objectstore.AlreadyExists:
 		stored, err := readChunk(object)
 		return stored, err == nil && stored.Writer == written.Writer && stored.Serial == written.Serial, err
 	}
--- a/internal/jobs/jobstore/store.go
+++ b/internal/jobs/jobstore/store.go
@@ -94,7 +94,7 @@
 		if errors.Is(err, objectstore.ErrNotFound) {
 			return StoredJob{}, ErrNoSuchJob
 		}
-		if !objectstore.Pause(ctx, endRetryPause) {
+		if !objectstore.SleepWithJitter(ctx, endRetryPause) {
 			return StoredJob{}, err
 		}
 	}
--- a/internal/replicas/directory/evacuation_sink.go
+++ b/internal/replicas/directory/evacuation_sink.go
@@ -21,7 +21,7 @@
 func (s EvacuationSink) Apply(changes []objectstore.Change, _ bool) {
 	taken := make([]EvacuationChange, 0, len(changes))
 	for _, change := range changes {
-		taken = append(taken, EvacuationChange{Zone: change.Object.Name, Ended: change.Gone})
+		taken = append(taken, EvacuationChange{Zone: change.Object.Name, Ended: change.Deleted})
 	}
 	s.Table.ApplyEvacuations(taken)
 }
--- a/internal/replicas/directory/replica_sink.go
+++ b/internal/replicas/directory/replica_sink.go
@@ -38,7 +38,7 @@
 	changed := make([]ReplicaChange, 0, len(changes))
 	for _, change := range changes {
 		next := ReplicaChange{Name: change.Object.Name}
-		if !change.Gone {
+		if !change.Deleted {
 			next.Replica, next.Unreadable = s.read(change.Object)
 		}
 		changed = append(changed, next)
--- a/internal/replicas/directory/sink.go
+++ b/internal/replicas/directory/sink.go
@@ -12,7 +12,7 @@
 // takePresent hands changed objects on, but no removed ones.
 func takePresent(changes []objectstore.Change, take func(objectstore.Object)) {
 	for _, change := range changes {
-		if !change.Gone {
+		if !change.Deleted {
 			take(change.Object)
 		}
 	}
--- a/internal/store/objectstore/changes.go
+++ b/internal/store/objectstore/changes.go
@@ -4,14 +4,14 @@
 type Change struct {
 	// Object is the object after the change, or before its deletion.
 	Object Object
-	// Gone reports that the object was deleted.
-	Gone bool
+	// Deleted reports that the object was deleted.
+	Deleted bool
 }
 
 // Changes is the result of one watch call.
 type Changes struct {
 	// Events are the changes, oldest first; empty if there were none.
 	Events []Change
-	// At is the revision from which to continue watching.
-	At uint64
+	// Revision is the revision from which to continue watching.
+	Revision uint64
 }
--- a/internal/store/objectstore/create_settled.go
+++ b/internal/store/objectstore/create_settled.go
@@ -21,29 +21,29 @@
 	maxOpenAttempts = 4
 )
 
-// CreateOutcome is what is known of an object after CreateSettled.
+// CreateOutcome is what is known of an object after CreateWithRetry.
 type CreateOutcome int
 
-// The outcomes of CreateSettled.
+// The outcomes of CreateWithRetry.
 const (
 	// Created reports that this call created the object.
 	Created CreateOutcome = iota
-	// Existed reports that the object already existed. An earlier attempt without a
+	// AlreadyExists reports that the object already existed. An earlier attempt without a
 	// response may have created it.
-	Existed
-	// NeverSent reports that the context ended and no attempt can take effect.
-	NeverSent
-	// Unknown reports that the context ended and an attempt may still take effect.
-	Unknown
+	AlreadyExists
+	// NotCreated reports that the context ended and no attempt can take effect.
+	NotCreated
+	// OutcomeUnknown reports that the context ended and an attempt may still take effect.
+	OutcomeUnknown
 )
 
-// CreateSettled retries a create until the store responds to it, and returns the stored
+// CreateWithRetry retries a create until the store responds to it, and returns the stored
 // object. Only the response to a create is conclusive: a read is not while an attempt
 // without a response may still take effect. If an attempt has no response within
 // hedgeDelay, another one is made in parallel, since calls sent during an outage get no
 // response after its end either. If the context ends first, the error is the last
 // attempt's, or an *UnansweredError.
-func CreateSettled(ctx context.Context, store Store, kind, name string, spec json.RawMessage) (Object, CreateOutcome, error) {
+func CreateWithRetry(ctx context.Context, store Store, kind, name string, spec json.RawMessage) (Object, CreateOutcome, error) {
 	pending := &pendingCreate{answers: make(chan createAnswer, maxOpenAttempts)}
 	create := func() {
 		object, err := store.Create(ctx, kind, name, spec)
@@ -56,7 +56,7 @@
 		if settled {
 			return object, outcome, nil
 		}
-		if pending.open == 0 && !Pause(ctx, pause) || ctx.Err() != nil {
+		if pending.open == 0 && !SleepWithJitter(ctx, pause) || ctx.Err() != nil {
 			return Object{}, pending.unsettled(), pending.failure(ctx)
 		}
 	}
@@ -112,7 +112,7 @@
 	case answer.err == nil:
 		return answer.object, Created, true
 	case errors.As(answer.err, &conflict):
-		return conflict.Current, Existed, true
+		return conflict.Current, AlreadyExists, true
 	case !errors.As(answer.err, &refused):
 		p.unanswered = true
 	}
@@ -123,9 +123,9 @@
 // unsettled returns the outcome if the context has ended.
 func (p *pendingCreate) unsettled() CreateOutcome {
 	if p.unanswered || p.open > 0 {
-		return Unknown
+		return OutcomeUnknown
 	}
-	return NeverSent
+	return NotCreated
 }
 
 // failure returns why there is no conclusive response.
--- a/internal/store/objectstore/create_settled_test.go
+++ b/internal/store/objectstore/create_settled_test.go
@@ -75,7 +75,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			store := &awayStore{back: time.Now().Add(test.away), silent: test.silent}
 			began := time.Now()
-			_, outcome, err := CreateSettled(t.Context(), store, "kind", "name", json.RawMessage(`1`))
+			_, outcome, err := CreateWithRetry(t.Context(), store, "kind", "name", json.RawMessage(`1`))
 			if outcome != Created || err != nil {
 				t.Errorf("%s: %v, %v", test.name, outcome, err)
 			}
@@ -97,15 +97,15 @@
 		within  time.Duration
 		outcome CreateOutcome
 	}{
-		{"never answered", &awayStore{silent: 1000}, 5 * time.Second, Unknown},
-		{"cut during the first try", &awayStore{silent: 1000}, 100 * time.Millisecond, Unknown},
-		{"refused throughout", &awayStore{refuses: true}, 5 * time.Second, NeverSent},
+		{"never answered", &awayStore{silent: 1000}, 5 * time.Second, OutcomeUnknown},
+		{"cut during the first try", &awayStore{silent: 1000}, 100 * time.Millisecond, OutcomeUnknown},
+		{"refused throughout", &awayStore{refuses: true}, 5 * time.Second, NotCreated},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithTimeout(t.Context(), test.within)
 			defer cancel()
 			began := time.Now()
-			_, outcome, err := CreateSettled(ctx, test.store, "kind", "name", json.RawMessage(`1`))
+			_, outcome, err := CreateWithRetry(ctx, test.store, "kind", "name", json.RawMessage(`1`))
 			if outcome != test.outcome || err == nil {
 				t.Errorf("%s: %v, %v", test.name, outcome, err)
 			}
@@ -113,7 +113,7 @@
 				t.Errorf("%s: took %s", test.name, took)
 			}
 			var unanswered *UnansweredError
-			if test.outcome == Unknown && !errors.As(err, &unanswered) {
+			if test.outcome == OutcomeUnknown && !errors.As(err, &unanswered) {
 				t.Errorf("%s: %v", test.name, err)
 			}
 			time.Sleep(time.Minute)
--- a/internal/store/objectstore/list.go
+++ b/internal/store/objectstore/list.go
@@ -24,8 +24,8 @@
 	var listed Page
 	err := ListPages(ctx, store, kind, freshness, func(page Page) {
 		listed.Objects = append(listed.Objects, page.Objects...)
-		if listed.At == 0 {
-			listed.At = page.At
+		if listed.Revision == 0 {
+			listed.Revision = page.Revision
 		}
 	})
 	if err != nil {
--- a/internal/store/objectstore/list_test.go
+++ b/internal/store/objectstore/list_test.go
@@ -22,7 +22,7 @@
 	if s.calls == s.failAt {
 		return objectstore.Page{}, &objectstore.UnansweredError{Cause: context.Canceled}
 	}
-	page := objectstore.Page{At: uint64(s.calls)}
+	page := objectstore.Page{Revision: uint64(s.calls)}
 	for number := range s.count {
 		name := fmt.Sprintf("%03d", number)
 		if name <= after {
@@ -41,8 +41,8 @@
 	for _, count := range []int{0, 1, 9, 10, 11, 35} {
 		store := &pagedStore{count: count, perPage: 10}
 		listed, err := objectstore.ListAll(t.Context(), store, "kind", objectstore.Linearizable)
-		if err != nil || len(listed.Objects) != count || listed.At != 1 {
-			t.Errorf("%d objects: %d listed at %d, error %v", count, len(listed.Objects), listed.At, err)
+		if err != nil || len(listed.Objects) != count || listed.Revision != 1 {
+			t.Errorf("%d objects: %d listed at %d, error %v", count, len(listed.Objects), listed.Revision, err)
 		}
 	}
 }
--- a/internal/store/objectstore/page.go
+++ b/internal/store/objectstore/page.go
@@ -5,6 +5,6 @@
 	Objects []Object
 	// More reports that the listing continues after the last name of this page.
 	More bool
-	// At is the store revision of the page.
-	At uint64
+	// Revision is the store revision of the page.
+	Revision uint64
 }
--- a/internal/store/objectstore/wait.go
+++ b/internal/store/objectstore/wait.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Pause sleeps for a random time between half and one and a half times the given length, so
+// SleepWithJitter sleeps for a random time between half and one and a half times the given length, so
 // that many nodes don't call at the same moment. It returns early if the context ends, and
 // reports whether the context is still valid.
-func Pause(ctx context.Context, length time.Duration) bool {
+func SleepWithJitter(ctx context.Context, length time.Duration) bool {
 	return Sleep(ctx, length/2+time.Duration(rand.Int64N(int64(length))))
 }
 
--- a/internal/store/objectwire/objectwire.go
+++ b/internal/store/objectwire/objectwire.go
@@ -40,7 +40,7 @@
 	encoded := make([]wire.ObjectChange, 0, len(changes))
 	for _, change := range changes {
 		message := Encode(change.Object)
-		message.Gone = change.Gone
+		message.Gone = change.Deleted
 		encoded = append(encoded, message)
 	}
 	return encoded
@@ -50,7 +50,7 @@
 func DecodeChanges(encoded []wire.ObjectChange) []objectstore.Change {
 	changes := make([]objectstore.Change, 0, len(encoded))
 	for _, change := range encoded {
-		changes = append(changes, objectstore.Change{Gone: change.Gone, Object: Decode(change)})
+		changes = append(changes, objectstore.Change{Deleted: change.Gone, Object: Decode(change)})
 	}
 	return changes
 }
--- a/internal/store/storerelay/answer.go
+++ b/internal/store/storerelay/answer.go
@@ -8,12 +8,12 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// Answer makes a call for another node and returns the reply. It only uses this node's
+// HandleCall makes a call for another node and returns the reply. It only uses this node's
 // direct connection, so that a call is relayed at most once.
-func (r *Relay) Answer(ctx context.Context, call *wire.StoreCall) *wire.StoreReply {
+func (r *Relay) HandleCall(ctx context.Context, call *wire.StoreCall) *wire.StoreReply {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	own := r.config.Own
+	own := r.config.Direct
 	freshness := objectstore.Freshness(call.MayBeStale)
 	var object objectstore.Object
 	var err error
@@ -21,7 +21,7 @@
 	case wire.StoreList:
 		page, err := own.List(ctx, call.Kind, call.Name, freshness)
 		reply := replyTo(err)
-		reply.More, reply.At = page.More, page.At
+		reply.More, reply.At = page.More, page.Revision
 		reply.Objects = objectwire.EncodeAll(page.Objects)
 		return reply
 	case wire.StoreGet:
--- a/internal/store/storerelay/call.go
+++ b/internal/store/storerelay/call.go
@@ -90,7 +90,7 @@
 // recordFailure records that the store refused or did not respond to a direct call.
 func (r *Relay) recordFailure() {
 	if r.ownAccess.recordFailure() {
-		address, known := r.config.CurrentPeer()
+		address, known := r.config.PeerWithStoreAccess()
 		r.config.Logger.Info("store does not answer this node's calls", "throughPeer", known, "peer", address)
 	}
 }
--- a/internal/store/storerelay/choose_helper.go
+++ b/internal/store/storerelay/choose_helper.go
@@ -29,7 +29,7 @@
 // candidate is in a region that may hold the body in the call; the call is then left to the
 // direct connection.
 func (r *Relay) helpersFor(ctx context.Context, call *wire.StoreCall) []string {
-	current, known := r.config.CurrentPeer()
+	current, known := r.config.PeerWithStoreAccess()
 	if !known {
 		return nil
 	}
@@ -69,7 +69,7 @@
 // helper. A large one may be sent to the current peer, or to a helper to which the store is
 // available according to its recent record or a probe.
 func (r *Relay) mayGive(ctx context.Context, address string, call *wire.StoreCall) bool {
-	current, _ := r.config.CurrentPeer()
+	current, _ := r.config.PeerWithStoreAccess()
 	if !isLarge(call) || address == current || r.helpers.isAnswering(address) {
 		return true
 	}
--- a/internal/store/storerelay/config.go
+++ b/internal/store/storerelay/config.go
@@ -10,12 +10,12 @@
 
 // Config holds the dependencies of a Relay.
 type Config struct {
-	// Own is this node's direct connection to the store.
-	Own   objectstore.Store
-	Peers environment.Peers
-	// CurrentPeer returns the address of a peer to which the store is available, if one is
+	// Direct is this node's direct connection to the store.
+	Direct objectstore.Store
+	Peers  environment.Peers
+	// PeerWithStoreAccess returns the address of a peer to which the store is available, if one is
 	// known.
-	CurrentPeer func() (address string, known bool)
+	PeerWithStoreAccess func() (address string, known bool)
 	// LargeCallHelpers returns the addresses of further nodes that may be sent large calls,
 	// in order of preference; nil for none.
 	LargeCallHelpers func() []string
--- a/internal/store/storerelay/large_calls_test.go
+++ b/internal/store/storerelay/large_calls_test.go
@@ -65,7 +65,7 @@
 // over returns a relay over a link, for a node that the store refuses.
 func over(l *link, others ...string) *Relay {
 	return New(Config{
-		Own: &gate{Store: l.store, fail: refusal}, Peers: l, CurrentPeer: func() (string, bool) { return "reader", true },
+		Direct: &gate{Store: l.store, fail: refusal}, Peers: l, PeerWithStoreAccess: func() (string, bool) { return "reader", true },
 		LargeCallHelpers: func() []string { return others }, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
 	})
 }
@@ -89,7 +89,7 @@
 		for _, name := range []string{"a", "b", "c"} {
 			relay := over(l, "first-of-"+name, "second-of-"+name)
 			owners.Go(func() {
-				if _, _, err := objectstore.CreateSettled(t.Context(), relay, "results", name, large()); err != nil {
+				if _, _, err := objectstore.CreateWithRetry(t.Context(), relay, "results", name, large()); err != nil {
 					t.Error(err)
 				}
 			})
@@ -107,11 +107,11 @@
 		l := newLink()
 		l.silent["first"] = true
 		relay := over(l, "first", "second")
-		if _, _, err := objectstore.CreateSettled(t.Context(), relay, "results", "one", large()); err != nil {
+		if _, _, err := objectstore.CreateWithRetry(t.Context(), relay, "results", "one", large()); err != nil {
 			t.Error(err)
 		}
 		before := l.sent["first"]
-		if _, _, err := objectstore.CreateSettled(t.Context(), relay, "results", "two", large()); err != nil {
+		if _, _, err := objectstore.CreateWithRetry(t.Context(), relay, "results", "two", large()); err != nil {
 			t.Error(err)
 		}
 		if l.sent["second"] == 0 || l.sent["first"] != before {
--- a/internal/store/storerelay/relay.go
+++ b/internal/store/storerelay/relay.go
@@ -38,11 +38,11 @@
 	call := &wire.StoreCall{Verb: uint8(wire.StoreList), Kind: kind, Name: after, MayBeStale: bool(freshness)}
 	var page objectstore.Page
 	reply, err := r.do(ctx, call, func() (err error) {
-		page, err = r.config.Own.List(ctx, kind, after, freshness)
+		page, err = r.config.Direct.List(ctx, kind, after, freshness)
 		return err
 	})
 	if reply != nil {
-		page = objectstore.Page{More: reply.More, At: reply.At, Objects: objectwire.DecodeAll(reply.Objects)}
+		page = objectstore.Page{More: reply.More, Revision: reply.At, Objects: objectwire.DecodeAll(reply.Objects)}
 	}
 	return page, err
 }
@@ -50,26 +50,26 @@
 // Get implements objectstore.Store.
 func (r *Relay) Get(ctx context.Context, kind, name string, freshness objectstore.Freshness) (objectstore.Object, error) {
 	call := &wire.StoreCall{Verb: uint8(wire.StoreGet), Kind: kind, Name: name, MayBeStale: bool(freshness)}
-	return r.doForObject(ctx, call, func() (objectstore.Object, error) { return r.config.Own.Get(ctx, kind, name, freshness) })
+	return r.doForObject(ctx, call, func() (objectstore.Object, error) { return r.config.Direct.Get(ctx, kind, name, freshness) })
 }
 
 // Watch implements objectstore.Store. It is never relayed: package watchcache follows other
 // nodes instead.
 func (r *Relay) Watch(ctx context.Context, kind string, from uint64, wait time.Duration) (objectstore.Changes, error) {
-	return r.config.Own.Watch(ctx, kind, from, wait)
+	return r.config.Direct.Watch(ctx, kind, from, wait)
 }
 
 // Create implements objectstore.Store.
 func (r *Relay) Create(ctx context.Context, kind, name string, spec json.RawMessage) (objectstore.Object, error) {
 	call := &wire.StoreCall{Verb: uint8(wire.StoreCreate), Kind: kind, Name: name, Content: spec}
-	return r.doForObject(ctx, call, func() (objectstore.Object, error) { return r.config.Own.Create(ctx, kind, name, spec) })
+	return r.doForObject(ctx, call, func() (objectstore.Object, error) { return r.config.Direct.Create(ctx, kind, name, spec) })
 }
 
 // Replace implements objectstore.Store.
 func (r *Relay) Replace(ctx context.Context, kind, name string, spec json.RawMessage, revision uint64) (objectstore.Object, error) {
 	call := &wire.StoreCall{Verb: uint8(wire.StoreReplace), Kind: kind, Name: name, Content: spec, Revision: revision}
 	return r.doForObject(ctx, call, func() (objectstore.Object, error) {
-		return r.config.Own.Replace(ctx, kind, name, spec, revision)
+		return r.config.Direct.Replace(ctx, kind, name, spec, revision)
 	})
 }
 
@@ -77,7 +77,7 @@
 func (r *Relay) ReplaceStatus(ctx context.Context, kind, name string, status json.RawMessage, revision uint64) (objectstore.Object, error) {
 	call := &wire.StoreCall{Verb: uint8(wire.StoreReplaceStatus), Kind: kind, Name: name, Content: status, Revision: revision}
 	return r.doForObject(ctx, call, func() (objectstore.Object, error) {
-		return r.config.Own.ReplaceStatus(ctx, kind, name, status, revision)
+		return r.config.Direct.ReplaceStatus(ctx, kind, name, status, revision)
 	})
 }
 
--- a/internal/store/storerelay/relay_test.go
+++ b/internal/store/storerelay/relay_test.go
@@ -73,7 +73,7 @@
 		done(nil, environment.ErrPeerUnreachable)
 		return
 	}
-	done(p.helper.Answer(context.Background(), message.(*wire.StoreCall)), nil)
+	done(p.helper.HandleCall(context.Background(), message.(*wire.StoreCall)), nil)
 }
 
 func newPair() *pair {
@@ -81,7 +81,7 @@
 	made := &pair{own: &gate{Store: store}, other: &gate{Store: store}, reachable: true, known: true}
 	relayOver := func(own objectstore.Store) *Relay {
 		return New(Config{
-			Own: own, Peers: made, CurrentPeer: func() (string, bool) { return "other", made.known }, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
+			Direct: own, Peers: made, PeerWithStoreAccess: func() (string, bool) { return "other", made.known }, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
 		})
 	}
 	made.relay, made.helper = relayOver(made.own), relayOver(made.other)
@@ -115,7 +115,7 @@
 	if _, err := p.relay.Get(ctx, "k", "none", objectstore.Linearizable); !errors.Is(err, objectstore.ErrNotFound) {
 		t.Errorf("get of nothing: %v", err)
 	}
-	if page, err := p.relay.List(ctx, "k", "", objectstore.Linearizable); err != nil || len(page.Objects) != 1 || page.At == 0 {
+	if page, err := p.relay.List(ctx, "k", "", objectstore.Linearizable); err != nil || len(page.Objects) != 1 || page.Revision == 0 {
 		t.Errorf("list: %+v, %v", page, err)
 	}
 	if p.own.calls != 1 {
--- a/internal/store/watchcache/answer.go
+++ b/internal/store/watchcache/answer.go
@@ -19,10 +19,10 @@
 	maxRelayedAge = 900 * time.Millisecond
 )
 
-// Answer returns the reply to a follower's poll. It returns when there are changes, when
+// HandlePoll returns the reply to a follower's poll. It returns when there are changes, when
 // this node reports unsure or leaving, or when the requested hold has passed. A polled node
 // reads the store, unless the poll is marked as one to a relay, which follows another node.
-func (s *Source) Answer(ctx context.Context, poll *wire.WatchPoll) *wire.WatchNews {
+func (s *Source) HandlePoll(ctx context.Context, poll *wire.WatchPoll) *wire.WatchNews {
 	s.metrics.answered.Inc()
 	if poll.Direct && !s.reading.isActive() && !s.probe.answered(ctx) {
 		// The store is available to neither node, so reading it would not help the other
@@ -87,7 +87,7 @@
 
 // relayStatus returns the status of a node that follows another one.
 func (s *Source) relayStatus() copyStatus {
-	age := s.Age()
+	age := s.CacheAge()
 	switch {
 	case !s.listed():
 		return copyStatus{state: wire.ReaderStarting}
@@ -134,8 +134,8 @@
 func encodeUpdate(kind string, update Update) wire.KindNews {
 	return wire.KindNews{
 		Kind:        kind,
-		Revision:    update.At,
-		Whole:       update.Whole,
+		Revision:    update.Revision,
+		Whole:       update.Snapshot,
 		AfterOutage: update.AfterOutage,
 		Changes:     objectwire.EncodeChanges(update.Changes),
 		Compressed:  update.Compressed,
--- a/internal/store/watchcache/cache.go
+++ b/internal/store/watchcache/cache.go
@@ -86,7 +86,7 @@
 	defer c.mutex.Unlock()
 	update, found, err := c.copy.updateSince(revision, compressed)
 	switch {
-	case err != nil && update.Whole:
+	case err != nil && update.Snapshot:
 		c.logger.Error(err, "listing is sent uncompressed", "kind", c.kind, "objects", len(update.Changes))
 	case err != nil:
 		c.logger.Error(err, "changes are sent uncompressed", "kind", c.kind, "changes", len(update.Changes))
--- a/internal/store/watchcache/config.go
+++ b/internal/store/watchcache/config.go
@@ -16,10 +16,10 @@
 	Regions map[string]string
 	Store   objectstore.Store
 	Peers   environment.Peers
-	// Nodes lists the other known nodes. Joined reports whether that list has been read, or
+	// Nodes lists the other known nodes. JoinAttempted reports whether that list has been read, or
 	// reading it has failed at least once.
-	Nodes  func() []Node
-	Joined func() bool
+	Nodes         func() []Node
+	JoinAttempted func() bool
 	// ProbeKind and ProbeName name the object that is read to check whether the store is
 	// available. The object need not exist.
 	ProbeKind string
--- a/internal/store/watchcache/follow.go
+++ b/internal/store/watchcache/follow.go
@@ -34,7 +34,7 @@
 		decided := decideAfterPoll(s.observe(ctx, position, result.outcome))
 		s.carryOut(ctx, parent, decided)
 		if !decided.follow {
-			s.config.Logger.Info("stopped following reader", "reader", parent, "outcome", string(result.outcome), "newsAgeMs", s.Age().Milliseconds())
+			s.config.Logger.Info("stopped following reader", "reader", parent, "outcome", string(result.outcome), "newsAgeMs", s.CacheAge().Milliseconds())
 			s.config.Logger.V(1).Info("why the reader is not followed", "reader", parent, "reason", string(decided.reason))
 			return
 		}
@@ -62,7 +62,7 @@
 		s.polls.recordUnsure(observed.storeAnswers)
 		observed.narrowerArea = observed.storeAnswers && s.hasNarrowerArea()
 	}
-	observed.copyAge = s.Age()
+	observed.copyAge = s.CacheAge()
 	observed.unsureReplies = s.polls.unsureReplies
 	observed.suspect = s.polls.isSuspect()
 	observed.suspectFor = time.Since(s.polls.suspectSince)
@@ -73,7 +73,7 @@
 // probeIfCritical probes the store if the cache age is critical and the last such probe is
 // at least criticalProbeInterval ago. It reports whether the probe succeeded.
 func (s *Source) probeIfCritical(ctx context.Context) (answered bool) {
-	if s.Age() <= criticalAge || time.Since(s.polls.probedAt) < criticalProbeInterval {
+	if s.CacheAge() <= criticalAge || time.Since(s.polls.probedAt) < criticalProbeInterval {
 		return false
 	}
 	s.polls.probedAt = time.Now()
--- a/internal/store/watchcache/harness_test.go
+++ b/internal/store/watchcache/harness_test.go
@@ -98,7 +98,7 @@
 	defer r.mutex.Unlock()
 	r.afterOutage = afterOutage
 	for _, change := range changes {
-		if change.Gone {
+		if change.Deleted {
 			delete(r.objects, change.Object.Name)
 			continue
 		}
@@ -159,7 +159,7 @@
 				node.polledDead.Add(1)
 			}
 			if node.node.Address == address && !node.dead.Load() && l.cluster.reach(l.node, node.node) {
-				reply := node.source.Answer(ctx, message.(*wire.WatchPoll))
+				reply := node.source.HandlePoll(ctx, message.(*wire.WatchPoll))
 				if !node.dead.Load() && ctx.Err() == nil {
 					done(reply, nil)
 					return
@@ -210,10 +210,10 @@
 	}
 	node.source = NewSource(Config{
 		Clock: clock.Steady,
-		Self:  node.node, Regions: c.regions, Store: node.store, Peers: link{cluster: c, node: node.node}, Nodes: c.list, Joined: func() bool { return true },
+		Self:  node.node, Regions: c.regions, Store: node.store, Peers: link{cluster: c, node: node.node}, Nodes: c.list, JoinAttempted: func() bool { return true },
 		ProbeKind: "nodes", ProbeName: node.node.Name, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
 	})
-	node.source.Add(testKind, node.sink, PromptWait)
+	node.source.Add(testKind, node.sink, ShortWatchTimeout)
 	c.nodes = append(c.nodes, node)
 }
 
--- a/internal/store/watchcache/informer.go
+++ b/internal/store/watchcache/informer.go
@@ -55,7 +55,7 @@
 // NewInformer returns an informer that keeps a sink current with a kind. It has not
 // started.
 func NewInformer(store objectstore.Store, kind string, sink Sink, logger klog.Logger) *Informer {
-	cache := newCache(kind, sink, LongWait, func() {})
+	cache := newCache(kind, sink, LongWatchTimeout, func() {})
 	return newInformer(store, cache, newStoreHealth(logger, func() {}), logger)
 }
 
@@ -98,7 +98,7 @@
 		i.logger.Info("copy not resumed", "kind", i.cache.kind, "from", from, "reason", err.Error())
 		return false
 	}
-	if !i.cache.Advance(from, changes.Events, changes.At, i.isAfterOutage()) {
+	if !i.cache.Advance(from, changes.Events, changes.Revision, i.isAfterOutage()) {
 		return false
 	}
 	i.logger.Info("copy resumed", "kind", i.cache.kind, "from", from, "changes", len(changes.Events))
@@ -115,7 +115,7 @@
 	if err != nil {
 		return err
 	}
-	if !i.cache.Replace(listed.Objects, listed.At, i.isAfterOutage()) {
+	if !i.cache.Replace(listed.Objects, listed.Revision, i.isAfterOutage()) {
 		return &objectstore.UnansweredError{Cause: objectstore.ErrHistoryGone}
 	}
 	i.succeed()
@@ -134,12 +134,12 @@
 			i.endWatch(ctx, from, sentAt, err)
 			return
 		}
-		if ctx.Err() != nil || !i.cache.Advance(from, changes.Events, changes.At, i.isAfterOutage()) {
+		if ctx.Err() != nil || !i.cache.Advance(from, changes.Events, changes.Revision, i.isAfterOutage()) {
 			continue
 		}
 		i.succeed()
 		if len(changes.Events) > 0 {
-			objectstore.Pause(ctx, watchPause)
+			objectstore.SleepWithJitter(ctx, watchPause)
 		}
 	}
 }
--- a/internal/store/watchcache/informer_test.go
+++ b/internal/store/watchcache/informer_test.go
@@ -60,7 +60,7 @@
 			store.Write(testKind, "first", 1)
 			sink := &recorder{}
 			health := newStoreHealth(klog.Background(), func() {})
-			informer := newInformer(store, newCache(testKind, sink, LongWait, func() {}), health, klog.Background())
+			informer := newInformer(store, newCache(testKind, sink, LongWatchTimeout, func() {}), health, klog.Background())
 			go informer.Run(ctx)
 			settle(time.Second)
 			// While watches report nothing, a change is made. Then the history is lost and
--- a/internal/store/watchcache/kind_copy.go
+++ b/internal/store/watchcache/kind_copy.go
@@ -71,7 +71,7 @@
 	c.revision, c.afterOutage = max(c.revision, to), afterOutage
 	for _, change := range changes {
 		c.history = append(c.history, historyEntry{revision: c.revision, change: change})
-		if change.Gone {
+		if change.Deleted {
 			delete(c.objects, change.Object.Name)
 		} else {
 			c.objects[change.Object.Name] = change.Object
@@ -107,14 +107,14 @@
 
 // wholeUpdate returns a snapshot of all objects.
 func (c *kindCopy) wholeUpdate(compressed bool) (Update, error) {
-	update := Update{At: c.revision, AfterOutage: c.afterOutage, Whole: true}
+	update := Update{Revision: c.revision, AfterOutage: c.afterOutage, Snapshot: true}
 	var err error
 	if compressed && len(c.objects) >= largeListing {
-		update.Compressed, update.At, err = c.compressed.listingSince(c.base, c.revision, c.sortedObjects)
+		update.Compressed, update.Revision, err = c.compressed.listingSince(c.base, c.revision, c.sortedObjects)
 		if err == nil {
 			return update, nil
 		}
-		update.Compressed, update.At = nil, c.revision
+		update.Compressed, update.Revision = nil, c.revision
 	}
 	for _, object := range c.sortedObjects() {
 		update.Changes = append(update.Changes, objectstore.Change{Object: object})
@@ -124,7 +124,7 @@
 
 // updateFromHistory returns the changes after a revision.
 func (c *kindCopy) updateFromHistory(revision uint64, compressed bool) (Update, bool, error) {
-	update := Update{At: c.revision, AfterOutage: c.afterOutage}
+	update := Update{Revision: c.revision, AfterOutage: c.afterOutage}
 	for _, entry := range c.history {
 		if entry.revision > revision {
 			update.Changes = append(update.Changes, entry.change)
--- a/internal/store/watchcache/source.go
+++ b/internal/store/watchcache/source.go
@@ -50,7 +50,7 @@
 }
 
 // Add registers a sink for a kind. Wait is how long the store may hold a watch of it:
-// LongWait or PromptWait. Add must be called before Run.
+// LongWatchTimeout or ShortWatchTimeout. Add must be called before Run.
 func (s *Source) Add(kind string, sink Sink, wait time.Duration) {
 	cache := newCache(kind, sink, wait, s.changed.broadcast)
 	cache.logger = s.config.Logger
@@ -72,26 +72,26 @@
 
 // awaitNodes waits until the peers are known, at most joinTimeout.
 func (s *Source) awaitNodes(ctx context.Context) {
-	for began := time.Now(); !s.config.Joined() && time.Since(began) < joinTimeout; {
+	for began := time.Now(); !s.config.JoinAttempted() && time.Since(began) < joinTimeout; {
 		if !objectstore.Sleep(ctx, joinCheckInterval) {
 			return
 		}
 	}
 }
 
-// Leave announces in replies to polls that this node is stopping, so that its followers
+// AnnounceShutdown announces in replies to polls that this node is stopping, so that its followers
 // switch to other nodes.
-func (s *Source) Leave() {
+func (s *Source) AnnounceShutdown() {
 	s.leaving.Store(true)
 	s.changed.broadcast()
 }
 
-// Age returns how long ago the caches were last known to be current.
-func (s *Source) Age() time.Duration { return s.freshness.age() }
+// CacheAge returns how long ago the caches were last known to be current.
+func (s *Source) CacheAge() time.Duration { return s.freshness.age() }
 
-// CurrentPeer returns the address of a peer that reported within helpMaxAge that the store
+// PeerWithStoreAccess returns the address of a peer that reported within helpMaxAge that the store
 // is available to it, if one is known.
-func (s *Source) CurrentPeer() (address string, known bool) { return s.peer.current() }
+func (s *Source) PeerWithStoreAccess() (address string, known bool) { return s.peer.current() }
 
 // listed reports whether every kind has been listed at least once.
 func (s *Source) listed() bool {
--- a/internal/store/watchcache/source_test.go
+++ b/internal/store/watchcache/source_test.go
@@ -50,7 +50,7 @@
 }{
 	{"killed", func(reader *testNode) { reader.dead.Store(true); reader.stop() }},
 	{"cut from the store", func(reader *testNode) { reader.store.cut.Store(true) }},
-	{"stopped as planned", func(reader *testNode) { reader.source.Leave() }},
+	{"stopped as planned", func(reader *testNode) { reader.source.AnnounceShutdown() }},
 }
 
 // Guards against late changes right after the reader was lost, at any phase of the polls.
@@ -158,7 +158,7 @@
 
 func TestCacheGoesForwardOnly(t *testing.T) {
 	sink := &recorder{}
-	cache := newCache(testKind, sink, LongWait, func() {})
+	cache := newCache(testKind, sink, LongWatchTimeout, func() {})
 	if cache.Advance(0, nil, 3, false) {
 		t.Error("changes are taken before a listing")
 	}
@@ -166,7 +166,7 @@
 	if cache.Replace(nil, 9, false) {
 		t.Error("an older listing is taken")
 	}
-	if cache.Advance(9, []objectstore.Change{{Object: object("a", 5), Gone: true}}, 12, false) {
+	if cache.Advance(9, []objectstore.Change{{Object: object("a", 5), Deleted: true}}, 12, false) {
 		t.Error("changes since another revision are taken")
 	}
 	if !cache.Advance(10, []objectstore.Change{{Object: object("b", 12)}}, 12, false) || cache.Revision() != 12 {
@@ -178,7 +178,7 @@
 }
 
 func TestUpdateSinceARevision(t *testing.T) {
-	cache := newCache(testKind, &recorder{}, LongWait, func() {})
+	cache := newCache(testKind, &recorder{}, LongWatchTimeout, func() {})
 	if _, found := cache.UpdateSince(0, false); found {
 		t.Error("an update of a kind that was never listed")
 	}
@@ -197,8 +197,8 @@
 		{last - 3, true, false, 3}, {last, false, false, 0}, {last + 9, false, false, 0},
 	} {
 		update, found := cache.UpdateSince(test.since, false)
-		if found != test.found || update.Whole != test.whole || len(update.Changes) != test.changes {
-			t.Errorf("since %d: found %v, whole %v, %d changes", test.since, found, update.Whole, len(update.Changes))
+		if found != test.found || update.Snapshot != test.whole || len(update.Changes) != test.changes {
+			t.Errorf("since %d: found %v, whole %v, %d changes", test.since, found, update.Snapshot, len(update.Changes))
 		}
 	}
 }
@@ -212,7 +212,7 @@
 		settle(3 * time.Second)
 		c.store.Write(testKind, "first", 2)
 		c.await(c.nodes, "first", "2", bound)
-		if _, known := reader.source.CurrentPeer(); !known {
+		if _, known := reader.source.PeerWithStoreAccess(); !known {
 			t.Error("the reader knows no node through which calls could go")
 		}
 		for _, node := range c.nodes {
@@ -220,7 +220,7 @@
 		}
 		settle(4 * time.Second)
 		for _, node := range c.nodes {
-			if _, known := node.source.CurrentPeer(); known {
+			if _, known := node.source.PeerWithStoreAccess(); known {
 				t.Errorf("%s takes another node for current while the store answers nobody", node.node.Name)
 			}
 		}
@@ -244,11 +244,11 @@
 		cutAt := time.Now()
 		for range 40 {
 			settle(100 * time.Millisecond)
-			if address, known := follower.source.CurrentPeer(); known && address == reader.node.Address && time.Since(cutAt) > bound {
+			if address, known := follower.source.PeerWithStoreAccess(); known && address == reader.node.Address && time.Since(cutAt) > bound {
 				t.Fatalf("the follower would call through %s, which the store does not answer", address)
 			}
 		}
-		if _, known := follower.source.CurrentPeer(); !known {
+		if _, known := follower.source.PeerWithStoreAccess(); !known {
 			t.Error("the follower knows no node through which calls could go")
 		}
 	})
@@ -322,7 +322,7 @@
 		c.store.Write("newer", "first", 1)
 		starting, sink := c.followers()[0], &recorder{}
 		starting.stop()
-		starting.source.Add("newer", sink, PromptWait)
+		starting.source.Add("newer", sink, ShortWatchTimeout)
 		ctx, cancel := context.WithCancel(c.t.Context())
 		starting.stop = cancel
 		go starting.source.Run(ctx)
@@ -339,7 +339,7 @@
 	source := &Source{freshness: freshness{clock: func() time.Time { return time.Unix(0, 0).Add(suspended) }}}
 	source.freshness.markCurrent()
 	suspended = 5 * time.Second
-	if age := source.Age(); age != suspended {
+	if age := source.CacheAge(); age != suspended {
 		t.Errorf("copies are %v old after %v", age, suspended)
 	}
 }
--- a/internal/store/watchcache/tree_test.go
+++ b/internal/store/watchcache/tree_test.go
@@ -75,7 +75,7 @@
 			t.Errorf("%d calls for 10 changes", calls)
 		}
 		for _, node := range c.nodes {
-			if age := node.source.Age(); age > staleAge {
+			if age := node.source.CacheAge(); age > staleAge {
 				t.Errorf("the copies of %s are %s old", node.node.Name, age)
 			}
 		}
--- a/internal/store/watchcache/watch.go
+++ b/internal/store/watchcache/watch.go
@@ -13,13 +13,13 @@
 // The timeouts of a watch call: how long the store may hold it without events. A lost
 // response is only noticed when this time has passed.
 const (
-	// LongWait is for kinds whose changes may take effect late. It is shorter than the time
+	// LongWatchTimeout is for kinds whose changes may take effect late. It is shorter than the time
 	// for which stores keep their history, so that a watch without changes doesn't lead to
 	// a new listing.
-	LongWait = 15 * time.Second
-	// PromptWait is for kinds whose changes have to take effect within two seconds, or five
+	LongWatchTimeout = 15 * time.Second
+	// ShortWatchTimeout is for kinds whose changes have to take effect within two seconds, or five
 	// seconds if responses of the store are lost.
-	PromptWait = 3 * time.Second
+	ShortWatchTimeout = 3 * time.Second
 )
 
 var (
--- a/standin/metastore/direct.go
+++ b/standin/metastore/direct.go
@@ -53,7 +53,7 @@
 	}
 	delete(s.objects[kind], name)
 	s.revision++
-	s.record(kind, objectstore.Change{Object: object, Gone: true})
+	s.record(kind, objectstore.Change{Object: object, Deleted: true})
 }
 
 // Forget drops the history, so that watches have to list anew.
--- a/standin/metastore/reads.go
+++ b/standin/metastore/reads.go
@@ -19,7 +19,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	page := objectstore.Page{At: s.revision}
+	page := objectstore.Page{Revision: s.revision}
 	for name, object := range s.objects[kind] {
 		if name > after {
 			page.Objects = append(page.Objects, object)
@@ -59,7 +59,7 @@
 			s.mutex.Unlock()
 			return objectstore.Changes{}, objectstore.ErrHistoryGone
 		}
-		changes := objectstore.Changes{At: s.revision}
+		changes := objectstore.Changes{Revision: s.revision}
 		for _, past := range s.history {
 			if past.kind == kind && past.at > from {
 				changes.Events = append(changes.Events, past.change)
--- a/standin/metastore/server.go
+++ b/standin/metastore/server.go
@@ -64,7 +64,7 @@
 		for _, object := range page.Objects {
 			listed = append(listed, toWire(object))
 		}
-		answer(writer, map[string]any{"requests": listed, "more": page.More, "at": page.At}, err)
+		answer(writer, map[string]any{"requests": listed, "more": page.More, "at": page.Revision}, err)
 	case request.Method == http.MethodGet:
 		object, err := s.Store.Get(ctx, kind, name, objectstore.Linearizable)
 		answer(writer, toWire(object), err)
@@ -79,9 +79,9 @@
 	changes, err := s.Store.Watch(ctx, kind, revision, min(time.Duration(milliseconds)*time.Millisecond, longestWait))
 	events := make([]wireEvent, 0, len(changes.Events))
 	for _, change := range changes.Events {
-		events = append(events, wireEvent{Gone: change.Gone, Object: toWire(change.Object)})
+		events = append(events, wireEvent{Gone: change.Deleted, Object: toWire(change.Object)})
 	}
-	answer(writer, map[string]any{"events": events, "at": changes.At}, err)
+	answer(writer, map[string]any{"events": events, "at": changes.Revision}, err)
 }
 
 // change carries out a writing call.
--- a/test/virtual_test.go
+++ b/test/virtual_test.go
@@ -95,7 +95,7 @@
 		Forwarder: forward.New(forward.Config{Directory: table, Dispatcher: dispatcher, Logger: logger, Metrics: forward.NewMetrics(registry)}),
 	})
 	keeper := lease.NewKeeper(lease.Config{
-		Node: "node", Lease: lease.NewLease("node", "1", 0, day.store, clock.Steady), Clock: clock.Steady, Logger: logger, Nodes: peers.Nodes,
+		Node: "node", Lease: lease.NewLease("node", "1", 0, day.store, clock.Steady), Clock: clock.Steady, Logger: logger, Nodes: peers.NodeNames,
 		Silence: func(string) time.Duration { return time.Hour }, Announce: func([]string) {},
 	})
 	coordinator := weightorders.NewCoordinator(weightorders.Config{
