--- a/internal/jobs/jobstore/accept.go
+++ b/internal/jobs/jobstore/accept.go
@@ -8,18 +8,18 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// maxPartBytes bounds the part of a payload in one object. The store takes objects of
-// about a megabyte, and a part is escaped as a JSON string.
+// maxPartBytes is the maximum size of the part of a payload in one object. The store accepts
+// objects of about a megabyte, and parts are stored as JSON strings, whose escaping adds to
+// the size.
 const maxPartBytes = 600 << 10
 
-// Accept stores a batch job: its payload first, its record last. The record that the
-// store then has is returned: it is another caller's if the id was taken before. made
-// tells whether this call created it. The error is a *NotTakenError or an
-// *UncertainError.
+// Accept stores a batch job: first the payload, then the record. It returns the record in the
+// store, which belongs to another caller if the id was already in use, and whether this call
+// created it. The error is a *NotTakenError or an *UncertainError.
 func (s *Store) Accept(ctx context.Context, id string, record Record, payload []byte) (stored Record, made bool, err error) {
 	record.Parts = (len(payload) + maxPartBytes - 1) / maxPartBytes
 	if err := s.createPayload(ctx, id, record.Parts, payload); err != nil {
-		// Without its record the payload is no batch job.
+		// A payload without a record has no effect.
 		return Record{}, false, &NotTakenError{Cause: err}
 	}
 	spec, err := json.Marshal(record)
@@ -40,7 +40,7 @@
 	return stored, outcome == objectstore.Created, nil
 }
 
-// createPayload stores a payload in parts.
+// createPayload stores a payload in the given number of parts.
 func (s *Store) createPayload(ctx context.Context, id string, parts int, payload []byte) error {
 	for part := range parts {
 		first := part * maxPartBytes
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// Payload reads a submission back from its parts. ErrTruncated means that one is
+// Payload reads the payload of a job from its parts. It returns ErrTruncated if a part is
 // missing.
 func (s *Store) Payload(ctx context.Context, id string, parts int) ([]byte, error) {
 	var payload []byte
--- a/internal/jobs/jobstore/chunk.go
+++ b/internal/jobs/jobstore/chunk.go
@@ -6,15 +6,15 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// Chunk is a run of results in one object.
+// Chunk is a sequence of results in one object.
 type Chunk struct {
-	// Writer and Serial name the one attempt that wrote the chunk.
+	// Writer and Serial identify the write that created the chunk.
 	Writer  string   `json:"writer"`
 	Serial  int      `json:"serial"`
 	Results []Result `json:"results"`
-	// Texts are parts of the texts of items that were still running.
+	// Texts are parts of the texts of running items.
 	Texts []TextPiece `json:"texts,omitempty"`
-	// Seal tells that the job had ended: nothing is added behind this chunk.
+	// Seal is set if the job has ended. No chunk is appended after this one.
 	Seal bool `json:"seal,omitempty"`
 }
 
--- a/internal/jobs/jobstore/doc.go
+++ b/internal/jobs/jobstore/doc.go
@@ -1,21 +1,21 @@
-// Package jobstore keeps batch jobs in the metadata store.
+// Package jobstore stores batch jobs in the metadata store.
 //
-// A job is one object of kind KindJobs, created on condition under the caller's id: that
-// settles that the id is accepted once. Its spec is the Record (owner, epoch, route,
-// tenant), its status tells whether the job has ended. The payload is stored before it in
-// parts (KindPayloads). Results are chunks (KindResults) that are numbered from 0, each
-// created on condition, so that the store settles which writer has a position, whoever
-// tries.
+// A job is an object of kind KindJobs. It is created under the caller's id if there is none,
+// so that an id is accepted only once. The spec is the Record (owner, epoch, route, tenant);
+// the status holds whether the job has ended. The payload is stored before the record, in
+// parts (KindPayloads). Results are stored in chunks (KindResults) that are numbered from 0.
+// Each chunk is created only if its position is free, so that the store decides which of
+// several writers gets a position.
 //
-// The package owns no state but the store's objects and relies on objectstore alone. It
-// guarantees:
+// The package holds no state apart from the objects in the store. It guarantees:
 //
-//   - Accept and Append return what the store has, which may be another writer's, or an
-//     error that says whether the write may still take effect.
-//   - A listing has the chunks from the first on without a gap.
-//   - Nothing is appended behind a seal by a caller that reads the listing first, and an
-//     append of a former owner at a position behind a fence fails.
+//   - Accept returns the stored record, which may be that of another writer, or an error that
+//     tells whether the write may still take effect. Append returns the stored chunk, which
+//     may be that of another writer.
+//   - The chunks of a listing start at the first requested one and have no gaps.
+//   - Callers that read the listing first append nothing after a seal. An append by a previous
+//     owner fails at positions up to the fence.
 //
-// Object names, field names and the bounds of parts and chunks are stored data: nodes of
-// other versions read them.
+// Object names, field names and the size limits of parts and chunks are a stored format:
+// nodes of other versions read it.
 package jobstore
--- a/internal/jobs/jobstore/listing.go
+++ b/internal/jobs/jobstore/listing.go
@@ -1,17 +1,17 @@
 package jobstore
 
-// Listing is what the chunks of a job hold.
+// Listing is the combined content of the chunks of a job.
 type Listing struct {
 	Results []Result
-	// Pieces are the parts of texts in the order written.
+	// Pieces are the parts of texts in the order in which they were written.
 	Pieces []TextPiece
-	// Chunks is the number of chunks up to the last one read, from the job's first.
+	// Chunks is the number of chunks of the job up to the last one read.
 	Chunks int
-	// Sealed tells that the last chunk is a seal.
+	// Sealed is set if the last chunk is a seal.
 	Sealed bool
 }
 
-// Add adds the next chunk.
+// Add appends the content of the next chunk.
 func (l *Listing) Add(next Chunk) {
 	l.Results = append(l.Results, next.Results...)
 	l.Pieces = append(l.Pieces, next.Texts...)
--- a/internal/jobs/jobstore/names.go
+++ b/internal/jobs/jobstore/names.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Kinds of the objects that hold batch jobs.
+// Kinds of the stored objects.
 const (
 	KindJobs     = "batchjobs"
 	KindPayloads = "batchpayloads"
@@ -18,11 +18,11 @@
 
 func partName(job string, part int) string { return fmt.Sprintf("%s-%04d", job, part) }
 
-// ChunkName is the name of the object that holds a job's chunk of an index, from 0.
+// ChunkName returns the object name of the job's chunk with the given index, starting at 0.
 func ChunkName(job string, index int) string { return fmt.Sprintf("%s-%0*d", job, chunkDigits, index) }
 
-// isChunkName tells whether a name is that of a chunk of a job. A prefix does not
-// suffice: the id of another job may begin with this one's and a hyphen.
+// isChunkName reports whether name is the name of a chunk of the job. Comparing the prefix is
+// not sufficient: the id of another job may start with this job's id and a hyphen.
 func isChunkName(job, name string) bool {
 	number, found := strings.CutPrefix(name, job+"-")
 	if !found || len(number) != chunkDigits {
--- a/internal/jobs/jobstore/owner.go
+++ b/internal/jobs/jobstore/owner.go
@@ -1,9 +1,9 @@
 package jobstore
 
-// Owner is the process that runs a batch job.
+// Owner identifies the process that runs a batch job.
 type Owner struct {
 	Node    string `json:"node"`
 	Address string `json:"address"`
-	// Incarnation tells the processes of one node apart: a later one has a greater number.
+	// Incarnation distinguishes the processes of one node. It increases with each restart.
 	Incarnation uint64 `json:"incarnation"`
 }
--- a/internal/jobs/jobstore/record.go
+++ b/internal/jobs/jobstore/record.go
@@ -6,28 +6,29 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// Record is the stored state of a batch job except its payload and results.
+// Record is the stored state of a batch job apart from its payload and results.
 type Record struct {
 	Owner Owner `json:"owner"`
-	// Epoch is the number of owners so far, the present one included.
+	// Epoch is the number of owners so far, including the current one.
 	Epoch int `json:"epoch"`
-	// Route is the name of the route that accepted the job, and Host the host of its
-	// requests.
+	// Route is the name of the route that accepted the job.
 	Route string `json:"route"`
-	Host  string `json:"host"`
+	// Host is the host of the job's requests.
+	Host string `json:"host"`
 	// Parts is the number of objects that hold the payload.
 	Parts int `json:"parts"`
-	// Tenant is the job's tenant, empty where no tenants were declared.
+	// Tenant is the job's tenant, empty if no tenants were declared.
 	Tenant string `json:"tenant,omitempty"`
-	// Entry is the region of the node that the caller connected to, and Scorers the
-	// routes of the job's reward calls. With Route and Tenant they decide where the
-	// job's bodies may be. Records of earlier versions have neither.
-	Entry   string   `json:"entry,omitempty"`
+	// Entry is the region of the node that the caller connected to. Entry, Scorers, Route and
+	// Tenant determine where the job's bodies may be held. Records of earlier versions have
+	// neither Entry nor Scorers.
+	Entry string `json:"entry,omitempty"`
+	// Scorers are the routes of the job's reward calls.
 	Scorers []string `json:"scorers,omitempty"`
-	// Items is the number of items, 0 for unknown.
+	// Items is the number of items, 0 if unknown.
 	Items int `json:"items,omitempty"`
-	// AcceptedMs is the first owner's wall clock at the acceptance, in Unix
-	// milliseconds.
+	// AcceptedMs is when the first owner accepted the job, in Unix milliseconds of its wall
+	// clock.
 	AcceptedMs int64 `json:"acceptedMs"`
 }
 
@@ -36,7 +37,7 @@
 	Ended bool `json:"ended"`
 }
 
-// readRecord decodes a job's record and tells whether the job has ended.
+// readRecord decodes the record of a job, and whether the job has ended.
 func readRecord(object objectstore.Object) (record Record, ended bool, err error) {
 	if err := json.Unmarshal(object.Spec, &record); err != nil {
 		return Record{}, false, err
--- a/internal/jobs/jobstore/result.go
+++ b/internal/jobs/jobstore/result.go
@@ -1,23 +1,23 @@
 package jobstore
 
-// State is how an item ended.
+// State is the final state of an item.
 type State string
 
-// The states of a result.
+// The final states of an item.
 const (
-	// Succeeded results hold the whole text of their item.
+	// Succeeded means that the result holds the complete text.
 	Succeeded State = "succeeded"
-	// Abandoned results say that the item was given up.
+	// Abandoned means that the item was abandoned without a text.
 	Abandoned State = "abandoned"
 )
 
-// Result is a listed item. Its position in the list never changes.
+// Result is the result of an item. Its position in a job's list of results never changes.
 type Result struct {
-	// ID is the item's.
+	// ID is the id of the item.
 	ID    string `json:"id"`
 	State State  `json:"state"`
 	Text  string `json:"text,omitempty"`
-	// Versions are the weight versions that made the text, in rising order.
+	// Versions are the weight versions that generated the text, in ascending order.
 	Versions []int64 `json:"versions,omitempty"`
 	// Score is the scorer's signature of the text, empty without a scorer.
 	Score string `json:"score,omitempty"`
--- a/internal/jobs/jobstore/results.go
+++ b/internal/jobs/jobstore/results.go
@@ -9,11 +9,11 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// MaxChunkBytes bounds the results of one chunk, which is about what the store takes
-// as one object.
+// MaxChunkBytes is the maximum size of the results in one chunk. The store accepts objects of
+// about a megabyte.
 const MaxChunkBytes = 500 << 10
 
-// Results reads the chunks of a job from an index on.
+// Results reads the chunks of a job, starting at an index.
 func (s *Store) Results(ctx context.Context, id string, from int) (Listing, error) {
 	if from > 0 || (s.readApart != nil && s.readApart()) {
 		return s.readChunksByName(ctx, id, from)
@@ -21,10 +21,10 @@
 	return s.listChunks(ctx, id)
 }
 
-// listChunks reads all chunks of a job as pages of a listing.
+// listChunks reads all chunks of a job from a paged listing.
 func (s *Store) listChunks(ctx context.Context, id string) (Listing, error) {
 	read := Listing{}
-	// A listing begins behind a name, and this one is a prefix of the chunks'.
+	// A listing starts after this name, which sorts before the names of the chunks.
 	after := id + "-"
 	for {
 		page, err := s.store.List(ctx, KindResults, after, objectstore.Linearizable)
@@ -42,8 +42,8 @@
 	}
 }
 
-// addPage adds the chunks of a job on a page of a listing. It tells whether the page
-// goes past the job's names. ErrTruncated means that a chunk is missing before another.
+// addPage adds the chunks of a job on a page of a listing. passed is set if the page extends
+// beyond the job's names. It returns ErrTruncated if a chunk is missing before another one.
 func addPage(read *Listing, id string, page objectstore.Page) (passed bool, err error) {
 	for _, object := range page.Objects {
 		if !strings.HasPrefix(object.Name, id+"-") {
@@ -64,9 +64,8 @@
 	return false, nil
 }
 
-// readChunksByName reads the chunks from an index on one by one. A listing would fill a
-// page of a megabyte with the results of other jobs, where mostly there is nothing more
-// of this one.
+// readChunksByName reads the chunks one by one, starting at an index. A listing would fill its
+// page with the results of other jobs, although there is usually no further chunk of this one.
 func (s *Store) readChunksByName(ctx context.Context, id string, from int) (Listing, error) {
 	read := Listing{Chunks: from}
 	for {
@@ -85,9 +84,9 @@
 	}
 }
 
-// Append writes a chunk at an index and repeats the write until the store has settled
-// that index. It returns the chunk that the store has there, and whether that is the
-// one written here: another writer may have been first.
+// Append creates the chunk at an index, and retries until the store has a chunk there. It
+// returns the stored chunk, and whether it is the one from this call: another writer may have
+// been first.
 func (s *Store) Append(ctx context.Context, id string, index int, written Chunk) (stored Chunk, own bool, err error) {
 	spec, err := json.Marshal(written)
 	if err != nil {
@@ -104,22 +103,22 @@
 	return Chunk{}, false, err
 }
 
-// Fence writes an empty chunk behind the results that are stored, and returns these. A
-// former owner may append until it learns of its successor; from the fence on its
-// appends fail, and everything before it is known.
+// Fence appends an empty chunk to the stored results, and returns the complete listing. The
+// previous owner of the job may append until it learns of its successor. Its next append
+// after the fence fails because the position is taken.
 func (s *Store) Fence(ctx context.Context, id string, stored Listing, writer string) (Listing, error) {
 	return s.appendBehind(ctx, id, stored, Chunk{Writer: writer})
 }
 
-// Seal writes an empty chunk behind the results of an ended job, and returns these.
-// Nothing is added behind a seal: an owner that does not know of the end finds the
-// place taken.
+// Seal appends an empty chunk that marks the end of a job's results, and returns the complete
+// listing. The append of an owner that does not know of the end fails because the position is
+// taken.
 func (s *Store) Seal(ctx context.Context, id string, stored Listing, writer string) (Listing, error) {
 	return s.appendBehind(ctx, id, stored, Chunk{Writer: writer, Seal: true})
 }
 
-// appendBehind writes a chunk without results behind all that is stored, and returns
-// what is stored then. Where a seal is stored, nothing is written.
+// appendBehind appends an empty chunk after all stored chunks, and returns the complete
+// listing. It appends nothing after a seal.
 func (s *Store) appendBehind(ctx context.Context, id string, listing Listing, empty Chunk) (Listing, error) {
 	for !listing.Sealed {
 		stored, own, err := s.Append(ctx, id, listing.Chunks, empty)
--- a/internal/jobs/jobstore/results_test.go
+++ b/internal/jobs/jobstore/results_test.go
@@ -7,11 +7,8 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// Symptom: a job is never taken over while another one has results whose id begins
-// with that of the first and a hyphen.
-//
-// Cause: the results of a job are listed by the beginning of their names, and those of
-// the other job were taken for chunks out of order.
+// Guards against mistaking the results of another job for those of this one if its id starts
+// with this job's id and a hyphen.
 func TestResultsOfAJobWhoseIdBeginsAnothersAreRead(t *testing.T) {
 	jobs := New(metastore.New())
 	for _, id := range []string{"run", "run-a", "run-", "run-000000"} {
--- a/internal/jobs/jobstore/store.go
+++ b/internal/jobs/jobstore/store.go
@@ -9,28 +9,28 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// endRetryPause is the time between attempts to store an end.
+// endRetryPause is the time between attempts to store the end of a job.
 const endRetryPause = 100 * time.Millisecond
 
-// Store keeps batch jobs in the metadata store. It is safe for use by many
-// goroutines once it is set up.
+// Store stores batch jobs in the metadata store. It is safe for concurrent use after its
+// setup.
 type Store struct {
 	store objectstore.Store
-	// readApart tells whether a job's results are to be read without those of other
-	// jobs; nil for never.
+	// readApart reports whether chunks are read by name, without those of other jobs. It is
+	// nil for never.
 	readApart func() bool
 }
 
-// New returns a store of batch jobs over the metadata store.
+// New returns a store of batch jobs in the given metadata store.
 func New(store objectstore.Store) *Store { return &Store{store: store} }
 
-// ReadApart makes Results read chunk by chunk while a condition holds: the pages of a
-// listing hold results of other jobs too, which may be bound to other regions. It is to
-// be called before the first read.
+// ReadApart makes Results read the chunks by name while the condition returns true. The pages
+// of a listing include results of other jobs, which may not be allowed in this region.
+// ReadApart must be called before the first read.
 func (s *Store) ReadApart(condition func() bool) { s.readApart = condition }
 
-// Read returns a batch job's record. ErrNoSuchJob is certain; any other error leaves
-// open whether the job exists.
+// Read returns a batch job. It returns ErrNoSuchJob only if the job does not exist. After any
+// other error it is unknown whether the job exists.
 func (s *Store) Read(ctx context.Context, id string) (StoredJob, error) {
 	object, err := s.store.Get(ctx, KindJobs, id, objectstore.Linearizable)
 	if errors.Is(err, objectstore.ErrNotFound) {
@@ -42,7 +42,7 @@
 	return readStoredJob(object)
 }
 
-// ReadAll returns the records of all batch jobs that can be decoded.
+// ReadAll returns all batch jobs whose records can be decoded.
 func (s *Store) ReadAll(ctx context.Context, freshness objectstore.Freshness) ([]StoredJob, error) {
 	var all []StoredJob
 	after := ""
@@ -63,8 +63,8 @@
 	}
 }
 
-// TakeOver makes a process the owner of a batch job whose record is still as read, and
-// returns the job with its next epoch. It fails if the record has changed.
+// TakeOver makes a process the owner of a batch job and increments its epoch. It fails if the
+// record has changed since it was read.
 func (s *Store) TakeOver(ctx context.Context, read StoredJob, owner Owner) (StoredJob, error) {
 	next := read.Record
 	next.Owner, next.Epoch = owner, read.Record.Epoch+1
@@ -79,8 +79,8 @@
 	return readStoredJob(object)
 }
 
-// End stores that a batch job has ended. It repeats the write until the store has
-// answered or the context ends, and returns the job as the store has it then.
+// End stores that a batch job has ended, and returns the stored job. It retries until the
+// store has confirmed the write or the context ends.
 func (s *Store) End(ctx context.Context, id string) (StoredJob, error) {
 	spec, err := json.Marshal(status{Ended: true})
 	if err != nil {
--- a/internal/jobs/jobstore/storedjob.go
+++ b/internal/jobs/jobstore/storedjob.go
@@ -2,13 +2,13 @@
 
 import "github.com/pathtally/pathtally/internal/store/objectstore"
 
-// StoredJob is a batch job as the store has it.
+// StoredJob is a batch job in the store.
 type StoredJob struct {
 	ID     string
 	Record Record
-	// Ended tells that the store has the job's end.
+	// Ended is set if the job has ended.
 	Ended bool
-	// Revision is the object's, for a conditional replace.
+	// Revision is the revision of the object, for a conditional replace.
 	Revision uint64
 }
 
--- a/internal/jobs/jobstore/textpiece.go
+++ b/internal/jobs/jobstore/textpiece.go
@@ -1,15 +1,15 @@
 package jobstore
 
-// TextPiece is a part of the text of an item that is still running. It is stored so
-// that a later owner of the job continues behind it.
+// TextPiece is a part of the text of a running item. It is stored so that a later owner of the
+// job can continue after it.
 type TextPiece struct {
 	Item string `json:"item"`
-	// From is the number of events before the piece.
+	// From is the number of events before this part.
 	From   int      `json:"from"`
 	Events []string `json:"events"`
-	// Versions has the weight version of each event.
+	// Versions holds the weight version of each event.
 	Versions []int64 `json:"versions"`
-	// TextNumber tells its writer which of the item's texts this is a part of: a text
-	// may be begun anew. It is not stored.
+	// TextNumber identifies the text within the item, since a text may be restarted. It is
+	// not stored.
 	TextNumber int `json:"-"`
 }
--- a/internal/jobs/ownership/doc.go
+++ b/internal/jobs/ownership/doc.go
@@ -1,16 +1,16 @@
-// Package ownership decides which node runs a batch job once its owner is gone, without
-// I/O and without a clock: whether this node takes a job over now (Decide), whether the
-// record that it then reads still allows it (DecideReplace), and whether the job may start
-// once it has been read (DecideStart).
+// Package ownership decides which node takes over a batch job whose owner has failed: whether
+// this node takes the job over now (Decide), whether the record in the store still permits it
+// (DecideReplace), and whether the job may start after it was read (DecideStart).
 //
-// Each job has a rank of nodes for its id, less its owner. The first Watchers of them
-// hear each heartbeat of the owner and take over one after the other, so that mostly one
-// node tries. All other nodes wait for much longer and ask the owner first. The first
-// Locators in rank hear of a job's start and end in a deployment whose nodes are too many
-// for all of them to.
+// The nodes other than the owner are ranked per job by rendezvous hashing. The first Watchers
+// nodes receive each heartbeat of the owner and take over after increasing delays, so that
+// usually only one node attempts it. All other nodes wait much longer and probe the owner
+// first. In a deployment with many nodes, only the first Locators nodes for a job are notified
+// of its start and end.
 //
-// Two nodes that decide differently do no harm: the store's conditional replace of the
-// record lets one of them win, and a fence in the results keeps the former owner out.
+// Conflicting decisions of two nodes are safe: the conditional replace of the record in the
+// store succeeds for only one of them, and a fence in the results rejects later appends of the
+// previous owner.
 //
-// The package owns no state and relies on rendezvous for the ranks alone.
+// The package holds no state, does no I/O and reads no clock.
 package ownership
--- a/internal/jobs/ownership/reason.go
+++ b/internal/jobs/ownership/reason.go
@@ -1,9 +1,9 @@
 package ownership
 
-// Reason is why a node takes a job over, or does not.
+// Reason is the reason for a decision about the ownership of a job.
 type Reason string
 
-// The reasons, in the order in which they are looked for.
+// The reasons, in the order in which they are checked.
 const (
 	ReasonEnded      Reason = "the job has ended"
 	ReasonTakingOver Reason = "this node is taking it over already"
--- a/internal/jobs/ownership/record.go
+++ b/internal/jobs/ownership/record.go
@@ -2,9 +2,9 @@
 
 import "github.com/pathtally/pathtally/internal/jobs/jobstore"
 
-// DecideReplace tells whether a node may make itself the owner in a job's record that it
-// has just read. Former is the owner that it takes the job over from; outside tells that
-// the node may not have the job's bodies.
+// DecideReplace reports whether a node may replace the owner in a job's record that it has
+// just read. former is the owner from which it takes the job over. outside is set if the node
+// is outside the regions that may hold the job's bodies.
 func DecideReplace(stored jobstore.StoredJob, former jobstore.Owner, outside bool) (may bool, reason Reason) {
 	switch {
 	case stored.Ended:
@@ -17,9 +17,9 @@
 	return true, ReasonOwned
 }
 
-// DecideStart tells whether a process may start a job whose record it has read again
-// after the job itself: the reading may take seconds, in which the job may have ended or
-// become another node's.
+// DecideStart reports whether a process may start a job. The record must be read after the
+// payload and the results: reading these may take seconds, during which the job may end or
+// another node may take it over.
 func DecideStart(stored jobstore.StoredJob, self jobstore.Owner, epoch int) (may bool, reason Reason) {
 	switch {
 	case stored.Ended:
@@ -32,6 +32,6 @@
 	return true, ReasonOwned
 }
 
-// IsEarlierEpoch tells whether an epoch is known to be before another one. Epoch 0 is
-// unknown. A former owner announces an earlier epoch until it has read the record again.
+// IsEarlierEpoch reports whether an epoch is known to be before another one. Epoch 0 is
+// unknown. A previous owner announces its earlier epoch until it reads the record again.
 func IsEarlierEpoch(epoch, other int) bool { return epoch > 0 && epoch < other }
--- a/internal/jobs/ownership/takeover.go
+++ b/internal/jobs/ownership/takeover.go
@@ -3,59 +3,60 @@
 import "time"
 
 const (
-	// OwnerTimeout is how long after the last heartbeat of its owner the first watcher
-	// takes a job over.
+	// OwnerTimeout is how long after the owner's last heartbeat the first watcher takes a
+	// job over.
 	OwnerTimeout = 1400 * time.Millisecond
-	// RankDelay is added for each node that goes before in rank, so that one node tries
-	// while it has not failed.
+	// RankDelay is added for each node that precedes in rank, so that usually only one node
+	// attempts a takeover at a time.
 	RankDelay = 350 * time.Millisecond
-	// UnwatchedDelay is how long the nodes that are no watchers wait after they learnt of
-	// a job: they hear of its start and its end only. It is half of what trainers wait
-	// for a step.
+	// UnwatchedDelay is how long nodes that are not watchers wait after the owner was last
+	// known to run a job. They receive no heartbeats. It must be well below the time that
+	// trainers wait for a step.
 	UnwatchedDelay = 6 * time.Second
 )
 
-// OwnerCondition is what is known of a job's owner besides its heartbeats.
+// OwnerCondition is the state of a job's owner apart from its heartbeats.
 type OwnerCondition int
 
 // The conditions of an owner.
 const (
-	// OwnerRunning: nothing else is known.
+	// OwnerRunning is the default.
 	OwnerRunning OwnerCondition = iota
-	// OwnerLeaving: it gives its jobs away.
+	// OwnerLeaving means that the owner is shutting down and hands over its jobs.
 	OwnerLeaving
-	// OwnerRestarted: its node has a new process, which takes the job up first.
+	// OwnerRestarted means that the owner's node has a new process, which may take the job
+	// over first.
 	OwnerRestarted
-	// OwnerFormerSelf: it was a former process of this node.
+	// OwnerFormerSelf means that the owner is an earlier process of this node.
 	OwnerFormerSelf
 )
 
-// RemoteJob is what a node knows of a batch job that it does not run.
+// RemoteJob is this node's information about a batch job that it does not run.
 type RemoteJob struct {
-	// Ended tells that the job is known to have ended.
+	// Ended is set if the job is known to have ended.
 	Ended bool
-	// TakingOver tells that this node is taking it over.
+	// TakingOver is set while this node takes the job over.
 	TakingOver bool
-	// RetryAt is when a failed takeover may be tried again, zero for at once.
+	// RetryAt is when a failed takeover may be retried, zero for immediately.
 	RetryAt time.Time
 	// LastHeartbeat is when the owner was last known to run the job.
 	LastHeartbeat time.Time
 	Owner         OwnerCondition
-	// Rank gives this node's rank for the job. It is asked for last, since it may have to
-	// be worked out anew.
+	// Rank returns this node's rank for the job. It may be expensive, so it is called only
+	// if no other field decides.
 	Rank func() int
 }
 
-// Decision tells whether a node takes a job over now.
+// Decision is the result of Decide.
 type Decision struct {
 	TakeOver bool
-	// ProbeOwner tells that the owner is to be asked first, since this node does not hear
-	// its heartbeats.
+	// ProbeOwner is set if the owner must be probed before the takeover, since this node
+	// does not receive its heartbeats.
 	ProbeOwner bool
 	Reason     Reason
 }
 
-// Decide tells whether a node takes a job over at an instant.
+// Decide decides whether this node takes a job over now.
 func Decide(job RemoteJob, now time.Time) Decision {
 	switch {
 	case job.Ended:
@@ -75,8 +76,8 @@
 	return Decision{TakeOver: true, ProbeOwner: rank >= Watchers, Reason: ReasonSilent}
 }
 
-// Delay returns how long a node of a rank waits after the owner's last heartbeat before
-// it takes a job over.
+// Delay returns how long the node with the given rank waits after the owner's last heartbeat
+// before it takes a job over.
 func Delay(owner OwnerCondition, rank int) time.Duration {
 	if owner == OwnerFormerSelf {
 		return 0
--- a/internal/jobs/ownership/takeover_test.go
+++ b/internal/jobs/ownership/takeover_test.go
@@ -14,7 +14,7 @@
 		name string
 		job  RemoteJob
 		rank int
-		// silence is how long ago the last heartbeat came.
+		// silence is the time since the last heartbeat.
 		silence time.Duration
 		want    Decision
 	}{
--- a/internal/jobs/placement/condition.go
+++ b/internal/jobs/placement/condition.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Condition is what is known of a replica besides its load and pace.
+// Condition is the health of a replica as its runs have shown it.
 type Condition struct {
-	// Failing is set where so many of its newest runs failed that the replica is to blame
-	// rather than the items.
+	// Failing is set if so many of the most recent runs failed that the cause is likely
+	// the replica and not the items.
 	Failing bool
-	// Unproven is set where it has broken off a run before the first event, or stalled,
-	// and sent no event since: it may be down.
+	// Unproven is set if a run failed before its first event, or stalled, and the replica
+	// has sent no event since. The replica may be down.
 	Unproven bool
-	// SinceEvent is the time since it last sent this node an event.
+	// SinceEvent is the time since the replica last sent an event to this node.
 	SinceEvent time.Duration
 }
--- a/internal/jobs/placement/doc.go
+++ b/internal/jobs/placement/doc.go
@@ -1,17 +1,16 @@
-// Package placement holds the scheduling rules for the items of batch jobs: in which
-// order items run (RankItems, Compare), at which replica (Pick), when a run has stalled
-// (Stalled), which runs continue at another replica (Moves), and why a job was late
+// Package placement implements the scheduling rules for the items of batch jobs: the order
+// in which items run (RankItems, Compare), the replica that runs an item (Pick), when a run
+// has stalled (Stalled), which runs move to another replica (Moves), and why a job was late
 // (WhyLate).
 //
-// It owns no state: each rule is a function of the views that its caller passes.
-// EventRate and Pace are estimators whose values the caller keeps.
+// The package holds no state. Each rule is a function of the views that the caller passes;
+// EventRate and Pace are estimators that the caller stores.
 //
-// It relies on its caller for the views and their consistency: all times of a view are of
-// one instant, and the replicas of one decision are shared by pointer among the items and
-// runs that may use them, so that a load counted for one is seen by all.
+// The caller must pass consistent views: all times in a view refer to the same instant, and
+// the replicas of one decision are shared by pointer among the items and runs that may use
+// them, so that a change of a replica's load is visible to all of them.
 //
-// It guarantees that it does no I/O, reads no clock, takes no lock and draws no random
-// numbers: the same views in the same order give the same decisions. Only Moves changes a
-// view: it adds a moved run to the load of its new replica. The exported functions return
-// no errors. Values of EventRate, Pace and Replica may not be used concurrently.
+// The rules are deterministic: they do no I/O, read no clock, take no lock and use no random
+// numbers. Only Moves modifies a view: it adds each moved run to the load of its new replica.
+// EventRate, Pace and Replica are not safe for concurrent use.
 package placement
--- a/internal/jobs/placement/eventrate.go
+++ b/internal/jobs/placement/eventrate.go
@@ -1,23 +1,24 @@
 package placement
 
 const (
-	// rateWindowTexts is the number of recent texts that dominate an event rate.
+	// rateWindowTexts is the approximate number of recent texts that determine an event
+	// rate.
 	rateWindowTexts = 500
-	// minTexts is the number of texts that must have ended before a rate is used.
+	// minTexts is the number of complete texts required before a rate is used.
 	minTexts = 20
 )
 
-// EventRate learns how many events an engine sends for each token that the caller
-// expected: the two count different units. The zero value has learnt nothing.
+// EventRate estimates how many events an engine sends per token that the caller expects.
+// The zero value has no observations.
 type EventRate struct {
 	texts  int
 	events float64
 	tokens float64
-	// longest is the largest number of events of any text.
+	// longest is the number of events of the longest text.
 	longest int
 }
 
-// Observe records a complete text: the tokens that were expected of it, and its events.
+// Observe records a complete text: its expected number of tokens and its number of events.
 func (r *EventRate) Observe(expectedTokens float64, events int) {
 	r.longest = max(r.longest, events)
 	if expectedTokens <= 0 {
@@ -29,11 +30,12 @@
 	r.tokens = r.tokens*kept + expectedTokens
 }
 
-// Longest returns the number of events of the longest text, 0 if there was none.
+// Longest returns the number of events of the longest text, or 0 without observations.
 func (r *EventRate) Longest() int { return r.longest }
 
-// Expect estimates the number of events of a text from the tokens expected of it. The
-// estimate never exceeds the longest text so far; it is 0 until enough texts have ended.
+// Expect estimates the number of events of a text from its expected number of tokens. The
+// estimate does not exceed the longest text so far. It is 0 until minTexts texts have been
+// observed.
 func (r *EventRate) Expect(expectedTokens float64) int {
 	if r.texts < minTexts || r.tokens == 0 {
 		return 0
--- a/internal/jobs/placement/group.go
+++ b/internal/jobs/placement/group.go
@@ -1,20 +1,20 @@
 package placement
 
-// group is a group of items of one submission, and what RankItems knows of it.
+// group is a group of items of one submission, with the properties that RankItems uses.
 type group struct {
 	items []SubmittedItem
-	// position is the group's position in the submission, from 0.
+	// position is the index of the group in the submission.
 	position int
-	// length is the longest answer expected of its items, in tokens.
+	// length is the largest ExpectedTokens of its items.
 	length float64
-	// inherited is set for a group that an earlier job ended without.
+	// inherited is set if an earlier job ended without results for the group.
 	inherited bool
-	// reserve is set for a group that the trainer need not wait for.
+	// reserve is set if the trainer does not need to wait for the group.
 	reserve bool
 }
 
-// groupsOf returns the groups of a submission in the order of their first items. Groups
-// with an item whose length is known come from an earlier job.
+// groupsOf returns the groups of a submission in the order of their first items. A group
+// with an item of known length is inherited from an earlier job.
 func groupsOf(items []SubmittedItem, lengths map[string]Length) []*group {
 	var groups []*group
 	byName := map[string]*group{}
@@ -34,10 +34,9 @@
 	return groups
 }
 
-// markReserve marks all but the desired number of groups as reserve, the longest first.
-// It leaves out inherited groups and those in the first half of the desired number: a
-// trainer submits the groups that it still waits for at the front, and they make up at
-// most that half.
+// markReserve marks the groups in excess of the desired number as reserve, the longest
+// first. It never marks inherited groups, nor the first desired/2 groups of the submission:
+// a trainer submits the groups that it is still waiting for first.
 func markReserve(longestFirst []*group, desired int) {
 	if desired <= 0 {
 		return
--- a/internal/jobs/placement/item.go
+++ b/internal/jobs/placement/item.go
@@ -6,45 +6,44 @@
 )
 
 const (
-	// longShare is the share of a job's objective, 0 to 1, from which an item's expected
-	// run time counts as long. It is low because texts often take twice what is expected.
+	// longShare is the fraction of a job's objective from which an item's expected run time
+	// counts as long. Texts often take twice the expected time.
 	longShare = 0.3
-	// lostMargin is how far beyond the deadline an item must be expected to end to lose its
-	// urgency: estimates are no more precise than that.
+	// lostMargin is how long after the deadline an item may be expected to end and still
+	// count as urgent. It covers the error of the estimate.
 	lostMargin = time.Second
-	// ageStep is the granularity at which jobs are ordered by age.
+	// ageStep is the resolution at which jobs are ordered by age.
 	ageStep = 2 * time.Second
 )
 
-// Item is the view of an item that waits for a replica.
+// Item is a view of an item that waits for a replica.
 type Item struct {
-	// Priority is that of the item's tenant or route, 0 the most urgent.
+	// Priority is the priority of the item's tenant or route. 0 is the highest.
 	Priority int
 	// JobStarted is when this node started the item's job.
 	JobStarted time.Time
 	// Rank is the item's position in its job's order.
 	Rank int
-	// Deadline is when the item's job has to be complete, zero for none.
+	// Deadline is when the item's job must be complete, zero for none.
 	Deadline time.Time
 	// TimeLeft is the time until Deadline.
 	TimeLeft time.Duration
-	// Objective is the time that the item's job has in all.
+	// Objective is the total time allowed for the item's job.
 	Objective time.Duration
-	// ExpectedRunTime is how long a run to the item's end is expected to take, 0 if
-	// unknown.
+	// ExpectedRunTime is the expected time to complete the item, 0 if unknown.
 	ExpectedRunTime time.Duration
-	// HasProgress is set where earlier runs have generated a part of the text.
+	// HasProgress is set if earlier runs generated a part of the text.
 	HasProgress bool
-	// Reserve is set where the trainer need not wait for the item's group.
+	// Reserve is set if the trainer does not need to wait for the item's group.
 	Reserve bool
 }
 
-// Compare orders waiting items; a negative result means that a runs before b. It compares
-// by priority, then urgent items before others, urgent ones by the latest time at which
-// they can start, then by the age of their jobs in steps of ageStep, then by rank.
+// Compare orders waiting items; a negative result means that a runs before b. The order is
+// by priority, then urgent items before others, urgent items by their latest start time,
+// then by the age of their jobs in steps of ageStep, then by rank.
 //
-// Urgent items of any job come first because they decide when their groups are complete,
-// and are too few to delay the others by much.
+// Urgent items of all jobs come first because they determine when their groups complete,
+// and there are too few of them to delay other items much.
 func Compare(a, b Item) int {
 	if order := a.Priority - b.Priority; order != 0 {
 		return order
@@ -63,7 +62,7 @@
 	return a.Rank - b.Rank
 }
 
-// itemClass orders items of the same priority, the lowest first.
+// itemClass orders items of the same priority, lowest first.
 type itemClass int
 
 const (
@@ -78,9 +77,9 @@
 	return classOther
 }
 
-// IsUrgent reports whether waiting may make the item's group late: the item is long or an
-// earlier run of it was cut, and it can still be in time. Reserve items and items of jobs
-// without a deadline are never urgent.
+// IsUrgent reports whether waiting may make the item's group late: the item is long or has
+// progress from an earlier run, and it can still meet the deadline. Reserve items and items
+// of jobs without a deadline are never urgent.
 func (i Item) IsUrgent() bool {
 	if i.Deadline.IsZero() || i.Reserve || i.isLost() {
 		return false
@@ -90,8 +89,8 @@
 
 func (i Item) isLong() bool { return float64(i.ExpectedRunTime) >= longShare*float64(i.Objective) }
 
-// isLost reports whether the item can't be expected to end in time even if it starts now.
+// isLost reports whether the item is expected to miss the deadline even if it starts now.
 func (i Item) isLost() bool { return i.ExpectedRunTime > i.TimeLeft+lostMargin }
 
-// latestStart is when the item has to start in order to end by its deadline.
+// latestStart returns the latest time at which the item can start and end by its deadline.
 func (i Item) latestStart() time.Time { return i.Deadline.Add(-i.ExpectedRunTime) }
--- a/internal/jobs/placement/item_test.go
+++ b/internal/jobs/placement/item_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// step is a job of a trainer that comes at an instant.
+// step is a job that a trainer submits at the given time.
 type step struct {
 	at    time.Duration
 	items int
@@ -27,8 +27,8 @@
 	events int
 }
 
-// lengthOf draws the events of a text and what is expected of it: half of the texts
-// have 11 events or fewer, one in twenty 65 or more, and none more than 146.
+// lengthOf draws the actual and the expected number of events of a text: half of the texts
+// have 11 events or fewer, 1 in 20 has 65 or more, and none has more than 146.
 func lengthOf(source *rand.Rand) (events, expected int) {
 	const median, spread, error, longest = 11, 1.0, 0.45, 146
 	known := source.NormFloat64() * spread
@@ -36,9 +36,8 @@
 	return exp(known + source.NormFloat64()*error), exp(known)
 }
 
-// replay runs the items of some steps in the order of Compare at so many slots, and
-// returns how long after their step's arrival the items began, those that turned out
-// long apart.
+// replay runs the items of the steps on testSlots slots in the order of compare. It returns the
+// waiting times of the items expected to be long and of the others.
 func replay(steps []step, compare func(a, b Item) int) (long, other []time.Duration) {
 	source := rand.New(rand.NewPCG(1, 2))
 	start := time.Unix(1000, 0)
@@ -76,8 +75,8 @@
 	return long, other
 }
 
-// Steps of several trainers come within two seconds of each other. By age alone, the short
-// items of the first ones fill the slots before the long items of the last can start.
+// Guards against the short items of the first steps taking all slots before the long items of
+// later steps can start.
 func TestLongItemsBeginAtOnceWhereStepsCrowd(t *testing.T) {
 	steps := []step{{0, 464}, {300 * time.Millisecond, 272}, {900 * time.Millisecond, 272}, {1500 * time.Millisecond, 464}}
 	byAge := func(a, b Item) int {
--- a/internal/jobs/placement/lateness.go
+++ b/internal/jobs/placement/lateness.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// LatenessCause is why a job was late, in words for logs and metrics.
+// LatenessCause is the reason why a job was late, as it appears in logs and metrics.
 type LatenessCause string
 
 // The causes of a late job, in the order in which WhyLate checks them.
@@ -16,15 +16,15 @@
 )
 
 const (
-	// lateBegin is the wait before its first run above which an item began late.
+	// lateBegin is the wait before the first run above which an item began late.
 	lateBegin = 300 * time.Millisecond
-	// lateRatio is the multiple of the usual interval between events above which a
-	// replica made its job late.
+	// lateRatio is the multiple of the median interval between events above which the
+	// replica is the cause.
 	lateRatio = 1.05
 )
 
-// WhyLate returns the first cause that applies to a late job, given the history of the
-// item that it waited for last; a long text if no other does.
+// WhyLate returns the first cause that applies to a late job, given the history of the item
+// that completed last. It returns LateLongText if no other cause applies.
 func WhyLate(paces Paces, history History) LatenessCause {
 	switch {
 	case history.Epoch > 1:
--- a/internal/jobs/placement/length.go
+++ b/internal/jobs/placement/length.go
@@ -1,22 +1,21 @@
 package placement
 
 const (
-	// unseenEvents is the number of events that an incomplete text is expected to have
-	// beyond those seen.
+	// unseenEvents is the number of further events expected of an incomplete text.
 	unseenEvents = 20
-	// remainingShare is the number of events that an item of unknown length is expected to
-	// have left, for each that it has made: texts that are long already tend to go on.
+	// remainingShare is the expected number of remaining events per generated event for an
+	// item of unknown length. Texts that are already long tend to continue.
 	remainingShare = 0.6
 )
 
-// Length is what earlier runs of an item have shown of its text's length.
+// Length is the length of an item's text as far as earlier runs have shown it.
 type Length struct {
-	// Events is the length of the text if Complete is set, else the least that it has.
+	// Events is the length of the text if Complete is set, otherwise a lower bound.
 	Events   int
 	Complete bool
 }
 
-// Expected returns the number of events to expect of the text, 0 if nothing is known.
+// Expected returns the expected number of events of the text, 0 if nothing is known.
 func (l Length) Expected() int {
 	if l.Complete || l.Events == 0 {
 		return l.Events
@@ -24,9 +23,9 @@
 	return l.Events + unseenEvents
 }
 
-// Remaining estimates how many events an item has left. expected is the number expected
-// in all (0 if unknown), made the number so far, and longest that of the longest text
-// known (0 for none), which no text is expected to exceed unless it already has.
+// Remaining estimates how many events an item has left. expected is the expected total (0
+// if unknown), made is the number of events so far, and longest is the length of the longest
+// known text (0 for none), which bounds the estimate unless the item already exceeds it.
 func Remaining(expected, made, longest int) int {
 	remaining := int(remainingShare * float64(made))
 	if expected > made {
--- a/internal/jobs/placement/move.go
+++ b/internal/jobs/placement/move.go
@@ -7,35 +7,35 @@
 )
 
 const (
-	// maxMovesPerScan is how many runs, those that gain most, are considered for a move in
-	// one scan.
+	// maxMovesPerScan is the maximum number of runs, those with the largest gains, that are
+	// considered for a move in one scan.
 	maxMovesPerScan = 8
-	// minMoveGain is the time that a move must be expected to save: a move costs reading
+	// minMoveGain is the minimum expected time saved by a move. A move costs the prefill of
 	// the text so far and the event in progress.
 	minMoveGain = 250 * time.Millisecond
-	// minMoveRatio is how many times faster the other replica must be; smaller differences
-	// come and go with the load.
+	// minMoveRatio is how many times faster the other replica must be. Smaller differences
+	// are within the normal variation under load.
 	minMoveRatio = 1.2
-	// minLateMoveRatio and minLateMoveGain are the bounds for a run that would end after
-	// its job's deadline where it is.
+	// minLateMoveRatio and minLateMoveGain apply instead to a run that would end after its
+	// job's deadline if it stays.
 	minLateMoveRatio = 1.1
 	minLateMoveGain  = 300 * time.Millisecond
-	// minMovedEvents is how many events a run must have made before it may move: the first
-	// ones say little about a replica's pace.
+	// minMovedEvents is the number of events that a run must have before it may move. The
+	// first events say little about the pace of a replica.
 	minMovedEvents = 2
 )
 
 // Move is the decision to continue a run at another replica.
 type Move struct {
 	Run *Run
-	// Gain is the time that the move is expected to save.
-	Gain time.Duration
-	// Reason is why the move is worth its cost.
+	// Gain is the expected time saved by the move.
+	Gain   time.Duration
 	Reason Reason
 }
 
-// Moves decides which runs continue at a faster replica: those that gain most, as long as
-// such replicas have room. It adds each of them to the load of its new replica.
+// Moves decides which runs continue at a faster replica: those with the largest gains, as
+// long as the faster replicas have free slots. It adds each moved run to the load of its new
+// replica.
 func Moves(paces Paces, runs []*Run) []Move {
 	var wanted, decided []Move
 	for _, run := range runs {
@@ -48,7 +48,7 @@
 	}
 	slices.SortStableFunc(wanted, func(a, b Move) int { return cmp.Compare(b.Gain, a.Gain) })
 	for _, next := range wanted[:min(len(wanted), maxMovesPerScan)] {
-		// The moves before it have taken room, so its target may be another one now.
+		// Earlier moves have taken slots, so the target may have changed.
 		move, target := paces.bestMove(next.Run)
 		if target == nil {
 			continue
@@ -59,8 +59,8 @@
 	return decided
 }
 
-// bestMove returns a run's move to the replica that it would be given now, and that
-// replica; nil if there is none or the move is not worth its cost.
+// bestMove returns the move of a run to the replica that Pick would choose for it, and that
+// replica. The replica is nil if there is none or the move is not worth its cost.
 func (p Paces) bestMove(run *Run) (Move, *Replica) {
 	target := Pick(run.Replicas, run.preference())
 	if target == nil {
@@ -73,8 +73,8 @@
 	return move, target
 }
 
-// moveTo returns a run's move to another replica, and whether it is worth its cost. It is
-// not where the pace of either replica is unknown.
+// moveTo returns the move of a run to a target replica, and whether it is worth its cost. A
+// move is not worth its cost if the pace of either replica is unknown.
 func (p Paces) moveTo(run *Run, target string) (Move, bool) {
 	here, there := p.intervals[run.Replica], p.expectedAt(target)
 	if here == 0 || there == 0 {
--- a/internal/jobs/placement/pace.go
+++ b/internal/jobs/placement/pace.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// paceTime is the run time over which a pace is averaged. It is long enough that the
-	// reading of another item's prompt, which delays all runs of a replica by an event or
-	// two, hardly counts, and short enough to show soon that a replica has become slow.
+	// paceTime is the period over which a pace is averaged. It is long enough to smooth the
+	// prefill of another item's prompt, which delays all runs of a replica by one or two
+	// events, and short enough to detect soon that a replica has become slow.
 	paceTime = time.Second
-	// settledTime is how long runs must have been observed before a pace is used: the
-	// first events come while prompts are being read.
+	// settledTime is how long runs must have been observed before a pace is used. The first
+	// events are delayed by the prefill of prompts.
 	settledTime = 250 * time.Millisecond
 )
 
-// Pace averages the time between events of a run at one replica. The zero value is
-// unknown.
+// Pace is a moving average of the time between events of a run at one replica. The zero
+// value is an unknown pace.
 type Pace struct {
 	average time.Duration
-	// observed is the time over which runs have been observed, up to paceTime.
+	// observed is the time for which runs have been observed, at most paceTime.
 	observed time.Duration
 }
 
-// NewPace returns a pace with a known interval between events.
+// NewPace returns a pace with a given interval between events.
 func NewPace(interval time.Duration) Pace { return Pace{average: interval, observed: paceTime} }
 
 // Interval returns the average time between events, 0 until enough has been observed.
@@ -31,8 +31,9 @@
 	return p.average
 }
 
-// Observe records the time between two events of a run. runs is the number of runs that
-// this node has at the replica, that one included: they are observed at the same time.
+// Observe records the time between two events of a run. runs is the number of runs that this
+// node has at the replica, including that one. Each observation counts 1/runs, because all of
+// the runs are observed concurrently.
 func (p *Pace) Observe(interval time.Duration, runs int) {
 	elapsed := interval / time.Duration(max(1, runs))
 	p.observed = min(p.observed+elapsed, paceTime)
--- a/internal/jobs/placement/pace_test.go
+++ b/internal/jobs/placement/pace_test.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// If each event counted the same however many runs there are, the average would follow
-// eight runs within one interval, and a prompt read between them would move the runs.
+// Guards against a single delayed interval of all runs at a replica making it look slow.
 func TestPaceIsThatOfASecondHoweverManyRuns(t *testing.T) {
 	const usual = 50 * time.Millisecond
 	for _, runs := range []int{1, 8} {
--- a/internal/jobs/placement/paces.go
+++ b/internal/jobs/placement/paces.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	// minPacedReplicas is how many replicas must have a known pace before paces are
-	// compared.
+	// minPacedReplicas is the number of replicas with a known pace that are required to
+	// compare paces.
 	minPacedReplicas = 3
-	// slowRatio is the multiple of the usual interval above which a replica is slow.
+	// slowRatio is the multiple of the median interval above which a replica is slow.
 	slowRatio = 1.7
-	// minUsualInterval is the least interval that others are compared with: below it,
-	// differences don't matter.
+	// minUsualInterval is the lower bound of the interval that others are compared with.
+	// Differences below it are negligible.
 	minUsualInterval = 10 * time.Millisecond
 )
 
-// Paces are the known intervals between events of a run, by replica, and what is usual
-// among them.
+// Paces holds the known intervals between events of a run by replica, with their median and
+// minimum.
 type Paces struct {
 	intervals map[string]time.Duration
-	// usual is the median interval and fastest the shortest, neither below
-	// minUsualInterval; both are 0 if too few are known.
+	// usual is the median interval and fastest the shortest, both at least
+	// minUsualInterval. Both are 0 if fewer than minPacedReplicas are known.
 	usual   time.Duration
 	fastest time.Duration
 }
 
-// NewPaces returns the paces of replicas, given their known intervals by name.
+// NewPaces returns the paces for the known intervals by replica.
 func NewPaces(intervals map[string]time.Duration) Paces {
 	paces := Paces{intervals: intervals}
 	sorted := make([]time.Duration, 0, len(intervals))
@@ -42,11 +42,11 @@
 	return paces
 }
 
-// Usual returns the median interval, 0 if too few are known.
+// Usual returns the median interval, 0 if too few intervals are known.
 func (p Paces) Usual() time.Duration { return p.usual }
 
-// expectedAt returns the interval to expect at a replica: its own if known, else the usual
-// one; 0 if neither is known.
+// expectedAt returns the expected interval at a replica: its own if known, else the median,
+// or 0 if neither is known.
 func (p Paces) expectedAt(replica string) time.Duration {
 	if interval := p.intervals[replica]; interval > 0 {
 		return interval
@@ -54,13 +54,13 @@
 	return p.usual
 }
 
-// isSlow reports whether a replica's interval is far above the usual one.
+// isSlow reports whether the interval of a replica exceeds slowRatio times the median.
 func (p Paces) isSlow(replica string) bool {
 	return p.usual > 0 && float64(p.intervals[replica]) > slowRatio*float64(p.usual)
 }
 
-// slowdown returns by which multiple of the fastest interval a replica's exceeds it: 0.5
-// is half as long again. It is 0 if either is unknown.
+// slowdown returns the excess of a replica's interval over the shortest one, as a fraction
+// of the shortest: 0.5 means 1.5 times as long. It is 0 if either is unknown.
 func (p Paces) slowdown(replica string) float64 {
 	if p.fastest == 0 || p.intervals[replica] <= p.fastest {
 		return 0
--- a/internal/jobs/placement/pick.go
+++ b/internal/jobs/placement/pick.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Pick returns the least used replica that has room for an item, nil for none. Replicas
-// that have failed the item are excluded unless every candidate has. An urgent item goes to
-// an unproven replica only if no other has room.
+// Pick returns the least used replica with a free slot, or nil if there is none. Replicas
+// that have failed the item are excluded unless every candidate has failed it. An urgent item
+// goes to a replica that may be down only if no other has a free slot.
 func Pick(replicas []*Replica, preference Preference) *Replica {
 	failedEverywhere := hasFailedAll(replicas, preference.FailedReplicas)
 	var best, unproven *Replica
@@ -24,12 +24,12 @@
 	return best
 }
 
-// hasFailedAll reports whether each candidate is among the replicas that failed the item.
+// hasFailedAll reports whether all candidates have failed the item.
 func hasFailedAll(replicas []*Replica, failed []string) bool {
 	return !slices.ContainsFunc(replicas, func(candidate *Replica) bool { return !slices.Contains(failed, candidate.Name) })
 }
 
-// lessUsed returns the less used of two replicas, the first if both are equal. The first
+// lessUsed returns the less used of two replicas, or the first if they are equal. The first
 // may be nil.
 func lessUsed(first, second *Replica) *Replica {
 	if first == nil || second.use() < first.use() {
--- a/internal/jobs/placement/pick_test.go
+++ b/internal/jobs/placement/pick_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// replicas returns replicas a, b, ... with six slots and some load each.
+// replicas returns replicas a, b, ... with six slots and the given loads.
 func replicas(loads ...int) []*Replica {
 	var made []*Replica
 	for number, load := range loads {
@@ -15,8 +15,8 @@
 	return made
 }
 
-// A replica that has gone has no load and so seems the least used: long items would try it
-// one after the other, each waiting in vain for a connection.
+// A replica that is down has no load, so it would be picked first. Guards against urgent items
+// waiting for a connection to it.
 func TestUrgentItemsTryAReplicaThatMayBeDownLast(t *testing.T) {
 	some := replicas(5, 3)
 	down := NewReplica("down", 6, 0, Paces{}, Condition{Unproven: true, SinceEvent: time.Minute})
@@ -62,9 +62,7 @@
 	}
 }
 
-// The count of failures reached that of the candidates although one of the replicas that
-// had failed the item was no candidate any more: the item went to the other one again, and
-// not to the replica that had not failed it.
+// Guards against counting failures at replicas that are no longer candidates.
 func TestAnItemLeavesAReplicaThatFailedItThoughAnotherOneIsGone(t *testing.T) {
 	failed := Preference{FailedReplicas: []string{"a", "gone"}}
 	if got := Pick(replicas(0, 3), failed); got == nil || got.Name != "b" {
--- a/internal/jobs/placement/preference.go
+++ b/internal/jobs/placement/preference.go
@@ -1,10 +1,9 @@
 package placement
 
-// Preference is what an item wants of its replica.
+// Preference holds the properties of an item that influence the choice of its replica.
 type Preference struct {
-	// FailedReplicas names the replicas that have failed the item.
+	// FailedReplicas names the replicas at which the item has failed.
 	FailedReplicas []string
-	// Urgent is set where an attempt at a replica that doesn't answer would make the item
-	// late.
+	// Urgent is set if an attempt at an unresponsive replica would make the item late.
 	Urgent bool
 }
--- a/internal/jobs/placement/rank.go
+++ b/internal/jobs/placement/rank.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// longestFirstDivisor is the fraction, as 1/longestFirstDivisor, of the wanted items that
-// run before the others because they are expected to be longest.
+// longestFirstDivisor sets the fraction, 1/longestFirstDivisor, of the wanted items that run
+// first because they are expected to be longest.
 const longestFirstDivisor = 4
 
-// Rank is an item's position among the items of its job.
+// Rank is the position of an item in the order in which the items of its job run.
 type Rank struct {
-	// Position is the item's position in the order of work, from 0.
+	// Position starts at 0.
 	Position int
-	// Reserve is set where the trainer need not wait for the item's group.
+	// Reserve is set if the trainer does not need to wait for the item's group.
 	Reserve bool
-	// Inherited is set where an earlier job ended without the item's group, so that the
-	// trainer waits for it in any case.
+	// Inherited is set if an earlier job ended without results for the item's group, so that
+	// the trainer always waits for the group.
 	Inherited bool
 }
 
-// RankItems decides in which order the items of a job run, and returns each item's rank
-// by its id. desired is the number of whole groups that the trainer waits for, 0 for all
-// of them; lengths has the items known from earlier jobs, by id.
+// RankItems returns the rank of each item of a job by item id. desired is the number of
+// complete groups that the trainer waits for, 0 for all of them. lengths holds the known
+// lengths of items of earlier jobs by id.
 //
-// Inherited groups come first, then the wanted ones, then the reserve.
+// Inherited groups run first, then wanted groups, then reserve groups.
 func RankItems(items []SubmittedItem, desired int, lengths map[string]Length) map[string]Rank {
 	groups := groupsOf(items, lengths)
 	slices.SortStableFunc(groups, func(a, b *group) int { return cmp.Compare(b.length, a.length) })
@@ -53,16 +53,16 @@
 	return ranks
 }
 
-// sortInherited puts the items with the longest known texts first.
+// sortInherited sorts items by their expected text length, longest first.
 func sortInherited(items []SubmittedItem, lengths map[string]Length) {
 	slices.SortStableFunc(items, func(a, b SubmittedItem) int {
 		return cmp.Compare(lengths[b.ID].Expected(), lengths[a.ID].Expected())
 	})
 }
 
-// sortWanted puts the items expected to be longest first, since they decide when the job
-// ends, and then the others from the shortest up: short items soon free their slots, so
-// items that turn out longer than expected don't start late.
+// sortWanted puts the longest items first, since they determine when the job ends, and then
+// the others from shortest to longest. Short items free their slots soon, so that items that
+// turn out longer than expected do not start late.
 func sortWanted(items []SubmittedItem) {
 	slices.SortStableFunc(items, func(a, b SubmittedItem) int { return cmp.Compare(b.ExpectedTokens, a.ExpectedTokens) })
 	slices.Reverse(items[len(items)/longestFirstDivisor:])
--- a/internal/jobs/placement/rank_test.go
+++ b/internal/jobs/placement/rank_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// ranked lists the items of a submission in their order of work.
+// ranked returns the ids of a submission's items in the order in which they run.
 func ranked(submission submission, lengths map[string]Length) string {
 	ranks := RankItems(submission.items, submission.desired, lengths)
 	ids := make([]string, len(ranks))
@@ -17,14 +17,14 @@
 	return strings.Join(ids, " ")
 }
 
-// submission is a job as it is handed in.
+// submission is a submitted job.
 type submission struct {
 	items   []SubmittedItem
 	desired int
 }
 
-// submissionOf makes groups a, b, ... of two items each, with the lengths
-// expected.
+// submissionOf returns a submission of groups a, b, ... of two items each, with the given
+// expected lengths.
 func submissionOf(desired int, lengths ...float64) submission {
 	made := submission{desired: desired}
 	for place, length := range lengths {
@@ -38,8 +38,8 @@
 	submission := submissionOf(0, 1, 1, 9, 8, 1, 1)
 	lengths := map[string]Length{"c0": {Events: 30, Complete: true}, "c1": {Events: 20}, "a0": {Events: 90, Complete: true}}
 	order := strings.Fields(ranked(submission, lengths))
-	// c1 was cut after 20 events and is taken to have 20 more; a1 has come back
-	// with its group, and nothing is known of it.
+	// c1 was cancelled after 20 events and is expected to have 20 more. a1 is inherited
+	// because of its group, and its length is unknown.
 	if want := []string{"a0", "c1", "c0"}; !slices.Equal(order[:3], want) {
 		t.Errorf("order %v does not begin with %v", order, want)
 	}
@@ -53,8 +53,8 @@
 	if !strings.HasSuffix(order, "d0 d1") {
 		t.Errorf("order %s does not end with the reserve group", order)
 	}
-	// What stands in the first half of the desired groups may have been asked
-	// for before, so it is never in reserve.
+	// Groups in the first half of the desired number may have been requested before, so
+	// they are never in reserve.
 	order = ranked(submissionOf(3, 9, 9, 2, 2, 3, 3, 1, 1), nil)
 	if strings.HasSuffix(order, "a0 a1") {
 		t.Errorf("order %s has a group last that may be waited for", order)
--- a/internal/jobs/placement/reason.go
+++ b/internal/jobs/placement/reason.go
@@ -1,17 +1,18 @@
 package placement
 
-// Reason is why a run is cut to continue elsewhere, in words for logs and metrics.
+// Reason is why a run is cancelled and continued at another replica, as it appears in logs
+// and metrics.
 type Reason string
 
-// The reasons for cutting a run.
+// The reasons for cancelling a run.
 const (
-	// ReasonFaster: another replica is much faster.
+	// ReasonFaster means that another replica is at least minMoveRatio times faster.
 	ReasonFaster Reason = "faster replica"
-	// ReasonLate: the run would end late where it is, and another replica is somewhat
-	// faster.
+	// ReasonLate means that the run would miss its deadline at this replica, and another
+	// one is at least minLateMoveRatio times faster.
 	ReasonLate Reason = "late where it runs"
-	// ReasonGone: the replica's entry in the store has gone.
+	// ReasonGone means that the replica's entry was removed from the store.
 	ReasonGone Reason = "replica is gone"
-	// ReasonStalled: the run has had no event for too long.
+	// ReasonStalled means that the run received no event within its timeout.
 	ReasonStalled Reason = "nothing comes"
 )
--- a/internal/jobs/placement/replica.go
+++ b/internal/jobs/placement/replica.go
@@ -2,44 +2,45 @@
 
 import "time"
 
-// Weights of the comparison of replicas, in full loads: 1 counts as much as the
-// difference between an empty replica and a full one.
+// Weights for comparing replicas, as a multiple of a full load: 1 is the difference between
+// an idle replica and a full one.
 const (
-	// slowPenalty puts slow and failing replicas behind all others.
+	// slowPenalty orders slow and failing replicas after all others.
 	slowPenalty = 10
-	// paceBias is added for each multiple of the fastest interval by which a replica's
-	// exceeds it, so that it is used once the faster ones are nearly full.
+	// paceBias is multiplied by the slowdown of a replica, so that slower replicas are used
+	// once the faster ones are nearly full.
 	paceBias = 3
-	// warmBonus is taken off for replicas to which this node has open connections.
+	// warmBonus is subtracted for replicas to which this node has open connections.
 	warmBonus = 0.3
 )
 
 const (
-	// warmTime is how long after an event a connection to its replica is taken to be open.
+	// warmTime is how long after an event the connection to its replica is assumed to be
+	// open.
 	warmTime = 4 * time.Second
-	// FailingRuns is the most items that run at a failing replica.
+	// FailingRuns is the maximum number of items that run at a failing replica.
 	FailingRuns = 1
-	// unprovenRuns is the most items that are added to an unproven replica's load at once:
-	// each may be a connection attempt in vain.
+	// unprovenRuns is the maximum number of items added at once to a replica that may be
+	// down, since each may fail to connect.
 	unprovenRuns = 1
 )
 
-// Replica is the view of a replica that items may go to.
+// Replica is a view of a replica that items may be sent to.
 type Replica struct {
 	Name string
 	// Slots is the number of items that the replica can run at once.
 	Slots int
-	// Load is the number of items that run there, from all nodes.
+	// Load is the number of items that the replica runs for all nodes.
 	Load int
-	// MaxLoad is the load at which it gets no further items.
+	// MaxLoad is the load at which the replica gets no further items.
 	MaxLoad int
 	// unproven is Condition.Unproven.
 	unproven bool
-	// bias is added to the load when replicas are compared, in full loads.
+	// bias is added to the utilization when replicas are compared.
 	bias float64
 }
 
-// NewReplica returns the view of a replica with so many slots and items.
+// NewReplica returns a view of a replica with the given slots and load.
 func NewReplica(name string, slots, load int, paces Paces, condition Condition) *Replica {
 	return &Replica{
 		Name: name, Slots: slots, Load: load,
@@ -49,8 +50,8 @@
 	}
 }
 
-// maxLoadOf returns the load at which a replica gets no further items: its slots, or less
-// while it is failing or unproven.
+// maxLoadOf returns the load at which a replica gets no further items: its slots, or fewer
+// while it is failing or may be down.
 func maxLoadOf(slots, load int, condition Condition) int {
 	limit := slots
 	if condition.Failing {
@@ -62,8 +63,8 @@
 	return limit
 }
 
-// biasOf returns what is added to a replica's use, in full loads: more for a slower or
-// failing replica, less for one with open connections.
+// biasOf returns the bias of a replica: larger for slower and failing replicas, smaller for
+// one with open connections.
 func biasOf(slowdown float64, isSlow bool, condition Condition) float64 {
 	bias := paceBias * slowdown
 	if condition.Failing || isSlow {
@@ -75,9 +76,9 @@
 	return bias
 }
 
-// use returns the share of the slots in use, plus the bias: replicas with the least use
-// are picked first.
+// use returns the utilization of the slots plus the bias. Replicas with the lowest value are
+// picked first.
 func (r *Replica) use() float64 { return float64(r.Load)/float64(r.Slots) + r.bias }
 
-// hasRoom reports whether a further item may run there.
+// hasRoom reports whether the replica may get another item.
 func (r *Replica) hasRoom() bool { return r.Load < r.MaxLoad }
--- a/internal/jobs/placement/replica_test.go
+++ b/internal/jobs/placement/replica_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// Replica a of each case is compared with replica b, which is healthy, at the usual pace
-// and has no open connection.
+// Each case compares replica a with replica b, which is healthy, has the median interval and
+// no open connections.
 func TestOrderOfReplicasByUse(t *testing.T) {
 	const cold = time.Minute
 	for _, test := range []struct {
--- a/internal/jobs/placement/run.go
+++ b/internal/jobs/placement/run.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Run is the view of a run of an item at a replica.
+// Run is a view of a run of an item at a replica.
 type Run struct {
-	// Index is the caller's number of the run.
+	// Index identifies the run to the caller.
 	Index int
-	// Replica names the replica where it runs.
+	// Replica is the name of the replica that runs the item.
 	Replica string
-	// Replicas are those to which its item may go.
+	// Replicas are the candidates that the item may move to.
 	Replicas []*Replica
-	// FailedReplicas names the replicas that have failed the item.
+	// FailedReplicas names the replicas at which the item has failed.
 	FailedReplicas []string
-	// Events is the number of events that the run has had.
+	// Events is the number of events that the run has received.
 	Events int
-	// RemainingEvents is the number of events that the item is expected to have left.
+	// RemainingEvents is the expected number of further events of the item.
 	RemainingEvents int
-	// HasDeadline is set where the item's job has to be complete by some time.
+	// HasDeadline is set if the item's job has a deadline.
 	HasDeadline bool
-	// TimeLeft is the time until that deadline.
+	// TimeLeft is the time until the deadline.
 	TimeLeft time.Duration
 	// Idle is the time since the last event, or since the start if there was none.
 	Idle time.Duration
@@ -26,18 +26,19 @@
 	Loading bool
 }
 
-// preference returns what the run's item wants of another replica.
+// preference returns the preference for the replica that the run may move to.
 func (r *Run) preference() Preference {
 	return Preference{FailedReplicas: r.FailedReplicas, Urgent: true}
 }
 
-// remainingTime returns how long the rest of the text takes at an interval between events.
+// remainingTime returns the time to generate the rest of the text at the given interval
+// between events.
 func (r *Run) remainingTime(interval time.Duration) time.Duration {
 	return time.Duration(r.RemainingEvents) * interval
 }
 
-// endsInTime reports whether the run ends at least slack before its job's deadline, given
-// the interval between events. It is true for a job without a deadline.
+// endsInTime reports whether the run is expected to end at least slack before its job's
+// deadline, given the interval between events. It is true for a job without a deadline.
 func (r *Run) endsInTime(interval, slack time.Duration) bool {
 	return !r.HasDeadline || r.remainingTime(interval)+slack <= r.TimeLeft
 }
--- a/internal/jobs/placement/stall.go
+++ b/internal/jobs/placement/stall.go
@@ -7,27 +7,27 @@
 	startTimeout = 900 * time.Millisecond
 	// eventTimeout bounds the time between events of a run.
 	eventTimeout = 500 * time.Millisecond
-	// tightSlack is the slack below which a run is tight: a stall would make its job late,
-	// so shorter timeouts apply.
+	// tightSlack is the slack below which a run is tight. Shorter timeouts apply to tight
+	// runs, because a stall would make the job late.
 	tightSlack = time.Second
-	// tightStartTimeout bounds the time to a tight run's first event, which a healthy
-	// replica sends sooner.
+	// tightStartTimeout bounds the time to the first event of a tight run.
 	tightStartTimeout = 400 * time.Millisecond
-	// tightEventIntervals bounds the time between events of a tight run, in intervals of
-	// its replica. Reading another item's prompt takes a replica an interval or two.
+	// tightEventIntervals bounds the time between events of a tight run, as a multiple of
+	// the replica's interval. The prefill of another item's prompt takes one or two
+	// intervals.
 	tightEventIntervals = 4
-	// minEventTimeout is the least bound for the time between events.
+	// minEventTimeout is the minimum timeout between events.
 	minEventTimeout = 200 * time.Millisecond
-	// loadingAllowance is added to each bound while the replica loads a weight version.
+	// loadingAllowance is added to each timeout while the replica loads a weight version.
 	loadingAllowance = 2500 * time.Millisecond
 )
 
-// Stalled reports whether a run has had no event for so long that its item had better
-// start anew elsewhere.
+// Stalled reports whether a run has received no event within its timeout and should be
+// restarted at another replica.
 func Stalled(paces Paces, run *Run) bool { return run.Idle > run.timeout(paces) }
 
-// MayFinish reports whether a run is left at a replica whose entry has gone: such a
-// replica goes on serving for a while, so its runs stay as long as events come.
+// MayFinish reports whether a run has received an event within eventTimeout. A replica whose
+// entry was removed may continue serving for a while, so its runs stay while this holds.
 func MayFinish(run *Run) bool { return run.Idle < eventTimeout }
 
 // timeout returns how long the run may go without an event.
@@ -42,7 +42,7 @@
 	return timeout
 }
 
-// startTimeout returns how long the run may take to its first event.
+// startTimeout returns how long the run may take to send its first event.
 func (r *Run) startTimeout(paces Paces) time.Duration {
 	if r.isTight(paces) {
 		return tightStartTimeout
@@ -58,8 +58,8 @@
 	return min(eventTimeout, max(minEventTimeout, tightEventIntervals*paces.expectedAt(r.Replica)))
 }
 
-// isTight reports whether the run's slack is below tightSlack. It is not where no pace is
-// known.
+// isTight reports whether the slack of the run is below tightSlack. It is false if no pace
+// is known.
 func (r *Run) isTight(paces Paces) bool {
 	interval := paces.expectedAt(r.Replica)
 	return interval > 0 && !r.endsInTime(interval, tightSlack)
--- a/internal/jobs/placement/submitteditem.go
+++ b/internal/jobs/placement/submitteditem.go
@@ -1,9 +1,9 @@
 package placement
 
-// SubmittedItem is an item as its job was submitted.
+// SubmittedItem is an item as the caller submitted it.
 type SubmittedItem struct {
 	ID    string
 	Group string
-	// ExpectedTokens is the caller's estimate of the answer's length, 0 for none.
+	// ExpectedTokens is the caller's estimate of the length of the text, 0 for none.
 	ExpectedTokens float64
 }
--- a/internal/jobs/replicastate/doc.go
+++ b/internal/jobs/replicastate/doc.go
@@ -1,13 +1,12 @@
-// Package replicastate keeps what a node knows of replicas as places for the items of
-// batch jobs: how many items run there, from all nodes; how fast their events come; which
-// weight versions they have or load; how often they fail; and whether they are to be left
-// alone for a while.
+// Package replicastate holds a node's information about replicas that run items of batch
+// jobs: how many items they run for all nodes, the time between their events, the weight
+// versions that they have or load, their failure rates, and until when they are blocked.
 //
-// It learns from this node's own runs, from the heartbeats of the other nodes (NodeUses)
-// and from the coordinator of weights. All of it is in memory and is believed for a time
-// that each constant names; a node that knows nothing treats all replicas alike. Package
-// placement decides from it; the directory has which replicas there are.
+// The sources are this node's own runs, the heartbeats of the other nodes (NodeUses) and the
+// coordinator of weights. The information is held in memory and expires after the time in the
+// respective constant. Without information, all replicas are treated alike. Package placement
+// decides based on this information; package directory lists the replicas.
 //
-// The types have no lock: their caller guards them, so that an item's place in the queue
-// and the load of its replica change together.
+// The types have no locks. The caller must guard them, so that the queue and the loads of the
+// replicas change together.
 package replicastate
--- a/internal/jobs/replicastate/failurerate.go
+++ b/internal/jobs/replicastate/failurerate.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// newestRunWeight is the weight of the newest run in a replica's failure rate.
+	// newestRunWeight is the weight of the most recent run in a replica's failure rate.
 	newestRunWeight = 0.25
-	// failingRate is the rate from which a replica counts as failing: after two failures
-	// in a row, or where nearly half of its runs fail. Items that fail wherever they run
-	// are one or two in a hundred.
+	// failingRate is the rate from which a replica counts as failing. It is reached after two
+	// consecutive failures, or if nearly half of the runs fail.
 	failingRate = 0.4
-	// failureHalfLife is the time in which a rate falls by half, so that a replica that
-	// gets no items is tried again.
+	// failureHalfLife is the half-life of the rate. The rate decays so that a replica that
+	// gets no items is retried.
 	failureHalfLife = 3 * time.Second
 )
 
-// FailureRate is the share of the runs at a replica that it says have failed, between 0
-// and 1. The zero value is that of a replica without failures.
+// FailureRate is a moving average of the fraction of the runs at a replica that the replica
+// reports as failed, between 0 and 1. The zero value is the rate of a replica without
+// failures.
 type FailureRate struct {
 	rate       float64
 	observedAt time.Time
@@ -33,10 +33,11 @@
 	f.rate, f.observedAt = rate, now
 }
 
-// At is the rate as it has decayed at an instant.
+// At returns the decayed rate at the given time.
 func (f *FailureRate) At(now time.Time) float64 {
 	return f.rate * math.Exp2(-float64(now.Sub(f.observedAt))/float64(failureHalfLife))
 }
 
-// IsFailing tells whether the replica is to blame rather than its items.
+// IsFailing reports whether the rate is so high that the cause is likely the replica and not
+// the items.
 func (f *FailureRate) IsFailing(now time.Time) bool { return f.At(now) >= failingRate }
--- a/internal/jobs/replicastate/nodeuses.go
+++ b/internal/jobs/replicastate/nodeuses.go
@@ -6,24 +6,24 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// UsesTimeout is how long another node's uses of replicas are believed.
+// UsesTimeout is how long the announced slot use of another node is valid.
 const UsesTimeout = 1500 * time.Millisecond
 
-// NodeUses are another node's uses of replicas, as its heartbeat announced them.
+// NodeUses is the slot use of another node, as announced in its heartbeat.
 type NodeUses struct {
 	ReceivedAt time.Time
-	// Running is how many items it runs at each replica.
+	// Running is the number of items that the node runs, by replica.
 	Running map[string]int
-	// Intervals are the times between events that it has seen recently, by replica.
+	// Intervals is the recent time between events, by replica.
 	Intervals map[string]time.Duration
-	// Open is how many items of its jobs have no result yet, by model.
+	// Open is the number of items of the node's jobs without a result, by model.
 	Open map[string]int
 }
 
-// isCurrent tells whether the uses are still believed.
+// isCurrent reports whether the slot use is still valid.
 func (u NodeUses) isCurrent(now time.Time) bool { return now.Sub(u.ReceivedAt) < UsesTimeout }
 
-// usesFrom reads the uses that a heartbeat announces.
+// usesFrom returns the slot use that a heartbeat announces.
 func usesFrom(heartbeat *wire.NodeBeat, now time.Time) NodeUses {
 	uses := NodeUses{ReceivedAt: now, Running: map[string]int{}, Intervals: map[string]time.Duration{}, Open: map[string]int{}}
 	for _, work := range heartbeat.Work {
--- a/internal/jobs/replicastate/state.go
+++ b/internal/jobs/replicastate/state.go
@@ -7,38 +7,40 @@
 )
 
 const (
-	// loadingTimeout is how long a replica is believed to load weights.
+	// loadingTimeout is how long an announced load of weights is assumed to be in progress.
 	loadingTimeout = 4 * time.Second
-	// MaxBlock bounds how long a replica that gives nothing gets no items.
+	// MaxBlock is the maximum duration of one block.
 	MaxBlock = time.Second
-	// maxDoublings keeps the duration of a block from overflowing.
+	// maxDoublings limits the exponent of the backoff, to prevent an overflow.
 	maxDoublings = 8
 )
 
-// State is what this node has seen of a replica as a place for items.
+// State is this node's information about a replica that runs items.
 type State struct {
-	// Running is the number of items that this node runs there.
+	// Running is the number of items that this node runs at the replica.
 	Running int
-	// BlockedUntil is when it may be tried again after it turned work away.
+	// BlockedUntil is when the replica may get items again after it refused some.
 	BlockedUntil time.Time
-	// Unproven is set from a run that broke off before its first event until the next
+	// Unproven is set when a run fails before its first event, and cleared by the next
 	// event.
 	Unproven bool
-	// Blocks is how often in a row it gave nothing when it was tried.
+	// Blocks is the number of consecutive blocks.
 	Blocks int
-	// Versions are the newest weight versions known, by model.
+	// Versions holds the newest known weight versions by model.
 	Versions map[string]int64
 	// LoadingSince is when a load of a model's weights was announced, by model.
 	LoadingSince map[string]time.Time
-	// Failures is the rate of its runs that it says have failed.
+	// Failures is the rate of runs that the replica reports as failed.
 	Failures FailureRate
-	// Pace is that of its runs as this node has seen it, the last time at ObservedAt.
-	Pace       placement.Pace
+	// Pace is the pace of this node's runs.
+	Pace placement.Pace
+	// ObservedAt is when the last event was observed.
 	ObservedAt time.Time
 }
 
-// Block keeps items from the replica for a while, twice as long each time in a row that
-// it is tried in vain, up to MaxBlock. Items turned away together count as one try.
+// Block excludes the replica from getting items for a backoff time. The time starts at first,
+// doubles with each consecutive block and is at most MaxBlock. Calls while the replica is
+// blocked have no effect, so that items refused together count once.
 func (s *State) Block(first time.Duration) {
 	now := time.Now()
 	if now.Before(s.BlockedUntil) {
@@ -49,14 +51,14 @@
 	s.BlockedUntil = now.Add(length)
 }
 
-// IsLoading tells whether the replica is changing a model's weights.
+// IsLoading reports whether the replica is loading weights of a model.
 func (s *State) IsLoading(model string) bool {
 	since, announced := s.LoadingSince[model]
 	return announced && time.Since(since) < loadingTimeout
 }
 
-// ObserveVersion records a weight version of a model that the replica's answer names.
-// A newer one than known ends the model's load.
+// ObserveVersion records the weight version of a model in a response of the replica. A newer
+// version than the known one ends the load of the model.
 func (s *State) ObserveVersion(model string, version int64) {
 	if version > s.Versions[model] {
 		s.Versions[model] = version
@@ -64,23 +66,23 @@
 	}
 }
 
-// LearnVersion records a weight version of a model that the coordinator of weights
-// announces, and that its load has ended.
+// LearnVersion records that the coordinator of weights has announced a weight version of a
+// model, which ends the load of the model.
 func (s *State) LearnVersion(model string, version int64) {
 	delete(s.LoadingSince, model)
 	s.Versions[model] = max(s.Versions[model], version)
 }
 
-// LearnLoad records that the coordinator of weights has begun a load. Repeated
-// announcements do not prolong it.
+// LearnLoad records that the coordinator of weights has announced a load. Repeated
+// announcements do not extend it.
 func (s *State) LearnLoad(model string, now time.Time) {
 	if _, announced := s.LoadingSince[model]; !announced {
 		s.LoadingSince[model] = now
 	}
 }
 
-// Observe records the time between two events of a run there. A pace that nobody has
-// seen for a while is learnt anew: the replica may have been slow then.
+// Observe records the time between two events of a run at the replica. It discards a pace
+// that is older than FreshPaceAge, so that a replica that was slow is measured again.
 func (s *State) Observe(interval time.Duration, now time.Time) {
 	if now.Sub(s.ObservedAt) > FreshPaceAge {
 		s.Pace = placement.Pace{}
@@ -89,7 +91,8 @@
 	s.ObservedAt, s.Blocks, s.Unproven = now, 0, false
 }
 
-// announcedMicroseconds is the pace to announce to other nodes, 0 for none.
+// announcedMicroseconds returns the interval to announce to other nodes in microseconds, 0
+// for none.
 func (s *State) announcedMicroseconds(now time.Time) uint32 {
 	if now.Sub(s.ObservedAt) > FreshPaceAge {
 		return 0
--- a/internal/jobs/replicastate/state_test.go
+++ b/internal/jobs/replicastate/state_test.go
@@ -8,8 +8,7 @@
 	"github.com/pathtally/pathtally/internal/jobs/placement"
 )
 
-// A replica that was down or full used to be tried again every 80 ms, with as
-// many items as it had slots, for as long as that lasted.
+// Guards against retrying an unavailable replica at a constant rate.
 func TestReplicaThatGivesNothingIsLeftAloneEverLonger(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const firstBlock = 80 * time.Millisecond
@@ -40,9 +39,9 @@
 	start := time.Now()
 	for _, test := range []struct {
 		name string
-		// runs are outcomes a tenth of a second apart, F for a failure.
+		// runs are outcomes 100 ms apart, F for a failure.
 		runs string
-		// after is how long after the last one is asked.
+		// after is the time from the last run until the check.
 		after time.Duration
 		want  bool
 	}{
@@ -67,8 +66,7 @@
 	}
 }
 
-// Replicas that had been slow were remembered so, and the first runs there after it
-// were moved though their events came as fast as elsewhere.
+// Guards against moving runs away from a replica because of an outdated slow pace.
 func TestPaceIsLearntAnewAfterAWhileWithoutRuns(t *testing.T) {
 	now := time.Now()
 	state := &State{Pace: placement.NewPace(140 * time.Millisecond), ObservedAt: now, Running: 1}
--- a/internal/jobs/replicastate/table.go
+++ b/internal/jobs/replicastate/table.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// FreshPaceAge is how long a replica's pace as this node has seen it is preferred to
-	// what others have seen.
+	// FreshPaceAge is how long this node's own pace of a replica takes precedence over those
+	// that other nodes announce.
 	FreshPaceAge = 3 * time.Second
-	// PaceRetention is how long it is believed where nobody has seen the replica since:
-	// most differences are those of the machines.
+	// PaceRetention is how long this node's own pace is used if no other node announces one.
+	// It is long because differences between replicas mostly come from their machines.
 	PaceRetention = 60 * time.Second
 )
 
-// Table is what a node knows of all replicas. It has no lock: its caller guards it.
+// Table is this node's information about all replicas. It is not safe for concurrent use.
 type Table struct {
-	// States are what this node has seen, by replica.
+	// States holds the states of the replicas by name.
 	States map[string]*State
-	// Uses are those of the other nodes, by node.
+	// Uses holds the slot use of the other nodes by node.
 	Uses map[string]NodeUses
 }
 
-// NewTable returns a table that knows nothing.
+// NewTable returns an empty table.
 func NewTable() *Table { return &Table{States: map[string]*State{}, Uses: map[string]NodeUses{}} }
 
-// Get returns the state of a replica, and makes one if there is none.
+// Get returns the state of a replica. It creates the state if there is none.
 func (t *Table) Get(replica string) *State {
 	state := t.States[replica]
 	if state == nil {
@@ -39,12 +39,12 @@
 	return state
 }
 
-// LearnUses records the uses that another node's heartbeat announces.
+// LearnUses records the slot use in a heartbeat of another node.
 func (t *Table) LearnUses(heartbeat *wire.NodeBeat, now time.Time) {
 	t.Uses[heartbeat.Node] = usesFrom(heartbeat, now)
 }
 
-// Announced are the uses of this node, for its heartbeats.
+// Announced returns the slot use of this node for its heartbeats.
 func (t *Table) Announced(now time.Time) []wire.ReplicaUse {
 	var uses []wire.ReplicaUse
 	for replica, state := range t.States {
@@ -55,8 +55,8 @@
 	return uses
 }
 
-// Version is the newest weight version known of a replica's model, 0 for none. Listed is
-// the replica's entry in the directory, nil for none.
+// Version returns the newest known weight version of a model at a replica, 0 if unknown.
+// listed is the replica in the directory, or nil.
 func (t *Table) Version(listed *directory.Replica, replica, model string) int64 {
 	known := int64(0)
 	if listed != nil {
@@ -68,7 +68,7 @@
 	return known
 }
 
-// Load is how many items run at a replica, from all nodes.
+// Load returns the number of items that a replica runs for all nodes.
 func (t *Table) Load(replica string, now time.Time) int {
 	load := t.Get(replica).Running
 	for _, uses := range t.Uses {
@@ -79,7 +79,7 @@
 	return load
 }
 
-// Loads is how many items run at each replica, from all nodes.
+// Loads returns the number of items that each replica runs for all nodes.
 func (t *Table) Loads(now time.Time) map[string]int {
 	loads := make(map[string]int, len(t.States))
 	for replica, state := range t.States {
@@ -95,7 +95,8 @@
 	return loads
 }
 
-// OpenItems is how many items of models have no result yet at the other nodes.
+// OpenItems returns the number of items of the given models without a result at the other
+// nodes.
 func (t *Table) OpenItems(models []string, now time.Time) int {
 	open := 0
 	for _, uses := range t.Uses {
@@ -109,7 +110,7 @@
 	return open
 }
 
-// RunningNodes is how many nodes run items, this one included.
+// RunningNodes returns the number of nodes that run items. It always counts this node.
 func (t *Table) RunningNodes(now time.Time) int {
 	count := 1
 	for _, uses := range t.Uses {
@@ -120,7 +121,7 @@
 	return count
 }
 
-// Paces returns the paces known now.
+// Paces returns the currently known paces.
 func (t *Table) Paces() placement.Paces {
 	intervals := map[string]time.Duration{}
 	for replica, state := range t.States {
@@ -131,8 +132,9 @@
 	return placement.NewPaces(intervals)
 }
 
-// Interval is the time between events at a replica, 0 for unknown: as this node has seen
-// it recently, else as others have, else as this node saw it last.
+// Interval returns the time between events at a replica, 0 if unknown: this node's own
+// average if it is fresh, else that of another node, else this node's own for up to
+// PaceRetention.
 func (t *Table) Interval(replica string, state *State) time.Duration {
 	now := time.Now()
 	age := now.Sub(state.ObservedAt)
@@ -151,8 +153,8 @@
 	return 0
 }
 
-// Evict forgets replicas that are gone, unless this node runs items there, and nodes
-// that are silent.
+// Evict removes replicas that are not listed, unless this node runs items at them, and the
+// expired slot use of other nodes.
 func (t *Table) Evict(listed map[string]*directory.Replica, now time.Time) {
 	maps.DeleteFunc(t.States, func(replica string, state *State) bool { return listed[replica] == nil && state.Running == 0 })
 	maps.DeleteFunc(t.Uses, func(_ string, uses NodeUses) bool { return now.Sub(uses.ReceivedAt) > UsesTimeout })
--- a/internal/jobs/statistics/demand.go
+++ b/internal/jobs/statistics/demand.go
@@ -8,16 +8,16 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// demandRetention is how long a batch job counts towards the demand for its model: some
-// steps of a trainer, so that one late step changes little.
+// demandRetention is how long a batch job counts towards the demand for its model. It covers
+// several steps of a trainer.
 const demandRetention = 30 * time.Second
 
-// Demand is the work of recent batch jobs, of this and other nodes, by job id.
+// Demand records the work of recent batch jobs of all nodes.
 type Demand struct {
 	byJob map[string]jobWork
 }
 
-// jobWork is what a batch job was expected to make.
+// jobWork is the expected work of a batch job.
 type jobWork struct {
 	model  string
 	tokens float64
@@ -26,10 +26,10 @@
 	learntAt time.Time
 }
 
-// NewDemand returns the demand of no job.
+// NewDemand returns a Demand without jobs.
 func NewDemand() *Demand { return &Demand{byJob: map[string]jobWork{}} }
 
-// Learn records a batch job's work. A job counts from when it is learnt first.
+// Learn records the work of a batch job. The retention counts from the first call for a job.
 func (d *Demand) Learn(work wire.JobWork, now time.Time) {
 	if _, known := d.byJob[work.Job]; known || work.Model == "" {
 		return
@@ -37,7 +37,7 @@
 	d.byJob[work.Job] = jobWork{model: work.Model, tokens: float64(work.ExpectedTokens), items: int(work.Items), learntAt: now}
 }
 
-// Mean is, by model, the mean work of the recent jobs in expected tokens, and the number
+// Mean returns, by model, the mean work of the recent jobs in expected tokens, and the number
 // of items of the largest of them.
 func (d *Demand) Mean() weightorders.Demand {
 	mean := weightorders.Demand{Tokens: map[string]float64{}, Items: map[string]int{}}
@@ -53,10 +53,10 @@
 	return mean
 }
 
-// Evict forgets old jobs.
+// Evict removes the jobs whose retention has expired.
 func (d *Demand) Evict(now time.Time) {
 	maps.DeleteFunc(d.byJob, func(_ string, work jobWork) bool { return now.Sub(work.learntAt) > demandRetention })
 }
 
-// Len is the number of jobs that count.
+// Len returns the number of recorded jobs.
 func (d *Demand) Len() int { return len(d.byJob) }
--- a/internal/jobs/statistics/doc.go
+++ b/internal/jobs/statistics/doc.go
@@ -1,10 +1,10 @@
-// Package statistics keeps what batch jobs have shown of items and models: how long the
-// texts of items are, how many events a model makes for each token that callers expect,
-// how much work the jobs of a model are, and by how many versions its weights may be
-// behind. A job that starts takes its order of work from them, and the duty that orders
-// weights its demand.
+// Package statistics collects statistics about the items and models of batch jobs: the text
+// lengths of items, the number of events of a model per token that callers expect, the work of
+// the jobs of a model, and by how many versions its weights may be behind. They determine the
+// order in which the items of a job run, and the demand for weights.
 //
-// All of it is in memory and may be lost: a node that knows nothing decides by what
-// callers say, and learns within seconds from its own runs and the heartbeats of others.
-// The types do no I/O, read no clock and have no lock; their caller guards them.
+// The statistics are held in memory and may be lost. A node without statistics uses the
+// estimates of the callers, and collects new statistics within seconds from its own runs and
+// the heartbeats of other nodes. The types do no I/O, read no clock and are not safe for
+// concurrent use.
 package statistics
--- a/internal/jobs/statistics/lengths.go
+++ b/internal/jobs/statistics/lengths.go
@@ -9,53 +9,53 @@
 )
 
 const (
-	// lengthRetention is how long the lengths of items are kept. Trainers send items that
-	// a job ended without again with one of their next jobs.
+	// lengthRetention is how long the lengths of items are stored. Trainers submit the items
+	// that a job ended without again in one of their next jobs.
 	lengthRetention = 60 * time.Second
 	// lengthAnnounceTime is how long a length is repeated in this node's heartbeats.
 	lengthAnnounceTime = 4 * time.Second
 )
 
-// Lengths are the text lengths of items whose jobs ended without their groups, by item
-// id.
+// Lengths records the text lengths of items whose jobs ended without results for their
+// groups.
 type Lengths struct {
 	byItem map[string]knownLength
-	// announced are the lengths that this node repeats in its heartbeats.
+	// announced holds the lengths that this node repeats in its heartbeats.
 	announced []announcedLength
 }
 
-// knownLength is what earlier runs of an item have shown of its length, and when.
+// knownLength is a length and the time at which it was recorded.
 type knownLength struct {
 	placement.Length
 	learntAt time.Time
 }
 
-// announcedLength is a length that this node has learnt from its own runs.
+// announcedLength is a length from this node's own runs.
 type announcedLength struct {
 	item   string
 	length knownLength
 }
 
-// NewLengths returns lengths of no item.
+// NewLengths returns a Lengths without items.
 func NewLengths() *Lengths { return &Lengths{byItem: map[string]knownLength{}} }
 
-// Get returns the length of an item; false if none is known.
+// Get returns the length of an item, and false if it is unknown.
 func (l *Lengths) Get(item string) (placement.Length, bool) {
 	known, found := l.byItem[item]
 	return known.Length, found
 }
 
-// ExpectedEvents is how many events to expect of an item, 0 for nothing known.
+// ExpectedEvents returns the expected number of events of an item, 0 if unknown.
 func (l *Lengths) ExpectedEvents(item string) int { return l.byItem[item].Expected() }
 
-// Observe records the length that runs of this node have shown, to be announced.
+// Observe records a length from this node's own runs and announces it to the other nodes.
 func (l *Lengths) Observe(item string, length placement.Length, now time.Time) {
 	known := knownLength{Length: length, learntAt: now}
 	l.byItem[item] = known
 	l.announced = append(l.announced, announcedLength{item: item, length: known})
 }
 
-// Learn records the lengths that another node announces.
+// Learn records the lengths in a heartbeat of another node.
 func (l *Lengths) Learn(announced []wire.ItemLength, now time.Time) {
 	for _, length := range announced {
 		known := placement.Length{Events: int(length.Events), Complete: length.Whole}
@@ -63,8 +63,8 @@
 	}
 }
 
-// Announced returns the lengths to repeat in a heartbeat, and forgets those that have
-// been repeated for long enough.
+// Announced returns the lengths to announce in a heartbeat. Lengths older than
+// lengthAnnounceTime are no longer announced.
 func (l *Lengths) Announced(now time.Time) []wire.ItemLength {
 	var recent []wire.ItemLength
 	kept := l.announced[:0]
@@ -78,10 +78,10 @@
 	return recent
 }
 
-// Evict forgets old lengths.
+// Evict removes the lengths whose retention has expired.
 func (l *Lengths) Evict(now time.Time) {
 	maps.DeleteFunc(l.byItem, func(_ string, known knownLength) bool { return now.Sub(known.learntAt) > lengthRetention })
 }
 
-// Len is the number of items whose length is known.
+// Len returns the number of items with a known length.
 func (l *Lengths) Len() int { return len(l.byItem) }
--- a/internal/jobs/statistics/tolerances.go
+++ b/internal/jobs/statistics/tolerances.go
@@ -7,30 +7,31 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// firstVersion is the weight version that replicas start with. Jobs that allow it tell
-// nothing of how far behind later ones let the weights be.
+// firstVersion is the weight version that replicas start with. Jobs that allow it do not
+// limit how far the weights may be behind.
 const firstVersion = 1
 
-// Tolerances are by how many versions the weights of models may be behind the newest:
-// for each model the least that any job has allowed.
+// Tolerances holds, by model, by how many versions the weights may be behind the newest
+// version. It is the minimum over all jobs.
 type Tolerances map[string]int64
 
-// Observe learns from a job that allows weights from a version on, while newest is the
-// newest one of the model.
+// Observe records a job that allows weights from minVersion on. newest is the newest version
+// of the model.
 func (t Tolerances) Observe(model string, minVersion, newest int64) {
 	if minVersion > firstVersion {
 		t.Limit(model, max(0, newest-minVersion))
 	}
 }
 
-// Limit lowers the tolerance of a model to a number of versions, unless it is lower.
+// Limit lowers the tolerance of a model to the given number of versions, unless it is already
+// lower.
 func (t Tolerances) Limit(model string, versions int64) {
 	if current, known := t[model]; !known || versions < current {
 		t[model] = versions
 	}
 }
 
-// Announced returns all tolerances as heartbeats have them, in the order of the models.
+// Announced returns the tolerances for a heartbeat, sorted by model.
 func (t Tolerances) Announced() []wire.ModelTolerance {
 	var announced []wire.ModelTolerance
 	for _, model := range slices.Sorted(maps.Keys(t)) {
--- a/internal/replicas/directory/configuration.go
+++ b/internal/replicas/directory/configuration.go
@@ -7,23 +7,25 @@
 	"github.com/pathtally/pathtally/internal/callers/tenancy"
 )
 
-// Configuration is one version of what operators declare. It is immutable.
+// Configuration is one version of the operator's configuration. It is immutable.
 type Configuration struct {
 	Version  uint64
 	Routes   []Route
 	Services map[string]Service
 	Limits   Limits
-	// Tenants finds tenants by their keys; nil where none are declared.
+	// Tenants looks up tenants by key. It is nil if no tenants are declared.
 	Tenants *tenancy.Table
-	// TenantFindings are the parts of the declared tenants that cannot be used.
+	// TenantFindings are the errors in the tenant declarations. The affected parts are
+	// ignored.
 	TenantFindings []*tenancy.DeclarationError
 
 	byHost map[string][]*Route
-	// declaresHomes says that some route or tenant has homes.
+	// declaresHomes is set if any route or tenant has allowed regions.
 	declaresHomes bool
 }
 
-// Index prepares the lookup of routes and homes; call it once before these.
+// Index builds the lookup tables for routes and allowed regions. It must be called once
+// before any lookup.
 func (c *Configuration) Index() {
 	c.byHost = map[string][]*Route{}
 	c.declaresHomes = c.Tenants.DeclaresHomes()
@@ -35,8 +37,7 @@
 	}
 }
 
-// Lookup returns the route of a host whose prefix begins the path and is
-// longest, or nil.
+// Lookup returns the route of the host with the longest prefix of the path, or nil.
 func (c *Configuration) Lookup(host, path string) *Route {
 	var best *Route
 	for _, route := range c.byHost[hostName(host)] {
@@ -47,8 +48,8 @@
 	return best
 }
 
-// JobCallsArePublic reports whether calls about the batch jobs of a host need no
-// key: it has routes that take batch jobs, and all of them are public.
+// JobCallsArePublic reports whether requests about the batch jobs of a host need no key:
+// the host has batch routes, and all of them are public.
 func (c *Configuration) JobCallsArePublic(host string) bool {
 	public := false
 	for _, route := range c.RoutesOf(host) {
@@ -66,7 +67,7 @@
 // RoutesOf returns the routes of a host.
 func (c *Configuration) RoutesOf(host string) []*Route { return c.byHost[hostName(host)] }
 
-// hostName is a Host header in lower case and without its port.
+// hostName returns a Host header in lower case without the port.
 func hostName(host string) string {
 	host = strings.ToLower(host)
 	if name, _, err := net.SplitHostPort(host); err == nil {
--- a/internal/replicas/directory/configuration_sink.go
+++ b/internal/replicas/directory/configuration_sink.go
@@ -2,11 +2,11 @@
 
 import "github.com/pathtally/pathtally/internal/store/objectstore"
 
-// ConfigurationSink brings the stored configuration into force.
+// ConfigurationSink applies the stored configuration to the table.
 type ConfigurationSink struct {
 	Table   *Table
 	Decoder Decoder
-	// Name is the object that holds the configuration.
+	// Name is the name of the object that holds the configuration.
 	Name string
 }
 
--- a/internal/replicas/directory/doc.go
+++ b/internal/replicas/directory/doc.go
@@ -1,17 +1,17 @@
-// Package directory is what a node knows of the world outside: the configuration in
-// force, the replicas, the weight versions that trainers have named, and the zones that
-// are evacuated. Table owns it. Sinks take it from the copy of the metadata store
-// (internal/store/watchcache), which lists and watches for them; everything else reads
-// an immutable View from an atomic pointer.
+// Package directory holds a node's view of the cluster: the active configuration, the
+// replicas, the named weight versions and the evacuated zones. Table holds the state. Sinks
+// update it from the local copy of the metadata store (internal/store/watchcache), which
+// lists and watches the objects. Readers get an immutable View from an atomic pointer.
 //
-// It guarantees within a process:
+// Within a process:
 //
-//   - The configuration's version and the named versions only rise.
-//   - A start of a replica that has said it leaves gets no more requests.
-//   - A replica of an evacuated zone is closed before the view that says so is
-//     published, and opened only after the view that ends it.
-//   - A replica that warms up is bounded before the view that lists it is published.
+//   - The versions of the configuration and of the weights never decrease.
+//   - An incarnation of a replica gets no more requests once its entry said that it drains.
+//   - Endpoints in an evacuated zone are closed before the view with the evacuation is
+//     published, and opened only after the view without it is published.
+//   - The requests to a warming replica are limited before the view that lists it is
+//     published.
 //
-// usable.go decides which replicas are used, entry_book.go applies that to the entries of
-// the store, listing.go and plans.go publish the result.
+// usable.go decides which replicas are used, entry_book.go applies these decisions to the
+// entries in the store, and listing.go and plans.go publish the result.
 package directory
--- a/internal/replicas/directory/engine.go
+++ b/internal/replicas/directory/engine.go
@@ -2,9 +2,9 @@
 
 // Engine is the model engine behind a service's replicas.
 type Engine struct {
-	// Slots is how many requests one replica runs at a time.
+	// Slots is the number of requests that one replica can run concurrently.
 	Slots int
-	// TokenCapacity is the memory for cached and running tokens.
+	// TokenCapacity is the number of cached and running tokens that fit into the memory.
 	TokenCapacity int
 	Models        []string
 }
--- a/internal/replicas/directory/entries_test.go
+++ b/internal/replicas/directory/entries_test.go
@@ -8,9 +8,7 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// The entry of a replica was overwritten by another writer, with bytes that could not be
-// read. Nodes that watched the store went on using the replica of before, while nodes that
-// listed it dropped it: the same content had two meanings, by the way in which it came.
+// Guards against watching and listing nodes treating the same unreadable entry differently.
 func TestAnEntryThatCannotBeReadNamesNoReplicaWhicheverWayItCame(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "one", ready("s"))
@@ -37,8 +35,8 @@
 	})
 }
 
-// Around an outage a vanished entry is kept for a while, since its writer may not have
-// reached the store. One that was overwritten is there.
+// Guards against an unreadable entry being treated like a missing one, whose replica is
+// kept after an outage.
 func TestAnEntryThatCannotBeReadIsNotKeptAfterAnOutage(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "one", ready("s"))
--- a/internal/replicas/directory/entry_book.go
+++ b/internal/replicas/directory/entry_book.go
@@ -10,41 +10,43 @@
 )
 
 const (
-	// leftMemory is how long a replica that leaves is remembered after it was listed
-	// last. Ids are never used again; no change older than that arrives.
+	// leftMemory is how long a draining replica is remembered after its last entry. It must
+	// be longer than the maximum delay of a change. IDs are never reused.
 	leftMemory = 10 * time.Minute
-	// startsScanInterval is the time between scans for starts to forget: there may be
-	// thousands, and keeping them costs little.
+	// startsScanInterval is the time between scans for expired incarnations. Scans are rare
+	// because there may be thousands of incarnations.
 	startsScanInterval = time.Minute
 )
 
-// entryBook applies the entries of replicas to listings, by what it knows of earlier
-// entries. The table's mutex guards it.
+// entryBook applies replica entries to listings, based on the earlier entries. It is guarded
+// by the table's mutex.
 type entryBook struct {
 	logger klog.Logger
 	clock  clock.Clock
-	// left gives the starts of replicas that have said they leave, each with when it was
-	// listed last.
+	// left holds the time of the last entry of each draining replica, by id.
 	left map[string]time.Time
-	// starts are the newest starts known, by the names of replicas, and startsScannedAt
-	// is when starts to forget were last looked for.
-	starts          map[string]*start
+	// starts holds the latest known incarnation by replica name.
+	starts map[string]*start
+	// startsScannedAt is the time of the last scan for expired incarnations.
 	startsScannedAt time.Time
-	// kept are the replicas used on although their entries have vanished.
+	// kept holds the replicas that are kept without an entry, by id, with the timer
+	// that ends it.
 	kept map[string]*time.Timer
-	// onKeptEnd is called when a replica has been kept for its time, and onLateEntry when
-	// a late entry may count after all. Both are called without the table's mutex.
-	onKeptEnd   func(id string)
+	// onKeptEnd is called when the keep time of a replica ends. It is called without the
+	// table's mutex.
+	onKeptEnd func(id string)
+	// onLateEntry is called when a stale entry may be applied after all. It is called
+	// without the table's mutex.
 	onLateEntry func(known *start, late *Replica)
 }
 
-// start is the newest start known of the replicas of one name.
+// start is the latest known incarnation of the replica with one name.
 type start struct {
 	id   string
 	born int64
-	// seen is when an entry of that start was read last.
+	// seen is when the most recent entry of this incarnation was read.
 	seen time.Time
-	// lateEntry is an entry of an earlier start that was read since, nil for none.
+	// lateEntry is an entry of an earlier incarnation that was read since, or nil.
 	lateEntry *Replica
 }
 
@@ -52,7 +54,8 @@
 	return &entryBook{logger: logger, clock: counting, left: map[string]time.Time{}, starts: map[string]*start{}, kept: map[string]*time.Timer{}}
 }
 
-// apply applies a change to a listing, and returns whether it was an entry that counts.
+// apply applies a change to a listing. It reports whether the change is an entry that is not
+// stale.
 func (b *entryBook) apply(listing map[string]*Replica, change ReplicaChange, keepMissing time.Duration) bool {
 	id := b.startOf(change.Name)
 	current := listing[id]
@@ -60,8 +63,8 @@
 	case change.Replica != nil:
 		return b.take(listing, change.Replica) != dispositionLate
 	case change.Unreadable:
-		// The replica may have moved or left since: nothing is known of it until it
-		// writes again.
+		// The replica may have moved or drained since, so it is not used until its next
+		// entry.
 		delete(listing, id)
 		b.stopKeeping(id)
 	case current != nil:
@@ -71,8 +74,8 @@
 	return false
 }
 
-// take takes a replica's entry into a listing, in place of an earlier start of the same
-// name, unless it is late or the replica leaves.
+// take adds a replica to a listing, replacing an earlier incarnation of the same name, unless
+// the entry is stale or the replica is draining.
 func (b *entryBook) take(listing map[string]*Replica, replica *Replica) disposition {
 	known := b.facts(replica)
 	outcome := disposeEntry(known)
@@ -94,7 +97,7 @@
 	return outcome
 }
 
-// facts is what is known of a replica whose entry was read.
+// facts returns the facts that decide what happens to a replica whose entry was read.
 func (b *entryBook) facts(replica *Replica) entryFacts {
 	known := entryFacts{state: replica.State, hasLeft: b.hasLeft(replica.ID)}
 	if newest := b.starts[replica.InstanceName()]; newest != nil && replica.Born < newest.born {
@@ -104,8 +107,8 @@
 	return known
 }
 
-// recordStart records the start of a replica as the newest of its name. A former start
-// leaves the listing.
+// recordStart records a replica as the latest incarnation of its name and removes the
+// previous incarnation from the listing.
 func (b *entryBook) recordStart(listing map[string]*Replica, replica *Replica) {
 	name := replica.InstanceName()
 	known := b.starts[name]
@@ -120,7 +123,8 @@
 	*known = start{id: replica.ID, born: replica.Born, seen: b.clock()}
 }
 
-// delay sets a late entry aside. It may count after all if no other follows.
+// delay defers a stale entry. It is applied after lateEntryPeriod unless another entry
+// follows.
 func (b *entryBook) delay(late *Replica) {
 	known := b.starts[late.InstanceName()]
 	b.logger.Info("late word of an earlier start of a replica", "replica", known.id, "earlier", late.ID, "state", late.State)
@@ -128,8 +132,9 @@
 	time.AfterFunc(lateEntryPeriod, func() { b.onLateEntry(known, late) })
 }
 
-// admitLate returns whether a delayed entry is still the last one read of its name, and
-// then lets it count: the store has had it for long, whatever its start time says.
+// admitLate reports whether a deferred entry is still the last entry read for its name, and
+// in that case makes the next read accept it: the store has held it for long enough to be
+// current, whatever its start time.
 func (b *entryBook) admitLate(known *start, late *Replica) bool {
 	if b.starts[late.InstanceName()] != known || known.lateEntry != late {
 		return false
@@ -138,7 +143,7 @@
 	return true
 }
 
-// takeMissing keeps a replica without an entry in a listing for a while, or leaves it out.
+// takeMissing keeps a replica without an entry in a listing for up to keepFor, or omits it.
 func (b *entryBook) takeMissing(listing map[string]*Replica, replica *Replica, keepFor time.Duration) {
 	id := replica.ID
 	known := missingFacts{hasLeft: b.hasLeft(id), isSuperseded: b.isSuperseded(replica), isKept: b.kept[id] != nil, keepFor: keepFor}
@@ -157,8 +162,8 @@
 	}
 }
 
-// endKeeping ends the time that a replica was kept without an entry, and returns whether
-// it still was.
+// endKeeping ends the keep time of a replica without an entry. It reports whether the replica
+// was still kept.
 func (b *entryBook) endKeeping(id string) bool {
 	if b.kept[id] == nil {
 		return false
@@ -167,7 +172,7 @@
 	return true
 }
 
-// stopKeeping ends that time early.
+// stopKeeping cancels the keep time of a replica without an entry.
 func (b *entryBook) stopKeeping(id string) {
 	if timer := b.kept[id]; timer != nil {
 		timer.Stop()
@@ -175,7 +180,8 @@
 	}
 }
 
-// startOf returns the id of the newest start known of a name, or the name itself.
+// startOf returns the id of the latest known incarnation of a name, or the name itself if
+// none is known.
 func (b *entryBook) startOf(name string) string {
 	if known := b.starts[name]; known != nil {
 		return known.id
@@ -183,19 +189,20 @@
 	return name
 }
 
-// hasLeft reports whether a replica has said that it leaves.
+// hasLeft reports whether an entry of the replica said that it drains.
 func (b *entryBook) hasLeft(id string) bool {
 	_, known := b.left[id]
 	return known
 }
 
-// isSuperseded reports whether an entry of a later start of the same name was read.
+// isSuperseded reports whether another incarnation of the same name is the latest.
 func (b *entryBook) isSuperseded(replica *Replica) bool {
 	known := b.starts[replica.InstanceName()]
 	return known != nil && known.id != replica.ID
 }
 
-// forget drops what is known of replicas that left long ago, given those listed.
+// forget removes expired draining replicas and incarnations. Incarnations that are listed do
+// not expire.
 func (b *entryBook) forget(listed map[string]*Replica) {
 	maps.DeleteFunc(b.left, func(_ string, at time.Time) bool { return time.Since(at) > leftMemory })
 	if b.clock.Since(b.startsScannedAt) < startsScanInterval {
--- a/internal/replicas/directory/evacuation.go
+++ b/internal/replicas/directory/evacuation.go
@@ -10,12 +10,12 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// evacuationEndMemory is how long the end of an evacuation is remembered: replicas warm
-// up within seconds, and operators watch a zone for some minutes after.
+// evacuationEndMemory is how long the end of an evacuation is remembered. It must be longer
+// than any warm-up time.
 const evacuationEndMemory = 10 * time.Minute
 
-// AwaitEvacuations counts every zone as evacuated until the evacuations have been
-// listed once. Call it before the first listing of replicas.
+// AwaitEvacuations treats every zone as evacuated until the evacuations have been listed
+// once. It must be called before the replicas are listed.
 func (t *Table) AwaitEvacuations() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -24,7 +24,7 @@
 	t.publishEvacuations(&next)
 }
 
-// SetEvacuations replaces the whole list of evacuated zones.
+// SetEvacuations replaces the list of evacuated zones.
 func (t *Table) SetEvacuations(zones []string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -46,7 +46,7 @@
 	t.changeEvacuations(&next, changes)
 }
 
-// ApplyEvacuations takes changes that came together, oldest first.
+// ApplyEvacuations applies a batch of changes, oldest first.
 func (t *Table) ApplyEvacuations(changes []EvacuationChange) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -54,7 +54,7 @@
 	t.changeEvacuations(&next, changes)
 }
 
-// changeEvacuations publishes a view with changed evacuations.
+// changeEvacuations applies changes to a view and publishes it.
 func (t *Table) changeEvacuations(next *View, changes []EvacuationChange) {
 	next.Evacuated = cloneTimes(next.Evacuated)
 	next.EvacuationEnded = cloneTimes(next.EvacuationEnded)
@@ -69,7 +69,7 @@
 	t.publishEvacuations(next)
 }
 
-// beginEvacuation records that a zone is evacuated, unless it is known.
+// beginEvacuation records that a zone is evacuated, unless it already is.
 func beginEvacuation(next *View, zone string, now time.Time, logger klog.Logger) {
 	if _, known := next.Evacuated[zone]; known {
 		return
@@ -96,7 +96,7 @@
 		"inFlight", next.InFlightIn(zone))
 }
 
-// publishEvacuations publishes a view whose evacuations have changed.
+// publishEvacuations publishes a view with changed evacuations.
 func (t *Table) publishEvacuations(next *View) {
 	all := allIDs(next)
 	closeEvacuatedZones(next, all)
@@ -104,8 +104,8 @@
 	openOtherZones(next, all)
 }
 
-// closeEvacuatedZones closes the endpoints in evacuated zones of a view, before it is
-// published.
+// closeEvacuatedZones closes the touched endpoints in evacuated zones. It must be called
+// before the view is published.
 func closeEvacuatedZones(view *View, touched map[string]bool) {
 	for id := range touched {
 		if endpoint := view.Endpoints[id]; endpoint != nil && view.IsEvacuated(endpoint.Zone) {
@@ -114,8 +114,9 @@
 	}
 }
 
-// openOtherZones opens the other endpoints of a view. That comes after its publication, which bounds what replicas get while they warm up: those of a zone
-// whose evacuation ends may be cold.
+// openOtherZones opens the touched endpoints in other zones. It must be called after the view
+// is published, because replicas may be cold when an evacuation ends and the publication sets
+// their slow-start limits.
 func openOtherZones(view *View, touched map[string]bool) {
 	for id := range touched {
 		if endpoint := view.Endpoints[id]; endpoint != nil && !view.IsEvacuated(endpoint.Zone) {
@@ -133,7 +134,7 @@
 	return ids
 }
 
-// EndpointsIn lists the current replicas of a zone, in no order.
+// EndpointsIn returns the replicas in a zone in no particular order.
 func (v *View) EndpointsIn(zone string) []*routing.Endpoint {
 	var found []*routing.Endpoint
 	for _, endpoint := range v.Endpoints {
@@ -144,7 +145,7 @@
 	return found
 }
 
-// InFlightIn counts this node's requests in progress at the replicas of a zone.
+// InFlightIn returns the number of this node's requests in flight at the replicas in a zone.
 func (v *View) InFlightIn(zone string) int64 {
 	count := int64(0)
 	for _, endpoint := range v.EndpointsIn(zone) {
--- a/internal/replicas/directory/evacuation_sink.go
+++ b/internal/replicas/directory/evacuation_sink.go
@@ -2,8 +2,8 @@
 
 import "github.com/pathtally/pathtally/internal/store/objectstore"
 
-// EvacuationSink takes the evacuations of zones. Each is an object with the name of
-// its zone; there is nothing else in it to read.
+// EvacuationSink applies the stored evacuations to the table. Each evacuation is an object
+// whose name is the zone; its content is ignored.
 type EvacuationSink struct {
 	Table *Table
 }
--- a/internal/replicas/directory/evacuation_test.go
+++ b/internal/replicas/directory/evacuation_test.go
@@ -12,7 +12,7 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// evacuations is a directory with replicas a and b in the zones of those names.
+// evacuations is a directory with replica a in zone a and replica b in zone b.
 type evacuations struct {
 	*testing.T
 	store *metastore.Store
@@ -38,7 +38,7 @@
 func (e *evacuations) begin(zone string) { e.store.Write("evacuations", zone, struct{}{}) }
 func (e *evacuations) end(zone string)   { e.store.Remove("evacuations", zone) }
 
-// want waits and checks which replicas are to get nothing.
+// want waits for the given time and checks which replicas are evacuated.
 func (e *evacuations) want(within time.Duration, evacuated ...string) {
 	e.Helper()
 	settle(within)
@@ -131,7 +131,7 @@
 	})
 }
 
-// A node that starts may know its replicas before the evacuations.
+// Guards against a starting node using replicas before it knows which zones are evacuated.
 func TestNothingIsSentBeforeEvacuationsAreListed(t *testing.T) {
 	table := NewTable("node", "a", nil, klog.Background())
 	table.AwaitEvacuations()
@@ -147,8 +147,8 @@
 	}
 }
 
-// evacuatedWhenBounded notes whether a replica was still closed when what warming
-// replicas get was bounded.
+// evacuatedWhenBounded is a SlowStart that records whether replica a was evacuated at the last
+// call of SetWarming.
 type evacuatedWhenBounded struct {
 	table  *Table
 	closed bool
@@ -160,8 +160,8 @@
 	}
 }
 
-// Replicas of a zone may be cold when its evacuation ends. They were open for a moment
-// before anything bounded what they get.
+// Replicas may be cold when an evacuation ends. Guards against opening them before their
+// slow-start limits are set.
 func TestReplicasAreBoundedBeforeTheirEvacuationEnds(t *testing.T) {
 	table := NewTable("node", "a", nil, klog.Background())
 	bounded := &evacuatedWhenBounded{table: table}
--- a/internal/replicas/directory/homes.go
+++ b/internal/replicas/directory/homes.go
@@ -7,13 +7,12 @@
 	"github.com/pathtally/pathtally/internal/replicas/homes"
 )
 
-// DeclaresHomes reports whether the requests of some route or tenant may be served in
-// some regions only.
+// DeclaresHomes reports whether any route or tenant has allowed regions.
 func (c *Configuration) DeclaresHomes() bool { return c != nil && c.declaresHomes }
 
-// HomesOf returns the regions in which a tenant's requests on a route may be served now.
-// The route may be that of an earlier configuration, whose homes hold where this one
-// does not declare it.
+// HomesOf returns the allowed regions for a tenant's requests on a route. The route may be
+// from an earlier configuration: its allowed regions apply if this configuration has no route
+// of that name.
 func (c *Configuration) HomesOf(route *Route, tenant string) homes.Set {
 	if c == nil {
 		return homes.Of(route.Homes, nil)
@@ -26,7 +25,7 @@
 	return homes.Of(route.Homes, c.Tenants.HomesOf(tenant))
 }
 
-// Named returns a route by its name, or nil.
+// Named returns the route with the given name, or nil.
 func (c *Configuration) Named(name string) *Route {
 	for i := range c.Routes {
 		if c.Routes[i].Name == name {
@@ -36,8 +35,8 @@
 	return nil
 }
 
-// HasReplica reports whether a service of a route has a replica in some regions, or may
-// have one since the replicas are not known yet.
+// HasReplica reports whether a service of the route has a replica in the allowed regions. It
+// returns true while the replicas are unknown.
 func (v *View) HasReplica(route *Route, allowed homes.Set) bool {
 	if !allowed.Bound() || !v.ReplicasKnown {
 		return true
@@ -56,11 +55,11 @@
 	return false
 }
 
-// RegionOf returns the region of a zone, "" if it is not known.
+// RegionOf returns the region of a zone, or "" if unknown.
 func (t *Table) RegionOf(zone string) string { return t.regions[zone] }
 
-// logUnknownHomes logs the homes of a configuration that name no region of the
-// settings: nothing is served there, and where there are no others, nowhere.
+// logUnknownHomes logs the allowed regions of a configuration that are not in the settings.
+// No replica matches such a region.
 func (t *Table) logUnknownHomes(configuration *Configuration) {
 	known := map[string]bool{}
 	for _, region := range t.regions {
--- a/internal/replicas/directory/homes_test.go
+++ b/internal/replicas/directory/homes_test.go
@@ -8,7 +8,7 @@
 	"github.com/pathtally/pathtally/internal/callers/tenancy"
 )
 
-// errorCount is a log that counts its errors.
+// errorCount is a log sink that counts errors.
 type errorCount struct{ errors *int }
 
 func (errorCount) Init(klog.RuntimeInfo)            {}
--- a/internal/replicas/directory/limits.go
+++ b/internal/replicas/directory/limits.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Limits bound what a caller may send.
+// Limits are the limits on requests of callers.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	// HeaderTimeout bounds the time until a request's headers are read, and IdleTimeout
-	// the time between two requests of a connection.
+	// HeaderTimeout bounds the time to read the headers of a request.
 	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	// IdleTimeout bounds the time between two requests on a connection.
+	IdleTimeout time.Duration
 }
--- a/internal/replicas/directory/listing.go
+++ b/internal/replicas/directory/listing.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// SetReplicas replaces the whole listing. Replicas that are not in it are kept
-// for keepMissing longer.
+// SetReplicas replaces the listing. Replicas that are no longer in it are kept for
+// keepMissing.
 func (t *Table) SetReplicas(replicas []*Replica, keepMissing time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -15,7 +15,8 @@
 	next.Replicas = map[string]*Replica{}
 	for _, replica := range replicas {
 		if t.entries.take(next.Replicas, replica) == dispositionLate {
-			// The start in use has no entry in a listing that shows an earlier one.
+			// The listing has one entry per name, and it is of an earlier incarnation than
+			// the one in use.
 			if id := t.entries.startOf(replica.InstanceName()); current[id] != nil {
 				next.Replicas[id] = current[id]
 			}
@@ -32,8 +33,8 @@
 	t.publishReplicas(&next)
 }
 
-// ApplyReplicas takes changes that came together, oldest first, and makes one
-// view of them. Replicas whose entries have vanished are kept for keepMissing longer.
+// ApplyReplicas applies a batch of changes, oldest first, and publishes one view. Replicas
+// whose entries were removed are kept for keepMissing.
 func (t *Table) ApplyReplicas(changes []ReplicaChange, keepMissing time.Duration) {
 	if len(changes) == 0 {
 		return
@@ -53,7 +54,7 @@
 	t.publishTouched(&next, touched)
 }
 
-// endKeeping drops a replica that was kept without an entry.
+// endKeeping removes a replica whose keep time has ended.
 func (t *Table) endKeeping(id string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -66,7 +67,7 @@
 	t.publishTouched(&next, map[string]bool{id: true})
 }
 
-// applyLateEntry applies a late entry if it is still the last one read of its name.
+// applyLateEntry applies a stale entry if it is still the last one read for its name.
 func (t *Table) applyLateEntry(known *start, late *Replica) {
 	t.mutex.Lock()
 	admitted := t.entries.admitLate(known, late)
--- a/internal/replicas/directory/plans.go
+++ b/internal/replicas/directory/plans.go
@@ -8,9 +8,9 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// publishReplicas publishes a view whose listing was made anew. What has not changed
-// of it stays: most changes concern weights only, which no plan depends on,
-// and there may be thousands of replicas.
+// publishReplicas publishes a view with a replaced listing. It reuses unchanged endpoints and
+// plans, since there may be thousands of replicas and most changes concern weight versions,
+// which plans do not depend on.
 func (t *Table) publishReplicas(next *View) {
 	current := t.view.Load()
 	touched := make(map[string]bool, len(next.Replicas))
@@ -23,8 +23,8 @@
 	t.publishTouched(next, touched)
 }
 
-// publishTouched publishes a view in which some replicas may have changed, come or gone.
-// Its cost is that of these and of a copy of the listing.
+// publishTouched publishes a view in which the touched replicas may have been added, changed
+// or removed. The cost is proportional to their number, plus a copy of the listing.
 func (t *Table) publishTouched(next *View, touched map[string]bool) {
 	current := t.view.Load()
 	t.entries.forget(current.Replicas)
@@ -60,11 +60,11 @@
 	openOtherZones(next, touched)
 }
 
-// maxNamedReplicas is how many replicas that came together the log names: where thousands
-// start, a line for each of them on each of hundreds of nodes is not worth its cost.
+// maxNamedReplicas is how many replicas of a batch are named in the log. A line for each
+// replica on each node would flood the log when a large deployment starts.
 const maxNamedReplicas = 3
 
-// logAdded logs replicas that came together in one line.
+// logAdded logs a batch of added replicas in one line.
 func logAdded(added []*Replica, logger klog.Logger) {
 	if len(added) == 0 {
 		return
@@ -76,13 +76,14 @@
 	logger.Info("replicas added", "replicas", len(added), "first", named)
 }
 
-// sameEndpoint reports whether a replica is as the router knows it.
+// sameEndpoint reports whether an endpoint matches a replica's entry.
 func sameEndpoint(endpoint *routing.Endpoint, replica *Replica) bool {
 	return endpoint.Address == replica.Address && endpoint.Zone == replica.Zone && endpoint.Model == replica.Service &&
 		endpoint.Slots == max(1, replica.Slots)
 }
 
-// newEndpoint is a replica as the router sees it.
+// newEndpoint returns the endpoint of a replica. It reuses the state of an earlier endpoint
+// with the same id.
 func (t *Table) newEndpoint(replica *Replica) *routing.Endpoint {
 	state := t.states[replica.ID]
 	if state == nil {
@@ -95,7 +96,7 @@
 	return made
 }
 
-// planRevisions are the endpoints that leave and enter the plans of services.
+// planRevisions are the endpoints to remove from and add to plans, by service.
 type planRevisions map[string]*planRevision
 
 type planRevision struct {
@@ -119,8 +120,7 @@
 	revision.added = append(revision.added, endpoint)
 }
 
-// apply returns the plans of all services; those of services that have not
-// changed are the current ones.
+// apply returns the plans of all services. Plans without a revision are reused.
 func (r planRevisions) apply(place routing.Place, current map[string]*routing.Plan) map[string]*routing.Plan {
 	if len(r) == 0 {
 		return current
@@ -136,7 +136,7 @@
 	return plans
 }
 
-// apply returns a plan with the revision, nil where no endpoint is left.
+// apply returns the revised plan, or nil if no endpoint remains.
 func (r *planRevision) apply(place routing.Place, current *routing.Plan) *routing.Plan {
 	if current == nil {
 		current = routing.NewRankedPlan(place, nil)
--- a/internal/replicas/directory/replica.go
+++ b/internal/replicas/directory/replica.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ReplicaState is the state that a replica's entry names.
+// ReplicaState is the state in a replica's entry.
 type ReplicaState string
 
 // The states of a replica.
@@ -14,38 +14,39 @@
 	ReplicaDraining ReplicaState = "draining"
 )
 
-// Replica is one start of a back end, as the store lists it.
+// Replica is an incarnation of a replica, as its entry in the store describes it.
 type Replica struct {
-	// ID is new at every start: the replica's name and when it started. What a
-	// node learns of a replica is kept by ID, so it begins anew with each start.
+	// ID identifies the incarnation: the replica's name and start time. State about a
+	// replica is stored by ID, so that a restarted replica starts without it.
 	ID string
-	// Name is what the replica is listed under and answers to; it may last for several
-	// starts. Empty where it is the ID.
+	// Name is the name of the replica's entry and in requests to it. It may stay the same
+	// across restarts. Empty if it equals ID.
 	Name string
-	// Born is when the replica started, in milliseconds since the start of 1970 by its
-	// own time of day; 0 where it does not say.
+	// Born is when the replica started, in Unix milliseconds by its own wall clock. 0 if
+	// unknown.
 	Born    int64
 	Service string
 	Address string
 	Zone    string
 	Slots   int
 	State   ReplicaState
-	// Versions gives the weight version of each model it holds.
+	// Versions is the weight version of each loaded model.
 	Versions map[string]int64
-	// Warming is how much longer it serves slowly, counted from when it wrote the
-	// entry.
+	// Warming is the remaining warm-up time when the entry was written.
 	Warming time.Duration
-	// Spot replicas may be taken away at short notice, a whole zone at once.
+	// Spot is set for replicas on spot capacity, which may be reclaimed at short notice, a
+	// whole zone at once.
 	Spot bool
-	// Leaves is the time left to a replica that has been told to leave, 0 for unknown.
+	// Leaves is the remaining time until a replica with a shutdown notice stops, 0 if
+	// unknown.
 	Leaves time.Duration
 }
 
-// incarnationMark separates the name of a replica from its start in the ID.
+// incarnationMark separates the name of a replica from its start time in the ID.
 const incarnationMark = "@"
 
-// IncarnationID returns the ID of the replica of a name that started at a time, 0 for an
-// unknown one.
+// IncarnationID returns the ID of the incarnation of a replica that started at the given
+// time, in Unix milliseconds. The ID is the name if the time is 0, unknown.
 func IncarnationID(name string, born int64) string {
 	if born == 0 {
 		return name
@@ -53,7 +54,7 @@
 	return name + incarnationMark + strconv.FormatInt(born, 10)
 }
 
-// InstanceName returns what the replica is listed under and answers to.
+// InstanceName returns the name of the replica's entry and in requests to it.
 func (r *Replica) InstanceName() string {
 	if r.Name == "" {
 		return r.ID
--- a/internal/replicas/directory/replica_change.go
+++ b/internal/replicas/directory/replica_change.go
@@ -2,10 +2,10 @@
 
 // ReplicaChange is a change of a replica's entry in the store.
 type ReplicaChange struct {
-	// Name is what the replica is listed under.
+	// Name is the name of the entry.
 	Name string
-	// Replica is the entry's content, nil where it has vanished or cannot be read.
+	// Replica is the decoded entry, nil if it was removed or cannot be decoded.
 	Replica *Replica
-	// Unreadable says that there is an entry that names no replica.
+	// Unreadable is set if the entry exists but cannot be decoded.
 	Unreadable bool
 }
--- a/internal/replicas/directory/replica_sink.go
+++ b/internal/replicas/directory/replica_sink.go
@@ -6,13 +6,13 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// ReplicaSink takes the entries of replicas.
+// ReplicaSink applies the stored entries of replicas to the table.
 type ReplicaSink struct {
 	Table   *Table
 	Decoder Decoder
-	// KeepMissing is how long a replica whose entry vanished around an outage
-	// of the store is kept: a living one writes its entry again at its next
-	// heartbeat, and one that leaves must get no more work by then.
+	// KeepMissing returns how long a replica is kept if its entry is missing after an
+	// outage of the store. A live replica writes its entry again at its next heartbeat, and
+	// a stopped one must not get requests for longer.
 	KeepMissing func() time.Duration
 }
 
@@ -28,7 +28,8 @@
 		}
 		replicas = append(replicas, replica)
 	}
-	// Before the listing: what it lacks may be kept for a while, but not these.
+	// SetReplicas may keep replicas that are missing from the listing. Those with an
+	// unreadable entry must be removed first.
 	s.Table.ApplyReplicas(unreadable, 0)
 	s.Table.SetReplicas(replicas, s.keepFor(afterOutage))
 }
@@ -46,7 +47,8 @@
 	s.Table.ApplyReplicas(changed, s.keepFor(afterOutage))
 }
 
-// read reads an entry, which may be another writer's.
+// read decodes an entry. Entries may be written by other programs, so unreadable ones are
+// reported and not fatal.
 func (s ReplicaSink) read(object objectstore.Object) (replica *Replica, unreadable bool) {
 	replica, err := s.Decoder.Replica(object.Name, object.Spec)
 	if err != nil {
--- a/internal/replicas/directory/restarts_test.go
+++ b/internal/replicas/directory/restarts_test.go
@@ -13,17 +13,12 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// A replica may start again under the id that it had. It was told by its id alone, so
-// that it stayed out of use for good once it had said that it leaves, and what had been
-// learnt of the one before (failures, latency, grants while it warms up) was held against
-// it.
-
-// startedAt is the entry of a replica that started at a time, in milliseconds.
+// startedAt returns the entry of a replica with the given start time in milliseconds.
 func startedAt(born int64, state ReplicaState) map[string]any {
 	return map[string]any{"Service": "s", "Address": "127.0.0.1:1", "Slots": 4, "State": state, "Born": born}
 }
 
-// endpointOf is the replica that a table uses under an id, nil for none.
+// endpointOf returns the endpoint of any incarnation of a replica, or nil.
 func endpointOf(table *Table, id string) *routing.Endpoint {
 	for name, endpoint := range table.View().Endpoints {
 		if name == id || strings.HasPrefix(name, id+"@") {
@@ -67,7 +62,7 @@
 	})
 }
 
-// An entry of the earlier start arrives after one of the later.
+// Guards against an entry of an earlier incarnation that arrives after one of the later.
 func TestALateWordOfAnEarlierStartIsNotTaken(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "one", startedAt(2000, ReplicaReady))
@@ -86,8 +81,8 @@
 	})
 }
 
-// Another writer gave a start time far ahead. The replica's own word must not be taken for
-// a late one for good.
+// Guards against an entry with a start time far in the future making all entries of the replica
+// count as stale forever.
 func TestAStartTimeFarAheadKeepsNoReplicaOut(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "one", startedAt(1<<50, ReplicaDraining))
@@ -101,7 +96,7 @@
 	})
 }
 
-// A listing that holds a late word lacks the start that counts, which is used on.
+// Guards against dropping the latest incarnation when a listing has a stale entry instead.
 func TestAListingWithALateWordKeepsTheLaterStart(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "one", startedAt(2000, ReplicaReady))
@@ -116,9 +111,8 @@
 	})
 }
 
-// The later start leaves, and an entry of the earlier one follows in the same batch of
-// changes: the later one was put back as it had been before the batch, and got requests
-// until its next entry.
+// Guards against restoring a draining incarnation when a stale entry follows in the same batch
+// of changes.
 func TestALateEntryInTheBatchOfALeavingStartDoesNotBringItBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := NewTable("node", "zone", nil, klog.Background())
--- a/internal/replicas/directory/route.go
+++ b/internal/replicas/directory/route.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// Target is a service that takes a part of a route's requests.
+// Target is a service that receives a share of a route's requests.
 type Target struct {
 	Service string
-	// Weight is the part in proportion to the other targets' weights.
+	// Weight is the share relative to the weights of the route's other targets.
 	Weight int
 }
 
-// Route sends the requests of a host under a path prefix to services.
+// Route maps the requests for a host and path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   RouteKind
-	// Timeout is the longest time a request may be held; 0 for no bound.
+	// Timeout bounds the time that a request may take, 0 for no bound.
 	Timeout time.Duration
-	// Objective is the time within which an answer is wanted.
+	// Objective is the desired response time.
 	Objective time.Duration
 	Targets   []Target
-	// Attempts is the largest number of replicas one request may be sent to.
+	// Attempts is the maximum number of replicas to which one request may be sent.
 	Attempts int
-	// Priority is the rank of the requests; 0 is the most urgent.
+	// Priority is the priority of the requests. 0 is the highest.
 	Priority int
-	// Public routes need no key.
+	// Public is set if requests need no key.
 	Public bool
-	// Sticky requests carry a prompt that replicas keep the beginning of.
+	// Sticky is set if requests carry a prompt whose prefix replicas cache.
 	Sticky bool
-	// Resumable streams may be continued at another replica.
+	// Resumable is set if streams may be continued at another replica.
 	Resumable bool
-	// SingleVersion results may come from one weight version only.
+	// SingleVersion is set if a result must come from a single weight version.
 	SingleVersion bool
-	// CompletionObjective is the time for the whole of a batch job, and
-	// Retention the time after which its items may be given up.
+	// CompletionObjective is the desired time to complete a batch job.
 	CompletionObjective time.Duration
-	Retention           time.Duration
-	// Homes are the only regions in which the requests may be served; empty for all.
+	// Retention is the time after which the items of a batch job may be abandoned.
+	Retention time.Duration
+	// Homes are the allowed regions of the requests, empty for all regions.
 	Homes []string
 }
 
--- a/internal/replicas/directory/route_kind.go
+++ b/internal/replicas/directory/route_kind.go
@@ -1,16 +1,17 @@
 package directory
 
-// RouteKind says what may be repeated on a route.
+// RouteKind is the kind of requests on a route, which determines whether they may be
+// repeated.
 type RouteKind string
 
 // The kinds of routes.
 const (
-	// RouteSafe requests may run more than once.
+	// RouteSafe is for requests that may run more than once.
 	RouteSafe RouteKind = "safe"
-	// RouteUnsafe requests run at most once.
+	// RouteUnsafe is for requests that run at most once.
 	RouteUnsafe RouteKind = "unsafe"
-	// RouteStream answers are series of events.
+	// RouteStream is for requests whose responses are event streams.
 	RouteStream RouteKind = "stream"
-	// RouteBatch takes batch jobs.
+	// RouteBatch is for batch jobs.
 	RouteBatch RouteKind = "batch"
 )
--- a/internal/replicas/directory/scale_test.go
+++ b/internal/replicas/directory/scale_test.go
@@ -24,7 +24,7 @@
 	return table
 }
 
-// A replica that comes beside one that goes. Per change on every node.
+// Measures the cost for one node of adding one replica and removing another.
 func BenchmarkReplicaComesAndAnotherGoes(b *testing.B) {
 	for _, count := range []int{3000, 10000, 20000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// The plans made by changes are those that a listing of the same replicas gives.
+// Guards against revised plans diverging from the plans of a listing of the same replicas.
 func TestRevisedPlansAreThoseOfAListing(t *testing.T) {
 	all := listOf(400)
 	listed := NewTable("node", "zone-1", nil, klog.Background())
@@ -69,8 +69,7 @@
 	}
 }
 
-// Half a thousand replicas that come together, as they do while a large deployment
-// starts.
+// Measures the cost of adding 500 replicas in one batch, as when a large deployment starts.
 func BenchmarkFiveHundredReplicasCome(b *testing.B) {
 	all := listOf(5500)
 	changes := make([]ReplicaChange, 500)
--- a/internal/replicas/directory/service.go
+++ b/internal/replicas/directory/service.go
@@ -5,14 +5,15 @@
 // Service is a group of replicas that serve the same requests.
 type Service struct {
 	Name string
-	// MaxConnections is what one replica accepts from all callers together.
+	// MaxConnections is the number of connections that one replica accepts in total.
 	MaxConnections int
-	// Engine is nil for services that are no model engines.
+	// Engine is nil for services that are not model engines.
 	Engine *Engine
-	// WarmUp is how long a replica serves slowly after it has started, and
-	// WarmUpRate how many requests a second it can take meanwhile; 0 for no bound.
-	WarmUp     time.Duration
+	// WarmUp is how long a replica warms up after its start.
+	WarmUp time.Duration
+	// WarmUpRate is the number of requests per second that a replica can serve while it
+	// warms up, 0 for no limit.
 	WarmUpRate float64
-	// Scaling is nil where replicas cannot be ordered.
+	// Scaling is nil for services without autoscaling.
 	Scaling *Scaling
 }
--- a/internal/replicas/directory/sink.go
+++ b/internal/replicas/directory/sink.go
@@ -2,14 +2,14 @@
 
 import "github.com/pathtally/pathtally/internal/store/objectstore"
 
-// takeAll hands every listed object on.
+// takeAll calls take for each object.
 func takeAll(objects []objectstore.Object, take func(objectstore.Object)) {
 	for _, object := range objects {
 		take(object)
 	}
 }
 
-// takePresent hands changed objects on, but no removed ones.
+// takePresent calls take for each changed object that was not removed.
 func takePresent(changes []objectstore.Change, take func(objectstore.Object)) {
 	for _, change := range changes {
 		if !change.Gone {
--- a/internal/replicas/directory/slowstart.go
+++ b/internal/replicas/directory/slowstart.go
@@ -6,14 +6,14 @@
 	"github.com/pathtally/pathtally/internal/replicas/slowstart"
 )
 
-// SlowStart bounds what replicas get while they warm up.
+// SlowStart limits the requests to replicas that are warming up.
 type SlowStart interface {
-	// SetWarming takes all replicas that warm up, and which replicas are listed. On
-	// return none of those that warm up gets more than is allotted.
+	// SetWarming replaces the list of warming replicas. When it returns, the limits of all
+	// of them are in effect. isListed reports whether a replica is in the directory.
 	SetWarming(warming []slowstart.Warming, isListed func(replica string) bool)
 }
 
-// SetSlowStart sets what bounds replicas that warm up. It is called before the first
+// SetSlowStart sets the limiter for warming replicas. It must be called before the first
 // listing.
 func (t *Table) SetSlowStart(slowStart SlowStart) {
 	t.mutex.Lock()
@@ -21,8 +21,9 @@
 	t.slowStart = slowStart
 }
 
-// closeGates bounds the replicas that warm up in a view before it is published, so
-// that no pick finds one of them without its bound. The mutex must be held.
+// closeGates applies the slow-start limits of a view. It must be called before the view is
+// published, so that no pick sees a warming replica without its limit. The mutex must be
+// held.
 func (t *Table) closeGates(next *View, touched map[string]bool) {
 	if t.slowStart == nil {
 		return
@@ -33,8 +34,8 @@
 	t.slowStart.SetWarming(t.warmUps.warming(now, next), isListed)
 }
 
-// warming lists the replicas of a view that warm up at an instant, of services whose
-// rate is bounded meanwhile.
+// warming returns the replicas of a view that are warming up at the given time and whose
+// services have a warm-up rate.
 func (w warmUps) warming(now time.Time, view *View) []slowstart.Warming {
 	if view.Configuration == nil {
 		return nil
@@ -52,8 +53,8 @@
 	return warming
 }
 
-// WarmUpRate returns how many requests a second a replica can take while it warms up, 0
-// for a replica that is not known or has no bound.
+// WarmUpRate returns the number of requests per second that a replica can serve while it
+// warms up, or 0 if the replica is unknown or has no limit.
 func (v *View) WarmUpRate(id string) float64 {
 	replica := v.Replicas[id]
 	if replica == nil || v.Configuration == nil {
--- a/internal/replicas/directory/table.go
+++ b/internal/replicas/directory/table.go
@@ -12,31 +12,28 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// Table applies changes of the store and publishes views. It is safe for
-// use by many goroutines.
+// Table applies changes of the metadata store and publishes views. It is safe for concurrent
+// use.
 type Table struct {
 	place routing.Place
-	// regions gives the region of each zone.
+	// regions maps zones to regions.
 	regions map[string]string
 	logger  klog.Logger
-	// clock gives the instants from which replicas warm up.
+	// clock is used for the times of warm-ups and evacuations.
 	clock clock.Clock
 
-	mutex sync.Mutex
-	// entries is what is known of the replicas' entries.
+	mutex      sync.Mutex
 	entries    *entryBook
 	unreadable *unreadableEntries
 	states     map[string]*routing.EndpointState
-	// warmUps are what is known of replicas that warm up, and slowStart bounds what
-	// they get; nil where it is not bounded.
-	warmUps   warmUps
+	warmUps    warmUps
+	// slowStart is nil if requests to warming replicas are not limited.
 	slowStart SlowStart
 	view      atomic.Pointer[View]
 	changed   chan struct{}
 }
 
-// NewTable returns an empty table for a node in a zone, given the region of each
-// zone.
+// NewTable returns an empty table for a node. regions maps zones to regions.
 func NewTable(node, zone string, regions map[string]string, logger klog.Logger) *Table {
 	table := &Table{
 		place: routing.Place{Node: node, Zone: zone, Region: regions[zone]}, regions: regions, logger: logger, clock: clock.Steady,
@@ -49,15 +46,16 @@
 	return table
 }
 
-// SetClock sets the clock, which counts suspensions of the machine: that of those who send
-// to replicas that warm up. It is called before the first listing.
+// SetClock sets the clock. It must be the boot-time clock that the slow-start gates use,
+// which does not stop while the machine is suspended. SetClock must be called before the
+// first listing.
 func (t *Table) SetClock(counting clock.Clock) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.clock, t.entries.clock = counting, counting
 }
 
-// View returns the newest view.
+// View returns the current view.
 func (t *Table) View() *View { return t.view.Load() }
 
 // Changed returns a channel that is closed at the next change of the view.
@@ -67,8 +65,7 @@
 	return t.changed
 }
 
-// SetConfiguration brings a configuration into force unless it is older than
-// the one that is.
+// SetConfiguration activates a configuration unless the active one is as new or newer.
 func (t *Table) SetConfiguration(configuration *Configuration, revision uint64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -88,7 +85,7 @@
 	t.publish(&next, nil)
 }
 
-// SetVersion records a named weight version unless a newer one is known.
+// SetVersion records a named weight version unless the known one is as new or newer.
 func (t *Table) SetVersion(model string, version int64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -103,7 +100,8 @@
 	t.publish(&next, nil)
 }
 
-// publish publishes a view in which some replicas may have changed, come or gone.
+// publish publishes a view in which the touched replicas may have been added, changed or
+// removed. The mutex must be held.
 func (t *Table) publish(next *View, touched map[string]bool) {
 	next.Changed = time.Now()
 	t.closeGates(next, touched)
--- a/internal/replicas/directory/table_test.go
+++ b/internal/replicas/directory/table_test.go
@@ -15,7 +15,7 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// jsonDecoder reads the package's own types.
+// jsonDecoder decodes JSON into the types of this package.
 type jsonDecoder struct{}
 
 func (jsonDecoder) Configuration(spec []byte) (*Configuration, error) {
@@ -42,7 +42,7 @@
 
 const keepMissing = 1300 * time.Millisecond
 
-// informed runs the informers of a table on the virtual clock.
+// informed returns a table that is updated by informers. They run until the context ends.
 func informed(ctx context.Context, store *metastore.Store) *Table {
 	table := NewTable("node", "zone", nil, klog.Background())
 	sinks := map[string]watchcache.Sink{
@@ -61,7 +61,8 @@
 	return &Replica{Service: service, Address: "127.0.0.1:1", Slots: 4, State: ReplicaReady}
 }
 
-// bubble runs a test on the virtual clock and ends its goroutines.
+// bubble runs a test in a synctest bubble with an empty store, and cancels the context at its
+// end.
 func bubble(t *testing.T, test func(t *testing.T, ctx context.Context, store *metastore.Store)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -75,7 +76,7 @@
 	synctest.Wait()
 }
 
-// passOutage has the store answer nobody for a second, and lets as long pass after it.
+// passOutage makes the store unresponsive for a second, then waits for another second.
 func passOutage(store *metastore.Store) {
 	store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Silent })
 	store.Write("config", "other", struct{}{})
@@ -122,8 +123,8 @@
 	})
 }
 
-// hunt-53fc-19: a replica left without a word just after an outage, and was
-// kept for longer than requests may still reach it.
+// Guards against keeping a replica that stopped during an outage for longer than it may get
+// requests.
 func TestReplicaThatVanishesAroundAnOutageIsKeptForAWhileOnly(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "one", ready("s"))
@@ -197,7 +198,8 @@
 	}
 }
 
-// deafStore answers no watch of a kind that began while it was deaf.
+// deafStore is a store that does not respond to watches of a kind that start while deaf is
+// set.
 type deafStore struct {
 	*metastore.Store
 	kind string
@@ -212,8 +214,8 @@
 	return s.Store.Watch(ctx, kind, from, wait)
 }
 
-// A replica left after an outage in which the answer to a watch had been lost,
-// and the node went on sending to it for as long as that watch could last.
+// Guards against waiting for the timeout of a watch whose response was lost in an outage, while
+// a draining replica still gets requests.
 func TestWatchWhoseAnswerIsLostIsBegunAnewAfterAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -240,7 +242,7 @@
 	})
 }
 
-// Ids of replicas that had left used to be kept until the process ended.
+// Guards against a memory leak of ids of drained replicas.
 func TestReplicasThatLeftLongAgoAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := NewTable("node", "zone", nil, klog.Background())
@@ -262,8 +264,8 @@
 	})
 }
 
-// Each change of an entry used to rebuild every plan, on every node: with a
-// thousand replicas a new version of weights cost a million endpoints.
+// Guards against rebuilding plans for changes that they do not depend on, which is expensive
+// with thousands of replicas.
 func TestChangesThatNoPlanDependsOnLeaveThePlans(t *testing.T) {
 	table := NewTable("node", "zone", nil, klog.Background())
 	replica := func(id, service, address string, version int64) ReplicaChange {
--- a/internal/replicas/directory/unreadable.go
+++ b/internal/replicas/directory/unreadable.go
@@ -8,24 +8,24 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// maxUnreadable bounds the entries remembered as unreadable; beyond it all are forgotten,
-// and reported again.
+// maxUnreadable is the maximum number of remembered unreadable entries. If it is exceeded,
+// all are forgotten and reported again.
 const maxUnreadable = 1024
 
-// ReasonMalformed is why an entry names no replica whose bytes cannot be decoded.
+// ReasonMalformed is the reason for an entry that cannot be decoded.
 const ReasonMalformed = "malformed"
 
-// unreadableEntries counts and logs entries that name no replica, once for each change of
-// one. The table's mutex guards it.
+// unreadableEntries reports and logs entries that do not describe a replica, once for each
+// revision of an entry. It is guarded by the table's mutex.
 type unreadableEntries struct {
 	logger klog.Logger
-	// revisions are those of the entries when they were read last, by name.
+	// revisions holds the revision of each unreadable entry when it was last read, by name.
 	revisions map[string]uint64
-	// report is called for each, with the reason.
+	// report is called with the reason.
 	report func(reason string)
 }
 
-// record records an entry that cannot be read.
+// record reports an unreadable entry unless its revision was already reported.
 func (u *unreadableEntries) record(object objectstore.Object, err error) {
 	if known, recorded := u.revisions[object.Name]; recorded && known == object.Revision {
 		return
@@ -35,17 +35,17 @@
 	u.logger.Error(err, "replica entry names no replica, none is used under its id", "replica", object.Name, "revision", object.Revision)
 }
 
-// forget drops an entry that can be read again.
+// forget removes an entry that is readable again.
 func (u *unreadableEntries) forget(name string) { delete(u.revisions, name) }
 
-// trim drops all where they have become many.
+// trim removes all entries if there are more than maxUnreadable.
 func (u *unreadableEntries) trim() {
 	if len(u.revisions) > maxUnreadable {
 		clear(u.revisions)
 	}
 }
 
-// reasonOf is why an entry names no replica, in a word for metrics.
+// reasonOf returns why an entry is unreadable, as a metric label.
 func reasonOf(err error) string {
 	var coded interface{ Reason() string }
 	if errors.As(err, &coded) {
@@ -54,16 +54,16 @@
 	return ReasonMalformed
 }
 
-// OnUnreadable sets a function that is called at each change of a replica's entry that
-// names no replica, with the reason. It is set before the first listing and must not
-// block.
+// OnUnreadable sets a function that is called with the reason for each revision of an entry
+// that does not describe a replica. It must be set before the first listing. The function
+// must not block.
 func (t *Table) OnUnreadable(report func(reason string)) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.unreadable.report = report
 }
 
-// recordUnreadable records an entry that cannot be read.
+// recordUnreadable records an unreadable entry.
 func (t *Table) recordUnreadable(object objectstore.Object, err error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/replicas/directory/usable.go
+++ b/internal/replicas/directory/usable.go
@@ -2,44 +2,46 @@
 
 import "time"
 
-// This file decides which replicas are used: by their entries (disposeEntry,
-// disposeMissing), by evacuations of their zones (IsEvacuated), and how much they get
-// while they warm up (warmUntil).
+// This file decides which replicas are used, based on their entries (disposeEntry,
+// disposeMissing) and the evacuations of their zones (IsEvacuated), and until when they warm
+// up (warmUntil).
 
-// lateEntryPeriod is how long after an entry of a later start one of an earlier start
-// counts as late: several heartbeats. After it what the store holds counts, so that a
-// wrong start time keeps no replica out for good.
+// lateEntryPeriod is how long after the last entry of a later incarnation an entry of an
+// earlier one counts as stale. It covers several heartbeats. Afterwards the entry in the store
+// is accepted, so that a wrong start time does not exclude a replica forever.
 const lateEntryPeriod = 10 * time.Second
 
-// disposition is what becomes of a replica after a change of its entry.
+// disposition is what happens to a replica after a change of its entry.
 type disposition int
 
 const (
-	// dispositionUse: the replica may get requests.
+	// dispositionUse means that the replica may get requests.
 	dispositionUse disposition = iota
-	// dispositionLeave: it gets no more, also if its entry says otherwise later.
+	// dispositionLeave means that this incarnation gets no more requests, whatever its later
+	// entries say.
 	dispositionLeave
-	// dispositionLate: the entry is of an earlier start than the replica in use, which
-	// stays.
+	// dispositionLate means that the entry is stale: it is of an earlier incarnation than
+	// the one in use, which remains in use.
 	dispositionLate
-	// dispositionKeep: its entry has vanished, and it is used on for a time.
+	// dispositionKeep means that the entry is missing and the replica is kept for a
+	// limited time.
 	dispositionKeep
-	// dispositionDrop: it is not used until its next entry.
+	// dispositionDrop means that the replica is not used until its next entry.
 	dispositionDrop
 )
 
-// entryFacts is what decides about a replica whose entry was read.
+// entryFacts are the inputs of disposeEntry.
 type entryFacts struct {
 	state ReplicaState
-	// hasLeft says that this start of the replica has said before that it leaves.
+	// hasLeft is set if an earlier entry of this incarnation said that it drains.
 	hasLeft bool
-	// isEarlierStart says that an entry of a later start has been read, and
-	// sinceLaterStart how long ago the last one was.
-	isEarlierStart  bool
+	// isEarlierStart is set if an entry of a later incarnation was read.
+	isEarlierStart bool
+	// sinceLaterStart is the time since the last entry of that later incarnation.
 	sinceLaterStart time.Duration
 }
 
-// disposeEntry decides about a replica whose entry was read.
+// disposeEntry decides what happens to a replica whose entry was read.
 func disposeEntry(known entryFacts) disposition {
 	switch {
 	case known.isEarlierStart && known.sinceLaterStart < lateEntryPeriod:
@@ -50,20 +52,20 @@
 	return dispositionUse
 }
 
-// missingFacts is what decides about a replica in use that has no entry any more.
+// missingFacts are the inputs of disposeMissing.
 type missingFacts struct {
-	// hasLeft says that it has said that it leaves, isSuperseded that a later start of
-	// the same name has written an entry.
-	hasLeft      bool
+	// hasLeft is set if an entry of the replica said that it drains.
+	hasLeft bool
+	// isSuperseded is set if another incarnation of the same name is the latest.
 	isSuperseded bool
-	// isKept says that it is kept already since its entry vanished.
+	// isKept is set if the replica is already kept without an entry.
 	isKept bool
-	// keepFor is how long it may be kept: 0 unless the store was down.
+	// keepFor is how long the replica may be kept. It is 0 unless the store was down.
 	keepFor time.Duration
 }
 
-// disposeMissing decides about a replica in use that has no entry any more. The store
-// drops entries of living replicas while it is down, so these may be kept for a while.
+// disposeMissing decides what happens to a replica in use whose entry is missing. Entries of
+// live replicas expire while the store is down, so these may be kept for a limited time.
 func disposeMissing(known missingFacts) disposition {
 	switch {
 	case known.hasLeft || known.isSuperseded:
@@ -74,15 +76,16 @@
 	return dispositionDrop
 }
 
-// IsEvacuated reports whether nothing is to be sent to the replicas of a zone.
+// IsEvacuated reports whether a zone is evacuated, so that its replicas get no requests. It
+// returns true for every zone until the evacuations are known.
 func (v *View) IsEvacuated(zone string) bool {
 	_, evacuated := v.Evacuated[zone]
 	return evacuated || v.EvacuationsAwaited
 }
 
-// warmUntil returns when a replica is warm as far as is known: the latest of what its
-// entry says, and of the service's warm-up time after it appeared and after its zone's
-// evacuation ended. Zero instants are ignored.
+// warmUntil returns when a replica's warm-up ends: the latest of the time that its entry
+// announced, and of the service's warm-up time after the replica appeared and after the
+// evacuation of its zone ended. Zero times are ignored.
 func warmUntil(known warmUp, evacuationEnded time.Time, warmUpTime time.Duration) time.Time {
 	until := known.announcedUntil
 	for _, begun := range []time.Time{known.appeared, evacuationEnded} {
--- a/internal/replicas/directory/version_sink.go
+++ b/internal/replicas/directory/version_sink.go
@@ -2,7 +2,7 @@
 
 import "github.com/pathtally/pathtally/internal/store/objectstore"
 
-// VersionSink takes the weight versions that trainers name.
+// VersionSink applies the named weight versions to the table.
 type VersionSink struct {
 	Table   *Table
 	Decoder Decoder
--- a/internal/replicas/directory/view.go
+++ b/internal/replicas/directory/view.go
@@ -6,30 +6,30 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// View is the directory at one moment. It is immutable.
+// View is a snapshot of the directory. It is immutable.
 type View struct {
 	Configuration *Configuration
-	// ConfigurationRevision is the store's revision of the configuration.
+	// ConfigurationRevision is the revision of the configuration object in the store.
 	ConfigurationRevision uint64
-	// Replicas are the current ones by id.
+	// Replicas holds the usable replicas by id.
 	Replicas map[string]*Replica
-	// Endpoints are the current replicas by id, as the router sees them.
+	// Endpoints holds the endpoints of Replicas by id.
 	Endpoints map[string]*routing.Endpoint
-	// Plans hold the endpoints of each service.
+	// Plans holds the routing plan of each service.
 	Plans map[string]*routing.Plan
-	// Named gives the newest version that a trainer has named of each model.
+	// Named is the newest weight version that a trainer has named, by model.
 	Named map[string]int64
-	// Evacuated gives the zones whose replicas are to get nothing, each with when this
-	// node learned it.
+	// Evacuated holds the evacuated zones with the times at which this node observed it.
 	Evacuated map[string]time.Time
-	// EvacuationEnded gives the zones whose evacuation has ended, each with when this
-	// node learned it. Their replicas may be cold. Old ends are forgotten.
+	// EvacuationEnded holds the zones whose evacuation has ended, with the times at which
+	// this node observed it. Their replicas may be cold. Entries expire after
+	// evacuationEndMemory.
 	EvacuationEnded map[string]time.Time
-	// EvacuationsAwaited is true until the evacuations have been listed once, where
-	// they are followed: until then every zone counts as evacuated.
+	// EvacuationsAwaited is set until the evacuations have been listed once, if the node
+	// watches them. Until then every zone counts as evacuated.
 	EvacuationsAwaited bool
-	// ReplicasKnown is false until the replicas have been listed once.
+	// ReplicasKnown is set once the replicas have been listed.
 	ReplicasKnown bool
-	// Changed is when the view was made.
+	// Changed is when the view was published.
 	Changed time.Time
 }
--- a/internal/replicas/directory/warmups.go
+++ b/internal/replicas/directory/warmups.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// warmUp is what this node knows of the warming of one replica.
+// warmUp is what this node knows about the warm-up of one replica.
 type warmUp struct {
-	// announcedUntil is when it is warm by its entry, zero if that says nothing.
+	// announcedUntil is when the warm-up ends according to the replica's entry, zero if the
+	// entry has no warm-up time.
 	announcedUntil time.Time
-	// appeared is when it came into the listing without saying whether it is warm, zero
-	// if it said so.
+	// appeared is when the replica was first listed without a warm-up time in its entry,
+	// zero if the entry had one.
 	appeared time.Time
 }
 
-// warmUps are the replicas that warm up or may, by id. They do no input or output and
-// read no clock. Instants are those of the node's boot-time clock.
+// warmUps holds the replicas that may be warming up, by id. It does no I/O and reads no
+// clock. Times are of the node's boot-time clock.
 type warmUps map[string]warmUp
 
-// observe records what is new of the replicas that a change touched. Replicas in the first
-// listing of a node have been there: those that say nothing are warm. One that comes into
-// a later listing has started, or has been away, and is not known to be warm.
+// observe records the changes of the touched replicas. Replicas of the first listing were
+// there before, so those without a warm-up time are warm. A replica that is added later has
+// started or was away, and is not assumed to be warm.
 func (w warmUps) observe(now time.Time, current, next *View, touched map[string]bool) {
 	for id := range touched {
 		before, replica := current.Replicas[id], next.Replicas[id]
@@ -33,9 +34,9 @@
 	}
 }
 
-// recordEntry records how much longer a replica warms up by its entry, counted from now,
-// which is later than when it was written. Warm replicas of the first listing are not
-// kept: nearly all replicas are.
+// recordEntry records the remaining warm-up time in a replica's entry. It is counted from
+// now, which is after the entry was written. Warm replicas of the first listing are not
+// stored, to keep the map small.
 func (w warmUps) recordEntry(now time.Time, id string, left time.Duration) {
 	known := w[id]
 	if left <= 0 && known.appeared.IsZero() {
@@ -46,8 +47,8 @@
 	w[id] = known
 }
 
-// mayWarm lists the replicas of a view that may warm up: those of which something is
-// known, and all while an ended evacuation is remembered.
+// mayWarm returns the replicas of a view that may be warming up: those in w, or all replicas
+// while the end of an evacuation is remembered.
 func (w warmUps) mayWarm(view *View) []*Replica {
 	var replicas []*Replica
 	if len(view.EvacuationEnded) > 0 {
@@ -64,7 +65,7 @@
 	return replicas
 }
 
-// until returns when a replica is warm.
+// until returns when the warm-up of a replica ends.
 func (w warmUps) until(replica *Replica, evacuationEnded map[string]time.Time, warmUpTime time.Duration) time.Time {
 	return warmUntil(w[replica.ID], evacuationEnded[replica.Zone], warmUpTime)
 }
--- a/internal/replicas/directory/warmups_test.go
+++ b/internal/replicas/directory/warmups_test.go
@@ -12,7 +12,7 @@
 
 const testWarmUp = 3 * time.Second
 
-// warmingNames stands in for what bounds warming replicas.
+// warmingNames is a SlowStart that records when the warm-up of each replica ends.
 type warmingNames map[string]time.Time
 
 // SetWarming implements SlowStart.
@@ -23,8 +23,8 @@
 	}
 }
 
-// warmingTable is a table with one service whose replicas bear a rate, and a replica
-// in its first listing.
+// warmingTable returns a table with one service with a warm-up rate, and a replica in the
+// first listing.
 func warmingTable(rate float64) (*Table, warmingNames) {
 	table := NewTable("node", "zone", nil, klog.Background())
 	warming := warmingNames{}
@@ -57,7 +57,7 @@
 		change(table, warmReplica("old", 2*time.Second))
 		warming.expect(t, "old", 2*time.Second)
 		time.Sleep(time.Second)
-		// The same word again, with another change, is no news.
+		// An unchanged warm-up time must not restart the warm-up.
 		change(table, warmReplica("old", 2*time.Second))
 		warming.expect(t, "old", time.Second)
 		change(table, warmReplica("old", 0))
--- a/internal/replicas/homes/context.go
+++ b/internal/replicas/homes/context.go
@@ -5,8 +5,8 @@
 // boundsKey is the key of bounds in a context.
 type boundsKey struct{}
 
-// WithBounds returns a context for calls that carry a body with some bounds, in the
-// request or in its answer. Bounds that allow every region are left out.
+// WithBounds returns a context for calls that carry a body with the given bounds in the
+// request or the response. Bounds that allow every region are not stored.
 func WithBounds(ctx context.Context, bounds Bounds) context.Context {
 	if !bounds.homes.Bound() {
 		return ctx
@@ -14,7 +14,7 @@
 	return context.WithValue(ctx, boundsKey{}, bounds)
 }
 
-// BoundsOf returns the bounds of what the calls of a context carry.
+// BoundsOf returns the bounds stored in a context, or the zero Bounds.
 func BoundsOf(ctx context.Context) Bounds {
 	bounds, _ := ctx.Value(boundsKey{}).(Bounds)
 	return bounds
--- a/internal/replicas/homes/doc.go
+++ b/internal/replicas/homes/doc.go
@@ -1,8 +1,7 @@
-// Package homes decides in which regions a request may be served, and where its body may
-// be held or stored, if its route or its tenant names the only regions (its homes).
+// Package homes decides in which regions a request may be served and its body may be held or
+// stored, for routes and tenants with allowed regions.
 //
-// Set is the regions in which replicas may serve a request; Bounds adds the nodes that may
-// hold its body, and travels with calls in their context. The package owns no state, knows
-// no clock and does no input or output. Nothing that is unknown is allowed: a region ""
-// is no home.
+// Set is the set of regions in which replicas may serve a request. Bounds adds the nodes that
+// may hold the body, and is passed in the context of calls. The package holds no state, reads
+// no clock and does no I/O. An unknown region, "", is never an allowed region.
 package homes
--- a/internal/replicas/homes/set.go
+++ b/internal/replicas/homes/set.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// Set is the regions in which a request may be served. It is immutable; the zero
-// Set is every region.
+// Set is the set of regions in which a request may be served. It is immutable. The zero Set
+// allows every region.
 type Set struct {
-	// bound says that only the listed regions are allowed: none where the list is empty.
+	// bound is set if only the listed regions are allowed.
 	bound bool
-	// regions are those of a configuration, which is not changed.
+	// regions may be shared with a configuration and must not be modified.
 	regions []string
 }
 
-// Of returns the regions that both lists allow. An empty list allows every region;
-// two lists that share none allow nowhere.
+// Of returns the regions that both lists allow. An empty list allows every region. If the
+// lists have no region in common, no region is allowed.
 func Of(route, tenant []string) Set { return listed(route).And(listed(tenant)) }
 
-// listed returns the set of a declared list.
+// listed returns the set for a configured list.
 func listed(regions []string) Set {
 	if len(regions) == 0 {
 		return Set{}
@@ -23,19 +23,19 @@
 	return Set{bound: true, regions: regions}
 }
 
-// Bound reports whether some regions are not allowed.
+// Bound reports whether the set is restricted to some regions.
 func (s Set) Bound() bool { return s.bound }
 
-// Allows reports whether a region is allowed. An unknown region, "", is none of the
-// allowed ones where only some are.
+// Allows reports whether a region is allowed. A restricted set does not allow an unknown
+// region, "".
 func (s Set) Allows(region string) bool {
 	return !s.bound || (region != "" && slices.Contains(s.regions, region))
 }
 
-// Regions returns the allowed regions where only some are.
+// Regions returns the allowed regions of a restricted set.
 func (s Set) Regions() []string { return s.regions }
 
-// Nowhere returns the set of no region.
+// Nowhere returns the set that allows no region.
 func Nowhere() Set { return Set{bound: true} }
 
 // And returns the regions that both sets allow.
--- a/internal/replicas/routing/chain.go
+++ b/internal/replicas/routing/chain.go
@@ -1,13 +1,13 @@
 package routing
 
-// Chain is filters that are asked in order.
+// Chain is a list of filters that are evaluated in order.
 type Chain []Filter
 
-// Allow returns whether every filter allows an endpoint.
+// Allow reports whether every filter allows the endpoint.
 func (c Chain) Allow(query *Query, endpoint *Endpoint) bool { return c.refusedAt(query, endpoint) < 0 }
 
-// Refuse returns the reason of the first filter that refuses an endpoint; false if
-// none does.
+// Refuse returns the reason of the first filter that refuses the endpoint, and false if no
+// filter does.
 func (c Chain) Refuse(query *Query, endpoint *Endpoint) (Reason, bool) {
 	place := c.refusedAt(query, endpoint)
 	if place < 0 {
@@ -16,8 +16,9 @@
 	return c[place].Reason(), true
 }
 
-// Explain returns the reason why none of some endpoints is allowed: that of the last
-// filter in order that an endpoint came to. ReasonUnavailable if all are allowed.
+// Explain returns the reason why none of the endpoints is allowed: that of the last filter
+// in the chain that was the first to refuse some endpoint. It returns ReasonUnavailable if
+// no endpoint is refused.
 func (c Chain) Explain(query *Query, endpoints []*Endpoint) Reason {
 	last := -1
 	for _, endpoint := range endpoints {
@@ -29,7 +30,7 @@
 	return c[last].Reason()
 }
 
-// refusedAt returns the index of the first filter that refuses an endpoint, -1 for none.
+// refusedAt returns the index of the first filter that refuses the endpoint, or -1.
 func (c Chain) refusedAt(query *Query, endpoint *Endpoint) int {
 	for place, filter := range c {
 		if !filter.Allow(query, endpoint) {
--- a/internal/replicas/routing/choice.go
+++ b/internal/replicas/routing/choice.go
@@ -8,8 +8,8 @@
 	score    float64
 }
 
-// consider takes an endpoint as the best if the filters allow it and its score is greater
-// than that of the best so far. It returns whether the filters allow it.
+// consider replaces the best choice by an endpoint if the filters allow it and its score is
+// greater. It reports whether the filters allow the endpoint.
 func (p *Plan) consider(best *choice, query *Query, endpoint *Endpoint) bool {
 	if !p.filters.Allow(query, endpoint) {
 		return false
@@ -20,9 +20,9 @@
 	return true
 }
 
-// cacheHome returns the endpoint whose prefix cache should hold the beginning of the
-// query's prompt, with affinityWeight in its score. None if the query has no prompt or
-// the filters refuse the endpoint.
+// cacheHome returns the endpoint whose prefix cache is expected to hold the beginning of the
+// prompt, with affinityWeight added to its score. The choice is empty if the query has no
+// prompt or the filters refuse the endpoint.
 func (p *Plan) cacheHome(query *Query) choice {
 	if query.PrefixHash == 0 {
 		return choice{}
@@ -34,8 +34,8 @@
 	return choice{endpoint: home, score: p.score(query, home) + affinityWeight}
 }
 
-// rendezvousHome returns the endpoint of a prompt's beginning by rendezvous hashing, which
-// moves few prompts when an endpoint comes or goes.
+// rendezvousHome returns the endpoint for the hash of a prompt's beginning. It uses
+// rendezvous hashing, so that adding or removing an endpoint moves few prompts.
 func (p *Plan) rendezvousHome(prefix uint64) *Endpoint {
 	home := p.endpoints[0]
 	greatest := uint64(0)
--- a/internal/replicas/routing/doc.go
+++ b/internal/replicas/routing/doc.go
@@ -1,14 +1,14 @@
-// Package routing picks the replica, or engine in the standalone stack, of a request.
+// Package routing picks the replica for a request, or the engine in the standalone stack.
 //
-// policy.go has the whole choice in one place: the filters in order, the scorers and
-// their weights, and the two pickers. A Plan holds the endpoints that the configuration
-// allows a service, traffic group or trainer. It is immutable and shared by all
-// goroutines; a pick takes no lock and allocates nothing unless it fails.
+// policy.go defines the routing policy: the order of the filters, the scorers and their
+// weights, and the two ways of selecting candidates. A Plan holds the endpoints that the
+// configuration allows for a service, traffic group or trainer. It is immutable and shared
+// by all goroutines. A pick takes no lock and does not allocate unless it fails.
 //
-// The package owns what a node knows of each endpoint between configurations
-// (EndpointState): open dispatches, failures in a row, latency, load reports, the
-// slow-start gate and whether its zone is evacuated. Others write that; picks read it.
+// EndpointState is the state of an endpoint that outlives configuration changes: requests
+// in flight, consecutive failures, latency, load reports, the slow-start gate and whether
+// the zone is evacuated. Other packages write it; picks read it.
 //
-// A pick guarantees that every filter allowed the endpoint at that moment. What must hold
-// at the sending is checked again by package dispatch.
+// All filters allow the picked endpoint at the time of the pick. Package dispatch checks
+// conditions that must hold when the request is sent again.
 package routing
--- a/internal/replicas/routing/endpoint_state.go
+++ b/internal/replicas/routing/endpoint_state.go
@@ -7,62 +7,63 @@
 	"github.com/pathtally/pathtally/internal/replicas/slowstart"
 )
 
-// targetRetryPercent is the share of an endpoint's successes that may be spent on retries
-// to it.
+// targetRetryPercent limits the retries to an endpoint, as a percentage of its successes.
 const targetRetryPercent = 20
 
-// EngineView is the newest report of an endpoint. It is immutable; a new report replaces
-// it.
+// EngineView is the most recent report of an endpoint. It is immutable; a new report
+// replaces it.
 type EngineView struct {
-	// Excluded is set if it takes no new work: it is leaving, unhealthy or silent.
+	// Excluded is set if the endpoint takes no new work: it is draining, unhealthy or does
+	// not respond.
 	Excluded bool
-	// Running and Waiting are the requests there, and Version its weight version.
+	// Running and Waiting are the numbers of requests at the endpoint.
 	Running int
 	Waiting int
+	// Version is the weight version.
 	Version int64
 }
 
-// EndpointState is what changes about an endpoint between configurations. It outlives
-// plans and is safe for use by many goroutines.
+// EndpointState is the state of an endpoint that outlives plans and configurations. It is
+// safe for concurrent use.
 type EndpointState struct {
-	// InFlight counts this node's open dispatches.
+	// InFlight counts this node's requests in flight.
 	InFlight atomic.Int64
-	// Failures counts dispatches that failed in a row.
+	// Failures counts consecutive failed requests of this node.
 	Failures atomic.Int64
-	// Latency is how long its answers take.
+	// Latency averages the response times.
 	Latency LatencyAverage
-	// Retries bounds the retries sent to it.
+	// Retries limits the retries to the endpoint.
 	Retries *admission.RetryBudget
-	// SlowStart bounds what it gets while it warms up.
+	// SlowStart limits the requests to the endpoint while it warms up.
 	SlowStart slowstart.Gate
 	evacuated atomic.Bool
 
 	view atomic.Pointer[EngineView]
-	// reportedInFlight is InFlight at the time of the newest view, so that
-	// the dispatches that the report includes are not counted twice.
+	// reportedInFlight is InFlight at the time of the most recent report, so that requests
+	// that the report includes are not counted twice.
 	reportedInFlight atomic.Int64
 }
 
-// NewEndpointState returns the state of an endpoint without a report: it gets no work
-// before the first.
+// NewEndpointState returns the state of an endpoint without a report. The endpoint is
+// excluded until the first report.
 func NewEndpointState() *EndpointState {
 	state := &EndpointState{Retries: admission.NewRetryBudget(targetRetryPercent)}
 	state.view.Store(&EngineView{Excluded: true})
 	return state
 }
 
-// SetView replaces the newest report.
+// SetView replaces the most recent report.
 func (s *EndpointState) SetView(view EngineView) {
 	s.reportedInFlight.Store(s.InFlight.Load())
 	s.view.Store(&view)
 }
 
-// View returns the newest report.
+// View returns the most recent report.
 func (s *EndpointState) View() *EngineView { return s.view.Load() }
 
-// SetEvacuated sets whether the endpoint's zone is evacuated, so that nothing is sent
-// there.
+// SetEvacuated sets whether the endpoint's zone is evacuated. No requests are sent to
+// endpoints in evacuated zones.
 func (s *EndpointState) SetEvacuated(evacuated bool) { s.evacuated.Store(evacuated) }
 
-// Evacuated returns whether the endpoint's zone is evacuated.
+// Evacuated reports whether the endpoint's zone is evacuated.
 func (s *EndpointState) Evacuated() bool { return s.evacuated.Load() }
--- a/internal/replicas/routing/filter.go
+++ b/internal/replicas/routing/filter.go
@@ -2,15 +2,16 @@
 
 import "slices"
 
-// Filter decides whether an endpoint may be picked. The chains of filters are in
+// Filter decides whether an endpoint may be picked. The filter chains are defined in
 // policy.go.
 type Filter interface {
 	Allow(query *Query, endpoint *Endpoint) bool
-	// Reason is why the filter refuses.
+	// Reason returns why the filter refuses endpoints.
 	Reason() Reason
 }
 
-// RoleFilter keeps rollouts and live requests to endpoints of their role.
+// RoleFilter refuses endpoints that do not take the query's kind of work: rollouts or live
+// requests.
 type RoleFilter struct{}
 
 // Allow implements Filter.
@@ -24,8 +25,8 @@
 // Reason implements Filter.
 func (RoleFilter) Reason() Reason { return ReasonRole }
 
-// AvailableFilter refuses endpoints that take no new work, and those that the request was
-// sent to before.
+// AvailableFilter refuses endpoints that take no new work or to which the request was
+// already sent.
 type AvailableFilter struct{}
 
 // Allow implements Filter.
@@ -36,7 +37,7 @@
 // Reason implements Filter.
 func (AvailableFilter) Reason() Reason { return ReasonUnavailable }
 
-// VersionFilter refuses endpoints on weights older than the request allows.
+// VersionFilter refuses endpoints with an older weight version than the request allows.
 type VersionFilter struct{}
 
 // Allow implements Filter.
@@ -47,7 +48,7 @@
 // Reason implements Filter.
 func (VersionFilter) Reason() Reason { return ReasonVersion }
 
-// CapacityFilter refuses endpoints whose load has reached the bound.
+// CapacityFilter refuses endpoints whose load has reached Query.MaxLoadShare.
 type CapacityFilter struct{}
 
 // Allow implements Filter.
--- a/internal/replicas/routing/filter_region.go
+++ b/internal/replicas/routing/filter_region.go
@@ -9,7 +9,7 @@
 // Reason implements Filter.
 func (EvacuationFilter) Reason() Reason { return ReasonEvacuated }
 
-// HomeFilter refuses endpoints outside the regions that a request is bound to.
+// HomeFilter refuses endpoints outside the allowed regions of the request.
 type HomeFilter struct{}
 
 // Allow implements Filter.
--- a/internal/replicas/routing/filter_slowstart.go
+++ b/internal/replicas/routing/filter_slowstart.go
@@ -1,11 +1,11 @@
 package routing
 
-// SlowStartFilter refuses replicas that are warming up and have no permit left.
+// SlowStartFilter refuses replicas that are warming up if no permit is left.
 type SlowStartFilter struct{}
 
-// Allow implements Filter. A waiting item that finds the gate closed has this node ask
-// for an allotment. Live requests and running items do not: Plan.Pick asks for them only
-// if no other replica is left, so that not every node that callers reach asks for one.
+// Allow implements Filter. For a waiting item, a refusal makes this node request permits.
+// For live requests and running items, only Plan.Pick requests permits, and only if no other
+// replica is eligible. Otherwise every node that receives requests would request permits.
 func (SlowStartFilter) Allow(query *Query, endpoint *Endpoint) bool {
 	if query.Rollout && query.Waiting {
 		return endpoint.State.SlowStart.Open()
--- a/internal/replicas/routing/latency.go
+++ b/internal/replicas/routing/latency.go
@@ -6,27 +6,26 @@
 )
 
 const (
-	// latencyGain is the weight of a new answer in the moving average, between 0 and 1.
+	// latencyGain is the weight of a new response in the moving average, between 0 and 1.
 	latencyGain = 0.3
-	// latencyLifetime is how long an average counts in full. It fades to nothing over as
-	// long again, so that a replica that was slow is tried anew.
+	// latencyLifetime is how long an average keeps its full value. It then decays linearly
+	// to 0 over the same time, so that a replica that was slow is retried.
 	latencyLifetime = 2 * time.Second
 )
 
-// LatencyAverage is a moving average of how long an endpoint's answers to this node take.
-// It is safe for use by many goroutines.
+// LatencyAverage is a moving average of an endpoint's response times to this node. It is
+// safe for concurrent use.
 type LatencyAverage struct {
 	newest atomic.Pointer[latencySample]
 }
 
-// latencySample is an average and when it was made.
+// latencySample is an average and the time at which it was computed.
 type latencySample struct {
 	average time.Duration
 	at      time.Time
 }
 
-// Observe adds the time that an answer took. Of two calls at the same moment, one may be
-// lost.
+// Observe adds a response time. One of two concurrent observations may be lost.
 func (l *LatencyAverage) Observe(took time.Duration) {
 	average := took
 	if last := l.newest.Load(); last != nil && time.Since(last.at) < latencyLifetime {
@@ -35,15 +34,15 @@
 	l.newest.Store(&latencySample{average: average, at: time.Now()})
 }
 
-// ObserveAtLeast adds a time that was waited without an answer. It never makes the
-// average shorter.
+// ObserveAtLeast adds a lower bound of a response time, for a request that has no response
+// after that time. It never reduces the average.
 func (l *LatencyAverage) ObserveAtLeast(waited time.Duration) {
 	if waited > l.Estimate() {
 		l.Observe(waited)
 	}
 }
 
-// Estimate returns the average, 0 if nothing is known.
+// Estimate returns the average, or 0 without observations.
 func (l *LatencyAverage) Estimate() time.Duration {
 	last := l.newest.Load()
 	if last == nil {
--- a/internal/replicas/routing/latency_test.go
+++ b/internal/replicas/routing/latency_test.go
@@ -30,8 +30,8 @@
 	})
 }
 
-// A third of the back ends were slow, and as many requests went to them as to
-// the others, since each node had few in progress at any.
+// Guards against slow replicas getting as many requests as fast ones while each node has few
+// requests in flight.
 func TestSlowEngineGetsFewRequestsOfPlans(t *testing.T) {
 	plan := testPlan(3)
 	for number, endpoint := range plan.Endpoints() {
--- a/internal/replicas/routing/plan.go
+++ b/internal/replicas/routing/plan.go
@@ -8,16 +8,16 @@
 
 // Errors of Pick.
 var (
-	// ErrNoEngineDeclared means that the configuration allows no endpoint.
+	// ErrNoEngineDeclared means that the configuration declares no endpoint for the request.
 	ErrNoEngineDeclared = merry.Sentinel("no engine is declared for the request")
-	// ErrNoEngineAvailable means that the filters refused every endpoint.
+	// ErrNoEngineAvailable means that the filters refuse every endpoint.
 	ErrNoEngineAvailable = merry.Sentinel("no engine is available for the request")
 )
 
-// Plan is the endpoints that the configuration allows a service, traffic group or
+// Plan holds the endpoints that the configuration allows for a service, traffic group or
 // trainer. It is immutable.
 type Plan struct {
-	// endpoints has those of the node's own zone first.
+	// endpoints has the endpoints of the node's own zone first.
 	endpoints []*Endpoint
 	// local is the number of endpoints in the node's own zone.
 	local int
@@ -27,8 +27,8 @@
 	scorers []Scorer
 }
 
-// NewPlan returns a plan for a node in a zone. Its picks compare a few endpoints drawn at
-// random.
+// NewPlan returns a plan for a node in the given zone. Its picks compare a few endpoints
+// chosen at random.
 func NewPlan(zone string, endpoints []*Endpoint) *Plan {
 	plan := &Plan{filters: RequestChain, scorers: requestScorers}
 	for _, endpoint := range endpoints {
@@ -45,12 +45,12 @@
 	return plan
 }
 
-// Endpoints returns the endpoints of the plan. They must not be changed.
+// Endpoints returns the endpoints of the plan. The caller must not modify the slice.
 func (p *Plan) Endpoints() []*Endpoint { return p.endpoints }
 
 // Pick returns the endpoint for a request. The error is ErrNoEngineDeclared or a
-// *NoneLeftError. A pick that finds none has this node ask for allotments of the
-// replicas that are warming up.
+// *NoneLeftError. If no endpoint is eligible, this node requests permits for the replicas
+// that are warming up.
 func (p *Plan) Pick(query *Query) (*Endpoint, error) {
 	if len(p.endpoints) == 0 {
 		return nil, ErrNoEngineDeclared
@@ -63,7 +63,7 @@
 	return best, nil
 }
 
-// best returns the endpoint to pick, nil for none.
+// best returns the endpoint to pick, or nil.
 func (p *Plan) best(query *Query) *Endpoint {
 	if p.ranked {
 		return p.bestInRank(query)
@@ -74,15 +74,15 @@
 	return p.bestOfAll(query)
 }
 
-// requestAllotments records at each closed slow-start gate that it keeps a request back.
+// requestAllotments records demand for a permit at each closed slow-start gate.
 func (p *Plan) requestAllotments() {
 	for _, endpoint := range p.endpoints {
 		endpoint.State.SlowStart.Open()
 	}
 }
 
-// bestDrawn returns the best of the prompt's cache home, localDraws endpoints of the
-// node's zone and anyDraws of all.
+// bestDrawn returns the best of the prompt's cache home, localDraws random endpoints of the
+// node's zone and anyDraws random endpoints of any zone.
 func (p *Plan) bestDrawn(query *Query) *Endpoint {
 	best := p.cacheHome(query)
 	random := query.Random
@@ -108,5 +108,5 @@
 	return best.endpoint
 }
 
-// hashStep advances the caller's random number.
+// hashStep is hashed with the query's random number to derive the next one.
 const hashStep = 0x9e3779b97f4a7c15
