--- a/internal/replicas/routing/plan_ranked.go
+++ b/internal/replicas/routing/plan_ranked.go
@@ -7,15 +7,15 @@
 	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
 )
 
-// Place is where a node is.
+// Place is the location of a node.
 type Place struct {
 	Node string
 	Zone string
-	// Region is the zone's, empty if it is not known.
+	// Region is the region of the zone, empty if unknown.
 	Region string
 }
 
-// distance returns 0 for endpoints in the place's zone, 1 for those in its region, 2
+// distance returns 0 for endpoints in the same zone, 1 for those in the same region, and 2
 // for others.
 func (p Place) distance(endpoint *Endpoint) int {
 	switch {
@@ -27,8 +27,8 @@
 	return 2
 }
 
-// preference returns the order in which the node at a place prefers endpoints: near ones
-// first, and among these by rendezvous hashing.
+// preference returns the comparison that orders endpoints by distance, and by rendezvous
+// hashing with the node's name at the same distance.
 func (p Place) preference() func(a, b *Endpoint) int {
 	node := hashOf(p.Node)
 	return func(a, b *Endpoint) int {
@@ -40,9 +40,9 @@
 	}
 }
 
-// NewRankedPlan returns a plan of replicas that report no load, for a node at a place.
-// Its picks compare the first endpoints in the node's order, so that the nodes together
-// use all replicas alike while each keeps few connections.
+// NewRankedPlan returns a plan of replicas that report no load. Its picks compare the first
+// endpoints in the node's order of preference. The orders of the nodes differ, so that the
+// replicas get similar load while each node uses few connections.
 func NewRankedPlan(place Place, endpoints []*Endpoint) *Plan {
 	plan := NewPlan(place.Zone, endpoints)
 	plan.ranked = true
@@ -50,8 +50,9 @@
 	return plan
 }
 
-// Revised returns a ranked plan without some endpoints and with others added. It merges
-// rather than sorts, since a node revises plans of thousands of endpoints at each change.
+// Revised returns a copy of a ranked plan with some endpoints removed and others added. It
+// merges instead of sorting, since plans may have thousands of endpoints and are revised at
+// every change.
 func (p *Plan) Revised(place Place, gone map[*Endpoint]bool, added []*Endpoint) *Plan {
 	preference := place.preference()
 	slices.SortFunc(added, preference)
@@ -74,9 +75,9 @@
 	return &revised
 }
 
-// bestInRank returns the best of the prompt's cache home and the first subsetSize
-// endpoints that the filters allow, the earlier one of two alike. It compares further
-// ones while the best is in use beyond subsetMaxUse.
+// bestInRank returns the best of the prompt's cache home and the first subsetSize endpoints
+// that the filters allow. Of equal scores, the first wins. It compares further endpoints
+// while the utilization of the best is at least subsetMaxUse.
 func (p *Plan) bestInRank(query *Query) *Endpoint {
 	best := p.cacheHome(query)
 	compared := 0
@@ -91,5 +92,5 @@
 	return best.endpoint
 }
 
-// use returns the share of the slots that is taken, as far as this node knows.
+// use returns the estimated utilization of the endpoint's slots.
 func (e *Endpoint) use() float64 { return float64(e.Load()) / float64(e.Slots) }
--- a/internal/replicas/routing/plan_ranked_test.go
+++ b/internal/replicas/routing/plan_ranked_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// replicasOf returns replicas without requests, one after the other in some zones of
-// the regions that their first letter names.
+// replicasOf returns idle replicas that are spread over the zones in turn. The first letter of
+// a zone is its region.
 func replicasOf(count int, zones ...string) []*Endpoint {
 	endpoints := make([]*Endpoint, count)
 	for number := range endpoints {
@@ -27,8 +27,8 @@
 	return picked
 }
 
-// Requests one after the other go to one replica, whatever small differences there
-// are in its answers, and to one further away only when the nearer ones are gone.
+// Guards against consecutive requests switching replicas because of small latency differences,
+// or using distant replicas while a nearer one is available.
 func TestRankedPlanKeepsToTheNearestReplica(t *testing.T) {
 	plan := NewRankedPlan(Place{Node: "node", Zone: "e1", Region: "e"}, replicasOf(6, "w1", "e2", "e1"))
 	for _, zones := range [][]string{{"e1", "e1"}, {"e2", "e2"}, {"w1", "w1"}} {
@@ -62,7 +62,7 @@
 	}
 }
 
-// The nodes of a zone have different first replicas, so that its replicas get alike.
+// Guards against all nodes of a zone preferring the same replicas.
 func TestRankedPlansOfManyNodesUseAllReplicasAlike(t *testing.T) {
 	replicas := replicasOf(8, "e1")
 	counts := map[string]int{}
@@ -76,7 +76,7 @@
 	}
 }
 
-// A node with many requests at once spreads them over more and more replicas.
+// Guards against overloading the first replicas when a node has many concurrent requests.
 func TestRankedPlanGrowsWithTheLoad(t *testing.T) {
 	replicas := replicasOf(12, "e1", "w1")
 	plan := NewRankedPlan(Place{Node: "node", Zone: "e1", Region: "e"}, replicas)
--- a/internal/replicas/routing/plan_test.go
+++ b/internal/replicas/routing/plan_test.go
@@ -18,7 +18,7 @@
 	return NewPlan("zone-0", endpoints)
 }
 
-// exclude leaves only the engines for which keep is true.
+// exclude excludes the endpoints for which keep returns false.
 func exclude(plan *Plan, keep func(*Endpoint) bool) {
 	for _, endpoint := range plan.Endpoints() {
 		view := *endpoint.State.View()
--- a/internal/replicas/routing/policy.go
+++ b/internal/replicas/routing/policy.go
@@ -1,61 +1,62 @@
 package routing
 
-// How a replica is chosen for an attempt, in order:
+// The replica for an attempt is chosen in these steps:
 //
-//  1. The Plan: the endpoints that the configuration allows. Package forward takes the
-//     plan of the route's target whose turn it is, then those of its other targets.
+//  1. The Plan: the endpoints that the configuration allows. Package forward selects one of
+//     the route's targets by weight and tries its plan first, then those of the others.
 //  2. The filters: RequestChain for live requests, ItemChain for items.
-//  3. The scorers: the sum of requestScorers, and affinityWeight for the endpoint whose
-//     cache should hold the prompt's beginning. The greatest score wins.
-//  4. The picker, which decides how many endpoints are compared: NewRankedPlan compares
-//     the first in this node's order, NewPlan a few drawn at random.
-//  5. At the sending, in package dispatch: the quarantine guard, the evacuation again, and
-//     the permit of the replica's slow start.
+//  3. The scorers: the sum of requestScorers, plus affinityWeight for the endpoint whose
+//     cache is expected to hold the beginning of the prompt. The highest score wins.
+//  4. The candidates: plans of NewRankedPlan compare the first endpoints in this node's
+//     order, plans of NewPlan a few chosen at random.
+//  5. Before sending, in package dispatch: the quarantine guard, the evacuation again, and
+//     the slow-start permit of the replica.
 
-// RequestChain is the filters of live requests. Requests of the users' stack name neither
-// a version nor a load bound, so that VersionFilter and CapacityFilter allow them all.
+// RequestChain is the filter chain for live requests. Where requests specify neither a
+// version nor a load limit, VersionFilter and CapacityFilter allow every endpoint.
 var RequestChain = Chain{
 	RoleFilter{}, AvailableFilter{}, EvacuationFilter{}, HomeFilter{}, VersionFilter{}, SlowStartFilter{}, CapacityFilter{},
 }
 
-// ItemChain is the filters of items of batch jobs. Weights and slots are left to package
-// placement, which knows more of them than the endpoints do.
+// ItemChain is the filter chain for items of batch jobs. Weight versions and free slots are
+// checked by the batch scheduler, which has more recent information about them.
 var ItemChain = Chain{RoleFilter{}, AvailableFilter{}, EvacuationFilter{}, HomeFilter{}, SlowStartFilter{}}
 
 // requestScorers are the scorers of live requests.
 var requestScorers = []Scorer{LoadScorer{}, ZoneScorer{}, FailureScorer{}, LatencyScorer{}}
 
-// Weights of the scores. One unit is a replica whose slots are all taken.
+// Weights of the scores. 1 is the difference between an idle replica and one whose slots are
+// all in use.
 const (
 	// zoneWeight is added for a replica in the node's zone.
 	zoneWeight = 0.15
-	// affinityWeight is added for the replica whose cache should hold the prompt.
+	// affinityWeight is added for the replica whose cache is expected to hold the prompt.
 	affinityWeight = 0.4
-	// failureWeight is taken off for each failure in a row.
+	// failureWeight is subtracted for each consecutive failure.
 	failureWeight = 0.5
-	// latencyWeight is taken off for each multiple of the objective that answers take
-	// beyond toleratedLatency.
+	// latencyWeight is subtracted for each multiple of the objective by which the response
+	// time exceeds toleratedLatency.
 	latencyWeight = 0.5
 )
 
 const (
-	// toleratedLatency is the part of the objective, between 0 and 1, up to which all
-	// replicas count as equally fast: shorter times differ by chance, and changing the
-	// replica may cost a new connection.
+	// toleratedLatency is the fraction of the objective up to which all replicas count as
+	// equally fast. Smaller differences are noise, and switching replicas may cost a new
+	// connection.
 	toleratedLatency = 0.25
-	// maxLatency bounds the latency that counts, as a multiple of the objective.
+	// maxLatency bounds the latency in the score, as a multiple of the objective.
 	maxLatency = 2.0
 )
 
 const (
-	// subsetSize is how many allowed replicas of a ranked plan are compared, the
-	// first in rank. Few, so that requests find kept connections.
+	// subsetSize is how many of the first allowed replicas of a ranked plan are compared.
+	// It is small so that requests reuse connections.
 	subsetSize = 4
-	// subsetMaxUse is the share of its slots, between 0 and 1, that the best of these
-	// may have taken before further replicas are compared too.
+	// subsetMaxUse is the utilization, between 0 and 1, of the best replica so far from
+	// which further replicas are compared.
 	subsetMaxUse = 0.25
-	// localDraws and anyDraws are how many candidates of a plan that is not ranked are
-	// drawn at random, from the node's zone and from all.
+	// localDraws and anyDraws are how many candidates of an unranked plan are chosen at
+	// random from the node's zone and from all zones.
 	localDraws = 2
 	anyDraws   = 2
 )
--- a/internal/replicas/routing/policy_test.go
+++ b/internal/replicas/routing/policy_test.go
@@ -7,8 +7,8 @@
 	"github.com/pathtally/pathtally/internal/replicas/homes"
 )
 
-// Each step makes one more filter refuse, from the last to the first: the reason is that
-// of the first that refuses.
+// Each step makes one more filter refuse, from the last to the first, so that the reason must
+// always be that of the added one.
 func TestFiltersRefuseInOrder(t *testing.T) {
 	endpoint := testPlan(1).Endpoints()[0]
 	endpoint.Region = "north"
--- a/internal/replicas/routing/query.go
+++ b/internal/replicas/routing/query.go
@@ -6,29 +6,29 @@
 	"github.com/pathtally/pathtally/internal/replicas/homes"
 )
 
-// Query is what a pick needs to know of a request.
+// Query holds the properties of a request that a pick depends on.
 type Query struct {
-	// Zone is that of the picking node.
+	// Zone is the zone of this node.
 	Zone string
 	// PrefixHash is the hash of the prompt's beginning, 0 for no prompt.
 	PrefixHash uint64
-	// MinVersion is the least weight version allowed, 0 for any.
+	// MinVersion is the minimum weight version, 0 for any.
 	MinVersion int64
-	// Avoid names an endpoint that has just failed the request.
+	// Avoid names the endpoint at which the request has just failed.
 	Avoid string
-	// Tried names the endpoints that have been sent the request before.
+	// Tried names the endpoints to which the request was already sent.
 	Tried []string
-	// Objective is the time within which an answer is wanted, 0 for none.
+	// Objective is the desired response time, 0 for none.
 	Objective time.Duration
-	// Random is a random number of the caller.
+	// Random is a random number supplied by the caller.
 	Random uint64
-	// Rollout is set for samples and items, not for live requests.
+	// Rollout is set for samples and items, as opposed to live requests.
 	Rollout bool
-	// Waiting is set for items that wait for a replica, not for those that run.
+	// Waiting is set for items that wait for a replica, as opposed to running items.
 	Waiting bool
-	// MaxLoadShare bounds the load of an endpoint as a multiple of its slots, 0 for no
-	// bound.
+	// MaxLoadShare limits the load of the endpoint, as a multiple of its slots. 0 is no
+	// limit.
 	MaxLoadShare float64
-	// Homes are the regions in which the request may be served.
+	// Homes are the allowed regions of the request.
 	Homes homes.Set
 }
--- a/internal/replicas/routing/reason.go
+++ b/internal/replicas/routing/reason.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Reason is why a filter refuses an endpoint.
+// Reason is the reason why a filter refuses an endpoint.
 type Reason string
 
 // The reasons, in the order of the filters in RequestChain.
@@ -16,14 +16,14 @@
 	ReasonFull        Reason = "full"
 )
 
-// LeftNobodyError is a pick for which no replica was left. It is an
+// NoneLeftError means that the filters refuse every endpoint of a plan. It wraps
 // ErrNoEngineAvailable.
 type NoneLeftError struct {
-	// Reason is that of the filter that refused the last of them, as of Chain.Explain.
+	// Reason is the result of Chain.Explain.
 	Reason Reason
 }
 
-// Error gives the reason.
+// Error implements error.
 func (e *NoneLeftError) Error() string {
 	return fmt.Sprintf("%v: those left are %s", ErrNoEngineAvailable, e.Reason)
 }
--- a/internal/replicas/routing/score.go
+++ b/internal/replicas/routing/score.go
@@ -1,7 +1,7 @@
 package routing
 
-// Scorer rates an endpoint for a request; greater is better. The weights are in
-// policy.go.
+// Scorer rates an endpoint for a request. Higher scores are better. The weights are defined
+// in policy.go.
 type Scorer interface {
 	Score(query *Query, endpoint *Endpoint) float64
 }
@@ -14,7 +14,7 @@
 	return -float64(endpoint.Load()) / float64(endpoint.Slots)
 }
 
-// ZoneScorer prefers endpoints of the node's own zone.
+// ZoneScorer prefers endpoints in the node's zone.
 type ZoneScorer struct{}
 
 // Score implements Scorer.
@@ -25,7 +25,7 @@
 	return 0
 }
 
-// FailureScorer avoids endpoints whose newest dispatches from this node failed.
+// FailureScorer avoids endpoints at which the most recent requests of this node failed.
 type FailureScorer struct{}
 
 // Score implements Scorer.
@@ -33,7 +33,8 @@
 	return -failureWeight * float64(endpoint.State.Failures.Load())
 }
 
-// LatencyScorer avoids endpoints whose answers take long against the request's objective.
+// LatencyScorer avoids endpoints whose response times are long relative to the request's
+// objective.
 type LatencyScorer struct{}
 
 // Score implements Scorer.
--- a/internal/replicas/routing/slowstart_test.go
+++ b/internal/replicas/routing/slowstart_test.go
@@ -11,7 +11,8 @@
 	"github.com/pathtally/pathtally/internal/replicas/slowstart"
 )
 
-// TestLiveRequestsGoToWarmReplicasFirst has nobody who allots.
+// Guards against live requests requesting permits while a warm replica is available. There is
+// no allotter.
 func TestLiveRequestsGoToWarmReplicasFirst(t *testing.T) {
 	plan := testPlan(3)
 	var warming []slowstart.Warming
--- a/internal/replicas/slowstart/allotment.go
+++ b/internal/replicas/slowstart/allotment.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// allotment is a number of permits for one replica that this node may use until a time of
-// its boot-time clock.
+// allotment is a number of permits for one replica that this node may use until the given
+// time of its boot-time clock.
 type allotment struct {
 	until time.Time
 	left  atomic.Int64
 }
 
-// newAllotment returns an allotment with all its permits.
+// newAllotment returns an allotment with the given number of unused permits.
 func newAllotment(count int, until time.Time) *allotment {
 	made := &allotment{until: until}
 	made.left.Store(int64(count))
 	return made
 }
 
-// take uses one permit, and returns false if none is left or they have expired.
+// take uses one permit. It returns false if none is left or the allotment has expired.
 func (a *allotment) take(now time.Time) bool {
 	if !now.Before(a.until) {
 		return false
@@ -35,7 +35,7 @@
 	}
 }
 
-// remaining returns the number of permits left, 0 once they have expired.
+// remaining returns the number of unused permits, 0 once the allotment has expired.
 func (a *allotment) remaining(now time.Time) int {
 	if !now.Before(a.until) {
 		return 0
--- a/internal/replicas/slowstart/allotter.go
+++ b/internal/replicas/slowstart/allotter.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// dutyName names the allotting among the duties of the lease.
+	// dutyName identifies this duty to the lease.
 	dutyName = "slow-start"
 	// leaseCheckInterval is the time between checks of whether the lease is due for renewal.
 	leaseCheckInterval = 100 * time.Millisecond
-	// leaseKeepTime is how long the lease is kept after the newest request for permits.
-	// While anything warms up, clients send one each requestInterval.
+	// leaseKeepTime is how long the lease is held after the last request for permits. It is
+	// a multiple of requestInterval.
 	leaseKeepTime = time.Second
 )
 
-// AllotterConfig is what an Allotter needs.
+// AllotterConfig holds the dependencies of an Allotter.
 type AllotterConfig struct {
 	Limits Limits
 	Lease  Lease
-	// Rate returns how many requests a second a replica can take while it warms up, 0 for
-	// a replica that is not known or has no bound.
+	// Rate returns the number of requests per second that a replica can serve while it
+	// warms up, or 0 if the replica is unknown or has no limit.
 	Rate func(replica string) float64
 	// Clock is the boot-time clock.
 	Clock    func() time.Time
@@ -34,8 +34,8 @@
 	Registry prometheus.Registerer
 }
 
-// Allotter allots permits to all nodes while its own holds the duty lease. It is safe for
-// use by many goroutines.
+// Allotter allots permits to all nodes while its own node holds the duty lease. It is safe
+// for concurrent use.
 type Allotter struct {
 	config    AllotterConfig
 	metrics   *allotterMetrics
@@ -43,18 +43,18 @@
 
 	mutex  sync.Mutex
 	ledger *Ledger
-	// requestedAt is when the newest request came.
+	// requestedAt is when the last request was received.
 	requestedAt time.Time
 	summary     summary
 }
 
-// NewAllotter returns an allotter that acquires the lease only in Run.
+// NewAllotter returns an allotter. It acquires the lease only in Run.
 func NewAllotter(config AllotterConfig) *Allotter {
 	return &Allotter{config: config, metrics: newAllotterMetrics(config.Registry), requested: make(chan struct{}, 1), ledger: NewLedger()}
 }
 
-// Allot answers a request for permits that has just come. Nothing is allotted unless this
-// node has held the lease for a Window, so that all permits of earlier holders have expired.
+// Allot handles a request for permits. Nothing is allotted unless this node has held the
+// lease for Window, so that all permits of earlier holders have expired.
 func (a *Allotter) Allot(wanted []wire.ReplicaCount) []wire.ReplicaCount {
 	select {
 	case a.requested <- struct{}{}:
@@ -62,7 +62,7 @@
 	}
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	// The time is taken before the lease is checked, so that the lease was held at it.
+	// The time is read before the lease is checked, so that the lease was held at that time.
 	received := a.config.Clock()
 	a.requestedAt = received
 	since, valid := a.config.Lease.Held()
@@ -81,8 +81,8 @@
 	return allotted
 }
 
-// record adds one replica's part of a request to the summary and the metrics. The mutex
-// must be held.
+// record adds the permits requested and allotted for one replica to the summary and the
+// metrics. The mutex must be held.
 func (a *Allotter) record(wanted, allotted int) {
 	a.summary.questions++
 	a.summary.allotted += allotted
@@ -91,7 +91,7 @@
 	a.metrics.refused.Add(float64(wanted - allotted))
 }
 
-// Run keeps the lease while requests for permits come, until the context ends.
+// Run holds the lease while requests for permits arrive, until the context ends.
 func (a *Allotter) Run(ctx context.Context) {
 	for {
 		select {
@@ -103,7 +103,7 @@
 	}
 }
 
-// keepLease keeps the lease until no request has come for leaseKeepTime.
+// keepLease holds the lease until no request has arrived for leaseKeepTime.
 func (a *Allotter) keepLease(ctx context.Context) {
 	defer a.config.Lease.Idle(dutyName)
 	for ctx.Err() == nil && a.wasRequested() {
@@ -116,14 +116,14 @@
 	a.report()
 }
 
-// wasRequested returns whether a request has come within leaseKeepTime.
+// wasRequested reports whether a request has arrived within leaseKeepTime.
 func (a *Allotter) wasRequested() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.config.Clock().Sub(a.requestedAt) < leaseKeepTime
 }
 
-// report logs what was allotted since the last report.
+// report logs the permits allotted since the last report.
 func (a *Allotter) report() {
 	a.mutex.Lock()
 	reported := a.summary
@@ -136,7 +136,7 @@
 	a.config.Logger.Info("requests to warming replicas allotted", "questions", reported.questions, "allotted", reported.allotted, "refused", reported.refused)
 }
 
-// wait waits for a span or until the context ends.
+// wait waits for the given time or until the context ends.
 func wait(ctx context.Context, span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
--- a/internal/replicas/slowstart/client.go
+++ b/internal/replicas/slowstart/client.go
@@ -14,50 +14,51 @@
 )
 
 const (
-	// requestInterval is the least time between two requests for permits, a part of Span
-	// in which a warming replica takes about one request.
+	// requestInterval is the minimum time between two requests for permits. A warming
+	// replica can serve about one request in that time.
 	requestInterval = 120 * time.Millisecond
-	// requestTimeout bounds the wait for an answer: a later one leaves little of Span.
+	// requestTimeout bounds the wait for a reply. Permits of a later reply would be valid
+	// for little of Span.
 	requestTimeout = 350 * time.Millisecond
-	// maxWanted is how many permits for a replica are requested at a time: one more than
-	// a node uses in requestInterval, so that something is left for other nodes.
+	// maxWanted is the maximum number of permits per replica in one request. It is one more
+	// than a node uses in requestInterval, so that permits remain for other nodes.
 	maxWanted = 2
 )
 
-// ClientConfig is what a Client needs.
+// ClientConfig holds the dependencies of a Client.
 type ClientConfig struct {
-	// Ask requests permits of the allotter and returns those allotted and how long they may
-	// be used, counted from the call. That none are allotted is no error.
+	// Ask requests permits from the allotter. It returns the allotted permits and how long
+	// they are valid, counted from the call. An empty result is not an error.
 	Ask func(ctx context.Context, wanted []wire.ReplicaCount) ([]wire.ReplicaCount, time.Duration, error)
 	// Clock is the boot-time clock.
 	Clock func() time.Time
-	// Allotted is called when this node has got permits.
+	// Allotted is called when this node has received permits.
 	Allotted func()
 	Logger   klog.Logger
 	Registry prometheus.Registerer
 }
 
 // Client closes the gates of the replicas that are warming up, and requests permits while
-// requests are kept back. It is safe for use by many goroutines.
+// there is demand. It is safe for concurrent use.
 type Client struct {
 	config  ClientConfig
 	metrics *clientMetrics
 	wanted  chan struct{}
-	// failures counts the requests for permits in a row without an answer, of which the
-	// first is logged. It belongs to Run.
+	// failures counts consecutive failed requests for permits. Only the first is logged. It
+	// is used only by Run.
 	failures int
 
 	mutex sync.Mutex
-	// gates are the closed gates by replica.
+	// gates holds the closed gates by replica.
 	gates map[string]*warmingGate
 }
 
-// NewClient returns a client that requests nothing before Run.
+// NewClient returns a client. It requests permits only in Run.
 func NewClient(config ClientConfig) *Client {
 	return &Client{config: config, metrics: newClientMetrics(config.Registry), wanted: make(chan struct{}, 1), gates: map[string]*warmingGate{}}
 }
 
-// wake has Run check what is wanted.
+// wake makes Run check for demand. It does not block.
 func (c *Client) wake() {
 	select {
 	case c.wanted <- struct{}{}:
@@ -65,8 +66,8 @@
 	}
 }
 
-// Run requests permits while closed gates keep requests back, and opens the gates of
-// replicas that are warm, until the context ends.
+// Run requests permits while closed gates have demand, and opens the gates of warm replicas,
+// until the context ends.
 func (c *Client) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		timer := time.NewTimer(c.untilNextWarm())
@@ -83,7 +84,7 @@
 	}
 }
 
-// ask requests all permits that are wanted now.
+// ask requests permits for the current demand.
 func (c *Client) ask(ctx context.Context) {
 	wanted := c.takeWanted()
 	if len(wanted) == 0 {
@@ -104,8 +105,7 @@
 	c.addAllotments(sent, span, allotted)
 }
 
-// takeWanted returns the permits wanted now, in the order of the replicas' names, and
-// resets the demand.
+// takeWanted returns the permits to request, sorted by replica, and resets the demand.
 func (c *Client) takeWanted() []wire.ReplicaCount {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -124,8 +124,8 @@
 	return wanted
 }
 
-// addAllotments adds the permits allotted to a request that was sent at a time. They may be
-// used for a span from then, not from the answer, since the allotter counts them so.
+// addAllotments adds the permits allotted for a request that was sent at the given time. They
+// are valid for span from that time, not from the reply, as the allotter's ledger assumes.
 func (c *Client) addAllotments(sent time.Time, span time.Duration, allotted []wire.ReplicaCount) {
 	if len(allotted) == 0 {
 		return
--- a/internal/replicas/slowstart/client_gates.go
+++ b/internal/replicas/slowstart/client_gates.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// idleCheckInterval is the time between checks while nothing warms up. A replica that
-// begins to warm up wakes the client before.
+// idleCheckInterval is the time between checks while no replica warms up. The client wakes up
+// earlier when a replica starts to warm up.
 const idleCheckInterval = time.Minute
 
 // warmingGate is the closed gate of a replica that is warming up.
@@ -12,9 +12,10 @@
 	counts *gateCounts
 }
 
-// SetWarming takes all replicas that are warming up. On return their gates are closed. The
-// gates of other listed replicas are open. That of a replica that is no longer listed stays
-// closed to requests that picked it before, until it would have been warm.
+// SetWarming replaces the list of warming replicas. When it returns, their gates are closed
+// and the gates of other listed replicas are open. The gate of a replica that is no longer
+// listed stays closed until its warm-up would have ended, for requests that have already
+// picked it.
 func (c *Client) SetWarming(warming []Warming, isListed func(replica string) bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -34,13 +35,13 @@
 	}
 	c.metrics.warming.Set(float64(len(c.gates)))
 	if len(c.gates) > 0 {
-		// Run must learn when the next replica is warm.
+		// The time until the next replica is warm may have changed.
 		c.wake()
 	}
 }
 
-// closeGate closes the gate of a replica, or changes until when it is closed. The mutex
-// must be held.
+// closeGate closes the gate of a replica, or updates the time until which it is closed. The
+// mutex must be held.
 func (c *Client) closeGate(replica Warming) {
 	entry := c.gates[replica.Replica]
 	if entry != nil && entry.gate != replica.Gate {
@@ -61,7 +62,7 @@
 	}
 }
 
-// dropGate removes a gate from those of the client. The mutex must be held.
+// dropGate removes a gate from the client. The mutex must be held.
 func (c *Client) dropGate(replica string, entry *warmingGate) {
 	delete(c.gates, replica)
 	used := entry.counts.used.Load()
@@ -69,7 +70,7 @@
 	c.config.Logger.Info("replica is warm or gone", "replica", replica, "sentMeanwhile", used)
 }
 
-// untilNextWarm returns the time until the next replica is warm, idleCheckInterval at most.
+// untilNextWarm returns the time until the next replica is warm, at most idleCheckInterval.
 func (c *Client) untilNextWarm() time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -81,7 +82,7 @@
 	return max(0, next)
 }
 
-// releaseWarm opens the gates of the replicas that are warm by now.
+// releaseWarm opens the gates of the replicas whose warm-up has ended.
 func (c *Client) releaseWarm() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/replicas/slowstart/doc.go
+++ b/internal/replicas/slowstart/doc.go
@@ -1,19 +1,20 @@
-// Package slowstart bounds what all nodes together send to a replica that is warming up.
+// Package slowstart limits the rate of requests from all nodes to a replica that is warming
+// up.
 //
-// One node, the holder of the duty lease, allots permits for requests (Allotter, Ledger,
-// Limits). Nodes that would send to such a replica ask it for permits (Client), and a Gate
-// at each replica lets a request pass only against one. Where anything fails there are no
-// permits, and the replica gets nothing until it is warm.
+// One node, the holder of the duty lease, allots permits (Allotter, Ledger, Limits). The
+// other nodes request permits from it (Client). The Gate of a warming replica lets a request
+// pass only if it uses a permit. After a failure of the allotter or the network there are no
+// permits, and the replica gets no requests until it is warm.
 //
-// A gate is open (the replica is warm, or the gate was never closed), or closed with a
-// number of permits, which may be none. Client.SetWarming closes gates; time or a listing
-// of the replica as warm opens them.
+// A gate is either open (the replica is warm, or the gate was never closed), or closed with
+// zero or more permits. Client.SetWarming closes gates. They open when the warm-up time ends
+// or the replica is listed as warm.
 //
-// A Client owns the closed gates of its node, an Allotter the ledger of what it allotted.
-// The package relies on the duty lease for at most one allotter at a time, and on
-// boot-time clocks, which go on while a machine is suspended, but not on any common clock.
+// The package relies on the duty lease to ensure that there is at most one allotter at a
+// time, and on boot-time clocks, which do not stop while a machine is suspended. The clocks of
+// the nodes need not be synchronized.
 //
-// It guarantees that in any window the permits used at a replica stay within Limits: a
-// permit is used between the receipt of the request for it and Span after that request was
-// sent, and the ledger counts it for that whole time. docs/design/slow-start.md says why.
+// The number of permits used at a replica in any second stays within Limits: a permit is used
+// between the receipt of the request for it and Span after that request was sent, and the
+// ledger counts it for all of that time. See docs/design/slow-start.md.
 package slowstart
--- a/internal/replicas/slowstart/gate.go
+++ b/internal/replicas/slowstart/gate.go
@@ -5,28 +5,28 @@
 	"sync/atomic"
 )
 
-// Gate bounds what this node sends to one replica. The zero Gate is open. It is safe for
-// use by many goroutines and takes no lock.
+// Gate limits the requests of this node to one replica. The zero Gate is open. It is safe for
+// concurrent use and takes no lock.
 type Gate struct {
-	// bounds is nil if the gate is open. It is replaced, never changed.
+	// bounds is nil if the gate is open. The pointed-to value is never modified.
 	bounds atomic.Pointer[bounds]
 }
 
-// Open returns whether a request may be sent now. If not, it records the demand, so that
-// the Client asks for a permit.
+// Open reports whether a request may be sent now. If not, it records demand, so that the
+// Client requests a permit.
 func (g *Gate) Open() bool {
 	bounds := g.bounds.Load()
 	return bounds == nil || bounds.open()
 }
 
-// Take takes the permit for a request that is sent at once. If there is none, it records
-// the demand and returns false: the request must not be sent.
+// Take uses a permit for a request that is sent immediately. If there is none, it records
+// demand and returns false, and the request must not be sent.
 func (g *Gate) Take() bool {
 	bounds := g.bounds.Load()
 	return bounds == nil || bounds.take()
 }
 
-// PermitsLeft returns how many requests may be sent now, math.MaxInt if the gate is open.
+// PermitsLeft returns how many requests may be sent now, or math.MaxInt if the gate is open.
 // It records no demand.
 func (g *Gate) PermitsLeft() int {
 	bounds := g.bounds.Load()
@@ -36,7 +36,7 @@
 	return bounds.left()
 }
 
-// Wanted returns whether a request has been kept back since the Client last asked for
+// Wanted reports whether the gate has refused a request since the Client last requested
 // permits.
 func (g *Gate) Wanted() bool {
 	bounds := g.bounds.Load()
--- a/internal/replicas/slowstart/gate_bounds.go
+++ b/internal/replicas/slowstart/gate_bounds.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// bounds are those of a closed gate. They are immutable but for the counts.
+// bounds is the state of a closed gate. It is immutable except for the counts.
 type bounds struct {
-	// until is when the gate opens, by this node's boot-time clock.
+	// until is when the gate opens, in the node's boot-time clock.
 	until      time.Time
 	allotments []*allotment
 	clock      func() time.Time
 	counts     *gateCounts
-	// wake has the Client check for demand. It does not block.
+	// wake makes the Client check for demand. It does not block.
 	wake func()
 }
 
-// gateCounts count what happened at one gate. They outlive its bounds.
+// gateCounts holds the counters of one gate. They outlive its bounds.
 type gateCounts struct {
-	// demand counts the requests kept back since the Client last asked for permits.
+	// demand counts the requests refused since the Client last requested permits.
 	demand atomic.Int64
 	// used counts the requests that passed with a permit.
 	used atomic.Int64
 }
 
-// open returns whether a request may be sent now, and records the demand if not.
+// open reports whether a request may be sent now. If not, it records demand.
 func (b *bounds) open() bool {
 	if b.left() > 0 {
 		return true
@@ -34,7 +34,7 @@
 	return false
 }
 
-// take uses one permit, and records the demand if there is none.
+// take uses one permit. If there is none, it records demand and returns false.
 func (b *bounds) take() bool {
 	now := b.clock()
 	if !now.Before(b.until) {
@@ -50,7 +50,7 @@
 	return false
 }
 
-// left returns how many requests may be sent now.
+// left returns how many requests may be sent now, or math.MaxInt once the warm-up has ended.
 func (b *bounds) left() int {
 	now := b.clock()
 	if !now.Before(b.until) {
@@ -63,14 +63,14 @@
 	return total
 }
 
-// recordDemand records a request that was kept back.
+// recordDemand records a refused request and wakes the Client.
 func (b *bounds) recordDemand() {
 	b.counts.demand.Add(1)
 	b.wake()
 }
 
-// withAllotment returns the bounds with a further allotment and without those that are
-// used up or expired.
+// withAllotment returns a copy of the bounds with one more allotment and without those that
+// are used up or expired.
 func (b *bounds) withAllotment(further *allotment) *bounds {
 	next := *b
 	now := b.clock()
--- a/internal/replicas/slowstart/gate_test.go
+++ b/internal/replicas/slowstart/gate_test.go
@@ -17,7 +17,7 @@
 
 var errNobody = merry.New("nobody is there")
 
-// runClient runs a client with one warming replica against whoever answers.
+// runClient runs a client with one warming replica. answer replies to its requests.
 func runClient(ctx context.Context, answer func([]wire.ReplicaCount) ([]wire.ReplicaCount, error)) (*Client, *Gate) {
 	client := NewClient(ClientConfig{
 		Ask: func(_ context.Context, wanted []wire.ReplicaCount) ([]wire.ReplicaCount, time.Duration, error) {
@@ -87,7 +87,7 @@
 	if most := worldLimits.perWindow(0); most != 0 {
 		t.Errorf("%d requests may be allotted", most)
 	}
-	// As at a deployment with 7.7 requests a second, 1.5 times as many and 5 more.
+	// perSecond is 7.7 * 1.5 + 5 and perWindow is 7.7 * 1.75, both rounded down.
 	if most, bound := worldLimits.perWindow(worldRate), worldLimits.perSecond(worldRate); most != 13 || bound != 16 {
 		t.Errorf("%d requests may be allotted of %d, want 13 of 16", most, bound)
 	}
--- a/internal/replicas/slowstart/lease.go
+++ b/internal/replicas/slowstart/lease.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Lease is what an Allotter needs of the duty lease.
+// Lease is the part of the duty lease that an Allotter uses.
 type Lease interface {
-	// Held returns since when neither another node nor a former process of this one
-	// has held the lease, by the boot-time clock, and whether it is valid now.
+	// Held returns the time, in the boot-time clock, since which no other node and no
+	// earlier process of this node has held the lease, and whether the lease is valid now.
 	Held() (since time.Time, valid bool)
-	// Ready acquires or renews the lease for a duty. If it is not ready, again is the time
-	// until the next try.
+	// Ready acquires or renews the lease for a duty. If the lease is not ready, again is the
+	// time until the next attempt.
 	Ready(ctx context.Context, duty string) (ready bool, again time.Duration)
-	// Idle releases the duty's claim on the lease, which need not be renewed for it.
+	// Idle ends the use of the lease by a duty. The lease is no longer renewed for it.
 	Idle(duty string)
 }
--- a/internal/replicas/slowstart/ledger.go
+++ b/internal/replicas/slowstart/ledger.go
@@ -2,15 +2,14 @@
 
 import "time"
 
-// ledgerEntry is a number of permits and when the request for them was received, by the
-// allotter's boot-time clock.
+// ledgerEntry is a number of permits and the time at which the request for them was received,
+// in the allotter's boot-time clock.
 type ledgerEntry struct {
 	at    time.Time
 	count int
 }
 
-// Ledger holds the permits allotted for each replica. It is not safe for use by many
-// goroutines.
+// Ledger records the permits allotted for each replica. It is not safe for concurrent use.
 type Ledger struct {
 	// window is how long an entry counts.
 	window  time.Duration
@@ -20,8 +19,8 @@
 // NewLedger returns an empty ledger whose entries count for Window.
 func NewLedger() *Ledger { return &Ledger{window: Window, entries: map[string][]ledgerEntry{}} }
 
-// Allot records up to a wanted number of permits for a replica and returns how many, so
-// that no window has more than most of them. Times must not go back.
+// Allot records up to wanted permits for a replica and returns their number. At most most
+// permits are recorded in any window. Successive times must not decrease.
 func (l *Ledger) Allot(replica string, at time.Time, wanted, most int) int {
 	allotted := min(wanted, most-l.inWindow(replica, at))
 	if allotted <= 0 {
@@ -31,7 +30,7 @@
 	return allotted
 }
 
-// inWindow returns how many permits for a replica count at a time.
+// inWindow returns how many permits of a replica count at the given time.
 func (l *Ledger) inWindow(replica string, at time.Time) int {
 	l.dropExpired(replica, at)
 	total := 0
@@ -41,7 +40,7 @@
 	return total
 }
 
-// dropExpired drops the entries of a replica that do not count at a time.
+// dropExpired removes the expired entries of a replica.
 func (l *Ledger) dropExpired(replica string, at time.Time) {
 	entries := l.entries[replica]
 	for len(entries) > 0 && at.Sub(entries[0].at) > l.window {
@@ -54,7 +53,7 @@
 	l.entries[replica] = entries
 }
 
-// Prune drops all entries that do not count at a time.
+// Prune removes the expired entries of all replicas.
 func (l *Ledger) Prune(at time.Time) {
 	for replica := range l.entries {
 		l.dropExpired(replica, at)
--- a/internal/replicas/slowstart/metrics.go
+++ b/internal/replicas/slowstart/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// allotterMetrics count the permits that this node allotted to all nodes.
+// allotterMetrics count the permits that this node allotted.
 type allotterMetrics struct {
 	allotted prometheus.Counter
 	refused  prometheus.Counter
@@ -17,7 +17,7 @@
 	return made
 }
 
-// clientMetrics count the permits that this node requested, got and used.
+// clientMetrics count the permits that this node requested, received and used.
 type clientMetrics struct {
 	warming prometheus.Gauge
 	asked   prometheus.Counter
--- a/internal/replicas/slowstart/model_test.go
+++ b/internal/replicas/slowstart/model_test.go
@@ -11,7 +11,7 @@
 	modelSpan  = 30 * time.Second
 )
 
-// busiest is the largest number of requests that left in any second.
+// busiest returns the largest number of requests sent in any second.
 func busiest(sent []time.Duration) int {
 	sorted := slices.Sorted(slices.Values(sent))
 	most, first := 0, 0
@@ -24,8 +24,8 @@
 	return most
 }
 
-// overrun plays seeds and returns the first that breaks the bound, and how many
-// requests were sent in all of them.
+// overrun runs the simulation for each seed. It returns the first seed that exceeds the limit
+// with its number of requests, and the total number of requests.
 func overrun(fault planted) (seed uint64, most, total int) {
 	for seed := range uint64(modelSeeds) {
 		played := newWorld(seed, fault)
@@ -40,8 +40,8 @@
 	return 0, 0, total
 }
 
-// TestNoSecondHasMoreThanTheBound plays several nodes with the product's ledgers,
-// clients and gates.
+// Simulates several nodes with real ledgers, clients and gates. Guards against exceeding the
+// limit under message delays, losses, and changes of the lease holder.
 func TestNoSecondHasMoreThanTheBound(t *testing.T) {
 	seed, most, total := overrun(planted{})
 	if most > 0 {
@@ -50,8 +50,7 @@
 	t.Logf("%d requests", total)
 }
 
-// TestACalmDeploymentUsesMostOfTheRate shows that the bound is not kept by sending
-// next to nothing.
+// Guards against keeping the limit by sending almost nothing.
 func TestACalmDeploymentUsesMostOfTheRate(t *testing.T) {
 	const leastShare = 0.8
 	played := newWorld(1, planted{})
--- a/internal/replicas/slowstart/model_world_test.go
+++ b/internal/replicas/slowstart/model_world_test.go
@@ -14,50 +14,50 @@
 const (
 	worldTick  = 5 * time.Millisecond
 	worldNodes = 6
-	// worldTerm is for how long nobody holds the lease after one that ran out, in the
-	// model: the shortest that package duty leaves between two holders' last and first
-	// calls.
+	// worldTerm is how long the lease has no holder after it expires. It is the shortest time
+	// that package duty leaves between the last use by one holder and the first by the next.
 	worldTerm = 3 * time.Second
-	// longestWay is the longest way of a message, and longestSend the longest time from
-	// a gate to the network.
-	longestWay  = 900 * time.Millisecond
+	// longestWay is the maximum latency of a message.
+	longestWay = 900 * time.Millisecond
+	// longestSend is the maximum time from a gate to the network.
 	longestSend = 100 * time.Millisecond
 	worldRate   = 7.7
-	// mostAsked is the largest number that clients of the model want at a time.
+	// mostAsked is the maximum number of permits in a request of a simulated client.
 	mostAsked = 8
 )
 
 var worldLimits = Limits{Overage: 1.5, Slack: 5}
 
-// planted is a fault that the check has to find.
+// planted is an injected fault that the simulation must detect.
 type planted struct {
 	name string
-	// fromAnswer has clients count the span from the answer, atOnce new holders allot
-	// at once, forgets allotters lose their ledger while they hold the lease, twice
-	// former holders go on, unused clients use what has run out, and short ledgers count
-	// what was asked for within the second alone.
+	// With fromAnswer, clients count Span from the reply. With atOnce, new lease holders allot
+	// immediately. With forgets, allotters lose their ledger while they hold the lease. With
+	// twice, previous holders continue to allot. With unused, clients use expired permits.
+	// With short, ledgers count only the permits requested within boundPeriod.
 	fromAnswer, atOnce, forgets, twice, unused, short bool
 }
 
-// world is nodes that send to warming replicas, in true time since its start.
+// world simulates nodes that send requests to warming replicas. Its times are the simulated
+// time since the start.
 type world struct {
 	fault  planted
 	random *rand.Rand
 	now    time.Duration
 	nodes  []*modelNode
 	due    []event
-	// holder holds the lease, in the process that had it, from since on; nobody does
-	// before free.
+	// holder holds the lease since the time since. If it is nil, no process acquires the
+	// lease before the time free.
 	holder *process
 	since  time.Duration
 	valid  bool
 	free   time.Duration
-	// slow has all messages take long, and hoarding all nodes keep what they are
-	// allotted, to use it at the same moment.
+	// slow makes all messages slow. hoarding makes all nodes save their permits and use them
+	// at the same time.
 	slow, hoarding bool
-	// calm has nothing happen to the lease, the processes and the ways.
+	// calm disables all disturbances of the lease, processes and messages.
 	calm bool
-	// sent are the instants at which requests left for each replica.
+	// sent holds the send times of the requests to each replica.
 	sent map[string][]time.Duration
 }
 
@@ -66,7 +66,7 @@
 	act func()
 }
 
-// modelNode is a node with a steady clock of its own.
+// modelNode is a simulated node with its own clock.
 type modelNode struct {
 	rate    float64
 	offset  time.Duration
@@ -74,7 +74,7 @@
 	nextAsk time.Duration
 }
 
-// process is one process of a node. What it has in memory ends with it.
+// process is one process of a simulated node.
 type process struct {
 	world    *world
 	node     *modelNode
@@ -93,12 +93,12 @@
 	return made
 }
 
-// at is an instant of true time by the node's clock.
+// at returns the time of the node's clock at a simulated time.
 func (n *modelNode) at(now time.Duration) time.Time {
 	return time.Unix(0, 0).Add(n.offset + time.Duration(n.rate*float64(now)))
 }
 
-// start begins a new process of a node, in place of the one it has.
+// start replaces the process of a node by a new one.
 func (w *world) start(node *modelNode) {
 	made := &process{world: w, node: node, gates: map[string]*Gate{"a": {}, "b": {}}}
 	clock := func() time.Time { return node.at(w.now) }
@@ -116,7 +116,7 @@
 	}
 	made.client.SetWarming(warming, isListed)
 	if w.holder != nil && w.holder == node.process {
-		// The same node need not wait for itself.
+		// A node does not wait for its own lease to expire.
 		w.holder, w.since = made, w.now
 	}
 	node.process = made
@@ -132,13 +132,13 @@
 
 func (p *process) holds() bool { return p.world.holder == p && p.world.valid }
 
-// Ready implements Lease; the model gives and takes the lease itself.
+// Ready implements Lease. The simulation assigns the lease itself.
 func (p *process) Ready(context.Context, string) (bool, time.Duration) { return p.holds(), 0 }
 
 // Idle implements Lease.
 func (p *process) Idle(string) {}
 
-// run lets a span pass.
+// run advances the simulation until the time span.
 func (w *world) run(span time.Duration) {
 	for ; w.now < span; w.now += worldTick {
 		w.disrupt()
@@ -154,7 +154,7 @@
 	}
 }
 
-// disrupt lets something happen to the lease or to a process, about once a second.
+// disrupt disturbs the lease, a process or the messages, about once a second.
 func (w *world) disrupt() {
 	if w.holder == nil && w.now >= w.free {
 		w.holder, w.since, w.valid = w.anyNode().process, w.now, true
@@ -166,7 +166,7 @@
 	case 0:
 		w.start(w.anyNode())
 	case 1:
-		// Given up: the next holder need not wait.
+		// The lease is released: the next holder does not wait.
 		w.holder, w.free = nil, w.now
 	case 2:
 		w.holder, w.free = nil, w.now+worldTerm
@@ -175,7 +175,7 @@
 			w.start(w.holder.node)
 		}
 	case 4:
-		// A renewal is late: nobody can have followed.
+		// A renewal is late, but the lease has not expired.
 		w.valid = !w.valid
 	case 5:
 		if w.fault.forgets && w.holder != nil {
@@ -190,7 +190,7 @@
 
 func (w *world) anyNode() *modelNode { return w.nodes[w.random.IntN(len(w.nodes))] }
 
-// deliver carries out what is due.
+// deliver runs the events that are due.
 func (w *world) deliver() {
 	var later []event
 	due := w.due
@@ -209,7 +209,7 @@
 	w.due = append(w.due, event{at: w.now + span, act: act})
 }
 
-// way is how long a message takes.
+// way returns the random latency of a message.
 func (w *world) way() time.Duration {
 	if w.slow || (!w.calm && w.random.IntN(10) == 0) {
 		return time.Duration(w.random.Int64N(int64(longestWay)))
@@ -219,14 +219,14 @@
 
 func (w *world) isLost() bool { return !w.calm && w.random.IntN(10) == 0 }
 
-// ask sends a process's question to the node that it takes for the holder.
+// ask sends a request for permits to the lease holder, or sometimes to another node.
 func (w *world) ask(from *process) {
 	wanted := from.client.takeWanted()
 	if len(wanted) == 0 {
 		return
 	}
 	for i := range wanted {
-		// The bound is the allotter's business: clients may want any number.
+		// The allotter must keep the limit for any number of requested permits.
 		wanted[i].Count = 1 + uint32(w.random.IntN(mostAsked))
 	}
 	sent := from.node.at(w.now)
@@ -263,14 +263,13 @@
 	from.client.addAllotments(sent, span, allotted)
 }
 
-// forever is a lease that everybody holds.
+// forever is a lease that is always held.
 type forever struct{ *process }
 
 // Held implements Lease.
 func (forever) Held() (time.Time, bool) { return time.Time{}, true }
 
-// send has a process use all that it has of a replica, at times, so that uses come
-// together.
+// send makes a process use all its permits at random times, so that they are used in bursts.
 func (w *world) send(from *process, burst bool) {
 	for _, replica := range []string{"a", "b"} {
 		gate := from.gates[replica]
--- a/internal/replicas/slowstart/summary.go
+++ b/internal/replicas/slowstart/summary.go
@@ -1,8 +1,8 @@
 package slowstart
 
-// summary adds up the requests for permits between two log lines.
+// summary counts the permits requested and allotted since the last log line.
 type summary struct {
-	// questions counts the replicas named in all requests.
+	// questions counts the replicas over all requests.
 	questions int
 	allotted  int
 	refused   int
--- a/internal/replicas/slowstart/warming.go
+++ b/internal/replicas/slowstart/warming.go
@@ -6,6 +6,6 @@
 type Warming struct {
 	Replica string
 	Gate    *Gate
-	// Until is when it is warm, by this node's boot-time clock.
+	// Until is when the warm-up ends, in this node's boot-time clock.
 	Until time.Time
 }
