--- a/internal/replicas/directory/sink.go
+++ b/internal/replicas/directory/sink.go
@@ -12,7 +12,7 @@
 // takePresent calls take for each changed object that was not removed.
 func takePresent(changes []objectstore.Change, take func(objectstore.Object)) {
 	for _, change := range changes {
-		if !change.Gone {
+		if !change.Deleted {
 			take(change.Object)
 		}
 	}
