--- a/internal/callers/dispatch/dispatcher.go
+++ b/internal/callers/dispatch/dispatcher.go
@@ -65,7 +65,7 @@
 	if endpoint.State.Evacuated() {
 		return &WithheldError{Replica: endpoint.Name, Reason: routing.ReasonEvacuated}
 	}
-	if !endpoint.State.SlowStart.Take() {
+	if !endpoint.State.SlowStart.TakePermit() {
 		return &WithheldError{Replica: endpoint.Name, Reason: routing.ReasonSlowStart}
 	}
 	return nil
--- a/internal/callers/forward/homes_test.go
+++ b/internal/callers/forward/homes_test.go
@@ -30,7 +30,7 @@
 
 func bound(kind directory.RouteKind, homes ...string) *directory.Route {
 	made := route(kind)
-	made.Homes = homes
+	made.AllowedRegions = homes
 	return made
 }
 
@@ -55,7 +55,7 @@
 }
 
 func TestRequestsWithoutAHomeAreRefusedAtOnce(t *testing.T) {
-	tenant := tenancy.Declared{Tenant: tenancy.Tenant{Name: "southerner", Homes: []string{"south"}}}
+	tenant := tenancy.Declared{Tenant: tenancy.Tenant{Name: "southerner", AllowedRegions: []string{"south"}}}
 	forwarder, northern, southern := oneEach(t, answers(""), answers(""), tenant)
 	for name, asked := range map[string]*directory.Route{
 		"a region that does not exist": bound(directory.RouteSafe, "atlantis"),
--- a/internal/callers/forward/pick.go
+++ b/internal/callers/forward/pick.go
@@ -17,7 +17,7 @@
 	view := f.config.Directory.View()
 	query := &routing.Query{
 		Zone: f.config.Zone, Tried: tried, Random: rand.Uint64(), Objective: answerObjective(route),
-		Homes: view.Configuration.HomesOf(route, call.Tenant),
+		AllowedRegions: view.Configuration.AllowedRegions(route, call.Tenant),
 	}
 	if route.Sticky && f.config.Prompt != nil {
 		query.PrefixHash = f.config.Prompt(call.Header)
@@ -50,7 +50,7 @@
 // served, whatever the state of its replicas elsewhere.
 func (f *Forwarder) checkHomes(route *directory.Route, call *dispatch.Call) error {
 	view := f.config.Directory.View()
-	if view.HasReplica(route, view.Configuration.HomesOf(route, call.Tenant)) {
+	if view.HasReplica(route, view.Configuration.AllowedRegions(route, call.Tenant)) {
 		return nil
 	}
 	f.config.Metrics.withoutHome.Inc()
--- a/internal/callers/forward/refusal.go
+++ b/internal/callers/forward/refusal.go
@@ -20,9 +20,9 @@
 // refusalReasons are the texts for callers where one filter refused all replicas. The
 // filters that are missing here leave the general reason.
 var refusalReasons = map[routing.Reason]string{
-	routing.ReasonEvacuated:   ReasonEvacuated,
-	routing.ReasonOutsideHome: ReasonOutsideHome,
-	routing.ReasonSlowStart:   ReasonWarmingUp,
+	routing.ReasonEvacuated:      ReasonEvacuated,
+	routing.ReasonOutsideRegions: ReasonOutsideHome,
+	routing.ReasonSlowStart:      ReasonWarmingUp,
 }
 
 // newRefusal returns the refusal of a request that has not run: its reason and its
@@ -67,7 +67,7 @@
 // filterReason returns the reason of the filter that left no replica, empty if the
 // error is of another kind.
 func filterReason(err error) routing.Reason {
-	var nobody *routing.NoneLeftError
+	var nobody *routing.NoEligibleEndpointError
 	if errors.As(err, &nobody) {
 		return nobody.Reason
 	}
--- a/internal/callers/forward/refusal_test.go
+++ b/internal/callers/forward/refusal_test.go
@@ -12,7 +12,7 @@
 
 func TestRefusalsByCause(t *testing.T) {
 	notRun, held := &dispatch.NotRunError{Replica: "r", Status: 503}, &dispatch.QuarantinedError{Fingerprint: "f", Left: quarantineLeft}
-	left := func(reason routing.Reason) error { return &routing.NoneLeftError{Reason: reason} }
+	left := func(reason routing.Reason) error { return &routing.NoEligibleEndpointError{Reason: reason} }
 	for name, test := range map[string]struct {
 		general            string
 		cause, excludedAll error
@@ -24,7 +24,7 @@
 		"all full":                  {ReasonAllFull, notRun, nil, ReasonAllFull, 120 * time.Millisecond, notRun},
 		"no time left":              {ReasonExpired, context.DeadlineExceeded, nil, ReasonExpired, 120 * time.Millisecond, context.DeadlineExceeded},
 		"all evacuated":             {ReasonNoReplica, notRun, left(routing.ReasonEvacuated), ReasonEvacuated, time.Second, left(routing.ReasonEvacuated)},
-		"all outside the home":      {ReasonNoReplica, notRun, left(routing.ReasonOutsideHome), ReasonOutsideHome, 2 * time.Second, left(routing.ReasonOutsideHome)},
+		"all outside the home":      {ReasonNoReplica, notRun, left(routing.ReasonOutsideRegions), ReasonOutsideHome, 2 * time.Second, left(routing.ReasonOutsideRegions)},
 		"all warming up":            {ReasonAllFull, notRun, left(routing.ReasonSlowStart), ReasonWarmingUp, 120 * time.Millisecond, left(routing.ReasonSlowStart)},
 		"all unavailable":           {ReasonNoReplica, notRun, left(routing.ReasonUnavailable), ReasonNoReplica, 120 * time.Millisecond, left(routing.ReasonUnavailable)},
 		"no replica in the regions": {ReasonOutsideHome, ErrNoHome, nil, ReasonOutsideHome, 2 * time.Second, ErrNoHome},
--- a/internal/callers/tenancy/table.go
+++ b/internal/callers/tenancy/table.go
@@ -32,9 +32,9 @@
 		if tenant != nil {
 			findings = append(findings, &DeclarationError{Tenant: one.Name, Problem: problemTwice})
 		} else {
-			tenant = &Tenant{Name: one.Name, Priority: one.Priority, Homes: one.Homes}
+			tenant = &Tenant{Name: one.Name, Priority: one.Priority, AllowedRegions: one.AllowedRegions}
 			table.byName[one.Name] = tenant
-			table.declaresHomes = table.declaresHomes || len(one.Homes) > 0
+			table.declaresHomes = table.declaresHomes || len(one.AllowedRegions) > 0
 		}
 		findings = append(findings, table.addKeys(tenant, one.Keys, shared)...)
 	}
@@ -96,27 +96,27 @@
 	return route
 }
 
-// HomesOf returns the only regions in which a tenant's requests may be served; empty for
+// AllowedRegions returns the only regions in which a tenant's requests may be served; empty for
 // all.
-func (t *Table) HomesOf(name string) []string {
+func (t *Table) AllowedRegions(name string) []string {
 	if tenant := t.Named(name); tenant != nil {
-		return tenant.Homes
+		return tenant.AllowedRegions
 	}
 	return nil
 }
 
-// DeclaresHomes reports whether some tenant's requests may be served in some regions only.
-func (t *Table) DeclaresHomes() bool { return t != nil && t.declaresHomes }
+// RestrictsRegions reports whether some tenant's requests may be served in some regions only.
+func (t *Table) RestrictsRegions() bool { return t != nil && t.declaresHomes }
 
-// Homes returns the homes of the tenants that have some, by tenant.
-func (t *Table) Homes() map[string][]string {
+// AllowedRegionsByTenant returns the homes of the tenants that have some, by tenant.
+func (t *Table) AllowedRegionsByTenant() map[string][]string {
 	homes := map[string][]string{}
-	if !t.DeclaresHomes() {
+	if !t.RestrictsRegions() {
 		return homes
 	}
 	for name, tenant := range t.byName {
-		if len(tenant.Homes) > 0 {
-			homes[name] = tenant.Homes
+		if len(tenant.AllowedRegions) > 0 {
+			homes[name] = tenant.AllowedRegions
 		}
 	}
 	return homes
--- a/internal/callers/tenancy/tenant.go
+++ b/internal/callers/tenancy/tenant.go
@@ -6,9 +6,9 @@
 	// Priority ranks the tenant's requests, 0 the most urgent; nil leaves that
 	// to the route.
 	Priority *int
-	// Homes are the only regions in which the tenant's requests may be served; empty
+	// AllowedRegions are the only regions in which the tenant's requests may be served; empty
 	// for all.
-	Homes []string
+	AllowedRegions []string
 }
 
 // Declared is a tenant with its keys, as an operator declares it.
--- a/internal/duties/weightorders/candidates_test.go
+++ b/internal/duties/weightorders/candidates_test.go
@@ -13,7 +13,7 @@
 	for number := range endpoints {
 		endpoints[number] = routing.NewReplicaEndpoint(fmt.Sprint("replica-", number), "", "zone", "", "s", 6, routing.NewEndpointState())
 	}
-	return routing.NewRankedPlan(routing.Place{}, endpoints)
+	return routing.NewRankedPlan(routing.Locality{}, endpoints)
 }
 
 // Items are placed among replicas that get their weights.
--- a/internal/duties/weightorders/plan.go
+++ b/internal/duties/weightorders/plan.go
@@ -71,7 +71,7 @@
 
 // modelState is what this node knows of a model and its homes.
 func (c *Coordinator) modelState(view *directory.View, model string, ids []string) modelState {
-	known := modelState{model: model, named: view.Named[model], tolerance: c.config.Tolerance(model)}
+	known := modelState{model: model, named: view.NamedVersions[model], tolerance: c.config.Tolerance(model)}
 	for _, id := range ids {
 		if replica := view.Replicas[id]; replica != nil {
 			known.homes = append(known.homes, home{replica: replica, held: c.version(id, model)})
--- a/internal/duties/weightorders/plan_test.go
+++ b/internal/duties/weightorders/plan_test.go
@@ -141,7 +141,7 @@
 	for number := range endpoints {
 		endpoints[number] = routing.NewReplicaEndpoint(fmt.Sprint("replica-", number), "", "zone", "", "service", 1, routing.NewEndpointState())
 	}
-	return routing.NewRankedPlan(routing.Place{}, endpoints)
+	return routing.NewRankedPlan(routing.Locality{}, endpoints)
 }
 
 func TestReplicasThatCanDoWithoutAVersionLoadItLast(t *testing.T) {
--- a/internal/duties/weightorders/target.go
+++ b/internal/duties/weightorders/target.go
@@ -8,15 +8,15 @@
 	ID string
 	// Instance is the name that the replica answers to.
 	Instance string
-	// Born is when the replica started by its own clock, in milliseconds since the start
+	// StartedMs is when the replica started by its own clock, in milliseconds since the start
 	// of 1970; 0 for unknown.
-	Born    int64
-	Address string
+	StartedMs int64
+	Address   string
 }
 
 // targetOf returns a listed replica as it is asked and ordered.
 func targetOf(replica *directory.Replica) Target {
-	return Target{ID: replica.ID, Instance: replica.InstanceName(), Born: replica.Born, Address: replica.Address}
+	return Target{ID: replica.ID, Instance: replica.InstanceName(), StartedMs: replica.StartedMs, Address: replica.Address}
 }
 
 // InstanceName returns the name that the replica answers to.
--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -37,7 +37,7 @@
 	p.assembleQuarantine(ctx)
 	dispatcher.SetGuard(p.quarantine)
 	jobJournal := jobstore.New(p.store)
-	jobJournal.ReadApart(func() bool { return p.directory.View().Configuration.DeclaresHomes() })
+	jobJournal.ReadByNameWhile(func() bool { return p.directory.View().Configuration.RestrictsRegions() })
 	p.jobs = batch.NewService(ctx, batch.Config{
 		Self: p.self, JobStore: jobJournal, Codec: p.adapter.Jobs, Directory: p.directory, Dispatcher: dispatcher,
 		Forwarder: p.forwarder, Peers: p.transport, Table: p.peers, Region: p.settings.Region, Clock: p.clock, Logger: p.logger, Registry: p.registry,
--- a/internal/instance/evacuations.go
+++ b/internal/instance/evacuations.go
@@ -28,7 +28,7 @@
 	if p.settings.EvacuationBound.Std() <= 0 {
 		return
 	}
-	p.directory.AwaitEvacuations()
+	p.directory.AssumeAllEvacuated()
 	p.source.Add(p.adapter.Kinds.Evacuations, directory.EvacuationSink{Table: p.directory}, watchcache.ShortWatchTimeout)
 	p.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "pathtally_evacuated_zones", Help: "Zones whose replicas get nothing from this node because they are evacuated.",
@@ -69,7 +69,7 @@
 
 // check logs what has changed and returns the time until the next check.
 func (w *evacuationWatch) check(view *directory.View) time.Duration {
-	if !view.EvacuationsAwaited {
+	if !view.EvacuationsUnknown {
 		w.logAge()
 	}
 	for zone := range w.empty {
--- a/internal/instance/readiness.go
+++ b/internal/instance/readiness.go
@@ -15,7 +15,7 @@
 	}{
 		{"configuration", view.Configuration != nil},
 		{"replicas", view.ReplicasKnown},
-		{"evacuations", !view.EvacuationsAwaited},
+		{"evacuations", !view.EvacuationsUnknown},
 		{"batch jobs", p.jobs.Recovered()},
 	} {
 		if !required.known {
--- a/internal/instance/slowstart.go
+++ b/internal/instance/slowstart.go
@@ -55,7 +55,7 @@
 func (p *parts) newSlowStart() *slowStart {
 	made := &slowStart{self: p.self, peers: p.peers, transport: p.transport, keeper: p.keeper}
 	made.client = slowstart.NewClient(slowstart.ClientConfig{
-		Ask: made.ask, Clock: p.clock, Allotted: p.jobs.WakeScheduler, Logger: p.logger, Registry: p.registry,
+		RequestPermits: made.ask, Clock: p.clock, Allotted: p.jobs.WakeScheduler, Logger: p.logger, Registry: p.registry,
 	})
 	made.allotter = slowstart.NewAllotter(slowstart.AllotterConfig{
 		Limits: slowstart.Limits{Overage: p.settings.WarmUpOverage, Slack: p.settings.WarmUpSlack},
@@ -67,7 +67,7 @@
 
 // answer answers another node's question.
 func (s *slowStart) answer(question *wire.PermitAsk) *wire.PermitGrant {
-	return &wire.PermitGrant{Granted: s.allotter.Allot(question.Wanted), SpanMs: uint32(slowstart.Span.Milliseconds())}
+	return &wire.PermitGrant{Granted: s.allotter.Allot(question.Wanted), SpanMs: uint32(slowstart.PermitLifetime.Milliseconds())}
 }
 
 // ask asks whoever allots: this node itself where it holds the lease.
--- a/internal/jobs/batch/accept.go
+++ b/internal/jobs/batch/accept.go
@@ -20,9 +20,9 @@
 }
 
 // Submit stores a batch job and has it run, by the node that runs the jobs of its model if
-// that one answers. A nil error means that the job is stored; a *jobstore.NotTakenError
+// that one answers. A nil error means that the job is stored; a *jobstore.NotAcceptedError
 // that nothing of it will run; ErrOtherTenant that the id is another tenant's job's; a
-// *jobstore.UncertainError promises nothing. A job is accepted once, whoever submits it
+// *jobstore.AcceptanceUnknownError promises nothing. A job is accepted once, whoever submits it
 // again.
 func (s *Service) Submit(ctx context.Context, arrival *Arrival) error {
 	if s.isKnown(arrival.ID) {
@@ -36,8 +36,8 @@
 		return nil
 	}
 	err := s.submitHere(ctx, arrival)
-	if _, notTaken := err.(*jobstore.NotTakenError); notTaken && runnerErr != nil {
-		return &jobstore.UncertainError{Cause: runnerErr}
+	if _, notTaken := err.(*jobstore.NotAcceptedError); notTaken && runnerErr != nil {
+		return &jobstore.AcceptanceUnknownError{Cause: runnerErr}
 	}
 	return err
 }
@@ -62,7 +62,7 @@
 	case <-pending.done:
 		return pending.err
 	case <-ctx.Done():
-		return &jobstore.UncertainError{Cause: ctx.Err()}
+		return &jobstore.AcceptanceUnknownError{Cause: ctx.Err()}
 	}
 }
 
@@ -97,7 +97,7 @@
 		err = ErrOtherTenant
 	}
 	pending.err = err
-	if _, uncertain := err.(*jobstore.UncertainError); uncertain {
+	if _, uncertain := err.(*jobstore.AcceptanceUnknownError); uncertain {
 		s.config.Logger.Info("batch job outcome unknown, retrying", "request", id, "error", err.Error())
 		close(pending.done)
 		longer, cancelLonger := context.WithTimeout(s.base, backgroundTimeout)
@@ -139,8 +139,8 @@
 // recordOf is the record of a job that this node accepts.
 func (s *Service) recordOf(arrival *Arrival) jobstore.Record {
 	return jobstore.Record{
-		Owner: s.config.Self, Epoch: 1, Route: arrival.Route, Host: arrival.Host, Tenant: arrival.Tenant, Entry: arrival.Entry,
-		Scorers: s.scorersOf(arrival.Submission), Items: len(arrival.Submission.Items), AcceptedMs: time.Now().UnixMilli(),
+		Owner: s.config.Self, Epoch: 1, Route: arrival.Route, Host: arrival.Host, Tenant: arrival.Tenant, EntryRegion: arrival.Entry,
+		ScorerRoutes: s.scorersOf(arrival.Submission), Items: len(arrival.Submission.Items), AcceptedMs: time.Now().UnixMilli(),
 	}
 }
 
--- a/internal/jobs/batch/attempt.go
+++ b/internal/jobs/batch/attempt.go
@@ -56,7 +56,7 @@
 		waiting.waited = running.begun.Sub(waiting.job.takenUp)
 	}
 	s.attempts[running] = true
-	s.replicas.Get(endpoint.Name).Running++
+	s.replicas.GetOrCreate(endpoint.Name).Running++
 	s.metrics.runs.Inc()
 	configuration := s.config.Directory.View().Configuration
 	route := routeOf(configuration, waiting.job.record.Route)
@@ -160,7 +160,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.replicas.Get(replica).ObserveVersion(model, version)
+	s.replicas.GetOrCreate(replica).ObserveVersion(model, version)
 }
 
 // startAnew drops what an item's runs have made.
@@ -183,7 +183,7 @@
 		return
 	}
 	running.longestGap = max(running.longestGap, interval)
-	s.replicas.Get(running.endpoint.Name).Observe(interval, time.Now())
+	s.replicas.GetOrCreate(running.endpoint.Name).Observe(interval, time.Now())
 }
 
 // runEnded ends a run: its item is finished, waits for another run, or has failed.
@@ -192,7 +192,7 @@
 	defer s.mutex.Unlock()
 	work := running.item
 	delete(s.attempts, running)
-	state := s.replicas.Get(running.endpoint.Name)
+	state := s.replicas.GetOrCreate(running.endpoint.Name)
 	state.Running--
 	work.running, work.lastRun = nil, running
 	work.events = max(work.events, len(work.progress.events))
--- a/internal/jobs/batch/authorize.go
+++ b/internal/jobs/batch/authorize.go
@@ -44,7 +44,7 @@
 	case errors.Is(err, jobstore.ErrNoSuchJob):
 		return ErrOtherTenant
 	case err != nil:
-		return &jobstore.UncertainError{Cause: err}
+		return &jobstore.AcceptanceUnknownError{Cause: err}
 	}
 	return nil
 }
--- a/internal/jobs/batch/harness_test.go
+++ b/internal/jobs/batch/harness_test.go
@@ -352,7 +352,7 @@
 		Version: version,
 		Routes: []directory.Route{{
 			Name: testRoute, Host: "drafts.example", Prefix: "/d/", Kind: directory.RouteBatch, Attempts: 3,
-			Targets: []directory.Target{{Service: "engines", Weight: 1}}, Homes: c.homes,
+			Targets: []directory.Target{{Service: "engines", Weight: 1}}, AllowedRegions: c.homes,
 		}},
 		Services: map[string]directory.Service{"engines": {Name: "engines"}},
 	}, version)
--- a/internal/jobs/batch/heartbeat.go
+++ b/internal/jobs/batch/heartbeat.go
@@ -42,7 +42,7 @@
 // ReceiveHeartbeat takes another node's heartbeat.
 func (s *Service) ReceiveHeartbeat(heartbeat *wire.NodeBeat) {
 	s.mutex.Lock()
-	s.replicas.LearnUses(heartbeat, time.Now())
+	s.replicas.LearnSlotUse(heartbeat, time.Now())
 	s.ownerWatchWake.set()
 	for _, announced := range heartbeat.Tolerances {
 		s.tolerances.Limit(announced.Model, announced.Versions)
--- a/internal/jobs/batch/homes.go
+++ b/internal/jobs/batch/homes.go
@@ -8,7 +8,7 @@
 	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/jobs/ownership"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
-	"github.com/pathtally/pathtally/internal/replicas/homes"
+	"github.com/pathtally/pathtally/internal/replicas/residency"
 )
 
 // origin is what decides where the bodies of a batch job may be. The homes themselves
@@ -22,7 +22,7 @@
 }
 
 func originOf(record jobstore.Record) origin {
-	return origin{routes: append([]string{record.Route}, record.Scorers...), tenant: record.Tenant, entry: record.Entry}
+	return origin{routes: append([]string{record.Route}, record.ScorerRoutes...), tenant: record.Tenant, entry: record.EntryRegion}
 }
 
 // learnOrigin records where a job of another node comes from.
@@ -52,33 +52,33 @@
 // more may have had any homes: where the others have some, its bodies stay in the
 // region through which they came. A node that knows no configuration yet takes no
 // node, itself included, for one that may have them.
-func (s *Service) boundsOf(from origin) homes.Bounds {
+func (s *Service) boundsOf(from origin) residency.Bounds {
 	configuration := s.config.Directory.View().Configuration
 	if configuration == nil {
-		return homes.Within(homes.Nowhere(), "")
+		return residency.NewBounds(residency.NoRegions(), "")
 	}
-	if !configuration.DeclaresHomes() {
-		return homes.Bounds{}
+	if !configuration.RestrictsRegions() {
+		return residency.Bounds{}
 	}
-	allowed := homes.Set{}
+	allowed := residency.Set{}
 	for _, name := range from.routes {
 		allowed = allowed.And(bodyHomes(configuration, name, from.tenant))
 	}
-	return homes.Within(allowed, from.entry)
+	return residency.NewBounds(allowed, from.entry)
 }
 
 // bodyHomes are the regions whose nodes may have the body of a tenant's request.
-func bodyHomes(configuration *directory.Configuration, route, tenant string) homes.Set {
-	declared := configuration.Named(route)
+func bodyHomes(configuration *directory.Configuration, route, tenant string) residency.Set {
+	declared := configuration.RouteByName(route)
 	if declared == nil || (tenant != "" && configuration.Tenants.Named(tenant) == nil) {
-		return homes.Nowhere()
+		return residency.NoRegions()
 	}
-	return configuration.HomesOf(declared, tenant)
+	return configuration.AllowedRegions(declared, tenant)
 }
 
 // within returns a context for the store's calls that carry bodies of a job.
 func (s *Service) within(ctx context.Context, record jobstore.Record) context.Context {
-	return homes.WithBounds(ctx, s.boundsOf(originOf(record)))
+	return residency.WithBounds(ctx, s.boundsOf(originOf(record)))
 }
 
 // withinHeld is within for a job that this node runs.
@@ -87,7 +87,7 @@
 	held := s.jobs[id]
 	s.mutex.Unlock()
 	if held == nil {
-		return homes.WithBounds(ctx, homes.Within(homes.Nowhere(), s.config.Region))
+		return residency.WithBounds(ctx, residency.NewBounds(residency.NoRegions(), s.config.Region))
 	}
 	return s.within(ctx, held.record)
 }
@@ -99,7 +99,7 @@
 		return nodes
 	}
 	bounds := s.boundsOf(*from)
-	if !bounds.Homes().Bound() {
+	if !bounds.Regions().IsRestricted() {
 		return nodes
 	}
 	return slices.DeleteFunc(slices.Clone(nodes), func(node string) bool { return !bounds.AllowsNode(s.regionOf(node)) })
@@ -128,7 +128,7 @@
 	}
 	remote.waitLogged = true
 	s.config.Logger.Info("batch job waits for a node in its allowed regions, should its owner fall silent", "request", id,
-		"owner", remote.owner.Node, "allowed", s.boundsOf(*remote.origin).Homes().Regions(), "entry", remote.origin.entry)
+		"owner", remote.owner.Node, "allowed", s.boundsOf(*remote.origin).Regions().Regions(), "entry", remote.origin.entry)
 }
 
 // logJobsWithoutSuccessor logs the jobs that this node cannot give away, since no other
@@ -139,7 +139,7 @@
 		from := originOf(held.record)
 		if held.open() && len(ownership.Successors(s.insiders(&from, nodes), s.config.Self.Node)) == 0 {
 			s.config.Logger.Info("batch job given to nobody: no other node is in its allowed regions", "request", id,
-				"allowed", s.boundsOf(from).Homes().Regions(), "entry", from.entry)
+				"allowed", s.boundsOf(from).Regions().Regions(), "entry", from.entry)
 		}
 	}
 }
@@ -147,14 +147,14 @@
 // checkHomes refuses a job of which some request has no replica that may serve it.
 func (s *Service) checkHomes(from origin) error {
 	view := s.config.Directory.View()
-	if !view.Configuration.DeclaresHomes() {
+	if !view.Configuration.RestrictsRegions() {
 		return nil
 	}
 	for _, name := range from.routes {
-		route := view.Configuration.Named(name)
-		if route != nil && !view.HasReplica(route, view.Configuration.HomesOf(route, from.tenant)) {
+		route := view.Configuration.RouteByName(name)
+		if route != nil && !view.HasReplica(route, view.Configuration.AllowedRegions(route, from.tenant)) {
 			s.metrics.withoutHome.Inc()
-			return &jobstore.NotTakenError{Cause: forward.ErrNoHome}
+			return &jobstore.NotAcceptedError{Cause: forward.ErrNoHome}
 		}
 	}
 	return nil
@@ -165,7 +165,7 @@
 func (s *Service) checkOffered(arrival *Arrival) error {
 	from := originOf(s.recordOf(arrival))
 	if !s.boundsOf(from).AllowsNode(s.config.Region) {
-		return &jobstore.NotTakenError{Cause: ErrOutside}
+		return &jobstore.NotAcceptedError{Cause: ErrOutside}
 	}
 	return s.checkHomes(from)
 }
--- a/internal/jobs/batch/homes_test.go
+++ b/internal/jobs/batch/homes_test.go
@@ -184,7 +184,7 @@
 	engine := startEngine(t, 1)
 	c := spread(t, []string{"atlantis"}, []string{"north", "south"}, []string{"south"}, engine)
 	err := c.handFrom(c.nodes[0], "job", 2)
-	var notTaken *jobstore.NotTakenError
+	var notTaken *jobstore.NotAcceptedError
 	if !errors.As(err, &notTaken) || !errors.Is(err, forward.ErrNoHome) {
 		t.Errorf("the job: %v", err)
 	}
@@ -255,7 +255,7 @@
 // A node that has just started may not know the configuration yet.
 func TestANodeWithoutAConfigurationTakesNothingOver(t *testing.T) {
 	started := &Service{config: Config{Region: "north", Directory: directory.NewTable("node", "north", regions, klog.Background())}}
-	from := originOf(jobstore.Record{Route: testRoute, Entry: "north"})
+	from := originOf(jobstore.Record{Route: testRoute, EntryRegion: "north"})
 	if started.boundsOf(from).AllowsNode("north") || !started.isOutsider(&remoteJob{origin: &from}) {
 		t.Error("it takes itself for one that may have the job")
 	}
--- a/internal/jobs/batch/lateness.go
+++ b/internal/jobs/batch/lateness.go
@@ -16,7 +16,7 @@
 	if last == nil {
 		return
 	}
-	reason := placement.WhyLate(s.replicas.Paces(), last.history())
+	reason := placement.ClassifyLateness(s.replicas.Paces(), last.history())
 	s.metrics.late.WithLabelValues(string(reason)).Inc()
 	s.config.Logger.Info("batch job was late", "request", ended.id, "reason", string(reason), "lateMs", time.Since(ended.due).Milliseconds(),
 		"item", last.ID, "replica", last.lastRun.endpoint.Name, "waitedMs", last.waited.Milliseconds(), "runs", last.runs, "events", last.events)
@@ -41,7 +41,7 @@
 // history is what happened to the item. The mutex must be held.
 func (i *item) history() placement.History {
 	return placement.History{
-		Epoch: i.job.record.Epoch, Waited: i.waited, Stalls: i.stalls, Breaks: i.breaks, Interval: i.lastRun.interval(),
+		Epoch: i.job.record.Epoch, Waited: i.waited, Stalls: i.stalls, BrokenRuns: i.breaks, Interval: i.lastRun.interval(),
 	}
 }
 
--- a/internal/jobs/batch/ownerwatch.go
+++ b/internal/jobs/batch/ownerwatch.go
@@ -44,7 +44,7 @@
 func (s *Service) knowsNoJob() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return len(s.jobs) == 0 && len(s.remoteJobs) == 0 && len(s.replicas.Uses) == 0 && s.ends.Len() == 0 && s.lengths.Len() == 0 && s.demand.Len() == 0
+	return len(s.jobs) == 0 && len(s.remoteJobs) == 0 && len(s.replicas.SlotUse) == 0 && s.ends.Len() == 0 && s.lengths.Len() == 0 && s.demand.Len() == 0
 }
 
 const (
--- a/internal/jobs/batch/pace_test.go
+++ b/internal/jobs/batch/pace_test.go
@@ -14,7 +14,7 @@
 func paced(intervals ...int) (*Service, *item) {
 	service, waiting := placing(len(intervals))
 	for number, interval := range intervals {
-		state := service.replicas.Get(replicaName(number))
+		state := service.replicas.GetOrCreate(replicaName(number))
 		state.Pace, state.ObservedAt = placement.NewPace(time.Duration(interval)*time.Millisecond), time.Now()
 	}
 	return service, waiting
@@ -22,8 +22,8 @@
 
 func TestPaceIsOnesOwnWhileFreshThenThatOfOthers(t *testing.T) {
 	service, _ := paced(40, 40, 40)
-	service.replicas.Uses["other"] = replicastate.NodeUses{ReceivedAt: time.Now(), Intervals: map[string]time.Duration{replicaName(0): 140 * time.Millisecond}}
-	state := service.replicas.Get(replicaName(0))
+	service.replicas.SlotUse["other"] = replicastate.NodeSlotUse{ReceivedAt: time.Now(), Intervals: map[string]time.Duration{replicaName(0): 140 * time.Millisecond}}
+	state := service.replicas.GetOrCreate(replicaName(0))
 	for _, test := range []struct {
 		name string
 		age  time.Duration
@@ -37,7 +37,7 @@
 			t.Errorf("%s: %s, want %s", test.name, got, test.want)
 		}
 	}
-	delete(service.replicas.Uses, "other")
+	delete(service.replicas.SlotUse, "other")
 	if got := service.replicas.Interval(replicaName(0), state); got != 40*time.Millisecond {
 		t.Errorf("nobody else has seen it: %s", got)
 	}
@@ -73,7 +73,7 @@
 			added.events.Store(events)
 			work.running = added
 			s.scheduler.attempts[added] = true
-			s.replicas.Get(replica).Running++
+			s.replicas.GetOrCreate(replica).Running++
 			return added
 		}
 	}
--- a/internal/jobs/batch/pool.go
+++ b/internal/jobs/batch/pool.go
@@ -6,7 +6,7 @@
 	"github.com/pathtally/pathtally/internal/jobs/placement"
 	"github.com/pathtally/pathtally/internal/jobs/replicastate"
 	"github.com/pathtally/pathtally/internal/replicas/directory"
-	"github.com/pathtally/pathtally/internal/replicas/homes"
+	"github.com/pathtally/pathtally/internal/replicas/residency"
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
@@ -60,7 +60,7 @@
 		return replicas
 	}
 	if route := routeOf(p.view.Configuration, key.route); route != nil {
-		query := &routing.Query{Rollout: true, Waiting: !p.running, Homes: homes.Of(route.Homes, p.view.Configuration.Tenants.HomesOf(key.tenant))}
+		query := &routing.Query{Rollout: true, Waiting: !p.running, AllowedRegions: residency.Of(route.AllowedRegions, p.view.Configuration.Tenants.AllowedRegions(key.tenant))}
 		for _, target := range route.Targets {
 			if plan := p.view.Plans[target.Service]; plan != nil {
 				replicas = p.add(replicas, p.scheduler.candidatesOf(target.Service, plan, waiting.job), key, query)
@@ -74,7 +74,7 @@
 // add adds the replicas that are not barred from some items.
 func (p *pool) add(replicas []*placement.Replica, endpoints []*routing.Endpoint, key poolKey, query *routing.Query) []*placement.Replica {
 	for _, endpoint := range endpoints {
-		state := p.scheduler.replicas.Get(endpoint.Name)
+		state := p.scheduler.replicas.GetOrCreate(endpoint.Name)
 		known := p.scheduler.replicas.Version(p.view.Replicas[endpoint.Name], endpoint.Name, key.model)
 		if p.now.Before(state.BlockedUntil) || state.IsLoading(key.model) || (known > 0 && known < key.minVersion) {
 			continue
@@ -93,7 +93,7 @@
 	if shared := p.byName[endpoint.Name]; shared != nil {
 		return shared
 	}
-	condition := placement.Condition{Failing: state.Failures.IsFailing(p.now), Unproven: state.Unproven, SinceEvent: p.now.Sub(state.ObservedAt)}
+	condition := placement.ReplicaHealth{Failing: state.Failures.IsFailing(p.now), Unresponsive: state.Unresponsive, SinceEvent: p.now.Sub(state.ObservedAt)}
 	made := placement.NewReplica(endpoint.Name, endpoint.Slots, p.loads[endpoint.Name], p.paces, condition)
 	if left := endpoint.State.SlowStart.PermitsLeft(); left < made.MaxLoad {
 		made.MaxLoad = min(made.MaxLoad, made.Load+left)
--- a/internal/jobs/batch/queue.go
+++ b/internal/jobs/batch/queue.go
@@ -17,7 +17,7 @@
 // sortQueue orders the items that wait. The mutex must be held.
 func (s *scheduler) sortQueue() {
 	configuration := s.config.Directory.View().Configuration
-	interval := s.replicas.Paces().Usual()
+	interval := s.replicas.Paces().MedianInterval()
 	views := make([]queued, 0, len(s.queue))
 	for _, waiting := range s.queue {
 		views = append(views, queued{view: s.viewOf(waiting, configuration, interval), item: waiting})
--- a/internal/jobs/batch/rank.go
+++ b/internal/jobs/batch/rank.go
@@ -16,7 +16,7 @@
 // held.
 func (s *Service) conditionOf(remote *remoteJob) ownership.OwnerCondition {
 	if remote.owner.Node == s.config.Self.Node {
-		return ownership.OwnerFormerSelf
+		return ownership.OwnerPreviousProcess
 	}
 	peer, known := s.config.Table.Get(remote.owner.Node)
 	switch {
@@ -28,7 +28,7 @@
 	return ownership.OwnerRunning
 }
 
-// rank is this node's place among those that may take a job over, ownership.Outside where
+// rank is this node's place among those that may take a job over, ownership.Unranked where
 // it may not. The mutex must be held.
 func (s *Service) rank(id string, remote *remoteJob) int {
 	nodes, owner := s.insiders(remote.origin, s.config.Table.NodeNames()), remote.owner.Node
--- a/internal/jobs/batch/refusal.go
+++ b/internal/jobs/batch/refusal.go
@@ -32,7 +32,7 @@
 // outcome is not known is answered with a gateway timeout: the caller repeats it, and the
 // job is accepted once.
 func refusalOfSubmission(err error) refusal {
-	var notTaken *jobstore.NotTakenError
+	var notTaken *jobstore.NotAcceptedError
 	switch {
 	case errors.Is(err, ErrOtherTenant):
 		return refusal{status: http.StatusConflict}
--- a/internal/jobs/batch/refusal_test.go
+++ b/internal/jobs/batch/refusal_test.go
@@ -18,9 +18,9 @@
 		want refusal
 	}{
 		{"submission of another tenant's job", refusalOfSubmission(ErrOtherTenant), refusal{http.StatusConflict, 0}},
-		{"submission without a home", refusalOfSubmission(&jobstore.NotTakenError{Cause: forward.ErrNoHome}), refusal{http.StatusServiceUnavailable, 2 * time.Second}},
-		{"submission not taken", refusalOfSubmission(&jobstore.NotTakenError{Cause: broken}), refusal{http.StatusServiceUnavailable, 200 * time.Millisecond}},
-		{"submission uncertain", refusalOfSubmission(&jobstore.UncertainError{Cause: broken}), refusal{http.StatusGatewayTimeout, 0}},
+		{"submission without a home", refusalOfSubmission(&jobstore.NotAcceptedError{Cause: forward.ErrNoHome}), refusal{http.StatusServiceUnavailable, 2 * time.Second}},
+		{"submission not taken", refusalOfSubmission(&jobstore.NotAcceptedError{Cause: broken}), refusal{http.StatusServiceUnavailable, 200 * time.Millisecond}},
+		{"submission uncertain", refusalOfSubmission(&jobstore.AcceptanceUnknownError{Cause: broken}), refusal{http.StatusGatewayTimeout, 0}},
 		{"submission that failed otherwise", refusalOfSubmission(broken), refusal{http.StatusGatewayTimeout, 0}},
 		{"call about no job", refusalOfCall(jobstore.ErrNoSuchJob), refusal{http.StatusNotFound, 0}},
 		{"call about no item", refusalOfCall(ErrNoSuchItem), refusal{http.StatusNotFound, 0}},
--- a/internal/jobs/batch/replicas.go
+++ b/internal/jobs/batch/replicas.go
@@ -10,7 +10,7 @@
 // NoteVersion takes what a coordinator of weights knows of a replica.
 func (s *Service) LearnVersion(change wire.ReplicaVersion) {
 	s.mutex.Lock()
-	state := s.replicas.Get(change.Replica)
+	state := s.replicas.GetOrCreate(change.Replica)
 	if change.Loading {
 		state.LearnLoad(change.Model, time.Now())
 	} else {
--- a/internal/jobs/batch/replicas_test.go
+++ b/internal/jobs/batch/replicas_test.go
@@ -22,7 +22,7 @@
 	service, waiting := placing(3)
 	now := time.Now()
 	for range 4 {
-		service.replicas.Get(replicaName(0)).Failures.Observe(true, now)
+		service.replicas.GetOrCreate(replicaName(0)).Failures.Observe(true, now)
 	}
 	waiting.failedAt = []string{replicaName(1)}
 	pool := service.scheduler.newPool()
@@ -63,10 +63,10 @@
 
 func TestPlacementFillsReplicasEvenlyAndStopsWhenAllAreFull(t *testing.T) {
 	service, waiting := placing(5)
-	service.replicas.Uses["other"] = replicastate.NodeUses{ReceivedAt: time.Now(), Running: map[string]int{"replica-0": 6, "replica-1": 2}}
-	service.replicas.Get("replica-2").Block(time.Minute)
-	service.replicas.Get("replica-3").Versions["m"] = 4
-	service.replicas.Get("replica-4").LoadingSince["m"] = time.Now()
+	service.replicas.SlotUse["other"] = replicastate.NodeSlotUse{ReceivedAt: time.Now(), Running: map[string]int{"replica-0": 6, "replica-1": 2}}
+	service.replicas.GetOrCreate("replica-2").Block(time.Minute)
+	service.replicas.GetOrCreate("replica-3").Versions["m"] = 4
+	service.replicas.GetOrCreate("replica-4").LoadingSince["m"] = time.Now()
 	pool := service.scheduler.newPool()
 	taken := map[string]int{}
 	for chosen := pool.pick(waiting); chosen != nil; chosen = pool.pick(waiting) {
@@ -89,14 +89,14 @@
 	asker := slowstart.NewClient(slowstart.ClientConfig{Clock: time.Now, Logger: klog.Background(), Registry: prometheus.NewRegistry()})
 	isListed := func(string) bool { return true }
 	gate := &service.config.Directory.View().Endpoints[replicaName(0)].State.SlowStart
-	asker.SetWarming([]slowstart.Warming{{Replica: replicaName(0), Gate: gate, Until: time.Now().Add(time.Hour)}}, isListed)
-	service.replicas.Get(replicaName(0)).LoadingSince["m"] = time.Now()
+	asker.SetWarming([]slowstart.WarmingReplica{{Replica: replicaName(0), Gate: gate, Until: time.Now().Add(time.Hour)}}, isListed)
+	service.replicas.GetOrCreate(replicaName(0)).LoadingSince["m"] = time.Now()
 	picks(service, waiting)
-	if gate.Wanted() {
+	if gate.HasDemand() {
 		t.Error("an allotment is wanted for a replica that loads weights")
 	}
-	service.replicas.Get(replicaName(0)).LoadingSince = map[string]time.Time{}
-	if picked := picks(service, waiting); !gate.Wanted() || picked[replicaName(0)] != 0 || picked[replicaName(1)] != 6 {
+	service.replicas.GetOrCreate(replicaName(0)).LoadingSince = map[string]time.Time{}
+	if picked := picks(service, waiting); !gate.HasDemand() || picked[replicaName(0)] != 0 || picked[replicaName(1)] != 6 {
 		t.Errorf("items went to %v", picked)
 	}
 	asker.SetWarming(nil, isListed)
@@ -118,7 +118,7 @@
 
 func TestPlacementPrefersReplicasInUseUntilTheyFill(t *testing.T) {
 	service, waiting := placing(2)
-	service.replicas.Get("replica-1").ObservedAt = time.Now()
+	service.replicas.GetOrCreate("replica-1").ObservedAt = time.Now()
 	pool := service.scheduler.newPool()
 	order := ""
 	for range 5 {
--- a/internal/jobs/batch/runerror.go
+++ b/internal/jobs/batch/runerror.go
@@ -64,7 +64,7 @@
 	default:
 		if running.events.Load() == 0 {
 			// It may be down: trying it with one item after the other helps none.
-			state.Unproven = true
+			state.Unresponsive = true
 			state.Block(breakBlock)
 		}
 		work.breaks++
--- a/internal/jobs/batch/runner.go
+++ b/internal/jobs/batch/runner.go
@@ -144,7 +144,7 @@
 		return
 	}
 	err = s.submitHere(ctx, arrival)
-	var notTaken *jobstore.NotTakenError
+	var notTaken *jobstore.NotAcceptedError
 	switch {
 	case err == nil:
 		reply(&wire.JobSubmitted{Outcome: wire.OutcomeDone})
--- a/internal/jobs/batch/runner_test.go
+++ b/internal/jobs/batch/runner_test.go
@@ -130,7 +130,7 @@
 	defer cancel()
 	made, payload := submission("job", 2)
 	err := ranked[2].Submit(ctx, &Arrival{ID: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Submission: made})
-	var uncertain *jobstore.UncertainError
+	var uncertain *jobstore.AcceptanceUnknownError
 	if err != nil && !errors.As(err, &uncertain) {
 		t.Errorf("error %v, want nil or an uncertain outcome", err)
 	}
--- a/internal/jobs/batch/scheduler.go
+++ b/internal/jobs/batch/scheduler.go
@@ -134,11 +134,11 @@
 		run := pool.runOf(len(attempts), running)
 		attempts = append(attempts, running)
 		switch {
-		case pool.view.Replicas[running.endpoint.Name] == nil && !placement.MayFinish(run):
+		case pool.view.Replicas[running.endpoint.Name] == nil && !placement.HasRecentEvent(run):
 			running.cut(&CutError{Cause: ErrMoved, Reason: placement.ReasonGone})
 		case placement.Stalled(pool.paces, run):
-			state := s.replicas.Get(running.endpoint.Name)
-			state.BlockedUntil, state.Unproven = time.Now().Add(stallBlock), true
+			state := s.replicas.GetOrCreate(running.endpoint.Name)
+			state.BlockedUntil, state.Unresponsive = time.Now().Add(stallBlock), true
 			running.cut(&CutError{Cause: ErrStalled, Reason: placement.ReasonStalled})
 		default:
 			runs = append(runs, run)
@@ -161,7 +161,7 @@
 		Index: index, Replica: running.endpoint.Name, Replicas: p.replicasFor(work), FailedReplicas: work.failedAt,
 		Events: int(running.events.Load()), RemainingEvents: p.scheduler.rest(work), Idle: running.idle(),
 		HasDeadline: !work.job.due.IsZero(), TimeLeft: work.job.due.Sub(p.now),
-		Loading: p.scheduler.replicas.Get(running.endpoint.Name).IsLoading(work.job.submission.Model),
+		Loading: p.scheduler.replicas.GetOrCreate(running.endpoint.Name).IsLoading(work.job.submission.Model),
 	}
 }
 
--- a/internal/jobs/batch/seal.go
+++ b/internal/jobs/batch/seal.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/jobs/jobstore"
-	"github.com/pathtally/pathtally/internal/replicas/homes"
+	"github.com/pathtally/pathtally/internal/replicas/residency"
 )
 
 const (
@@ -38,7 +38,7 @@
 	s.mutex.Lock()
 	bounds := s.boundsOf(*known.origin)
 	s.mutex.Unlock()
-	behind, err := s.config.JobStore.Seal(homes.WithBounds(ctx, bounds), id, behind, s.writerName())
+	behind, err := s.config.JobStore.Seal(residency.WithBounds(ctx, bounds), id, behind, s.writerName())
 	if err != nil {
 		s.config.Logger.Info("ended batch job not sealed", "request", id, "error", err.Error())
 		return
--- a/internal/jobs/batch/service.go
+++ b/internal/jobs/batch/service.go
@@ -12,7 +12,7 @@
 	"github.com/pathtally/pathtally/internal/clock"
 	"github.com/pathtally/pathtally/internal/cluster/peering"
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/jobs/ends"
+	"github.com/pathtally/pathtally/internal/jobs/endedjobs"
 	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 	"github.com/pathtally/pathtally/internal/jobs/replicastate"
 	"github.com/pathtally/pathtally/internal/jobs/statistics"
@@ -55,7 +55,7 @@
 	scheduler *scheduler
 	// replicas is what this node knows of replicas as places for items.
 	replicas *replicastate.Table
-	ends     *ends.Register
+	ends     *endedjobs.Registry
 	// endsBeingPersisted are the jobs whose end is being stored after its caller's time.
 	endsBeingPersisted map[string]bool
 	// What jobs have shown of models and items.
@@ -78,7 +78,7 @@
 func NewService(base context.Context, config Config) *Service {
 	service := &Service{
 		config: config, base: base, metrics: newMetrics(config.Registry),
-		jobs: map[string]*job{}, remoteJobs: map[string]*remoteJob{}, ends: ends.NewRegister(), endsBeingPersisted: map[string]bool{}, accepting: map[string]*acceptance{},
+		jobs: map[string]*job{}, remoteJobs: map[string]*remoteJob{}, ends: endedjobs.NewRegistry(), endsBeingPersisted: map[string]bool{}, accepting: map[string]*acceptance{},
 		replicas:   replicastate.NewTable(),
 		tolerances: statistics.Tolerances{}, lengths: statistics.NewLengths(), eventRates: statistics.EventRates{},
 		demand: statistics.NewDemand(), unansweredOffers: newUnansweredOffers(), storedLoads: map[string]*storedLoad{},
--- a/internal/jobs/batch/service_test.go
+++ b/internal/jobs/batch/service_test.go
@@ -129,8 +129,8 @@
 	defer cancel()
 	made, payload := submission("job", 2)
 	err := cluster.nodes[0].Submit(ctx, &Arrival{ID: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Submission: made})
-	var notTaken *jobstore.NotTakenError
-	var uncertain *jobstore.UncertainError
+	var notTaken *jobstore.NotAcceptedError
+	var uncertain *jobstore.AcceptanceUnknownError
 	if !errors.As(err, &notTaken) && !errors.As(err, &uncertain) {
 		t.Fatalf("submission without a store: %v", err)
 	}
@@ -154,7 +154,7 @@
 	defer cancel()
 	made, payload := submission("job", 2)
 	err := cluster.nodes[0].Submit(ctx, &Arrival{ID: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Submission: made})
-	var uncertain *jobstore.UncertainError
+	var uncertain *jobstore.AcceptanceUnknownError
 	if !errors.As(err, &uncertain) {
 		t.Fatalf("submission without an answer: %v", err)
 	}
@@ -169,18 +169,18 @@
 	table := directory.NewTable("node", "zone", nil, klog.Background())
 	table.SetReplicas([]*directory.Replica{{ID: "listed", State: directory.ReplicaReady}}, 0)
 	service := NewService(t.Context(), Config{Directory: table, Registry: prometheus.NewRegistry()})
-	service.replicas.Get("listed")
-	service.replicas.Get("gone")
-	service.replicas.Get("busy").Running = 1
-	service.replicas.Uses["silent"] = replicastate.NodeUses{ReceivedAt: time.Now().Add(-2 * replicastate.UsesTimeout)}
-	service.replicas.Uses["heard"] = replicastate.NodeUses{ReceivedAt: time.Now()}
+	service.replicas.GetOrCreate("listed")
+	service.replicas.GetOrCreate("gone")
+	service.replicas.GetOrCreate("busy").Running = 1
+	service.replicas.SlotUse["silent"] = replicastate.NodeSlotUse{ReceivedAt: time.Now().Add(-2 * replicastate.SlotUseTimeout)}
+	service.replicas.SlotUse["heard"] = replicastate.NodeSlotUse{ReceivedAt: time.Now()}
 	service.evict()
 	for id, want := range map[string]bool{"listed": true, "busy": true, "gone": false} {
 		if _, kept := service.replicas.States[id]; kept != want {
 			t.Errorf("replica %s kept: %v", id, kept)
 		}
 	}
-	if len(service.replicas.Uses) != 1 {
-		t.Errorf("uses of %d nodes are kept", len(service.replicas.Uses))
+	if len(service.replicas.SlotUse) != 1 {
+		t.Errorf("uses of %d nodes are kept", len(service.replicas.SlotUse))
 	}
 }
--- a/internal/jobs/batch/tolerance.go
+++ b/internal/jobs/batch/tolerance.go
@@ -3,7 +3,7 @@
 // observeTolerance learns from a new job how far behind the newest version its weights
 // may be. The mutex must be held.
 func (s *Service) observeTolerance(submission *Submission) {
-	newest := s.config.Directory.View().Named[submission.Model]
+	newest := s.config.Directory.View().NamedVersions[submission.Model]
 	s.tolerances.Observe(submission.Model, submission.MinVersion, newest)
 }
 
--- a/internal/jobs/batch/work.go
+++ b/internal/jobs/batch/work.go
@@ -24,7 +24,7 @@
 // where homes are declared: nobody asks otherwise where its bodies may be.
 func (s *Service) workOf(held *job) wire.JobWork {
 	work := held.work()
-	if s.config.Directory.View().Configuration.DeclaresHomes() {
+	if s.config.Directory.View().Configuration.RestrictsRegions() {
 		bound := originOf(held.record)
 		work.Routes, work.Entry = bound.routes, bound.entry
 	}
--- a/internal/jobs/ends/register.go
+++ b/internal/jobs/endedjobs/register.go
@@ -1,9 +1,9 @@
-// Package ends records which batch jobs have ended.
+// Package endedjobs records which batch jobs have ended.
 //
 // Ends are recorded by job id and not with the job, because a node may learn of an end before
-// it has the job. Register has no lock: the caller must check it and insert a starting job
+// it has the job. Registry has no lock: the caller must check it and insert a starting job
 // under one lock of its own.
-package ends
+package endedjobs
 
 import (
 	"maps"
@@ -19,8 +19,8 @@
 	retention = 90 * time.Second
 )
 
-// Register holds the known ends of jobs by job id. It is not safe for concurrent use.
-type Register struct {
+// Registry holds the known ends of jobs by job id. It is not safe for concurrent use.
+type Registry struct {
 	byJob map[string]end
 }
 
@@ -31,30 +31,30 @@
 	announced bool
 }
 
-// NewRegister returns an empty register.
-func NewRegister() *Register { return &Register{byJob: map[string]end{}} }
+// NewRegistry returns an empty register.
+func NewRegistry() *Registry { return &Registry{byJob: map[string]end{}} }
 
 // Learn records an end that another node announced or that was read from the store. The
 // retention counts from the first call.
-func (r *Register) Learn(job string, now time.Time) {
+func (r *Registry) Learn(job string, now time.Time) {
 	if _, known := r.byJob[job]; !known {
 		r.byJob[job] = end{learntAt: now}
 	}
 }
 
 // Announce records an end that this node announces from now on.
-func (r *Register) Announce(job string, now time.Time) {
+func (r *Registry) Announce(job string, now time.Time) {
 	r.byJob[job] = end{learntAt: now, announced: true}
 }
 
 // Has reports whether a job is known to have ended.
-func (r *Register) Has(job string) bool {
+func (r *Registry) Has(job string) bool {
 	_, known := r.byJob[job]
 	return known
 }
 
 // Announced returns the sorted ids of the ended jobs to announce in a heartbeat.
-func (r *Register) Announced(now time.Time) []string {
+func (r *Registry) Announced(now time.Time) []string {
 	var announced []string
 	for _, job := range slices.Sorted(maps.Keys(r.byJob)) {
 		if known := r.byJob[job]; known.announced && now.Sub(known.learntAt) <= announceTime {
@@ -65,9 +65,9 @@
 }
 
 // Evict removes the ends whose retention has expired.
-func (r *Register) Evict(now time.Time) {
+func (r *Registry) Evict(now time.Time) {
 	maps.DeleteFunc(r.byJob, func(_ string, known end) bool { return now.Sub(known.learntAt) > retention })
 }
 
 // Len returns the number of ends.
-func (r *Register) Len() int { return len(r.byJob) }
+func (r *Registry) Len() int { return len(r.byJob) }
--- a/internal/jobs/ends/register_test.go
+++ b/internal/jobs/endedjobs/register_test.go
@@ -1,4 +1,4 @@
-package ends
+package endedjobs
 
 import (
 	"slices"
@@ -20,7 +20,7 @@
 		{"at the end of the retention", retention, nil, 3},
 		{"after the retention", retention + 1, nil, 0},
 	} {
-		register := NewRegister()
+		register := NewRegistry()
 		register.Announce("b", began)
 		register.Learn("learnt", began)
 		register.Announce("a", began)
@@ -37,7 +37,7 @@
 
 func TestAnEndLearntAgainKeepsItsAgeAndAnnouncement(t *testing.T) {
 	began := time.Now()
-	register := NewRegister()
+	register := NewRegistry()
 	register.Announce("job", began)
 	register.Learn("job", began.Add(announceTime))
 	if got := register.Announced(began.Add(announceTime + 1)); len(got) > 0 {
--- a/internal/jobs/jobstore/accept.go
+++ b/internal/jobs/jobstore/accept.go
@@ -15,27 +15,27 @@
 
 // Accept stores a batch job: first the payload, then the record. It returns the record in the
 // store, which belongs to another caller if the id was already in use, and whether this call
-// created it. The error is a *NotTakenError or an *UncertainError.
+// created it. The error is a *NotAcceptedError or an *AcceptanceUnknownError.
 func (s *Store) Accept(ctx context.Context, id string, record Record, payload []byte) (stored Record, made bool, err error) {
 	record.Parts = (len(payload) + maxPartBytes - 1) / maxPartBytes
 	if err := s.createPayload(ctx, id, record.Parts, payload); err != nil {
 		// A payload without a record has no effect.
-		return Record{}, false, &NotTakenError{Cause: err}
+		return Record{}, false, &NotAcceptedError{Cause: err}
 	}
 	spec, err := json.Marshal(record)
 	if err != nil {
-		return Record{}, false, &NotTakenError{Cause: err}
+		return Record{}, false, &NotAcceptedError{Cause: err}
 	}
 	object, outcome, err := objectstore.CreateWithRetry(ctx, s.store, KindJobs, id, spec)
 	switch outcome {
 	case objectstore.NotCreated:
-		return Record{}, false, &NotTakenError{Cause: err}
+		return Record{}, false, &NotAcceptedError{Cause: err}
 	case objectstore.OutcomeUnknown:
-		return Record{}, false, &UncertainError{Cause: err}
+		return Record{}, false, &AcceptanceUnknownError{Cause: err}
 	}
 	stored, _, err = readRecord(object)
 	if err != nil {
-		return Record{}, false, &UncertainError{Cause: err}
+		return Record{}, false, &AcceptanceUnknownError{Cause: err}
 	}
 	return stored, outcome == objectstore.Created, nil
 }
--- a/internal/jobs/jobstore/errors.go
+++ b/internal/jobs/jobstore/errors.go
@@ -13,21 +13,23 @@
 	ErrTruncated = merry.Sentinel("stored batch job lacks a part")
 )
 
-// UncertainError means that it is unknown whether the record of a batch job was or will be
+// AcceptanceUnknownError means that it is unknown whether the record of a batch job was or will be
 // stored.
-type UncertainError struct{ Cause error }
+type AcceptanceUnknownError struct{ Cause error }
 
 // Error implements error.
-func (e *UncertainError) Error() string { return fmt.Sprintf("batch job may be taken: %v", e.Cause) }
+func (e *AcceptanceUnknownError) Error() string {
+	return fmt.Sprintf("batch job may be taken: %v", e.Cause)
+}
 
 // Unwrap returns the cause.
-func (e *UncertainError) Unwrap() error { return e.Cause }
+func (e *AcceptanceUnknownError) Unwrap() error { return e.Cause }
 
-// NotTakenError means that a batch job was not accepted and none of it will run.
-type NotTakenError struct{ Cause error }
+// NotAcceptedError means that a batch job was not accepted and none of it will run.
+type NotAcceptedError struct{ Cause error }
 
 // Error implements error.
-func (e *NotTakenError) Error() string { return fmt.Sprintf("batch job not taken: %v", e.Cause) }
+func (e *NotAcceptedError) Error() string { return fmt.Sprintf("batch job not taken: %v", e.Cause) }
 
 // Unwrap returns the cause.
-func (e *NotTakenError) Unwrap() error { return e.Cause }
+func (e *NotAcceptedError) Unwrap() error { return e.Cause }
--- a/internal/jobs/jobstore/record.go
+++ b/internal/jobs/jobstore/record.go
@@ -19,12 +19,12 @@
 	Parts int `json:"parts"`
 	// Tenant is the job's tenant, empty if no tenants were declared.
 	Tenant string `json:"tenant,omitempty"`
-	// Entry is the region of the node that the caller connected to. Entry, Scorers, Route and
+	// EntryRegion is the region of the node that the caller connected to. EntryRegion, Scorers, Route and
 	// Tenant determine where the job's bodies may be held. Records of earlier versions have
-	// neither Entry nor Scorers.
-	Entry string `json:"entry,omitempty"`
-	// Scorers are the routes of the job's reward calls.
-	Scorers []string `json:"scorers,omitempty"`
+	// neither EntryRegion nor Scorers.
+	EntryRegion string `json:"entry,omitempty"`
+	// ScorerRoutes are the routes of the job's reward calls.
+	ScorerRoutes []string `json:"scorers,omitempty"`
 	// Items is the number of items, 0 if unknown.
 	Items int `json:"items,omitempty"`
 	// AcceptedMs is when the first owner accepted the job, in Unix milliseconds of its wall
--- a/internal/jobs/jobstore/store.go
+++ b/internal/jobs/jobstore/store.go
@@ -24,10 +24,10 @@
 // New returns a store of batch jobs in the given metadata store.
 func New(store objectstore.Store) *Store { return &Store{store: store} }
 
-// ReadApart makes Results read the chunks by name while the condition returns true. The pages
+// ReadByNameWhile makes Results read the chunks by name while the condition returns true. The pages
 // of a listing include results of other jobs, which may not be allowed in this region.
-// ReadApart must be called before the first read.
-func (s *Store) ReadApart(condition func() bool) { s.readApart = condition }
+// ReadByNameWhile must be called before the first read.
+func (s *Store) ReadByNameWhile(condition func() bool) { s.readApart = condition }
 
 // Read returns a batch job. It returns ErrNoSuchJob only if the job does not exist. After any
 // other error it is unknown whether the job exists.
--- a/internal/jobs/ownership/rank.go
+++ b/internal/jobs/ownership/rank.go
@@ -16,8 +16,8 @@
 	Locators = 12
 )
 
-// Outside is the rank of a node that may not take a job over.
-const Outside = -1
+// Unranked is the rank of a node that may not take a job over.
+const Unranked = -1
 
 // Successors returns the nodes other than the owner, in the given order.
 func Successors(nodes []string, owner string) []string {
@@ -30,7 +30,7 @@
 	return successors
 }
 
-// Rank returns the rank of a node among the successors for a job, starting at 0, or Outside
+// Rank returns the rank of a node among the successors for a job, starting at 0, or Unranked
 // if the node is not a successor.
 func Rank(job string, successors []string, node string) int {
 	return slices.Index(rendezvous.RankNames(job, successors), node)
--- a/internal/jobs/ownership/takeover.go
+++ b/internal/jobs/ownership/takeover.go
@@ -27,8 +27,8 @@
 	// OwnerRestarted means that the owner's node has a new process, which may take the job
 	// over first.
 	OwnerRestarted
-	// OwnerFormerSelf means that the owner is an earlier process of this node.
-	OwnerFormerSelf
+	// OwnerPreviousProcess means that the owner is an earlier process of this node.
+	OwnerPreviousProcess
 )
 
 // RemoteJob is this node's information about a batch job that it does not run.
@@ -79,7 +79,7 @@
 // Delay returns how long the node with the given rank waits after the owner's last heartbeat
 // before it takes a job over.
 func Delay(owner OwnerCondition, rank int) time.Duration {
-	if owner == OwnerFormerSelf {
+	if owner == OwnerPreviousProcess {
 		return 0
 	}
 	if rank >= Watchers {
--- a/internal/jobs/ownership/takeover_test.go
+++ b/internal/jobs/ownership/takeover_test.go
@@ -22,8 +22,8 @@
 		{"being taken over", RemoteJob{TakingOver: true}, 0, time.Hour, Decision{Reason: ReasonTakingOver}},
 		{"just tried", RemoteJob{RetryAt: now.Add(1)}, 0, time.Hour, Decision{Reason: ReasonBackoff}},
 		{"to be tried again", RemoteJob{RetryAt: now}, 0, time.Hour, Decision{TakeOver: true, Reason: ReasonSilent}},
-		{"outside", RemoteJob{}, Outside, time.Hour, Decision{Reason: ReasonOutside}},
-		{"outside, of a former process", RemoteJob{Owner: OwnerFormerSelf}, Outside, time.Hour, Decision{Reason: ReasonOutside}},
+		{"outside", RemoteJob{}, Unranked, time.Hour, Decision{Reason: ReasonOutside}},
+		{"outside, of a former process", RemoteJob{Owner: OwnerPreviousProcess}, Unranked, time.Hour, Decision{Reason: ReasonOutside}},
 		{"first, heard", RemoteJob{}, 0, OwnerTimeout, Decision{Reason: ReasonDelay}},
 		{"first, silent", RemoteJob{}, 0, OwnerTimeout + 1, Decision{TakeOver: true, Reason: ReasonSilent}},
 		{"second, silent", RemoteJob{}, 1, OwnerTimeout + 1, Decision{Reason: ReasonDelay}},
@@ -32,13 +32,13 @@
 		{"leaving, second", RemoteJob{Owner: OwnerLeaving}, 1, RankDelay, Decision{Reason: ReasonDelay}},
 		{"restarted", RemoteJob{Owner: OwnerRestarted}, 0, RankDelay, Decision{Reason: ReasonDelay}},
 		{"restarted, not taken up", RemoteJob{Owner: OwnerRestarted}, 0, RankDelay + 1, Decision{TakeOver: true, Reason: ReasonSilent}},
-		{"of a former process", RemoteJob{Owner: OwnerFormerSelf}, 3, 1, Decision{TakeOver: true, Reason: ReasonSilent}},
+		{"of a former process", RemoteJob{Owner: OwnerPreviousProcess}, 3, 1, Decision{TakeOver: true, Reason: ReasonSilent}},
 		{"last watcher", RemoteJob{}, Watchers - 1, OwnerTimeout + (Watchers-1)*RankDelay + 1, Decision{TakeOver: true, Reason: ReasonSilent}},
 		{"no watcher, as long", RemoteJob{}, Watchers, OwnerTimeout + (Watchers-1)*RankDelay + 1, Decision{Reason: ReasonDelay}},
 		{"no watcher, leaving", RemoteJob{Owner: OwnerLeaving}, Watchers, UnwatchedDelay, Decision{Reason: ReasonDelay}},
 		{"no watcher", RemoteJob{}, Watchers, UnwatchedDelay + 1, Decision{TakeOver: true, ProbeOwner: true, Reason: ReasonSilent}},
 		{"no watcher, later in rank", RemoteJob{}, Watchers + 2, UnwatchedDelay + 2*RankDelay, Decision{Reason: ReasonDelay}},
-		{"no watcher, of a former process", RemoteJob{Owner: OwnerFormerSelf}, Watchers, 1, Decision{TakeOver: true, ProbeOwner: true, Reason: ReasonSilent}},
+		{"no watcher, of a former process", RemoteJob{Owner: OwnerPreviousProcess}, Watchers, 1, Decision{TakeOver: true, ProbeOwner: true, Reason: ReasonSilent}},
 	} {
 		test.job.LastHeartbeat = now.Add(-test.silence)
 		test.job.Rank = func() int { return test.rank }
@@ -99,7 +99,7 @@
 			t.Errorf("watcher %d has rank %d", place, got)
 		}
 	}
-	if got := Rank("job", successors, owner); got != Outside {
+	if got := Rank("job", successors, owner); got != Unranked {
 		t.Errorf("the owner has rank %d", got)
 	}
 }
--- a/internal/jobs/placement/condition.go
+++ b/internal/jobs/placement/condition.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Condition is the health of a replica as its runs have shown it.
-type Condition struct {
+// ReplicaHealth is the health of a replica as its runs have shown it.
+type ReplicaHealth struct {
 	// Failing is set if so many of the most recent runs failed that the cause is likely
 	// the replica and not the items.
 	Failing bool
-	// Unproven is set if a run failed before its first event, or stalled, and the replica
+	// Unresponsive is set if a run failed before its first event, or stalled, and the replica
 	// has sent no event since. The replica may be down.
-	Unproven bool
+	Unresponsive bool
 	// SinceEvent is the time since the replica last sent an event to this node.
 	SinceEvent time.Duration
 }
--- a/internal/jobs/placement/doc.go
+++ b/internal/jobs/placement/doc.go
@@ -1,7 +1,7 @@
 // Package placement implements the scheduling rules for the items of batch jobs: the order
 // in which items run (RankItems, Compare), the replica that runs an item (Pick), when a run
 // has stalled (Stalled), which runs move to another replica (Moves), and why a job was late
-// (WhyLate).
+// (ClassifyLateness).
 //
 // The package holds no state. Each rule is a function of the views that the caller passes;
 // EventRate and Pace are estimators that the caller stores.
--- a/internal/jobs/placement/history.go
+++ b/internal/jobs/placement/history.go
@@ -10,8 +10,8 @@
 	Waited time.Duration
 	// Stalls is the number of runs that were cancelled because they stalled.
 	Stalls int
-	// Breaks is the number of runs that ended early for a reason unrelated to the item.
-	Breaks int
+	// BrokenRuns is the number of runs that ended early for a reason unrelated to the item.
+	BrokenRuns int
 	// Interval is the mean time between events of the last run, 0 if unknown.
 	Interval time.Duration
 }
--- a/internal/jobs/placement/lateness.go
+++ b/internal/jobs/placement/lateness.go
@@ -5,7 +5,7 @@
 // LatenessCause is the reason why a job was late, as it appears in logs and metrics.
 type LatenessCause string
 
-// The causes of a late job, in the order in which WhyLate checks them.
+// The causes of a late job, in the order in which ClassifyLateness checks them.
 const (
 	LateOwnerChange LatenessCause = "its owner changed"
 	LateNoSlot      LatenessCause = "began late: no replica had room or the weights"
@@ -23,9 +23,9 @@
 	lateRatio = 1.05
 )
 
-// WhyLate returns the first cause that applies to a late job, given the history of the item
+// ClassifyLateness returns the first cause that applies to a late job, given the history of the item
 // that completed last. It returns LateLongText if no other cause applies.
-func WhyLate(paces Paces, history History) LatenessCause {
+func ClassifyLateness(paces Paces, history History) LatenessCause {
 	switch {
 	case history.Epoch > 1:
 		return LateOwnerChange
@@ -33,7 +33,7 @@
 		return LateNoSlot
 	case history.Stalls > 0:
 		return LateStall
-	case history.Breaks > 0:
+	case history.BrokenRuns > 0:
 		return LateBrokenRuns
 	case paces.usual > 0 && float64(history.Interval) > lateRatio*float64(paces.usual):
 		return LateSlowReplica
--- a/internal/jobs/placement/paces.go
+++ b/internal/jobs/placement/paces.go
@@ -42,8 +42,8 @@
 	return paces
 }
 
-// Usual returns the median interval, 0 if too few intervals are known.
-func (p Paces) Usual() time.Duration { return p.usual }
+// MedianInterval returns the median interval, 0 if too few intervals are known.
+func (p Paces) MedianInterval() time.Duration { return p.usual }
 
 // expectedAt returns the expected interval at a replica: its own if known, else the median,
 // or 0 if neither is known.
--- a/internal/jobs/placement/pick_test.go
+++ b/internal/jobs/placement/pick_test.go
@@ -10,7 +10,7 @@
 	var made []*Replica
 	for number, load := range loads {
 		name := string(rune('a' + number))
-		made = append(made, NewReplica(name, 6, load, Paces{}, Condition{SinceEvent: time.Minute}))
+		made = append(made, NewReplica(name, 6, load, Paces{}, ReplicaHealth{SinceEvent: time.Minute}))
 	}
 	return made
 }
@@ -19,7 +19,7 @@
 // waiting for a connection to it.
 func TestUrgentItemsTryAReplicaThatMayBeDownLast(t *testing.T) {
 	some := replicas(5, 3)
-	down := NewReplica("down", 6, 0, Paces{}, Condition{Unproven: true, SinceEvent: time.Minute})
+	down := NewReplica("down", 6, 0, Paces{}, ReplicaHealth{Unresponsive: true, SinceEvent: time.Minute})
 	some = append(some, down)
 	if got := Pick(some, Preference{Urgent: true}); got.Name != "b" {
 		t.Errorf("an urgent item goes to %s", got.Name)
--- a/internal/jobs/placement/replica.go
+++ b/internal/jobs/placement/replica.go
@@ -34,30 +34,30 @@
 	Load int
 	// MaxLoad is the load at which the replica gets no further items.
 	MaxLoad int
-	// unproven is Condition.Unproven.
+	// unproven is ReplicaHealth.Unresponsive.
 	unproven bool
 	// bias is added to the utilization when replicas are compared.
 	bias float64
 }
 
 // NewReplica returns a view of a replica with the given slots and load.
-func NewReplica(name string, slots, load int, paces Paces, condition Condition) *Replica {
+func NewReplica(name string, slots, load int, paces Paces, condition ReplicaHealth) *Replica {
 	return &Replica{
 		Name: name, Slots: slots, Load: load,
 		MaxLoad:  maxLoadOf(slots, load, condition),
-		unproven: condition.Unproven,
+		unproven: condition.Unresponsive,
 		bias:     biasOf(paces.slowdown(name), paces.isSlow(name), condition),
 	}
 }
 
 // maxLoadOf returns the load at which a replica gets no further items: its slots, or fewer
 // while it is failing or may be down.
-func maxLoadOf(slots, load int, condition Condition) int {
+func maxLoadOf(slots, load int, condition ReplicaHealth) int {
 	limit := slots
 	if condition.Failing {
 		limit = min(limit, FailingRuns)
 	}
-	if condition.Unproven {
+	if condition.Unresponsive {
 		limit = min(limit, load+unprovenRuns)
 	}
 	return limit
@@ -65,7 +65,7 @@
 
 // biasOf returns the bias of a replica: larger for slower and failing replicas, smaller for
 // one with open connections.
-func biasOf(slowdown float64, isSlow bool, condition Condition) float64 {
+func biasOf(slowdown float64, isSlow bool, condition ReplicaHealth) float64 {
 	bias := paceBias * slowdown
 	if condition.Failing || isSlow {
 		bias += slowPenalty
--- a/internal/jobs/placement/stall.go
+++ b/internal/jobs/placement/stall.go
@@ -26,9 +26,9 @@
 // restarted at another replica.
 func Stalled(paces Paces, run *Run) bool { return run.Idle > run.timeout(paces) }
 
-// MayFinish reports whether a run has received an event within eventTimeout. A replica whose
+// HasRecentEvent reports whether a run has received an event within eventTimeout. A replica whose
 // entry was removed may continue serving for a while, so its runs stay while this holds.
-func MayFinish(run *Run) bool { return run.Idle < eventTimeout }
+func HasRecentEvent(run *Run) bool { return run.Idle < eventTimeout }
 
 // timeout returns how long the run may go without an event.
 func (r *Run) timeout(paces Paces) time.Duration {
--- a/internal/jobs/placement/stall_test.go
+++ b/internal/jobs/placement/stall_test.go
@@ -39,7 +39,7 @@
 		{"just before the event timeout", eventTimeout - time.Millisecond, true},
 		{"at the event timeout", eventTimeout, false},
 	} {
-		if got := MayFinish(&Run{Replica: "a", Events: 5, Idle: test.idle}); got != test.want {
+		if got := HasRecentEvent(&Run{Replica: "a", Events: 5, Idle: test.idle}); got != test.want {
 			t.Errorf("%s: %t", test.name, got)
 		}
 	}
--- a/internal/jobs/replicastate/nodeuses.go
+++ b/internal/jobs/replicastate/nodeuses.go
@@ -6,11 +6,11 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// UsesTimeout is how long the announced slot use of another node is valid.
-const UsesTimeout = 1500 * time.Millisecond
+// SlotUseTimeout is how long the announced slot use of another node is valid.
+const SlotUseTimeout = 1500 * time.Millisecond
 
-// NodeUses is the slot use of another node, as announced in its heartbeat.
-type NodeUses struct {
+// NodeSlotUse is the slot use of another node, as announced in its heartbeat.
+type NodeSlotUse struct {
 	ReceivedAt time.Time
 	// Running is the number of items that the node runs, by replica.
 	Running map[string]int
@@ -21,11 +21,11 @@
 }
 
 // isCurrent reports whether the slot use is still valid.
-func (u NodeUses) isCurrent(now time.Time) bool { return now.Sub(u.ReceivedAt) < UsesTimeout }
+func (u NodeSlotUse) isCurrent(now time.Time) bool { return now.Sub(u.ReceivedAt) < SlotUseTimeout }
 
 // usesFrom returns the slot use that a heartbeat announces.
-func usesFrom(heartbeat *wire.NodeBeat, now time.Time) NodeUses {
-	uses := NodeUses{ReceivedAt: now, Running: map[string]int{}, Intervals: map[string]time.Duration{}, Open: map[string]int{}}
+func usesFrom(heartbeat *wire.NodeBeat, now time.Time) NodeSlotUse {
+	uses := NodeSlotUse{ReceivedAt: now, Running: map[string]int{}, Intervals: map[string]time.Duration{}, Open: map[string]int{}}
 	for _, work := range heartbeat.Work {
 		uses.Open[work.Model] += int(work.Open)
 	}
--- a/internal/jobs/replicastate/state.go
+++ b/internal/jobs/replicastate/state.go
@@ -21,9 +21,9 @@
 	Running int
 	// BlockedUntil is when the replica may get items again after it refused some.
 	BlockedUntil time.Time
-	// Unproven is set when a run fails before its first event, and cleared by the next
+	// Unresponsive is set when a run fails before its first event, and cleared by the next
 	// event.
-	Unproven bool
+	Unresponsive bool
 	// Blocks is the number of consecutive blocks.
 	Blocks int
 	// Versions holds the newest known weight versions by model.
@@ -88,7 +88,7 @@
 		s.Pace = placement.Pace{}
 	}
 	s.Pace.Observe(interval, s.Running)
-	s.ObservedAt, s.Blocks, s.Unproven = now, 0, false
+	s.ObservedAt, s.Blocks, s.Unresponsive = now, 0, false
 }
 
 // announcedMicroseconds returns the interval to announce to other nodes in microseconds, 0
--- a/internal/jobs/replicastate/table.go
+++ b/internal/jobs/replicastate/table.go
@@ -22,15 +22,15 @@
 type Table struct {
 	// States holds the states of the replicas by name.
 	States map[string]*State
-	// Uses holds the slot use of the other nodes by node.
-	Uses map[string]NodeUses
+	// SlotUse holds the slot use of the other nodes by node.
+	SlotUse map[string]NodeSlotUse
 }
 
 // NewTable returns an empty table.
-func NewTable() *Table { return &Table{States: map[string]*State{}, Uses: map[string]NodeUses{}} }
+func NewTable() *Table { return &Table{States: map[string]*State{}, SlotUse: map[string]NodeSlotUse{}} }
 
-// Get returns the state of a replica. It creates the state if there is none.
-func (t *Table) Get(replica string) *State {
+// GetOrCreate returns the state of a replica. It creates the state if there is none.
+func (t *Table) GetOrCreate(replica string) *State {
 	state := t.States[replica]
 	if state == nil {
 		state = &State{Versions: map[string]int64{}, LoadingSince: map[string]time.Time{}}
@@ -39,9 +39,9 @@
 	return state
 }
 
-// LearnUses records the slot use in a heartbeat of another node.
-func (t *Table) LearnUses(heartbeat *wire.NodeBeat, now time.Time) {
-	t.Uses[heartbeat.Node] = usesFrom(heartbeat, now)
+// LearnSlotUse records the slot use in a heartbeat of another node.
+func (t *Table) LearnSlotUse(heartbeat *wire.NodeBeat, now time.Time) {
+	t.SlotUse[heartbeat.Node] = usesFrom(heartbeat, now)
 }
 
 // Announced returns the slot use of this node for its heartbeats.
@@ -70,8 +70,8 @@
 
 // Load returns the number of items that a replica runs for all nodes.
 func (t *Table) Load(replica string, now time.Time) int {
-	load := t.Get(replica).Running
-	for _, uses := range t.Uses {
+	load := t.GetOrCreate(replica).Running
+	for _, uses := range t.SlotUse {
 		if uses.isCurrent(now) {
 			load += uses.Running[replica]
 		}
@@ -85,7 +85,7 @@
 	for replica, state := range t.States {
 		loads[replica] = state.Running
 	}
-	for _, uses := range t.Uses {
+	for _, uses := range t.SlotUse {
 		if uses.isCurrent(now) {
 			for replica, running := range uses.Running {
 				loads[replica] += running
@@ -99,7 +99,7 @@
 // nodes.
 func (t *Table) OpenItems(models []string, now time.Time) int {
 	open := 0
-	for _, uses := range t.Uses {
+	for _, uses := range t.SlotUse {
 		if !uses.isCurrent(now) {
 			continue
 		}
@@ -113,7 +113,7 @@
 // RunningNodes returns the number of nodes that run items. It always counts this node.
 func (t *Table) RunningNodes(now time.Time) int {
 	count := 1
-	for _, uses := range t.Uses {
+	for _, uses := range t.SlotUse {
 		if len(uses.Running) > 0 && uses.isCurrent(now) {
 			count++
 		}
@@ -142,7 +142,7 @@
 	if own > 0 && age < FreshPaceAge {
 		return own
 	}
-	for _, uses := range t.Uses {
+	for _, uses := range t.SlotUse {
 		if interval := uses.Intervals[replica]; interval > 0 && uses.isCurrent(now) {
 			return interval
 		}
@@ -157,5 +157,5 @@
 // expired slot use of other nodes.
 func (t *Table) Evict(listed map[string]*directory.Replica, now time.Time) {
 	maps.DeleteFunc(t.States, func(replica string, state *State) bool { return listed[replica] == nil && state.Running == 0 })
-	maps.DeleteFunc(t.Uses, func(_ string, uses NodeUses) bool { return now.Sub(uses.ReceivedAt) > UsesTimeout })
+	maps.DeleteFunc(t.SlotUse, func(_ string, uses NodeSlotUse) bool { return now.Sub(uses.ReceivedAt) > SlotUseTimeout })
 }
--- a/internal/replicas/directory/configuration.go
+++ b/internal/replicas/directory/configuration.go
@@ -28,10 +28,10 @@
 // before any lookup.
 func (c *Configuration) Index() {
 	c.byHost = map[string][]*Route{}
-	c.declaresHomes = c.Tenants.DeclaresHomes()
+	c.declaresHomes = c.Tenants.RestrictsRegions()
 	for i := range c.Routes {
 		route := &c.Routes[i]
-		c.declaresHomes = c.declaresHomes || len(route.Homes) > 0
+		c.declaresHomes = c.declaresHomes || len(route.AllowedRegions) > 0
 		host := strings.ToLower(route.Host)
 		c.byHost[host] = append(c.byHost[host], route)
 	}
--- a/internal/replicas/directory/entry_book.go
+++ b/internal/replicas/directory/entry_book.go
@@ -100,7 +100,7 @@
 // facts returns the facts that decide what happens to a replica whose entry was read.
 func (b *entryBook) facts(replica *Replica) entryFacts {
 	known := entryFacts{state: replica.State, hasLeft: b.hasLeft(replica.ID)}
-	if newest := b.starts[replica.InstanceName()]; newest != nil && replica.Born < newest.born {
+	if newest := b.starts[replica.InstanceName()]; newest != nil && replica.StartedMs < newest.born {
 		known.isEarlierStart = true
 		known.sinceLaterStart = b.clock.Since(newest.seen)
 	}
@@ -120,7 +120,7 @@
 		b.stopKeeping(known.id)
 		delete(listing, known.id)
 	}
-	*known = start{id: replica.ID, born: replica.Born, seen: b.clock()}
+	*known = start{id: replica.ID, born: replica.StartedMs, seen: b.clock()}
 }
 
 // delay defers a stale entry. It is applied after lateEntryPeriod unless another entry
--- a/internal/replicas/directory/evacuation.go
+++ b/internal/replicas/directory/evacuation.go
@@ -14,13 +14,13 @@
 // than any warm-up time.
 const evacuationEndMemory = 10 * time.Minute
 
-// AwaitEvacuations treats every zone as evacuated until the evacuations have been listed
+// AssumeAllEvacuated treats every zone as evacuated until the evacuations have been listed
 // once. It must be called before the replicas are listed.
-func (t *Table) AwaitEvacuations() {
+func (t *Table) AssumeAllEvacuated() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	next := *t.view.Load()
-	next.EvacuationsAwaited = true
+	next.EvacuationsUnknown = true
 	t.publishEvacuations(&next)
 }
 
@@ -38,11 +38,11 @@
 	for _, zone := range zones {
 		changes = append(changes, EvacuationChange{Zone: zone})
 	}
-	if len(changes) == 0 && !current.EvacuationsAwaited {
+	if len(changes) == 0 && !current.EvacuationsUnknown {
 		return
 	}
 	next := *current
-	next.EvacuationsAwaited = false
+	next.EvacuationsUnknown = false
 	t.changeEvacuations(&next, changes)
 }
 
--- a/internal/replicas/directory/evacuation_test.go
+++ b/internal/replicas/directory/evacuation_test.go
@@ -134,7 +134,7 @@
 // Guards against a starting node using replicas before it knows which zones are evacuated.
 func TestNothingIsSentBeforeEvacuationsAreListed(t *testing.T) {
 	table := NewTable("node", "a", nil, klog.Background())
-	table.AwaitEvacuations()
+	table.AssumeAllEvacuated()
 	replica := inZone("a")
 	replica.ID = "a"
 	table.SetReplicas([]*Replica{replica}, 0)
@@ -154,7 +154,7 @@
 	closed bool
 }
 
-func (b *evacuatedWhenBounded) SetWarming([]slowstart.Warming, func(string) bool) {
+func (b *evacuatedWhenBounded) SetWarming([]slowstart.WarmingReplica, func(string) bool) {
 	if endpoint := b.table.View().Endpoints["a"]; endpoint != nil {
 		b.closed = endpoint.State.Evacuated()
 	}
--- a/internal/replicas/directory/homes.go
+++ b/internal/replicas/directory/homes.go
@@ -4,29 +4,29 @@
 	"maps"
 	"slices"
 
-	"github.com/pathtally/pathtally/internal/replicas/homes"
+	"github.com/pathtally/pathtally/internal/replicas/residency"
 )
 
-// DeclaresHomes reports whether any route or tenant has allowed regions.
-func (c *Configuration) DeclaresHomes() bool { return c != nil && c.declaresHomes }
+// RestrictsRegions reports whether any route or tenant has allowed regions.
+func (c *Configuration) RestrictsRegions() bool { return c != nil && c.declaresHomes }
 
-// HomesOf returns the allowed regions for a tenant's requests on a route. The route may be
+// AllowedRegions returns the allowed regions for a tenant's requests on a route. The route may be
 // from an earlier configuration: its allowed regions apply if this configuration has no route
 // of that name.
-func (c *Configuration) HomesOf(route *Route, tenant string) homes.Set {
+func (c *Configuration) AllowedRegions(route *Route, tenant string) residency.Set {
 	if c == nil {
-		return homes.Of(route.Homes, nil)
+		return residency.Of(route.AllowedRegions, nil)
 	}
-	if c.declaresHomes || len(route.Homes) > 0 {
-		if current := c.Named(route.Name); current != nil {
+	if c.declaresHomes || len(route.AllowedRegions) > 0 {
+		if current := c.RouteByName(route.Name); current != nil {
 			route = current
 		}
 	}
-	return homes.Of(route.Homes, c.Tenants.HomesOf(tenant))
+	return residency.Of(route.AllowedRegions, c.Tenants.AllowedRegions(tenant))
 }
 
-// Named returns the route with the given name, or nil.
-func (c *Configuration) Named(name string) *Route {
+// RouteByName returns the route with the given name, or nil.
+func (c *Configuration) RouteByName(name string) *Route {
 	for i := range c.Routes {
 		if c.Routes[i].Name == name {
 			return &c.Routes[i]
@@ -37,8 +37,8 @@
 
 // HasReplica reports whether a service of the route has a replica in the allowed regions. It
 // returns true while the replicas are unknown.
-func (v *View) HasReplica(route *Route, allowed homes.Set) bool {
-	if !allowed.Bound() || !v.ReplicasKnown {
+func (v *View) HasReplica(route *Route, allowed residency.Set) bool {
+	if !allowed.IsRestricted() || !v.ReplicasKnown {
 		return true
 	}
 	for _, target := range route.Targets {
@@ -67,11 +67,11 @@
 	}
 	isUnknown := func(region string) bool { return !known[region] }
 	for _, route := range configuration.Routes {
-		if i := slices.IndexFunc(route.Homes, isUnknown); i >= 0 {
-			t.logger.Error(nil, "allowed region of a route is not known", "route", route.Name, "region", route.Homes[i], "version", configuration.Version)
+		if i := slices.IndexFunc(route.AllowedRegions, isUnknown); i >= 0 {
+			t.logger.Error(nil, "allowed region of a route is not known", "route", route.Name, "region", route.AllowedRegions[i], "version", configuration.Version)
 		}
 	}
-	declared := configuration.Tenants.Homes()
+	declared := configuration.Tenants.AllowedRegionsByTenant()
 	for _, tenant := range slices.Sorted(maps.Keys(declared)) {
 		if i := slices.IndexFunc(declared[tenant], isUnknown); i >= 0 {
 			t.logger.Error(nil, "allowed region of a tenant is not known", "tenant", tenant, "region", declared[tenant][i], "version", configuration.Version)
--- a/internal/replicas/directory/homes_test.go
+++ b/internal/replicas/directory/homes_test.go
@@ -21,9 +21,9 @@
 func TestHomesThatNoRegionHasAreLoggedOnceForEachConfiguration(t *testing.T) {
 	errors := 0
 	table := NewTable("node", "n1", map[string]string{"n1": "north", "s1": "south"}, klog.New(errorCount{&errors}))
-	tenants, _ := tenancy.NewTable([]tenancy.Declared{{Tenant: tenancy.Tenant{Name: "one", Homes: []string{"nowhere"}}}})
+	tenants, _ := tenancy.NewTable([]tenancy.Declared{{Tenant: tenancy.Tenant{Name: "one", AllowedRegions: []string{"nowhere"}}}})
 	configuration := &Configuration{
-		Version: 1, Tenants: tenants, Routes: []Route{{Name: "bound", Homes: []string{"south", "atlantis"}}, {Name: "known", Homes: []string{"north"}}},
+		Version: 1, Tenants: tenants, Routes: []Route{{Name: "bound", AllowedRegions: []string{"south", "atlantis"}}, {Name: "known", AllowedRegions: []string{"north"}}},
 	}
 	for range 3 {
 		table.SetConfiguration(configuration, 1)
@@ -34,13 +34,13 @@
 }
 
 func TestRequestsObeyTheHomesOfTheConfigurationInForce(t *testing.T) {
-	former := &Route{Name: "moved", Homes: []string{"north"}}
-	configuration := &Configuration{Routes: []Route{{Name: "moved", Homes: []string{"south"}}}}
+	former := &Route{Name: "moved", AllowedRegions: []string{"north"}}
+	configuration := &Configuration{Routes: []Route{{Name: "moved", AllowedRegions: []string{"south"}}}}
 	configuration.Index()
-	if homes := configuration.HomesOf(former, "gone"); homes.Allows("north") || !homes.Allows("south") {
+	if homes := configuration.AllowedRegions(former, "gone"); homes.Allows("north") || !homes.Allows("south") {
 		t.Errorf("allowed in %v, want south", homes.Regions())
 	}
-	if homes := configuration.HomesOf(&Route{Name: "dropped", Homes: []string{"west"}}, ""); !homes.Allows("west") || homes.Allows("south") {
+	if homes := configuration.AllowedRegions(&Route{Name: "dropped", AllowedRegions: []string{"west"}}, ""); !homes.Allows("west") || homes.Allows("south") {
 		t.Errorf("a route that is dropped: allowed in %v, want west", homes.Regions())
 	}
 }
--- a/internal/replicas/directory/plans.go
+++ b/internal/replicas/directory/plans.go
@@ -88,7 +88,7 @@
 	state := t.states[replica.ID]
 	if state == nil {
 		state = routing.NewEndpointState()
-		state.SetView(routing.EngineView{})
+		state.SetReport(routing.EndpointReport{})
 		t.states[replica.ID] = state
 	}
 	made := routing.NewReplicaEndpoint(replica.ID, replica.Address, replica.Zone, t.regions[replica.Zone], replica.Service, replica.Slots, state)
@@ -121,7 +121,7 @@
 }
 
 // apply returns the plans of all services. Plans without a revision are reused.
-func (r planRevisions) apply(place routing.Place, current map[string]*routing.Plan) map[string]*routing.Plan {
+func (r planRevisions) apply(place routing.Locality, current map[string]*routing.Plan) map[string]*routing.Plan {
 	if len(r) == 0 {
 		return current
 	}
@@ -137,7 +137,7 @@
 }
 
 // apply returns the revised plan, or nil if no endpoint remains.
-func (r *planRevision) apply(place routing.Place, current *routing.Plan) *routing.Plan {
+func (r *planRevision) apply(place routing.Locality, current *routing.Plan) *routing.Plan {
 	if current == nil {
 		current = routing.NewRankedPlan(place, nil)
 	}
--- a/internal/replicas/directory/replica.go
+++ b/internal/replicas/directory/replica.go
@@ -22,24 +22,24 @@
 	// Name is the name of the replica's entry and in requests to it. It may stay the same
 	// across restarts. Empty if it equals ID.
 	Name string
-	// Born is when the replica started, in Unix milliseconds by its own wall clock. 0 if
+	// StartedMs is when the replica started, in Unix milliseconds by its own wall clock. 0 if
 	// unknown.
-	Born    int64
-	Service string
-	Address string
-	Zone    string
-	Slots   int
-	State   ReplicaState
+	StartedMs int64
+	Service   string
+	Address   string
+	Zone      string
+	Slots     int
+	State     ReplicaState
 	// Versions is the weight version of each loaded model.
 	Versions map[string]int64
-	// Warming is the remaining warm-up time when the entry was written.
-	Warming time.Duration
+	// WarmUpRemaining is the remaining warm-up time when the entry was written.
+	WarmUpRemaining time.Duration
 	// Spot is set for replicas on spot capacity, which may be reclaimed at short notice, a
 	// whole zone at once.
 	Spot bool
-	// Leaves is the remaining time until a replica with a shutdown notice stops, 0 if
+	// ShutdownIn is the remaining time until a replica with a shutdown notice stops, 0 if
 	// unknown.
-	Leaves time.Duration
+	ShutdownIn time.Duration
 }
 
 // incarnationMark separates the name of a replica from its start time in the ID.
--- a/internal/replicas/directory/replica_sink.go
+++ b/internal/replicas/directory/replica_sink.go
@@ -56,7 +56,7 @@
 		return nil, true
 	}
 	replica.Name = object.Name
-	replica.ID = IncarnationID(object.Name, replica.Born)
+	replica.ID = IncarnationID(object.Name, replica.StartedMs)
 	return replica, false
 }
 
--- a/internal/replicas/directory/restarts_test.go
+++ b/internal/replicas/directory/restarts_test.go
@@ -15,7 +15,7 @@
 
 // startedAt returns the entry of a replica with the given start time in milliseconds.
 func startedAt(born int64, state ReplicaState) map[string]any {
-	return map[string]any{"Service": "s", "Address": "127.0.0.1:1", "Slots": 4, "State": state, "Born": born}
+	return map[string]any{"Service": "s", "Address": "127.0.0.1:1", "Slots": 4, "State": state, "StartedMs": born}
 }
 
 // endpointOf returns the endpoint of any incarnation of a replica, or nil.
@@ -117,7 +117,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := NewTable("node", "zone", nil, klog.Background())
 		entry := func(born int64, state ReplicaState) *Replica {
-			return &Replica{ID: IncarnationID("one", born), Name: "one", Born: born, Service: "s", Address: "127.0.0.1:1", State: state}
+			return &Replica{ID: IncarnationID("one", born), Name: "one", StartedMs: born, Service: "s", Address: "127.0.0.1:1", State: state}
 		}
 		table.SetReplicas([]*Replica{entry(2000, ReplicaReady)}, 0)
 		table.ApplyReplicas([]ReplicaChange{
--- a/internal/replicas/directory/route.go
+++ b/internal/replicas/directory/route.go
@@ -36,8 +36,8 @@
 	CompletionObjective time.Duration
 	// Retention is the time after which the items of a batch job may be abandoned.
 	Retention time.Duration
-	// Homes are the allowed regions of the requests, empty for all regions.
-	Homes []string
+	// AllowedRegions are the allowed regions of the requests, empty for all regions.
+	AllowedRegions []string
 }
 
 // Serves reports whether a service is one of the route's targets.
--- a/internal/replicas/directory/slowstart.go
+++ b/internal/replicas/directory/slowstart.go
@@ -10,7 +10,7 @@
 type SlowStart interface {
 	// SetWarming replaces the list of warming replicas. When it returns, the limits of all
 	// of them are in effect. isListed reports whether a replica is in the directory.
-	SetWarming(warming []slowstart.Warming, isListed func(replica string) bool)
+	SetWarming(warming []slowstart.WarmingReplica, isListed func(replica string) bool)
 }
 
 // SetSlowStart sets the limiter for warming replicas. It must be called before the first
@@ -36,18 +36,18 @@
 
 // warming returns the replicas of a view that are warming up at the given time and whose
 // services have a warm-up rate.
-func (w warmUps) warming(now time.Time, view *View) []slowstart.Warming {
+func (w warmUps) warming(now time.Time, view *View) []slowstart.WarmingReplica {
 	if view.Configuration == nil {
 		return nil
 	}
-	var warming []slowstart.Warming
+	var warming []slowstart.WarmingReplica
 	for _, replica := range w.mayWarm(view) {
 		service := view.Configuration.Services[replica.Service]
 		if service.WarmUpRate <= 0 {
 			continue
 		}
 		if until := w.until(replica, view.EvacuationEnded, service.WarmUp); now.Before(until) {
-			warming = append(warming, slowstart.Warming{Replica: replica.ID, Gate: &view.Endpoints[replica.ID].State.SlowStart, Until: until})
+			warming = append(warming, slowstart.WarmingReplica{Replica: replica.ID, Gate: &view.Endpoints[replica.ID].State.SlowStart, Until: until})
 		}
 	}
 	return warming
--- a/internal/replicas/directory/table.go
+++ b/internal/replicas/directory/table.go
@@ -15,7 +15,7 @@
 // Table applies changes of the metadata store and publishes views. It is safe for concurrent
 // use.
 type Table struct {
-	place routing.Place
+	place routing.Locality
 	// regions maps zones to regions.
 	regions map[string]string
 	logger  klog.Logger
@@ -36,13 +36,13 @@
 // NewTable returns an empty table for a node. regions maps zones to regions.
 func NewTable(node, zone string, regions map[string]string, logger klog.Logger) *Table {
 	table := &Table{
-		place: routing.Place{Node: node, Zone: zone, Region: regions[zone]}, regions: regions, logger: logger, clock: clock.Steady,
+		place: routing.Locality{Node: node, Zone: zone, Region: regions[zone]}, regions: regions, logger: logger, clock: clock.Steady,
 		entries:    newEntryBook(logger, clock.Steady),
 		unreadable: &unreadableEntries{logger: logger, revisions: map[string]uint64{}, report: func(string) {}},
 		states:     map[string]*routing.EndpointState{}, warmUps: warmUps{}, changed: make(chan struct{}),
 	}
 	table.entries.onKeptEnd, table.entries.onLateEntry = table.endKeeping, table.applyLateEntry
-	table.view.Store(&View{Replicas: map[string]*Replica{}, Named: map[string]int64{}, Plans: map[string]*routing.Plan{}})
+	table.view.Store(&View{Replicas: map[string]*Replica{}, NamedVersions: map[string]int64{}, Plans: map[string]*routing.Plan{}})
 	return table
 }
 
@@ -90,12 +90,12 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	current := t.view.Load()
-	if version <= current.Named[model] {
+	if version <= current.NamedVersions[model] {
 		return
 	}
 	next := *current
-	next.Named = maps.Clone(current.Named)
-	next.Named[model] = version
+	next.NamedVersions = maps.Clone(current.NamedVersions)
+	next.NamedVersions[model] = version
 	t.logger.Info("weight version named", "model", model, "version", version)
 	t.publish(&next, nil)
 }
--- a/internal/replicas/directory/table_test.go
+++ b/internal/replicas/directory/table_test.go
@@ -173,8 +173,8 @@
 		store.SetFault(nil)
 		settle(3 * time.Second)
 		view := table.View()
-		if view.Replicas["two"] == nil || view.Named["m"] != 4 {
-			t.Errorf("after the history was forgotten: replica %v, named version %d", view.Replicas["two"], view.Named["m"])
+		if view.Replicas["two"] == nil || view.NamedVersions["m"] != 4 {
+			t.Errorf("after the history was forgotten: replica %v, named version %d", view.Replicas["two"], view.NamedVersions["m"])
 		}
 	})
 }
--- a/internal/replicas/directory/usable.go
+++ b/internal/replicas/directory/usable.go
@@ -80,7 +80,7 @@
 // returns true for every zone until the evacuations are known.
 func (v *View) IsEvacuated(zone string) bool {
 	_, evacuated := v.Evacuated[zone]
-	return evacuated || v.EvacuationsAwaited
+	return evacuated || v.EvacuationsUnknown
 }
 
 // warmUntil returns when a replica's warm-up ends: the latest of the time that its entry
--- a/internal/replicas/directory/view.go
+++ b/internal/replicas/directory/view.go
@@ -17,17 +17,17 @@
 	Endpoints map[string]*routing.Endpoint
 	// Plans holds the routing plan of each service.
 	Plans map[string]*routing.Plan
-	// Named is the newest weight version that a trainer has named, by model.
-	Named map[string]int64
+	// NamedVersions is the newest weight version that a trainer has named, by model.
+	NamedVersions map[string]int64
 	// Evacuated holds the evacuated zones with the times at which this node observed it.
 	Evacuated map[string]time.Time
 	// EvacuationEnded holds the zones whose evacuation has ended, with the times at which
 	// this node observed it. Their replicas may be cold. Entries expire after
 	// evacuationEndMemory.
 	EvacuationEnded map[string]time.Time
-	// EvacuationsAwaited is set until the evacuations have been listed once, if the node
+	// EvacuationsUnknown is set until the evacuations have been listed once, if the node
 	// watches them. Until then every zone counts as evacuated.
-	EvacuationsAwaited bool
+	EvacuationsUnknown bool
 	// ReplicasKnown is set once the replicas have been listed.
 	ReplicasKnown bool
 	// Changed is when the view was published.
--- a/internal/replicas/directory/warmups.go
+++ b/internal/replicas/directory/warmups.go
@@ -26,10 +26,10 @@
 		case before == replica:
 		case replica == nil:
 			delete(w, id)
-		case before == nil && replica.Warming == 0 && current.ReplicasKnown:
+		case before == nil && replica.WarmUpRemaining == 0 && current.ReplicasKnown:
 			w[id] = warmUp{appeared: now}
-		case before == nil || before.Warming != replica.Warming:
-			w.recordEntry(now, id, replica.Warming)
+		case before == nil || before.WarmUpRemaining != replica.WarmUpRemaining:
+			w.recordEntry(now, id, replica.WarmUpRemaining)
 		}
 	}
 }
--- a/internal/replicas/directory/warmups_test.go
+++ b/internal/replicas/directory/warmups_test.go
@@ -16,7 +16,7 @@
 type warmingNames map[string]time.Time
 
 // SetWarming implements SlowStart.
-func (w warmingNames) SetWarming(warming []slowstart.Warming, _ func(string) bool) {
+func (w warmingNames) SetWarming(warming []slowstart.WarmingReplica, _ func(string) bool) {
 	clear(w)
 	for _, replica := range warming {
 		w[replica.Replica] = replica.Until
@@ -35,7 +35,7 @@
 }
 
 func warmReplica(id string, left time.Duration) *Replica {
-	return &Replica{ID: id, Service: "s", Zone: "z", Slots: 1, State: ReplicaReady, Warming: left}
+	return &Replica{ID: id, Service: "s", Zone: "z", Slots: 1, State: ReplicaReady, WarmUpRemaining: left}
 }
 
 func change(table *Table, replica *Replica) {
--- a/internal/replicas/homes/bounds.go
+++ b/internal/replicas/residency/bounds.go
@@ -1,4 +1,4 @@
-package homes
+package residency
 
 // Bounds holds where the body of a request may be: on replicas in its allowed regions, and on
 // nodes in these or in its entry region. It is immutable. The zero Bounds allows every region.
@@ -8,12 +8,12 @@
 	entry string
 }
 
-// Within returns the bounds of a body with the given allowed regions and entry region. The
+// NewBounds returns the bounds of a body with the given allowed regions and entry region. The
 // entry region is "" if unknown.
-func Within(homes Set, entry string) Bounds { return Bounds{homes: homes, entry: entry} }
+func NewBounds(homes Set, entry string) Bounds { return Bounds{homes: homes, entry: entry} }
 
-// Homes returns the regions in which replicas may receive the body.
-func (b Bounds) Homes() Set { return b.homes }
+// Regions returns the regions in which replicas may receive the body.
+func (b Bounds) Regions() Set { return b.homes }
 
 // AllowsReplica reports whether a replica in the region may receive the body.
 func (b Bounds) AllowsReplica(region string) bool { return b.homes.Allows(region) }
--- a/internal/replicas/homes/bounds_test.go
+++ b/internal/replicas/residency/bounds_test.go
@@ -1,4 +1,4 @@
-package homes
+package residency
 
 import (
 	"context"
@@ -22,7 +22,7 @@
 		{"both unknown", Of([]string{"south"}, nil), "", "", false, false},
 		{"homes of two requests", Of([]string{"south", "west"}, nil).And(Of(nil, []string{"west"})), "north", "south", false, false},
 	} {
-		bounds := Within(test.homes, test.entry)
+		bounds := NewBounds(test.homes, test.entry)
 		if replica, node := bounds.AllowsReplica(test.region), bounds.AllowsNode(test.region); replica != test.replica || node != test.node {
 			t.Errorf("%s: replica %v, node %v, want %v, %v", test.name, replica, node, test.replica, test.node)
 		}
--- a/internal/replicas/homes/set.go
+++ b/internal/replicas/residency/set.go
@@ -1,4 +1,4 @@
-package homes
+package residency
 
 import "slices"
 
@@ -23,8 +23,8 @@
 	return Set{bound: true, regions: regions}
 }
 
-// Bound reports whether the set is restricted to some regions.
-func (s Set) Bound() bool { return s.bound }
+// IsRestricted reports whether the set is restricted to some regions.
+func (s Set) IsRestricted() bool { return s.bound }
 
 // Allows reports whether a region is allowed. A restricted set does not allow an unknown
 // region, "".
@@ -35,8 +35,8 @@
 // Regions returns the allowed regions of a restricted set.
 func (s Set) Regions() []string { return s.regions }
 
-// Nowhere returns the set that allows no region.
-func Nowhere() Set { return Set{bound: true} }
+// NoRegions returns the set that allows no region.
+func NoRegions() Set { return Set{bound: true} }
 
 // And returns the regions that both sets allow.
 func (s Set) And(other Set) Set {
@@ -46,7 +46,7 @@
 	case !other.bound:
 		return s
 	}
-	both := Nowhere()
+	both := NoRegions()
 	for _, region := range s.regions {
 		if slices.Contains(other.regions, region) {
 			both.regions = append(both.regions, region)
--- a/internal/replicas/homes/set_test.go
+++ b/internal/replicas/residency/set_test.go
@@ -1,4 +1,4 @@
-package homes
+package residency
 
 import "testing"
 
--- a/internal/replicas/routing/endpoint.go
+++ b/internal/replicas/routing/endpoint.go
@@ -18,9 +18,9 @@
 	Slots  int
 	// Hash is the hash of Name for rendezvous hashing.
 	Hash uint64
-	// Serves is set if the endpoint takes live requests, Rollouts if it takes rollouts.
-	Serves   bool
-	Rollouts bool
+	// TakesRequests is set if the endpoint takes live requests, TakesRollouts if it takes rollouts.
+	TakesRequests bool
+	TakesRollouts bool
 	// Cordoned is set if the configuration excludes the endpoint from new work.
 	Cordoned bool
 	State    *EndpointState
@@ -35,15 +35,15 @@
 }
 
 // Excluded reports whether the endpoint gets no new work.
-func (e *Endpoint) Excluded() bool { return e.Cordoned || e.State.View().Excluded }
+func (e *Endpoint) Excluded() bool { return e.Cordoned || e.State.Report().Excluded }
 
 // Version returns the most recently reported weight version.
-func (e *Endpoint) Version() int64 { return e.State.View().Version }
+func (e *Endpoint) Version() int64 { return e.State.Report().Version }
 
 // Load estimates the current number of requests at the endpoint: the reported number plus
 // the change of this node's in-flight requests since the report.
 func (e *Endpoint) Load() int64 {
-	view := e.State.View()
+	view := e.State.Report()
 	since := e.State.InFlight.Load() - e.State.reportedInFlight.Load()
 	return max(0, int64(view.Running+view.Waiting)+since)
 }
@@ -53,7 +53,7 @@
 func NewReplicaEndpoint(name, address, zone, region, service string, slots int, state *EndpointState) *Endpoint {
 	return &Endpoint{
 		Name: name, Address: address, Zone: zone, Region: region, Model: service, Slots: max(1, slots), Hash: hashOf(name),
-		Serves: true, Rollouts: true, State: state,
+		TakesRequests: true, TakesRollouts: true, State: state,
 	}
 }
 
--- a/internal/replicas/routing/endpoint_state.go
+++ b/internal/replicas/routing/endpoint_state.go
@@ -10,9 +10,9 @@
 // targetRetryPercent limits the retries to an endpoint, as a percentage of its successes.
 const targetRetryPercent = 20
 
-// EngineView is the most recent report of an endpoint. It is immutable; a new report
+// EndpointReport is the most recent report of an endpoint. It is immutable; a new report
 // replaces it.
-type EngineView struct {
+type EndpointReport struct {
 	// Excluded is set if the endpoint takes no new work: it is draining, unhealthy or does
 	// not respond.
 	Excluded bool
@@ -38,7 +38,7 @@
 	SlowStart slowstart.Gate
 	evacuated atomic.Bool
 
-	view atomic.Pointer[EngineView]
+	view atomic.Pointer[EndpointReport]
 	// reportedInFlight is InFlight at the time of the most recent report, so that requests
 	// that the report includes are not counted twice.
 	reportedInFlight atomic.Int64
@@ -48,18 +48,18 @@
 // excluded until the first report.
 func NewEndpointState() *EndpointState {
 	state := &EndpointState{Retries: admission.NewRetryBudget(targetRetryPercent)}
-	state.view.Store(&EngineView{Excluded: true})
+	state.view.Store(&EndpointReport{Excluded: true})
 	return state
 }
 
-// SetView replaces the most recent report.
-func (s *EndpointState) SetView(view EngineView) {
+// SetReport replaces the most recent report.
+func (s *EndpointState) SetReport(view EndpointReport) {
 	s.reportedInFlight.Store(s.InFlight.Load())
 	s.view.Store(&view)
 }
 
-// View returns the most recent report.
-func (s *EndpointState) View() *EngineView { return s.view.Load() }
+// Report returns the most recent report.
+func (s *EndpointState) Report() *EndpointReport { return s.view.Load() }
 
 // SetEvacuated sets whether the endpoint's zone is evacuated. No requests are sent to
 // endpoints in evacuated zones.
--- a/internal/replicas/routing/filter.go
+++ b/internal/replicas/routing/filter.go
@@ -17,9 +17,9 @@
 // Allow implements Filter.
 func (RoleFilter) Allow(query *Query, endpoint *Endpoint) bool {
 	if query.Rollout {
-		return endpoint.Rollouts
+		return endpoint.TakesRollouts
 	}
-	return endpoint.Serves
+	return endpoint.TakesRequests
 }
 
 // Reason implements Filter.
--- a/internal/replicas/routing/filter_region.go
+++ b/internal/replicas/routing/filter_region.go
@@ -9,13 +9,13 @@
 // Reason implements Filter.
 func (EvacuationFilter) Reason() Reason { return ReasonEvacuated }
 
-// HomeFilter refuses endpoints outside the allowed regions of the request.
-type HomeFilter struct{}
+// RegionFilter refuses endpoints outside the allowed regions of the request.
+type RegionFilter struct{}
 
 // Allow implements Filter.
-func (HomeFilter) Allow(query *Query, endpoint *Endpoint) bool {
-	return query.Homes.Allows(endpoint.Region)
+func (RegionFilter) Allow(query *Query, endpoint *Endpoint) bool {
+	return query.AllowedRegions.Allows(endpoint.Region)
 }
 
 // Reason implements Filter.
-func (HomeFilter) Reason() Reason { return ReasonOutsideHome }
+func (RegionFilter) Reason() Reason { return ReasonOutsideRegions }
--- a/internal/replicas/routing/filter_slowstart.go
+++ b/internal/replicas/routing/filter_slowstart.go
@@ -8,7 +8,7 @@
 // replica is eligible. Otherwise every node that receives requests would request permits.
 func (SlowStartFilter) Allow(query *Query, endpoint *Endpoint) bool {
 	if query.Rollout && query.Waiting {
-		return endpoint.State.SlowStart.Open()
+		return endpoint.State.SlowStart.CheckPermit()
 	}
 	return endpoint.State.SlowStart.PermitsLeft() > 0
 }
--- a/internal/replicas/routing/latency_test.go
+++ b/internal/replicas/routing/latency_test.go
@@ -35,7 +35,7 @@
 func TestSlowEngineGetsFewRequestsOfPlans(t *testing.T) {
 	plan := testPlan(3)
 	for number, endpoint := range plan.Endpoints() {
-		endpoint.State.SetView(EngineView{})
+		endpoint.State.SetReport(EndpointReport{})
 		endpoint.State.Latency.Observe(30 * time.Millisecond)
 		if number == 0 {
 			endpoint.State.Latency.Observe(400 * time.Millisecond)
--- a/internal/replicas/routing/plan.go
+++ b/internal/replicas/routing/plan.go
@@ -49,7 +49,7 @@
 func (p *Plan) Endpoints() []*Endpoint { return p.endpoints }
 
 // Pick returns the endpoint for a request. The error is ErrNoEngineDeclared or a
-// *NoneLeftError. If no endpoint is eligible, this node requests permits for the replicas
+// *NoEligibleEndpointError. If no endpoint is eligible, this node requests permits for the replicas
 // that are warming up.
 func (p *Plan) Pick(query *Query) (*Endpoint, error) {
 	if len(p.endpoints) == 0 {
@@ -58,7 +58,7 @@
 	best := p.best(query)
 	if best == nil {
 		p.requestAllotments()
-		return nil, &NoneLeftError{Reason: p.filters.Explain(query, p.endpoints)}
+		return nil, &NoEligibleEndpointError{Reason: p.filters.Explain(query, p.endpoints)}
 	}
 	return best, nil
 }
@@ -77,7 +77,7 @@
 // requestAllotments records demand for a permit at each closed slow-start gate.
 func (p *Plan) requestAllotments() {
 	for _, endpoint := range p.endpoints {
-		endpoint.State.SlowStart.Open()
+		endpoint.State.SlowStart.CheckPermit()
 	}
 }
 
--- a/internal/replicas/routing/plan_ranked.go
+++ b/internal/replicas/routing/plan_ranked.go
@@ -7,8 +7,8 @@
 	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
 )
 
-// Place is the location of a node.
-type Place struct {
+// Locality is the location of a node.
+type Locality struct {
 	Node string
 	Zone string
 	// Region is the region of the zone, empty if unknown.
@@ -17,7 +17,7 @@
 
 // distance returns 0 for endpoints in the same zone, 1 for those in the same region, and 2
 // for others.
-func (p Place) distance(endpoint *Endpoint) int {
+func (p Locality) distance(endpoint *Endpoint) int {
 	switch {
 	case endpoint.Zone == p.Zone:
 		return 0
@@ -29,7 +29,7 @@
 
 // preference returns the comparison that orders endpoints by distance, and by rendezvous
 // hashing with the node's name at the same distance.
-func (p Place) preference() func(a, b *Endpoint) int {
+func (p Locality) preference() func(a, b *Endpoint) int {
 	node := hashOf(p.Node)
 	return func(a, b *Endpoint) int {
 		return cmp.Or(
@@ -43,7 +43,7 @@
 // NewRankedPlan returns a plan of replicas that report no load. Its picks compare the first
 // endpoints in the node's order of preference. The orders of the nodes differ, so that the
 // replicas get similar load while each node uses few connections.
-func NewRankedPlan(place Place, endpoints []*Endpoint) *Plan {
+func NewRankedPlan(place Locality, endpoints []*Endpoint) *Plan {
 	plan := NewPlan(place.Zone, endpoints)
 	plan.ranked = true
 	slices.SortFunc(plan.endpoints, place.preference())
@@ -53,7 +53,7 @@
 // Revised returns a copy of a ranked plan with some endpoints removed and others added. It
 // merges instead of sorting, since plans may have thousands of endpoints and are revised at
 // every change.
-func (p *Plan) Revised(place Place, gone map[*Endpoint]bool, added []*Endpoint) *Plan {
+func (p *Plan) Revised(place Locality, gone map[*Endpoint]bool, added []*Endpoint) *Plan {
 	preference := place.preference()
 	slices.SortFunc(added, preference)
 	revised := *p
--- a/internal/replicas/routing/plan_ranked_test.go
+++ b/internal/replicas/routing/plan_ranked_test.go
@@ -12,7 +12,7 @@
 	endpoints := make([]*Endpoint, count)
 	for number := range endpoints {
 		zone, state := zones[number%len(zones)], NewEndpointState()
-		state.SetView(EngineView{})
+		state.SetReport(EndpointReport{})
 		endpoints[number] = NewReplicaEndpoint(fmt.Sprintf("replica-%d", number), "", zone, zone[:1], "service", 8, state)
 	}
 	return endpoints
@@ -30,7 +30,7 @@
 // Guards against consecutive requests switching replicas because of small latency differences,
 // or using distant replicas while a nearer one is available.
 func TestRankedPlanKeepsToTheNearestReplica(t *testing.T) {
-	plan := NewRankedPlan(Place{Node: "node", Zone: "e1", Region: "e"}, replicasOf(6, "w1", "e2", "e1"))
+	plan := NewRankedPlan(Locality{Node: "node", Zone: "e1", Region: "e"}, replicasOf(6, "w1", "e2", "e1"))
 	for _, zones := range [][]string{{"e1", "e1"}, {"e2", "e2"}, {"w1", "w1"}} {
 		for _, zone := range zones {
 			picked := pickOne(t, plan)
@@ -43,13 +43,13 @@
 					t.Fatalf("went from %s to %s", picked.Name, again.Name)
 				}
 			}
-			picked.State.SetView(EngineView{Excluded: true})
+			picked.State.SetReport(EndpointReport{Excluded: true})
 		}
 	}
 }
 
 func TestRankedPlanLeavesAReplicaThatFailsOrIsSlow(t *testing.T) {
-	plan := NewRankedPlan(Place{Node: "node", Zone: "e1"}, replicasOf(6, "e1"))
+	plan := NewRankedPlan(Locality{Node: "node", Zone: "e1"}, replicasOf(6, "e1"))
 	failing := pickOne(t, plan)
 	failing.State.Failures.Add(1)
 	slow := pickOne(t, plan)
@@ -67,7 +67,7 @@
 	replicas := replicasOf(8, "e1")
 	counts := map[string]int{}
 	for number := range 400 {
-		counts[pickOne(t, NewRankedPlan(Place{Node: fmt.Sprintf("node-%d", number), Zone: "e1"}, replicas)).Name]++
+		counts[pickOne(t, NewRankedPlan(Locality{Node: fmt.Sprintf("node-%d", number), Zone: "e1"}, replicas)).Name]++
 	}
 	for _, replica := range replicas {
 		if counts[replica.Name] < 25 || counts[replica.Name] > 80 {
@@ -79,7 +79,7 @@
 // Guards against overloading the first replicas when a node has many concurrent requests.
 func TestRankedPlanGrowsWithTheLoad(t *testing.T) {
 	replicas := replicasOf(12, "e1", "w1")
-	plan := NewRankedPlan(Place{Node: "node", Zone: "e1", Region: "e"}, replicas)
+	plan := NewRankedPlan(Locality{Node: "node", Zone: "e1", Region: "e"}, replicas)
 	for range 48 {
 		pickOne(t, plan).State.InFlight.Add(1)
 	}
--- a/internal/replicas/routing/plan_test.go
+++ b/internal/replicas/routing/plan_test.go
@@ -12,8 +12,8 @@
 	endpoints := make([]*Endpoint, count)
 	for i := range endpoints {
 		name := fmt.Sprintf("engine-%d", i)
-		endpoints[i] = &Endpoint{Name: name, Zone: fmt.Sprintf("zone-%d", i%9), Slots: 16, Hash: hashOf(name), Serves: true, Rollouts: true, State: NewEndpointState()}
-		endpoints[i].State.SetView(EngineView{Running: i % 8, Version: 3})
+		endpoints[i] = &Endpoint{Name: name, Zone: fmt.Sprintf("zone-%d", i%9), Slots: 16, Hash: hashOf(name), TakesRequests: true, TakesRollouts: true, State: NewEndpointState()}
+		endpoints[i].State.SetReport(EndpointReport{Running: i % 8, Version: 3})
 	}
 	return NewPlan("zone-0", endpoints)
 }
@@ -21,9 +21,9 @@
 // exclude excludes the endpoints for which keep returns false.
 func exclude(plan *Plan, keep func(*Endpoint) bool) {
 	for _, endpoint := range plan.Endpoints() {
-		view := *endpoint.State.View()
+		view := *endpoint.State.Report()
 		view.Excluded = !keep(endpoint)
-		endpoint.State.SetView(view)
+		endpoint.State.SetReport(view)
 	}
 }
 
@@ -43,7 +43,7 @@
 		{"too old", Query{MinVersion: 4}, nil},
 		{"full", Query{MaxLoadShare: 1}, func(endpoint *Endpoint) { endpoint.State.InFlight.Store(20) }},
 		{"cordoned", Query{}, func(endpoint *Endpoint) { endpoint.Cordoned = true }},
-		{"of another role", Query{Rollout: true}, func(endpoint *Endpoint) { endpoint.Rollouts = false }},
+		{"of another role", Query{Rollout: true}, func(endpoint *Endpoint) { endpoint.TakesRollouts = false }},
 	}
 	for _, test := range cases {
 		if test.spoil != nil {
@@ -63,7 +63,7 @@
 	plan := testPlan(40)
 	exclude(plan, func(*Endpoint) bool { return true })
 	for _, endpoint := range plan.Endpoints() {
-		endpoint.State.SetView(EngineView{Version: 1})
+		endpoint.State.SetReport(EndpointReport{Version: 1})
 	}
 	home, err := plan.Pick(&Query{PrefixHash: 77, Random: 1})
 	if err != nil {
@@ -83,7 +83,7 @@
 func TestPickSpreadsLoad(t *testing.T) {
 	plan := testPlan(20)
 	for _, endpoint := range plan.Endpoints() {
-		endpoint.State.SetView(EngineView{Version: 1})
+		endpoint.State.SetReport(EndpointReport{Version: 1})
 	}
 	random := uint64(1)
 	for range 2000 {
--- a/internal/replicas/routing/policy.go
+++ b/internal/replicas/routing/policy.go
@@ -15,12 +15,12 @@
 // RequestChain is the filter chain for live requests. Where requests specify neither a
 // version nor a load limit, VersionFilter and CapacityFilter allow every endpoint.
 var RequestChain = Chain{
-	RoleFilter{}, AvailableFilter{}, EvacuationFilter{}, HomeFilter{}, VersionFilter{}, SlowStartFilter{}, CapacityFilter{},
+	RoleFilter{}, AvailableFilter{}, EvacuationFilter{}, RegionFilter{}, VersionFilter{}, SlowStartFilter{}, CapacityFilter{},
 }
 
 // ItemChain is the filter chain for items of batch jobs. Weight versions and free slots are
 // checked by the batch scheduler, which has more recent information about them.
-var ItemChain = Chain{RoleFilter{}, AvailableFilter{}, EvacuationFilter{}, HomeFilter{}, SlowStartFilter{}}
+var ItemChain = Chain{RoleFilter{}, AvailableFilter{}, EvacuationFilter{}, RegionFilter{}, SlowStartFilter{}}
 
 // requestScorers are the scorers of live requests.
 var requestScorers = []Scorer{LoadScorer{}, ZoneScorer{}, FailureScorer{}, LatencyScorer{}}
--- a/internal/replicas/routing/policy_test.go
+++ b/internal/replicas/routing/policy_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"testing"
 
-	"github.com/pathtally/pathtally/internal/replicas/homes"
+	"github.com/pathtally/pathtally/internal/replicas/residency"
 )
 
 // Each step makes one more filter refuse, from the last to the first, so that the reason must
@@ -20,10 +20,10 @@
 		{func() {}, ""},
 		{func() { query.MaxLoadShare = 1; endpoint.State.InFlight.Store(20) }, ReasonFull},
 		{func() { query.MinVersion = 4 }, ReasonVersion},
-		{func() { query.Homes = homes.Of([]string{"south"}, nil) }, ReasonOutsideHome},
+		{func() { query.AllowedRegions = residency.Of([]string{"south"}, nil) }, ReasonOutsideRegions},
 		{func() { endpoint.State.SetEvacuated(true) }, ReasonEvacuated},
 		{func() { query.Tried = []string{endpoint.Name} }, ReasonUnavailable},
-		{func() { endpoint.Serves = false }, ReasonRole},
+		{func() { endpoint.TakesRequests = false }, ReasonRole},
 	} {
 		step.spoil()
 		if reason, refused := RequestChain.Refuse(query, endpoint); reason != step.reason || refused != (step.reason != "") {
@@ -40,11 +40,11 @@
 		return order
 	}
 	if got, want := reasons(RequestChain), []Reason{
-		ReasonRole, ReasonUnavailable, ReasonEvacuated, ReasonOutsideHome, ReasonVersion, ReasonSlowStart, ReasonFull,
+		ReasonRole, ReasonUnavailable, ReasonEvacuated, ReasonOutsideRegions, ReasonVersion, ReasonSlowStart, ReasonFull,
 	}; !slices.Equal(got, want) {
 		t.Errorf("live requests: %v, want %v", got, want)
 	}
-	if got, want := reasons(ItemChain), []Reason{ReasonRole, ReasonUnavailable, ReasonEvacuated, ReasonOutsideHome, ReasonSlowStart}; !slices.Equal(got, want) {
+	if got, want := reasons(ItemChain), []Reason{ReasonRole, ReasonUnavailable, ReasonEvacuated, ReasonOutsideRegions, ReasonSlowStart}; !slices.Equal(got, want) {
 		t.Errorf("items: %v, want %v", got, want)
 	}
 }
--- a/internal/replicas/routing/query.go
+++ b/internal/replicas/routing/query.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/pathtally/pathtally/internal/replicas/homes"
+	"github.com/pathtally/pathtally/internal/replicas/residency"
 )
 
 // Query holds the properties of a request that a pick depends on.
@@ -29,6 +29,6 @@
 	// MaxLoadShare limits the load of the endpoint, as a multiple of its slots. 0 is no
 	// limit.
 	MaxLoadShare float64
-	// Homes are the allowed regions of the request.
-	Homes homes.Set
+	// AllowedRegions are the allowed regions of the request.
+	AllowedRegions residency.Set
 }
--- a/internal/replicas/routing/reason.go
+++ b/internal/replicas/routing/reason.go
@@ -7,26 +7,26 @@
 
 // The reasons, in the order of the filters in RequestChain.
 const (
-	ReasonRole        Reason = "of another role"
-	ReasonUnavailable Reason = "leaving, silent or asked before"
-	ReasonEvacuated   Reason = "in an evacuated zone"
-	ReasonOutsideHome Reason = "outside the allowed regions"
-	ReasonVersion     Reason = "on older weights"
-	ReasonSlowStart   Reason = "warming up"
-	ReasonFull        Reason = "full"
+	ReasonRole           Reason = "of another role"
+	ReasonUnavailable    Reason = "leaving, silent or asked before"
+	ReasonEvacuated      Reason = "in an evacuated zone"
+	ReasonOutsideRegions Reason = "outside the allowed regions"
+	ReasonVersion        Reason = "on older weights"
+	ReasonSlowStart      Reason = "warming up"
+	ReasonFull           Reason = "full"
 )
 
-// NoneLeftError means that the filters refuse every endpoint of a plan. It wraps
+// NoEligibleEndpointError means that the filters refuse every endpoint of a plan. It wraps
 // ErrNoEngineAvailable.
-type NoneLeftError struct {
+type NoEligibleEndpointError struct {
 	// Reason is the result of Chain.Explain.
 	Reason Reason
 }
 
 // Error implements error.
-func (e *NoneLeftError) Error() string {
+func (e *NoEligibleEndpointError) Error() string {
 	return fmt.Sprintf("%v: those left are %s", ErrNoEngineAvailable, e.Reason)
 }
 
 // Unwrap returns ErrNoEngineAvailable.
-func (e *NoneLeftError) Unwrap() error { return ErrNoEngineAvailable }
+func (e *NoEligibleEndpointError) Unwrap() error { return ErrNoEngineAvailable }
--- a/internal/replicas/routing/slowstart_test.go
+++ b/internal/replicas/routing/slowstart_test.go
@@ -15,9 +15,9 @@
 // no allotter.
 func TestLiveRequestsGoToWarmReplicasFirst(t *testing.T) {
 	plan := testPlan(3)
-	var warming []slowstart.Warming
+	var warming []slowstart.WarmingReplica
 	for _, endpoint := range plan.Endpoints() {
-		warming = append(warming, slowstart.Warming{Replica: endpoint.Name, Gate: &endpoint.State.SlowStart, Until: time.Now().Add(time.Hour)})
+		warming = append(warming, slowstart.WarmingReplica{Replica: endpoint.Name, Gate: &endpoint.State.SlowStart, Until: time.Now().Add(time.Hour)})
 	}
 	client := slowstart.NewClient(slowstart.ClientConfig{Clock: time.Now, Logger: klog.Background(), Registry: prometheus.NewRegistry()})
 	isListed := func(string) bool { return true }
@@ -28,11 +28,11 @@
 			t.Fatalf("picked %v, %v, want the one that is warm", picked, err)
 		}
 	}
-	if warming[1].Gate.Wanted() {
+	if warming[1].Gate.HasDemand() {
 		t.Error("an allotment is wanted although a replica is warm")
 	}
 	client.SetWarming(warming, isListed)
-	if _, err := plan.Pick(&Query{}); !errors.Is(err, ErrNoEngineAvailable) || !warming[1].Gate.Wanted() {
-		t.Errorf("%v with all replicas warming; an allotment is wanted: %v", err, warming[1].Gate.Wanted())
+	if _, err := plan.Pick(&Query{}); !errors.Is(err, ErrNoEngineAvailable) || !warming[1].Gate.HasDemand() {
+		t.Errorf("%v with all replicas warming; an allotment is wanted: %v", err, warming[1].Gate.HasDemand())
 	}
 }
--- a/internal/replicas/slowstart/client.go
+++ b/internal/replicas/slowstart/client.go
@@ -18,7 +18,7 @@
 	// replica can serve about one request in that time.
 	requestInterval = 120 * time.Millisecond
 	// requestTimeout bounds the wait for a reply. Permits of a later reply would be valid
-	// for little of Span.
+	// for little of PermitLifetime.
 	requestTimeout = 350 * time.Millisecond
 	// maxWanted is the maximum number of permits per replica in one request. It is one more
 	// than a node uses in requestInterval, so that permits remain for other nodes.
@@ -27,9 +27,9 @@
 
 // ClientConfig holds the dependencies of a Client.
 type ClientConfig struct {
-	// Ask requests permits from the allotter. It returns the allotted permits and how long
+	// RequestPermits requests permits from the allotter. It returns the allotted permits and how long
 	// they are valid, counted from the call. An empty result is not an error.
-	Ask func(ctx context.Context, wanted []wire.ReplicaCount) ([]wire.ReplicaCount, time.Duration, error)
+	RequestPermits func(ctx context.Context, wanted []wire.ReplicaCount) ([]wire.ReplicaCount, time.Duration, error)
 	// Clock is the boot-time clock.
 	Clock func() time.Time
 	// Allotted is called when this node has received permits.
@@ -93,7 +93,7 @@
 	sent := c.config.Clock()
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	allotted, span, err := c.config.Ask(ctx, wanted)
+	allotted, span, err := c.config.RequestPermits(ctx, wanted)
 	if err != nil {
 		c.failures++
 		if c.failures == 1 {
@@ -111,7 +111,7 @@
 	defer c.mutex.Unlock()
 	var wanted []wire.ReplicaCount
 	for replica, entry := range c.gates {
-		if !entry.gate.Wanted() {
+		if !entry.gate.HasDemand() {
 			continue
 		}
 		demand := min(int(entry.counts.demand.Swap(0)), maxWanted) - entry.gate.PermitsLeft()
--- a/internal/replicas/slowstart/client_gates.go
+++ b/internal/replicas/slowstart/client_gates.go
@@ -16,7 +16,7 @@
 // and the gates of other listed replicas are open. The gate of a replica that is no longer
 // listed stays closed until its warm-up would have ended, for requests that have already
 // picked it.
-func (c *Client) SetWarming(warming []Warming, isListed func(replica string) bool) {
+func (c *Client) SetWarming(warming []WarmingReplica, isListed func(replica string) bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	named := make(map[string]bool, len(warming))
@@ -42,7 +42,7 @@
 
 // closeGate closes the gate of a replica, or updates the time until which it is closed. The
 // mutex must be held.
-func (c *Client) closeGate(replica Warming) {
+func (c *Client) closeGate(replica WarmingReplica) {
 	entry := c.gates[replica.Replica]
 	if entry != nil && entry.gate != replica.Gate {
 		c.dropGate(replica.Replica, entry)
--- a/internal/replicas/slowstart/doc.go
+++ b/internal/replicas/slowstart/doc.go
@@ -15,6 +15,6 @@
 // the nodes need not be synchronized.
 //
 // The number of permits used at a replica in any second stays within Limits: a permit is used
-// between the receipt of the request for it and Span after that request was sent, and the
+// between the receipt of the request for it and PermitLifetime after that request was sent, and the
 // ledger counts it for all of that time. See docs/design/slow-start.md.
 package slowstart
--- a/internal/replicas/slowstart/gate.go
+++ b/internal/replicas/slowstart/gate.go
@@ -12,16 +12,16 @@
 	bounds atomic.Pointer[bounds]
 }
 
-// Open reports whether a request may be sent now. If not, it records demand, so that the
+// CheckPermit reports whether a request may be sent now. If not, it records demand, so that the
 // Client requests a permit.
-func (g *Gate) Open() bool {
+func (g *Gate) CheckPermit() bool {
 	bounds := g.bounds.Load()
 	return bounds == nil || bounds.open()
 }
 
-// Take uses a permit for a request that is sent immediately. If there is none, it records
+// TakePermit uses a permit for a request that is sent immediately. If there is none, it records
 // demand and returns false, and the request must not be sent.
-func (g *Gate) Take() bool {
+func (g *Gate) TakePermit() bool {
 	bounds := g.bounds.Load()
 	return bounds == nil || bounds.take()
 }
@@ -36,9 +36,9 @@
 	return bounds.left()
 }
 
-// Wanted reports whether the gate has refused a request since the Client last requested
+// HasDemand reports whether the gate has refused a request since the Client last requested
 // permits.
-func (g *Gate) Wanted() bool {
+func (g *Gate) HasDemand() bool {
 	bounds := g.bounds.Load()
 	return bounds != nil && bounds.counts.demand.Load() > 0
 }
--- a/internal/replicas/slowstart/gate_test.go
+++ b/internal/replicas/slowstart/gate_test.go
@@ -20,14 +20,14 @@
 // runClient runs a client with one warming replica. answer replies to its requests.
 func runClient(ctx context.Context, answer func([]wire.ReplicaCount) ([]wire.ReplicaCount, error)) (*Client, *Gate) {
 	client := NewClient(ClientConfig{
-		Ask: func(_ context.Context, wanted []wire.ReplicaCount) ([]wire.ReplicaCount, time.Duration, error) {
+		RequestPermits: func(_ context.Context, wanted []wire.ReplicaCount) ([]wire.ReplicaCount, time.Duration, error) {
 			allotted, err := answer(wanted)
-			return allotted, Span, err
+			return allotted, PermitLifetime, err
 		},
 		Clock: time.Now, Allotted: func() {}, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
 	})
 	gate := &Gate{}
-	client.SetWarming([]Warming{{Replica: "r", Gate: gate, Until: time.Now().Add(3 * time.Second)}}, isListed)
+	client.SetWarming([]WarmingReplica{{Replica: "r", Gate: gate, Until: time.Now().Add(3 * time.Second)}}, isListed)
 	go client.Run(ctx)
 	return client, gate
 }
@@ -43,7 +43,7 @@
 		})
 		began := time.Now()
 		for time.Since(began) < 2990*time.Millisecond {
-			if gate.Take() || gate.Open() {
+			if gate.TakePermit() || gate.CheckPermit() {
 				t.Fatal("a request passed without an allotment")
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -53,7 +53,7 @@
 			t.Errorf("%d questions, want 1 to %d", questions, most)
 		}
 		time.Sleep(20 * time.Millisecond)
-		if !gate.Take() {
+		if !gate.TakePermit() {
 			t.Error("a warm replica gets nothing")
 		}
 	})
@@ -71,13 +71,13 @@
 			once = true
 			return []wire.ReplicaCount{{Replica: "r", Count: 2}}, nil
 		})
-		gate.Open()
+		gate.CheckPermit()
 		synctest.Wait()
-		if left := gate.PermitsLeft(); left != 2 || !gate.Take() {
+		if left := gate.PermitsLeft(); left != 2 || !gate.TakePermit() {
 			t.Errorf("%d requests may be sent, want 2", left)
 		}
-		time.Sleep(Span)
-		if gate.Take() {
+		time.Sleep(PermitLifetime)
+		if gate.TakePermit() {
 			t.Error("what has run out was used")
 		}
 	})
@@ -106,7 +106,7 @@
 		defer cancel()
 		client, gate := runClient(ctx, func([]wire.ReplicaCount) ([]wire.ReplicaCount, error) { return nil, errNobody })
 		client.SetWarming(nil, func(string) bool { return false })
-		if gate.Take() {
+		if gate.TakePermit() {
 			t.Error("a request passed to a replica that has left while it warmed up")
 		}
 	})
@@ -118,7 +118,7 @@
 		defer cancel()
 		client, gate := runClient(ctx, func([]wire.ReplicaCount) ([]wire.ReplicaCount, error) { return nil, errNobody })
 		client.SetWarming(nil, isListed)
-		if !gate.Take() {
+		if !gate.TakePermit() {
 			t.Error("a warm replica gets nothing")
 		}
 	})
--- a/internal/replicas/slowstart/model_world_test.go
+++ b/internal/replicas/slowstart/model_world_test.go
@@ -31,7 +31,7 @@
 // planted is an injected fault that the simulation must detect.
 type planted struct {
 	name string
-	// With fromAnswer, clients count Span from the reply. With atOnce, new lease holders allot
+	// With fromAnswer, clients count PermitLifetime from the reply. With atOnce, new lease holders allot
 	// immediately. With forgets, allotters lose their ledger while they hold the lease. With
 	// twice, previous holders continue to allot. With unused, clients use expired permits.
 	// With short, ledgers count only the permits requested within boundPeriod.
@@ -110,9 +110,9 @@
 		made.allotter.ledger.window = boundPeriod
 	}
 	made.client = NewClient(ClientConfig{Clock: clock, Allotted: func() {}, Logger: quiet, Registry: prometheus.NewRegistry()})
-	var warming []Warming
+	var warming []WarmingReplica
 	for replica, gate := range made.gates {
-		warming = append(warming, Warming{Replica: replica, Gate: gate, Until: clock().Add(time.Hour)})
+		warming = append(warming, WarmingReplica{Replica: replica, Gate: gate, Until: clock().Add(time.Hour)})
 	}
 	made.client.SetWarming(warming, isListed)
 	if w.holder != nil && w.holder == node.process {
@@ -253,7 +253,7 @@
 	if from.node.process != from {
 		return
 	}
-	span := Span
+	span := PermitLifetime
 	if w.fault.fromAnswer {
 		sent = from.node.at(w.now)
 	}
@@ -273,10 +273,10 @@
 func (w *world) send(from *process, burst bool) {
 	for _, replica := range []string{"a", "b"} {
 		gate := from.gates[replica]
-		if !gate.Open() || (w.hoarding && !burst) || (!w.hoarding && w.random.IntN(8) > 0) {
+		if !gate.CheckPermit() || (w.hoarding && !burst) || (!w.hoarding && w.random.IntN(8) > 0) {
 			continue
 		}
-		for gate.Take() {
+		for gate.TakePermit() {
 			delay := time.Duration(w.random.Int64N(int64(longestSend)))
 			w.sent[replica] = append(w.sent[replica], w.now+delay)
 		}
--- a/internal/standalone/engineplan/snapshot.go
+++ b/internal/standalone/engineplan/snapshot.go
@@ -96,16 +96,16 @@
 		}
 		kept[name] = state
 		endpoints[i] = &routing.Endpoint{
-			Name:     name,
-			Address:  engine.Spec.Address,
-			Zone:     engine.Spec.Zone,
-			Model:    engine.Spec.Model,
-			Slots:    engine.Spec.Slots,
-			Hash:     rendezvous.Hash(name),
-			Serves:   engine.Spec.Role != v1.RoleRollout,
-			Rollouts: engine.Spec.Role != v1.RoleServe,
-			Cordoned: engine.Spec.Cordoned,
-			State:    state,
+			Name:          name,
+			Address:       engine.Spec.Address,
+			Zone:          engine.Spec.Zone,
+			Model:         engine.Spec.Model,
+			Slots:         engine.Spec.Slots,
+			Hash:          rendezvous.Hash(name),
+			TakesRequests: engine.Spec.Role != v1.RoleRollout,
+			TakesRollouts: engine.Spec.Role != v1.RoleServe,
+			Cordoned:      engine.Spec.Cordoned,
+			State:         state,
 		}
 	}
 	b.states = kept
--- a/internal/standalone/node/engines.go
+++ b/internal/standalone/node/engines.go
@@ -78,7 +78,7 @@
 	}
 	for _, endpoint := range snapshot.Endpoints {
 		excluded := c.fleet.Excluded(endpoint.Name, endpoint.Address)
-		if endpoint.State.View().Excluded != excluded {
+		if endpoint.State.Report().Excluded != excluded {
 			c.setView(endpoint, excluded)
 		}
 	}
@@ -86,7 +86,7 @@
 
 func (c *Core) setView(endpoint *routing.Endpoint, excluded bool) {
 	load, _ := c.fleet.Load(endpoint.Name)
-	endpoint.State.SetView(routing.EngineView{
+	endpoint.State.SetReport(routing.EndpointReport{
 		Excluded: excluded,
 		Running:  int(load.Running),
 		Waiting:  int(load.Waiting),
--- a/internal/standalone/process/status.go
+++ b/internal/standalone/process/status.go
@@ -70,7 +70,7 @@
 		return
 	}
 	for _, endpoint := range snapshot.Endpoints {
-		view := endpoint.State.View()
+		view := endpoint.State.Report()
 		status.Engines = append(status.Engines, EngineStatus{
 			Name: endpoint.Name, Model: endpoint.Model, Zone: endpoint.Zone, Address: endpoint.Address,
 			Version: view.Version, Running: view.Running, Waiting: view.Waiting, Excluded: endpoint.Excluded(),
--- a/internal/standalone/rollout/tail.go
+++ b/internal/standalone/rollout/tail.go
@@ -65,7 +65,7 @@
 	bound := s.bound(late.step)
 	var best *routing.Endpoint
 	for _, endpoint := range plan.Endpoints() {
-		if endpoint.Name == except.Name || endpoint.Excluded() || !endpoint.Rollouts || endpoint.Version() < bound {
+		if endpoint.Name == except.Name || endpoint.Excluded() || !endpoint.TakesRollouts || endpoint.Version() < bound {
 			continue
 		}
 		if best == nil || shareOf(endpoint) < shareOf(best) {
--- a/internal/store/storerelay/choose_helper.go
+++ b/internal/store/storerelay/choose_helper.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/pathtally/pathtally/internal/environment"
-	"github.com/pathtally/pathtally/internal/replicas/homes"
+	"github.com/pathtally/pathtally/internal/replicas/residency"
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
@@ -46,8 +46,8 @@
 
 // withinHomes returns the candidates that may hold the body in the context's call.
 func (r *Relay) withinHomes(ctx context.Context, candidates []string) []string {
-	bounds := homes.BoundsOf(ctx)
-	if !bounds.Homes().Bound() {
+	bounds := residency.BoundsOf(ctx)
+	if !bounds.Regions().IsRestricted() {
 		return candidates
 	}
 	return slices.DeleteFunc(slices.Clone(candidates), func(address string) bool {
--- a/internal/store/storerelay/homes_test.go
+++ b/internal/store/storerelay/homes_test.go
@@ -6,7 +6,7 @@
 	"errors"
 	"testing"
 
-	"github.com/pathtally/pathtally/internal/replicas/homes"
+	"github.com/pathtally/pathtally/internal/replicas/residency"
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
@@ -18,7 +18,7 @@
 		pair := newPair()
 		pair.own.fail = &objectstore.RefusedError{Status: 503}
 		pair.relay.config.Region = func(string) string { return test.region }
-		ctx := homes.WithBounds(context.Background(), homes.Within(homes.Of([]string{"home"}, nil), "entry"))
+		ctx := residency.WithBounds(context.Background(), residency.NewBounds(residency.Of([]string{"home"}, nil), "entry"))
 		for range 2 {
 			// The second call is made once the store is known to refuse this node.
 			_, err := pair.relay.Create(ctx, "payloads", "job", json.RawMessage(`"body"`))
