--- a/internal/replicas/directory/warmups_test.go
+++ b/internal/replicas/directory/warmups_test.go
@@ -12,19 +12,19 @@
 
 const testWarmUp = 3 * time.Second
 
-// warmingNames stands in for what bounds warming replicas.
+// warmingNames is a SlowStart that records when the warm-up of each replica ends.
 type warmingNames map[string]time.Time
 
 // SetWarming implements SlowStart.
-func (w warmingNames) SetWarming(warming []slowstart.Warming, _ func(string) bool) {
+func (w warmingNames) SetWarming(warming []slowstart.WarmingReplica, _ func(string) bool) {
 	clear(w)
 	for _, replica := range warming {
 		w[replica.Replica] = replica.Until
 	}
 }
 
-// warmingTable is a table with one service whose replicas bear a rate, and a replica
-// in its first listing.
+// warmingTable returns a table with one service with a warm-up rate, and a replica in the
+// first listing.
 func warmingTable(rate float64) (*Table, warmingNames) {
 	table := NewTable("node", "zone", nil, klog.Background())
 	warming := warmingNames{}
@@ -35,7 +35,7 @@
 }
 
 func warmReplica(id string, left time.Duration) *Replica {
-	return &Replica{ID: id, Service: "s", Zone: "z", Slots: 1, State: ReplicaReady, Warming: left}
+	return &Replica{ID: id, Service: "s", Zone: "z", Slots: 1, State: ReplicaReady, WarmUpRemaining: left}
 }
 
 func change(table *Table, replica *Replica) {
@@ -57,7 +57,7 @@
 		change(table, warmReplica("old", 2*time.Second))
 		warming.expect(t, "old", 2*time.Second)
 		time.Sleep(time.Second)
-		// The same word again, with another change, is no news.
+		// An unchanged warm-up time must not restart the warm-up.
 		change(table, warmReplica("old", 2*time.Second))
 		warming.expect(t, "old", time.Second)
 		change(table, warmReplica("old", 0))
