--- a/internal/duties/weightorders/candidates_test.go
+++ b/internal/duties/weightorders/candidates_test.go
@@ -14,7 +14,7 @@
 	for number := range endpoints {
 		endpoints[number] = routing.NewReplicaEndpoint(fmt.Sprint("replica-", number), "", "zone", "", "s", 6, routing.NewEndpointState())
 	}
-	return routing.NewRankedPlan(routing.Place{}, endpoints)
+	return routing.NewRankedPlan(routing.Locality{}, endpoints)
 }
 
 // Items that are placed on replicas other than homes find old weights.
--- a/internal/duties/weightorders/target.go
+++ b/internal/duties/weightorders/target.go
@@ -8,15 +8,15 @@
 	ID string
 	// Instance is the name by which calls address the replica; "" means the same as ID.
 	Instance string
-	// Born is the start time of the replica by its own clock, in milliseconds since the
+	// StartedMs is the start time of the replica by its own clock, in milliseconds since the
 	// Unix epoch; 0 if unknown.
-	Born    int64
-	Address string
+	StartedMs int64
+	Address   string
 }
 
 // targetOf returns the target for a replica of the directory.
 func targetOf(replica *directory.Replica) Target {
-	return Target{ID: replica.ID, Instance: replica.InstanceName(), Born: replica.Born, Address: replica.Address}
+	return Target{ID: replica.ID, Instance: replica.InstanceName(), StartedMs: replica.StartedMs, Address: replica.Address}
 }
 
 // InstanceName returns the name by which calls address the replica.
--- a/internal/jobs/replicastate/nodeuses.go
+++ b/internal/jobs/replicastate/nodeuses.go
@@ -6,26 +6,26 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// UsesTimeout is how long another node's uses of replicas are believed.
-const UsesTimeout = 1500 * time.Millisecond
+// SlotUseTimeout is how long the announced slot use of another node is valid.
+const SlotUseTimeout = 1500 * time.Millisecond
 
-// NodeUses are another node's uses of replicas, as its heartbeat announced them.
-type NodeUses struct {
+// NodeSlotUse is the slot use of another node, as announced in its heartbeat.
+type NodeSlotUse struct {
 	ReceivedAt time.Time
-	// Running is how many items it runs at each replica.
+	// Running is the number of items that the node runs, by replica.
 	Running map[string]int
-	// Intervals are the times between events that it has seen recently, by replica.
+	// Intervals is the recent time between events, by replica.
 	Intervals map[string]time.Duration
-	// Open is how many items of its jobs have no result yet, by model.
+	// Open is the number of items of the node's jobs without a result, by model.
 	Open map[string]int
 }
 
-// isCurrent tells whether the uses are still believed.
-func (u NodeUses) isCurrent(now time.Time) bool { return now.Sub(u.ReceivedAt) < UsesTimeout }
+// isCurrent reports whether the slot use is still valid.
+func (u NodeSlotUse) isCurrent(now time.Time) bool { return now.Sub(u.ReceivedAt) < SlotUseTimeout }
 
-// usesFrom reads the uses that a heartbeat announces.
-func usesFrom(heartbeat *wire.NodeBeat, now time.Time) NodeUses {
-	uses := NodeUses{ReceivedAt: now, Running: map[string]int{}, Intervals: map[string]time.Duration{}, Open: map[string]int{}}
+// usesFrom returns the slot use that a heartbeat announces.
+func usesFrom(heartbeat *wire.NodeBeat, now time.Time) NodeSlotUse {
+	uses := NodeSlotUse{ReceivedAt: now, Running: map[string]int{}, Intervals: map[string]time.Duration{}, Open: map[string]int{}}
 	for _, work := range heartbeat.Work {
 		uses.Open[work.Model] += int(work.Open)
 	}
--- a/internal/replicas/directory/evacuation_sink.go
+++ b/internal/replicas/directory/evacuation_sink.go
@@ -2,8 +2,8 @@
 
 import "github.com/pathtally/pathtally/internal/store/objectstore"
 
-// EvacuationSink takes the evacuations of zones. Each is an object with the name of
-// its zone; there is nothing else in it to read.
+// EvacuationSink applies the stored evacuations to the table. Each evacuation is an object
+// whose name is the zone; its content is ignored.
 type EvacuationSink struct {
 	Table *Table
 }
@@ -21,7 +21,7 @@
 func (s EvacuationSink) Apply(changes []objectstore.Change, _ bool) {
 	taken := make([]EvacuationChange, 0, len(changes))
 	for _, change := range changes {
-		taken = append(taken, EvacuationChange{Zone: change.Object.Name, Ended: change.Gone})
+		taken = append(taken, EvacuationChange{Zone: change.Object.Name, Ended: change.Deleted})
 	}
 	s.Table.ApplyEvacuations(taken)
 }
--- a/internal/replicas/routing/latency_test.go
+++ b/internal/replicas/routing/latency_test.go
@@ -30,12 +30,12 @@
 	})
 }
 
-// A third of the back ends were slow, and as many requests went to them as to
-// the others, since each node had few in progress at any.
+// Guards against slow replicas getting as many requests as fast ones while each node has few
+// requests in flight.
 func TestSlowEngineGetsFewRequestsOfPlans(t *testing.T) {
 	plan := testPlan(3)
 	for number, endpoint := range plan.Endpoints() {
-		endpoint.State.SetView(EngineView{})
+		endpoint.State.SetReport(EndpointReport{})
 		endpoint.State.Latency.Observe(30 * time.Millisecond)
 		if number == 0 {
 			endpoint.State.Latency.Observe(400 * time.Millisecond)
--- a/internal/replicas/routing/plan_ranked_test.go
+++ b/internal/replicas/routing/plan_ranked_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// replicasOf returns replicas without requests, one after the other in some zones of
-// the regions that their first letter names.
+// replicasOf returns idle replicas that are spread over the zones in turn. The first letter of
+// a zone is its region.
 func replicasOf(count int, zones ...string) []*Endpoint {
 	endpoints := make([]*Endpoint, count)
 	for number := range endpoints {
 		zone, state := zones[number%len(zones)], NewEndpointState()
-		state.SetView(EngineView{})
+		state.SetReport(EndpointReport{})
 		endpoints[number] = NewReplicaEndpoint(fmt.Sprintf("replica-%d", number), "", zone, zone[:1], "service", 8, state)
 	}
 	return endpoints
@@ -27,10 +27,10 @@
 	return picked
 }
 
-// Requests one after the other go to one replica, whatever small differences there
-// are in its answers, and to one further away only when the nearer ones are gone.
+// Guards against consecutive requests switching replicas because of small latency differences,
+// or using distant replicas while a nearer one is available.
 func TestRankedPlanKeepsToTheNearestReplica(t *testing.T) {
-	plan := NewRankedPlan(Place{Node: "node", Zone: "e1", Region: "e"}, replicasOf(6, "w1", "e2", "e1"))
+	plan := NewRankedPlan(Locality{Node: "node", Zone: "e1", Region: "e"}, replicasOf(6, "w1", "e2", "e1"))
 	for _, zones := range [][]string{{"e1", "e1"}, {"e2", "e2"}, {"w1", "w1"}} {
 		for _, zone := range zones {
 			picked := pickOne(t, plan)
@@ -43,13 +43,13 @@
 					t.Fatalf("went from %s to %s", picked.Name, again.Name)
 				}
 			}
-			picked.State.SetView(EngineView{Excluded: true})
+			picked.State.SetReport(EndpointReport{Excluded: true})
 		}
 	}
 }
 
 func TestRankedPlanLeavesAReplicaThatFailsOrIsSlow(t *testing.T) {
-	plan := NewRankedPlan(Place{Node: "node", Zone: "e1"}, replicasOf(6, "e1"))
+	plan := NewRankedPlan(Locality{Node: "node", Zone: "e1"}, replicasOf(6, "e1"))
 	failing := pickOne(t, plan)
 	failing.State.Failures.Add(1)
 	slow := pickOne(t, plan)
@@ -62,12 +62,12 @@
 	}
 }
 
-// The nodes of a zone have different first replicas, so that its replicas get alike.
+// Guards against all nodes of a zone preferring the same replicas.
 func TestRankedPlansOfManyNodesUseAllReplicasAlike(t *testing.T) {
 	replicas := replicasOf(8, "e1")
 	counts := map[string]int{}
 	for number := range 400 {
-		counts[pickOne(t, NewRankedPlan(Place{Node: fmt.Sprintf("node-%d", number), Zone: "e1"}, replicas)).Name]++
+		counts[pickOne(t, NewRankedPlan(Locality{Node: fmt.Sprintf("node-%d", number), Zone: "e1"}, replicas)).Name]++
 	}
 	for _, replica := range replicas {
 		if counts[replica.Name] < 25 || counts[replica.Name] > 80 {
@@ -76,10 +76,10 @@
 	}
 }
 
-// A node with many requests at once spreads them over more and more replicas.
+// Guards against overloading the first replicas when a node has many concurrent requests.
 func TestRankedPlanGrowsWithTheLoad(t *testing.T) {
 	replicas := replicasOf(12, "e1", "w1")
-	plan := NewRankedPlan(Place{Node: "node", Zone: "e1", Region: "e"}, replicas)
+	plan := NewRankedPlan(Locality{Node: "node", Zone: "e1", Region: "e"}, replicas)
 	for range 48 {
 		pickOne(t, plan).State.InFlight.Add(1)
 	}
--- a/internal/store/objectstore/list.go
+++ b/internal/store/objectstore/list.go
@@ -2,8 +2,8 @@
 
 import "context"
 
-// ListPages lists a kind and calls visit for each page. Changes that happen between two
-// pages may be missing from the pages; a watch from the first page's revision reports them.
+// ListPages lists a kind and calls visit for each page. Changes made between two pages may
+// be missing from the pages; a watch from the first page's revision reports them.
 func ListPages(ctx context.Context, store Store, kind string, freshness Freshness, visit func(Page)) error {
 	after := ""
 	for {
@@ -24,8 +24,8 @@
 	var listed Page
 	err := ListPages(ctx, store, kind, freshness, func(page Page) {
 		listed.Objects = append(listed.Objects, page.Objects...)
-		if listed.At == 0 {
-			listed.At = page.At
+		if listed.Revision == 0 {
+			listed.Revision = page.Revision
 		}
 	})
 	if err != nil {
--- a/internal/store/storerelay/large_calls_test.go
+++ b/internal/store/storerelay/large_calls_test.go
@@ -18,7 +18,7 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// link delivers calls to other nodes at linkBytes a second each, and none to silent ones.
+// link delivers calls to other nodes at linkBytes per second each, and none to silent ones.
 type link struct {
 	mutex sync.Mutex
 	store *metastore.Store
@@ -28,7 +28,7 @@
 	sent   map[string]int
 }
 
-// linkBytes is the rate of a link in bytes a second.
+// linkBytes is the rate of a link in bytes per second.
 const linkBytes = 1 << 20
 
 func (*link) Send(string, wire.Message)        {}
@@ -62,10 +62,10 @@
 	}()
 }
 
-// over returns a relay over a link, of a node that the store refuses.
+// over returns a relay over a link, for a node that the store refuses.
 func over(l *link, others ...string) *Relay {
 	return New(Config{
-		Own: &gate{Store: l.store, fail: refusal}, Peers: l, CurrentPeer: func() (string, bool) { return "reader", true },
+		Direct: &gate{Store: l.store, fail: refusal}, Peers: l, PeerWithStoreAccess: func() (string, bool) { return "reader", true },
 		LargeCallHelpers: func() []string { return others }, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
 	})
 }
@@ -74,13 +74,13 @@
 	return &link{store: metastore.New(), free: map[string]time.Time{}, silent: map[string]bool{}, sent: map[string]int{}}
 }
 
-// large is an object of 600 KB.
+// large returns an object of 600 KiB.
 func large() json.RawMessage {
 	return json.RawMessage(`"` + string(bytes.Repeat([]byte("x"), 600<<10)) + `"`)
 }
 
-// Symptom: three owners of batch jobs that the store refuses write their results through
-// one node, each up to four times at once, and none arrives in time for six seconds.
+// Guards against several nodes that the store refuses sending their large results through
+// the same helper, which delays all of them.
 func TestLargeObjectsOfSeveralNodesArriveThroughOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLink()
@@ -89,7 +89,7 @@
 		for _, name := range []string{"a", "b", "c"} {
 			relay := over(l, "first-of-"+name, "second-of-"+name)
 			owners.Go(func() {
-				if _, _, err := objectstore.CreateSettled(t.Context(), relay, "results", name, large()); err != nil {
+				if _, _, err := objectstore.CreateWithRetry(t.Context(), relay, "results", name, large()); err != nil {
 					t.Error(err)
 				}
 			})
@@ -107,11 +107,11 @@
 		l := newLink()
 		l.silent["first"] = true
 		relay := over(l, "first", "second")
-		if _, _, err := objectstore.CreateSettled(t.Context(), relay, "results", "one", large()); err != nil {
+		if _, _, err := objectstore.CreateWithRetry(t.Context(), relay, "results", "one", large()); err != nil {
 			t.Error(err)
 		}
 		before := l.sent["first"]
-		if _, _, err := objectstore.CreateSettled(t.Context(), relay, "results", "two", large()); err != nil {
+		if _, _, err := objectstore.CreateWithRetry(t.Context(), relay, "results", "two", large()); err != nil {
 			t.Error(err)
 		}
 		if l.sent["second"] == 0 || l.sent["first"] != before {
