--- a/internal/callers/forward/forwarder.go
+++ b/internal/callers/forward/forwarder.go
@@ -65,7 +65,7 @@
 	}
 	request.report(answer, err)
 	if at, started := request.attempts.startedAt(); started && call.Metered {
-		f.config.Meter.Began(call.Tenant, at)
+		f.config.Meter.CountRequest(call.Tenant, at)
 	}
 	return answer, err
 }
--- a/internal/callers/forward/stream_attempt.go
+++ b/internal/callers/forward/stream_attempt.go
@@ -129,7 +129,7 @@
 		return err
 	}
 	if r.events == 0 && r.call.Metered {
-		r.forwarder.config.Meter.Began(r.call.Tenant, time.Now())
+		r.forwarder.config.Meter.CountRequest(r.call.Tenant, time.Now())
 	}
 	r.lastEvent = event.ID
 	r.events++
--- a/internal/duties/autoscale/config.go
+++ b/internal/duties/autoscale/config.go
@@ -12,7 +12,7 @@
 // Config holds the parameters and dependencies of a Service.
 type Config struct {
 	Policy    Policy
-	Keeper    *lease.Keeper
+	Elector   *lease.Elector
 	Store     objectstore.Store
 	Platform  Platform
 	Directory *directory.Table
--- a/internal/duties/autoscale/doc.go
+++ b/internal/duties/autoscale/doc.go
@@ -3,7 +3,7 @@
 // lease.
 //
 // Two pure functions make the decisions: Decide computes the target of each zone, with its
-// reason, from a View of the service, and isDue decides whether an order is sent now.
+// reason, from a ServiceState, and isDue decides whether an order is sent now.
 // Service collects their inputs, records the orders in the metadata store, so that the next
 // holder of the lease continues from them, and sends them. Nothing is ordered unless a
 // policy is set.
--- a/internal/duties/autoscale/metrics.go
+++ b/internal/duties/autoscale/metrics.go
@@ -37,7 +37,7 @@
 }
 
 // show sets the gauges of one service.
-func (m *metrics) show(seen *View, plan *plan) {
+func (m *metrics) show(seen *ServiceState, plan *plan) {
 	for zone, count := range seen.Present {
 		m.present.WithLabelValues(seen.Service, zone).Set(float64(count))
 	}
@@ -51,7 +51,7 @@
 	switch {
 	case err == nil:
 		m.orders.WithLabelValues(outcomeTaken).Inc()
-	case errors.Is(err, ErrNoneAvailable):
+	case errors.Is(err, ErrNoCapacity):
 		m.orders.WithLabelValues(outcomeNoneAvailable).Inc()
 	default:
 		m.orders.WithLabelValues(outcomeFailed).Inc()
--- a/internal/duties/autoscale/plan.go
+++ b/internal/duties/autoscale/plan.go
@@ -44,8 +44,8 @@
 }
 
 // due returns the targets that are ordered now.
-func (p *plan) due(wanted []Wanted, now time.Time) []Wanted {
-	var due []Wanted
+func (p *plan) due(wanted []ZoneTarget, now time.Time) []ZoneTarget {
+	var due []ZoneTarget
 	for _, want := range wanted {
 		if isDue(p.facts(want, now)) {
 			due = append(due, want)
@@ -55,7 +55,7 @@
 }
 
 // facts returns the inputs of isDue for a target, and updates fewerSince.
-func (p *plan) facts(want Wanted, now time.Time) zoneFacts {
+func (p *plan) facts(want ZoneTarget, now time.Time) zoneFacts {
 	zone := zoneFacts{
 		wanted: want.Replicas, current: p.current(want.Zone), isFull: now.Before(p.fullUntil[want.Zone]),
 		isUnconfirmed: p.isUnconfirmed(want.Zone), sinceOrder: now.Sub(p.orderedAt[want.Zone]),
--- a/internal/duties/autoscale/platform.go
+++ b/internal/duties/autoscale/platform.go
@@ -6,13 +6,13 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrNoneAvailable means that a zone has no more replicas available at present.
-var ErrNoneAvailable = merry.Sentinel("the zone has no more replicas available now")
+// ErrNoCapacity means that a zone has no more replicas available at present.
+var ErrNoCapacity = merry.Sentinel("the zone has no more replicas available now")
 
 // Platform accepts orders of replicas.
 type Platform interface {
 	// Order sends one order. The error is lease.ErrUnanswered if the platform may have
-	// accepted it, ErrNoneAvailable if the zone has no more replicas available, or a
+	// accepted it, ErrNoCapacity if the zone has no more replicas available, or a
 	// *lease.RejectedError.
 	Order(ctx context.Context, order Order) error
 }
--- a/internal/duties/autoscale/service.go
+++ b/internal/duties/autoscale/service.go
@@ -58,18 +58,18 @@
 		}
 		plan := s.plan(name)
 		seen := s.viewOf(view, &service, plan, now)
-		if !s.config.Keeper.IsCandidate() || !s.loadLedger(ctx, plan) {
+		if !s.config.Elector.IsCandidate() || !s.loadLedger(ctx, plan) {
 			continue
 		}
 		for _, change := range plan.due(Decide(s.config.Policy, seen, plan.base()), now) {
 			due = true
-			if ready, _ := s.config.Keeper.Ready(ctx, dutyName); ready {
+			if ready, _ := s.config.Elector.EnsureHeld(ctx, dutyName); ready {
 				s.placeOrder(ctx, plan, name, change, now)
 			}
 		}
 	}
 	if !due {
-		s.config.Keeper.Idle(dutyName)
+		s.config.Elector.MarkIdle(dutyName)
 	}
 }
 
@@ -96,20 +96,20 @@
 }
 
 // viewOf returns the view of a service, and updates the plan and the metrics from it.
-func (s *Service) viewOf(view *directory.View, service *directory.Service, plan *plan, now time.Time) *View {
+func (s *Service) viewOf(view *directory.View, service *directory.Service, plan *plan, now time.Time) *ServiceState {
 	running, open := s.config.Work(service.Name)
 	plan.peak.add(now, running, open)
-	seen := &View{
-		Service: service.Name, Scaling: *service.Scaling, Slots: service.Engine.Slots, Present: map[string]int{}, Evacuated: map[string]bool{}, Full: map[string]bool{},
+	seen := &ServiceState{
+		Service: service.Name, Scaling: *service.Scaling, Slots: service.Engine.Slots, Present: map[string]int{}, Evacuated: map[string]bool{}, Exhausted: map[string]bool{},
 	}
-	seen.Running, seen.Open = plan.peak.greatest()
+	seen.RunningItems, seen.OpenItems = plan.peak.greatest()
 	for _, replica := range view.Replicas {
 		if replica.Service == service.Name {
 			seen.Present[replica.Zone]++
 		}
 	}
 	for zone, until := range plan.fullUntil {
-		seen.Full[zone] = now.Before(until)
+		seen.Exhausted[zone] = now.Before(until)
 	}
 	for _, endpoint := range view.Endpoints {
 		if endpoint.Model == service.Name && endpoint.State.Evacuated() {
@@ -126,7 +126,7 @@
 }
 
 // placeOrder records a target in the ledger and orders it.
-func (s *Service) placeOrder(ctx context.Context, plan *plan, service string, want Wanted, now time.Time) {
+func (s *Service) placeOrder(ctx context.Context, plan *plan, service string, want ZoneTarget, now time.Time) {
 	if err := s.recordOrder(ctx, plan, want); err != nil {
 		s.config.Logger.Info("replicas not ordered", "service", service, "zone", want.Zone, "replicas", want.Replicas, "error", err.Error())
 		return
@@ -135,7 +135,7 @@
 	err := s.order(ctx, service, want)
 	s.metrics.count(err)
 	switch {
-	case errors.Is(err, ErrNoneAvailable):
+	case errors.Is(err, ErrNoCapacity):
 		plan.fullUntil[want.Zone] = now.Add(fullZoneDelay)
 	case err == nil:
 		plan.accepted[want.Zone] = want.Replicas
@@ -146,7 +146,7 @@
 }
 
 // recordOrder stores an order. It is called before the order is sent.
-func (s *Service) recordOrder(ctx context.Context, plan *plan, want Wanted) error {
+func (s *Service) recordOrder(ctx context.Context, plan *plan, want ZoneTarget) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if err := plan.ledger.load(ctx); err != nil {
@@ -161,8 +161,8 @@
 }
 
 // order sends an order under the lease.
-func (s *Service) order(ctx context.Context, service string, want Wanted) error {
-	permit, valid := s.config.Keeper.Begin()
+func (s *Service) order(ctx context.Context, service string, want ZoneTarget) error {
+	permit, valid := s.config.Elector.BeginCall()
 	if !valid {
 		return lease.ErrFenced
 	}
--- a/internal/duties/autoscale/service_test.go
+++ b/internal/duties/autoscale/service_test.go
@@ -40,7 +40,7 @@
 	}
 	m.token = max(m.token, order.Token)
 	if m.empty[order.Zone] {
-		return ErrNoneAvailable
+		return ErrNoCapacity
 	}
 	m.orders[order.Zone] = order.Replicas
 	if m.mute {
@@ -101,12 +101,12 @@
 		})
 	}
 	table.SetReplicas(replicas, 0)
-	keeper := lease.NewKeeper(lease.Config{
+	keeper := lease.NewElector(lease.Config{
 		Node: name, Lease: lease.NewLease(name, name, 0, w.store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
-		Nodes: func() []string { return []string{name} }, Announce: func([]string) {}, Silence: func(string) time.Duration { return time.Hour },
+		Nodes: func() []string { return []string{name} }, Announce: func([]string) {}, SinceHeartbeat: func(string) time.Duration { return time.Hour },
 	})
 	service := NewService(Config{
-		Policy: PolicyWork, Keeper: keeper, Store: w.store, Platform: w.market, Directory: table, Logger: klog.Background(),
+		Policy: PolicyWork, Elector: keeper, Store: w.store, Platform: w.market, Directory: table, Logger: klog.Background(),
 		Registry: prometheus.NewRegistry(), Work: w.work,
 	})
 	go service.Run(ctx)
--- a/internal/duties/lease/config.go
+++ b/internal/duties/lease/config.go
@@ -8,7 +8,7 @@
 	"github.com/pathtally/pathtally/internal/clock"
 )
 
-// Config holds the dependencies of a Keeper.
+// Config holds the dependencies of an Elector.
 type Config struct {
 	Node  string
 	Lease *Lease
@@ -17,8 +17,8 @@
 	Logger klog.Logger
 	// Nodes lists the nodes that may hold the lease.
 	Nodes func() []string
-	// Silence returns the time since the last heartbeat from a node.
-	Silence func(node string) time.Duration
+	// SinceHeartbeat returns the time since the last heartbeat from a node.
+	SinceHeartbeat func(node string) time.Duration
 	// Announce sends this node's newest observation of the lease to the given nodes, or to
 	// all nodes if the deployment is small.
 	Announce func(nodes []string)
--- a/internal/duties/lease/decision_test.go
+++ b/internal/duties/lease/decision_test.go
@@ -26,7 +26,7 @@
 	now := time.Unix(100, 0)
 	mine := Observation{Holder: "one", Revision: 4}
 	others := Observation{Holder: "two", Revision: 4}
-	takeoverWait := SendWindow + DefaultTerm + takeoverMargin
+	takeoverWait := SendWindow + DefaultTakeoverGap + takeoverMargin
 	for name, test := range map[string]struct {
 		known    func(s *state)
 		justRead bool
@@ -44,7 +44,7 @@
 		"released by its holder":  {func(s *state) { s.observe(now, Observation{Holder: "two", Revision: 4, Released: true}) }, true, decision{action: actionTake, replaces: 4}},
 		"given up, another holds": {func(s *state) { s.stop(); s.observe(now, others) }, false, decision{action: actionNone}},
 	} {
-		known := state{node: "one", term: DefaultTerm}
+		known := state{node: "one", term: DefaultTakeoverGap}
 		test.known(&known)
 		if next := known.decide(now, test.justRead); next != test.want {
 			t.Errorf("%s: %+v, want %+v", name, next, test.want)
--- a/internal/duties/lease/keeper.go
+++ b/internal/duties/lease/elector.go
@@ -18,9 +18,9 @@
 	maxRetryDelay = time.Second
 )
 
-// Keeper decides when this node tries to acquire the lease, and permits calls only while
+// Elector decides when this node tries to acquire the lease, and permits calls only while
 // the node holds it. It is safe for concurrent use.
-type Keeper struct {
+type Elector struct {
 	config Config
 
 	// acquiring is held during an attempt to acquire the lease. It guards the next two
@@ -41,15 +41,15 @@
 	wake         chan struct{}
 }
 
-// NewKeeper returns a Keeper for a node's view of the lease.
-func NewKeeper(config Config) *Keeper {
-	return &Keeper{config: config, waitingSince: map[string]time.Time{}, wake: make(chan struct{})}
+// NewElector returns an Elector for a node's view of the lease.
+func NewElector(config Config) *Elector {
+	return &Elector{config: config, waitingSince: map[string]time.Time{}, wake: make(chan struct{})}
 }
 
-// Ready acquires or renews the lease if necessary, and reports whether enough of it remains
+// EnsureHeld acquires or renews the lease if necessary, and reports whether enough of it remains
 // for at least one call; if not, the duration is the time until the next try. It is called
 // while a duty has work to do.
-func (k *Keeper) Ready(ctx context.Context, duty string) (ready bool, again time.Duration) {
+func (k *Elector) EnsureHeld(ctx context.Context, duty string) (ready bool, again time.Duration) {
 	since := k.markWaiting(duty)
 	if k.config.Lease.Stopped() {
 		return false, maxRetryDelay
@@ -65,8 +65,8 @@
 	return k.acquire(ctx, duty)
 }
 
-// Idle records that a duty has no pending work.
-func (k *Keeper) Idle(duty string) {
+// MarkIdle records that a duty has no pending work.
+func (k *Elector) MarkIdle(duty string) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	delete(k.waitingSince, duty)
@@ -74,7 +74,7 @@
 
 // markWaiting records that a duty has pending work, and returns the time since which it has
 // had some.
-func (k *Keeper) markWaiting(duty string) time.Time {
+func (k *Elector) markWaiting(duty string) time.Time {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if k.waitingSince[duty].IsZero() {
@@ -84,7 +84,7 @@
 }
 
 // acquire tries once to acquire the lease. acquiring must be held.
-func (k *Keeper) acquire(ctx context.Context, duty string) (ready bool, again time.Duration) {
+func (k *Elector) acquire(ctx context.Context, duty string) (ready bool, again time.Duration) {
 	known := k.config.Lease.LastObserved().Revision
 	wait, err := k.config.Lease.Acquire(ctx)
 	if wait > 0 && k.config.Lease.LastObserved().Revision != known && !k.IsCandidate() {
@@ -102,7 +102,7 @@
 		k.reportWait(wait)
 		return false, wait
 	}
-	token, _ := k.config.Lease.Valid()
+	token, _ := k.config.Lease.ValidToken()
 	k.config.Logger.Info("duty lease acquired", "duty", duty, "token", token)
 	k.announce()
 	return true, 0
@@ -110,7 +110,7 @@
 
 // restartDelays restarts the takeover delays of all duties: their pending work counts as
 // new.
-func (k *Keeper) restartDelays() {
+func (k *Elector) restartDelays() {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	clear(k.waitingSince)
@@ -119,7 +119,7 @@
 // reportWait logs that this node waits for the holder of the lease, and announces its
 // observation, once for each revision. The announcement tells a restarted holder that it
 // is the holder and need not wait.
-func (k *Keeper) reportWait(wait time.Duration) {
+func (k *Elector) reportWait(wait time.Duration) {
 	last := k.config.Lease.LastObserved()
 	if last.Revision == k.reportedWait {
 		return
@@ -131,7 +131,7 @@
 
 // Observe applies an observation that another node has sent. It may show that the previous
 // process of this node held the lease, so that this node need not wait.
-func (k *Keeper) Observe(seen Observation) {
+func (k *Elector) Observe(seen Observation) {
 	if seen.Revision == 0 || !k.config.Lease.Observe(seen) {
 		return
 	}
@@ -148,18 +148,18 @@
 	k.wake = make(chan struct{})
 }
 
-// Woken returns a channel that is closed when this node learns that it need not wait for
+// Available returns a channel that is closed when this node learns that it need not wait for
 // the lease.
-func (k *Keeper) Woken() <-chan struct{} {
+func (k *Elector) Available() <-chan struct{} {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.wake
 }
 
 // LastObserved returns the newest observation of the lease that this node knows of.
-func (k *Keeper) LastObserved() Observation { return k.config.Lease.LastObserved() }
+func (k *Elector) LastObserved() Observation { return k.config.Lease.LastObserved() }
 
-// Tenure returns the token of this node's last renewal, or 0 once another node is known to
+// TenureToken returns the token of this node's last renewal, or 0 once another node is known to
 // have acquired the lease or this node's tenure has ended. The lease may have to be renewed
 // before the next call.
-func (k *Keeper) Tenure() uint64 { return k.config.Lease.Tenure() }
+func (k *Elector) TenureToken() uint64 { return k.config.Lease.TenureToken() }
--- a/internal/duties/lease/lease.go
+++ b/internal/duties/lease/lease.go
@@ -25,40 +25,40 @@
 // while the machine is suspended, because another node may acquire the lease meanwhile.
 func NewLease(node, nonce string, term time.Duration, store objectstore.Store, counting clock.Clock) *Lease {
 	lease := &Lease{nonce: nonce, store: store, clock: counting, state: state{node: node}}
-	lease.SetTerm(term)
+	lease.SetTakeoverGap(term)
 	return lease
 }
 
-// SetTerm sets the minimum time between the last call of another holder and the first call
+// SetTakeoverGap sets the minimum time between the last call of another holder and the first call
 // of this node; 0 means the default.
-func (l *Lease) SetTerm(term time.Duration) {
+func (l *Lease) SetTakeoverGap(term time.Duration) {
 	if term <= 0 {
-		term = DefaultTerm
+		term = DefaultTakeoverGap
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.state.term = term
 }
 
-// Valid returns the fencing token, and whether calls may be sent now.
-func (l *Lease) Valid() (uint64, bool) {
+// ValidToken returns the fencing token, and whether calls may be sent now.
+func (l *Lease) ValidToken() (uint64, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.state.valid(l.clock())
 }
 
-// Held returns the time since which neither another node nor a previous process of this
+// HeldSince returns the time since which neither another node nor a previous process of this
 // node has held the lease, and whether calls may be sent now.
-func (l *Lease) Held() (since time.Time, valid bool) {
+func (l *Lease) HeldSince() (since time.Time, valid bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	_, valid = l.state.valid(l.clock())
 	return l.state.soleSince, valid
 }
 
-// Tenure returns the token of this node's last renewal, or 0 once another node is known to
+// TenureToken returns the token of this node's last renewal, or 0 once another node is known to
 // have acquired the lease or this node's tenure has ended.
-func (l *Lease) Tenure() uint64 {
+func (l *Lease) TenureToken() uint64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.state.stopped {
--- a/internal/duties/lease/lease_test.go
+++ b/internal/duties/lease/lease_test.go
@@ -23,7 +23,7 @@
 	if pause != 0 || err != nil {
 		t.Fatalf("%s: wait %s, %v", held.state.node, pause, err)
 	}
-	token, valid := held.Valid()
+	token, valid := held.ValidToken()
 	if !valid {
 		t.Fatalf("%s: the lease is not valid once acquired", held.state.node)
 	}
@@ -74,11 +74,11 @@
 		if waited := time.Since(renewed); waited < SendWindow+testTerm {
 			t.Errorf("the successor gave orders %s after the holder's last write", waited)
 		}
-		if _, valid := former.Valid(); valid {
+		if _, valid := former.ValidToken(); valid {
 			t.Error("the former holder may still give orders")
 		}
 		if _, err := former.Acquire(context.Background()); err == nil {
-			if _, valid := former.Valid(); valid {
+			if _, valid := former.ValidToken(); valid {
 				t.Error("the former holder took the lease back at once")
 			}
 		}
@@ -91,7 +91,7 @@
 		held := newLease("one", metastore.New())
 		acquireNow(t, held)
 		time.Sleep(SendWindow)
-		if _, valid := held.Valid(); valid {
+		if _, valid := held.ValidToken(); valid {
 			t.Error("the lease is valid after its time")
 		}
 	})
@@ -112,7 +112,7 @@
 		if _, err := held.Acquire(context.Background()); err == nil {
 			t.Fatal("a write without an answer succeeded")
 		}
-		if _, valid := held.Valid(); valid {
+		if _, valid := held.ValidToken(); valid {
 			t.Error("orders are allowed on a write without an answer")
 		}
 		store.ApplyLate()
@@ -137,7 +137,7 @@
 		if err := former.release(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		if _, valid := former.Valid(); valid {
+		if _, valid := former.ValidToken(); valid {
 			t.Error("the lease is valid once released")
 		}
 		if pause, err := former.Acquire(context.Background()); err == nil {
@@ -165,7 +165,7 @@
 		if err := held.write(context.Background(), next.replaces, false); err == nil {
 			t.Error("the lease was taken from its holder")
 		}
-		if _, valid := held.Valid(); valid {
+		if _, valid := held.ValidToken(); valid {
 			t.Error("both nodes hold the lease")
 		}
 	})
@@ -178,13 +178,13 @@
 		store := metastore.New()
 		one, two := newLease("one", store), newLease("two", store)
 		acquireNow(t, one)
-		began, _ := one.Held()
+		began, _ := one.HeldSince()
 		time.Sleep(2 * SendWindow)
-		if _, valid := one.Held(); valid {
+		if _, valid := one.HeldSince(); valid {
 			t.Error("the lease is held beyond its window")
 		}
 		acquireNow(t, one)
-		if since, valid := one.Held(); !valid || !since.Equal(began) {
+		if since, valid := one.HeldSince(); !valid || !since.Equal(began) {
 			t.Errorf("held since %s, %v; nobody else has held it since %s", since, valid, began)
 		}
 		two.Observe(one.LastObserved())
@@ -196,7 +196,7 @@
 		time.Sleep(SendWindow + testTerm + takeoverMargin)
 		again := time.Now()
 		acquireNow(t, one)
-		if since, valid := one.Held(); !valid || since.Before(again) {
+		if since, valid := one.HeldSince(); !valid || since.Before(again) {
 			t.Errorf("held since %s, %v; another has held it meanwhile", since, valid)
 		}
 	})
@@ -212,7 +212,7 @@
 		held := NewLease("one", "one", testTerm, store, counting)
 		acquireNow(t, held)
 		suspended = SendWindow
-		if _, valid := held.Valid(); valid || held.Remaining() != 0 {
+		if _, valid := held.ValidToken(); valid || held.Remaining() != 0 {
 			t.Error("the lease is valid after the suspension")
 		}
 		// The machine is suspended again between the write of a renewal and its result.
@@ -223,7 +223,7 @@
 		if _, err := held.Acquire(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if _, valid := held.Valid(); valid {
+		if _, valid := held.ValidToken(); valid {
 			t.Error("a renewal counts from its answer and not from its sending")
 		}
 	})
--- a/internal/duties/lease/model_steps_test.go
+++ b/internal/duties/lease/model_steps_test.go
@@ -149,7 +149,7 @@
 		if node.inFlight != nil && allowed.lost {
 			anew.late[i] = node.inFlight
 		}
-		anew.nodes[i] = modelNode{state: state{node: modelNames[i], term: DefaultTerm}}
+		anew.nodes[i] = modelNode{state: state{node: modelNames[i], term: DefaultTakeoverGap}}
 		following = append(following, anew)
 	}
 	if allowed.told {
@@ -194,7 +194,7 @@
 		return w, false, fmt.Sprintf("token %d after %d", token, w.token)
 	case token == w.token && w.last != i:
 		return w, false, fmt.Sprintf("both sent token %d", token)
-	case w.last == 1-i && time.Duration(w.now-w.acted[i])*modelTick < DefaultTerm:
+	case w.last == 1-i && time.Duration(w.now-w.acted[i])*modelTick < DefaultTakeoverGap:
 		return w, false, "calls in turns within the term"
 	case !fault.standsStill && w.acted[1-i] > -modelAge && w.at(w.acted[1-i]).After(w.nodes[i].aloneSince(w, fault)):
 		return w, false, "the other has called since this one holds the lease alone"
--- a/internal/duties/lease/model_world_test.go
+++ b/internal/duties/lease/model_world_test.go
@@ -55,7 +55,7 @@
 func firstWorld() modelWorld {
 	world := modelWorld{holder: -1, last: -1, acted: [2]int{-modelAge, -modelAge}}
 	for i := range world.nodes {
-		world.nodes[i].state = state{node: modelNames[i], term: DefaultTerm}
+		world.nodes[i].state = state{node: modelNames[i], term: DefaultTakeoverGap}
 	}
 	return world
 }
--- a/internal/duties/lease/permit.go
+++ b/internal/duties/lease/permit.go
@@ -5,15 +5,15 @@
 	// Holder and Token identify the lease in the call.
 	Holder string
 	Token  uint64
-	keeper *Keeper
+	keeper *Elector
 }
 
-// Begin returns a permit for a call that is sent immediately, if the lease is valid now.
+// BeginCall returns a permit for a call that is sent immediately, if the lease is valid now.
 // The caller must call Done when the call has ended.
-func (k *Keeper) Begin() (Permit, bool) {
+func (k *Elector) BeginCall() (Permit, bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	token, valid := k.config.Lease.Valid()
+	token, valid := k.config.Lease.ValidToken()
 	if !valid {
 		return Permit{}, false
 	}
--- a/internal/duties/lease/release.go
+++ b/internal/duties/lease/release.go
@@ -17,7 +17,7 @@
 
 // Release ends this node's duties for a graceful shutdown. It releases the lease if that is
 // safe, so that the successor need not wait; otherwise the lease expires.
-func (k *Keeper) Release(ctx context.Context) {
+func (k *Elector) Release(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	k.acquiring.Lock()
@@ -35,7 +35,7 @@
 }
 
 // awaitCalls waits until no call is open, and reports whether none can still arrive.
-func (k *Keeper) awaitCalls(ctx context.Context) bool {
+func (k *Elector) awaitCalls(ctx context.Context) bool {
 	for {
 		open, late := k.pendingCalls()
 		if late {
@@ -54,7 +54,7 @@
 
 // pendingCalls returns the number of open calls, and whether a call that ended without an
 // answer may still arrive.
-func (k *Keeper) pendingCalls() (open int, late bool) {
+func (k *Elector) pendingCalls() (open int, late bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	late = !k.unansweredAt.IsZero() && k.config.Clock.Since(k.unansweredAt) < lateCallPeriod
--- a/internal/duties/lease/state.go
+++ b/internal/duties/lease/state.go
@@ -9,8 +9,8 @@
 	// takeoverMargin is added to the wait of a successor, to allow for timers that fire
 	// late and calls in flight.
 	takeoverMargin = 200 * time.Millisecond
-	// DefaultTerm is the takeover gap if the settings (dutyLease) specify none.
-	DefaultTerm = 3 * time.Second
+	// DefaultTakeoverGap is the takeover gap if the settings (dutyLease) specify none.
+	DefaultTakeoverGap = 3 * time.Second
 )
 
 // state is a node's view of the lease. It performs no I/O and reads no clock, so that a
--- a/internal/duties/lease/takeover.go
+++ b/internal/duties/lease/takeover.go
@@ -40,7 +40,7 @@
 // isNext reports whether it is this node's turn to acquire the lease, given the time since
 // which work has been pending. The last holder tries immediately, its successors after
 // their takeover delay.
-func (k *Keeper) isNext(since time.Time) bool {
+func (k *Elector) isNext(since time.Time) bool {
 	last := k.config.Lease.LastObserved()
 	if last.Holder == k.config.Node {
 		return true
@@ -48,15 +48,15 @@
 	return k.config.Clock.Since(since) >= takeoverDelay(k.succession(last))
 }
 
-func (k *Keeper) succession(last Observation) succession {
+func (k *Elector) succession(last Observation) succession {
 	known := succession{rank: k.rank(last.Holder), holderMayGoOn: last.Holder != "" && !last.Released}
 	if known.holderMayGoOn {
-		known.holderSilence = k.config.Silence(last.Holder)
+		known.holderSilence = k.config.SinceHeartbeat(last.Holder)
 	}
 	return known
 }
 
 // RankDelay returns the part of this node's takeover delay that is due to its rank.
-func (k *Keeper) RankDelay() time.Duration {
+func (k *Elector) RankDelay() time.Duration {
 	return time.Duration(max(0, k.rank(k.config.Lease.LastObserved().Holder))) * rankDelay
 }
--- a/internal/duties/usage/clock.go
+++ b/internal/duties/usage/clock.go
@@ -65,9 +65,9 @@
 	return c.unix + at.Sub(c.start)
 }
 
-// Compare compares the clock with the wall clock, and corrects it by slewing or by adopting
+// SyncToWallClock compares the clock with the wall clock, and corrects it by slewing or by adopting
 // a lasting step. It is called about once a second.
-func (c *Clock) Compare(steady, timeOfDay time.Time) {
+func (c *Clock) SyncToWallClock(steady, timeOfDay time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	ahead := time.Duration(timeOfDay.UnixNano()) - c.unix - steady.Sub(c.start)
--- a/internal/duties/usage/clock_test.go
+++ b/internal/duties/usage/clock_test.go
@@ -23,7 +23,7 @@
 			if second >= 5 && second < 15 {
 				timeOfDay = timeOfDay.Add(step)
 			}
-			clock.Compare(start.Add(passed), timeOfDay)
+			clock.SyncToWallClock(start.Add(passed), timeOfDay)
 			if got := clock.Unix(start.Add(passed)) - 1_000_000*time.Second; got != passed {
 				t.Fatalf("step of %s: %s after %s", step, got, passed)
 			}
@@ -36,7 +36,7 @@
 	const step = 3 * time.Second
 	for second := range 120 {
 		passed := time.Duration(second) * time.Second
-		clock.Compare(start.Add(passed), time.Unix(1_000_000, 0).Add(passed+step))
+		clock.SyncToWallClock(start.Add(passed), time.Unix(1_000_000, 0).Add(passed+step))
 	}
 	if got := clock.Unix(start) - 1_000_000*time.Second; got != step {
 		t.Errorf("moved by %s, want %s", got, step)
@@ -48,7 +48,7 @@
 	for second := range 200 {
 		passed := time.Duration(second) * time.Second
 		// The monotonic clock is too slow by 0.2 %.
-		clock.Compare(start.Add(passed), time.Unix(1_000_000, 0).Add(passed+passed/500))
+		clock.SyncToWallClock(start.Add(passed), time.Unix(1_000_000, 0).Add(passed+passed/500))
 	}
 	behind := 200*time.Second/500 - (clock.Unix(start) - 1_000_000*time.Second)
 	if behind.Abs() > 10*time.Millisecond {
--- a/internal/duties/usage/config.go
+++ b/internal/duties/usage/config.go
@@ -15,16 +15,16 @@
 type Config struct {
 	Node        string
 	Incarnation uint64
-	// Window is the length of a window, and Late the time after its end within which its
+	// Window is the length of a window, and ReportDeadline the time after its end within which its
 	// report is due.
-	Window   time.Duration
-	Late     time.Duration
-	Keeper   *lease.Keeper
-	Store    objectstore.Store
-	Platform Platform
-	Peers    environment.Peers
-	Logger   klog.Logger
-	Registry prometheus.Registerer
+	Window         time.Duration
+	ReportDeadline time.Duration
+	Elector        *lease.Elector
+	Store          objectstore.Store
+	Platform       Platform
+	Peers          environment.Peers
+	Logger         klog.Logger
+	Registry       prometheus.Registerer
 	// Nodes returns all nodes, and Peer the address of a node and the incarnation of the
 	// process that sent its last heartbeat.
 	Nodes func() []string
--- a/internal/duties/usage/counter.go
+++ b/internal/duties/usage/counter.go
@@ -31,8 +31,8 @@
 	return &Counter{clock: clock, window: window, tallies: map[int64]*tally{}, wake: make(chan struct{}, 1)}
 }
 
-// Began counts a request of a tenant that began to run at a time of the monotonic clock.
-func (c *Counter) Began(tenant string, at time.Time) {
+// CountRequest counts a request of a tenant that began to run at a time of the monotonic clock.
+func (c *Counter) CountRequest(tenant string, at time.Time) {
 	if tenant == "" {
 		return
 	}
--- a/internal/duties/usage/progress.go
+++ b/internal/duties/usage/progress.go
@@ -2,12 +2,12 @@
 
 import "github.com/pathtally/pathtally/internal/wire"
 
-// Done returns the newest window up to which all windows have been reported or given up, 0
+// CompletedThrough returns the newest window up to which all windows have been reported or given up, 0
 // if none is known.
-func (s *Service) Done() int64 { return s.done.Load() }
+func (s *Service) CompletedThrough() int64 { return s.done.Load() }
 
-// ObserveDone records that all windows up to a given one have been reported or given up.
-func (s *Service) ObserveDone(number int64) {
+// ObserveCompleted records that all windows up to a given one have been reported or given up.
+func (s *Service) ObserveCompleted(number int64) {
 	for {
 		known := s.done.Load()
 		if number <= known || s.done.CompareAndSwap(known, number) {
@@ -17,22 +17,22 @@
 }
 
 // FillHeartbeat adds this node's knowledge of the completed windows to a heartbeat.
-func (s *Service) FillHeartbeat(heartbeat *wire.NodeBeat) { heartbeat.UsageDone = s.Done() }
+func (s *Service) FillHeartbeat(heartbeat *wire.NodeBeat) { heartbeat.UsageDone = s.CompletedThrough() }
 
 // ReceiveHeartbeat records the completed windows of a heartbeat, and drops the counts that
 // are no longer needed.
 func (s *Service) ReceiveHeartbeat(heartbeat *wire.NodeBeat) {
-	if heartbeat.UsageDone <= s.Done() {
+	if heartbeat.UsageDone <= s.CompletedThrough() {
 		return
 	}
-	s.ObserveDone(heartbeat.UsageDone)
+	s.ObserveCompleted(heartbeat.UsageDone)
 	s.forgetSettled(heartbeat.UsageDone)
 }
 
 // finish completes a window with an outcome, and drops the counts that are no longer needed.
 func (s *Service) finish(number int64, outcome string) {
 	s.metrics.reports.WithLabelValues(outcome).Inc()
-	s.ObserveDone(number)
+	s.ObserveCompleted(number)
 	s.config.HeartbeatSoon()
 	s.forgetSettled(number)
 }
--- a/internal/duties/usage/pusher.go
+++ b/internal/duties/usage/pusher.go
@@ -99,7 +99,7 @@
 // receivers returns the processes that counts are pushed to, without this one.
 func (p *pusher) receivers() []receiver {
 	var named []receiver
-	for _, node := range p.config.Keeper.Informed(followers) {
+	for _, node := range p.config.Elector.HolderAndSuccessors(followers) {
 		address, incarnation, known := p.config.Peer(node)
 		if node != p.config.Node && known {
 			named = append(named, receiver{node: node, address: address, incarnation: incarnation})
--- a/internal/duties/usage/report.go
+++ b/internal/duties/usage/report.go
@@ -44,11 +44,11 @@
 func (s *Service) reportStep(ctx context.Context) time.Duration {
 	s.recordInformed()
 	number, due := s.nextWindow()
-	if !due || !s.config.Keeper.IsCandidate() {
-		s.config.Keeper.Idle(dutyName)
+	if !due || !s.config.Elector.IsCandidate() {
+		s.config.Elector.MarkIdle(dutyName)
 		return windowPollInterval
 	}
-	if ready, again := s.config.Keeper.Ready(ctx, dutyName); !ready {
+	if ready, again := s.config.Elector.EnsureHeld(ctx, dutyName); !ready {
 		return again
 	}
 	s.recordInformed()
@@ -60,7 +60,7 @@
 
 // recordInformed records whether other nodes push their counts to this node, and since when.
 func (s *Service) recordInformed() {
-	switch informed := slices.Contains(s.config.Keeper.Informed(followers), s.config.Node); {
+	switch informed := slices.Contains(s.config.Elector.HolderAndSuccessors(followers), s.config.Node); {
 	case !informed:
 		s.informedAt = time.Time{}
 	case s.informedAt.IsZero():
@@ -93,7 +93,7 @@
 
 // settleDelay returns the time from the end of a window to its settling.
 func (s *Service) settleDelay() time.Duration {
-	return min(maxSettleDelay, time.Duration(settleShare*float64(s.config.Late)))
+	return min(maxSettleDelay, time.Duration(settleShare*float64(s.config.ReportDeadline)))
 }
 
 // ranThrough reports whether this process has been running since before a window began.
@@ -113,7 +113,7 @@
 // time until the next step.
 func (s *Service) reportOne(ctx context.Context, number int64) time.Duration {
 	late := s.counter.sinceEnd(number, time.Now())
-	if late > giveUpFactor*s.config.Late {
+	if late > giveUpFactor*s.config.ReportDeadline {
 		s.config.Logger.Info("usage of a window given up", "window", number, "lateMs", late.Milliseconds())
 		s.finish(number, outcomeGivenUp)
 		return 0
@@ -142,7 +142,7 @@
 
 // send sends a report under the lease.
 func (s *Service) send(ctx context.Context, number int64, counts Counts) error {
-	permit, valid := s.config.Keeper.Begin()
+	permit, valid := s.config.Elector.BeginCall()
 	if !valid {
 		return lease.ErrFenced
 	}
--- a/internal/duties/usage/service.go
+++ b/internal/duties/usage/service.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Began counts a request of a tenant that began to run at a time of the monotonic clock.
-func (s *Service) Began(tenant string, at time.Time) { s.counter.Began(tenant, at) }
+// CountRequest counts a request of a tenant that began to run at a time of the monotonic clock.
+func (s *Service) CountRequest(tenant string, at time.Time) { s.counter.CountRequest(tenant, at) }
 
 // ReceivePush records another node's counts, and returns the reply.
 func (s *Service) ReceivePush(push *wire.UsagePush) *wire.UsageTaken {
@@ -63,7 +63,7 @@
 func (s *Service) compareClock(ctx context.Context) {
 	for objectstore.Sleep(ctx, clockPollInterval) {
 		now := time.Now()
-		s.clock.Compare(now, now)
+		s.clock.SyncToWallClock(now, now)
 	}
 }
 
--- a/internal/duties/usage/service_test.go
+++ b/internal/duties/usage/service_test.go
@@ -89,7 +89,7 @@
 	incarnation uint64
 	net         *net
 	service     *Service
-	keeper      *lease.Keeper
+	keeper      *lease.Elector
 	heartbeats  sync.Map
 	stop        context.CancelFunc
 }
@@ -140,17 +140,17 @@
 func (n *net) start(ctx context.Context, name string, incarnation uint64, names []string, store *metastore.Store, platform Platform) *testNode {
 	ctx, stop := context.WithCancel(ctx)
 	node := &testNode{name: name, incarnation: incarnation, net: n, stop: stop}
-	node.keeper = lease.NewKeeper(lease.Config{
+	node.keeper = lease.NewElector(lease.Config{
 		Node: name, Lease: lease.NewLease(name, fmt.Sprint(incarnation), 0, store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
 		Nodes: func() []string { return names }, Announce: func([]string) { node.announce() },
-		Silence: func(other string) time.Duration {
+		SinceHeartbeat: func(other string) time.Duration {
 			at, _ := node.heartbeats.Load(other)
 			heard, _ := at.(time.Time)
 			return time.Since(heard)
 		},
 	})
 	node.service = NewService(Config{
-		Node: name, Incarnation: incarnation, Window: testWindow, Late: testLate, Keeper: node.keeper, Store: store, Platform: platform,
+		Node: name, Incarnation: incarnation, Window: testWindow, ReportDeadline: testLate, Elector: node.keeper, Store: store, Platform: platform,
 		Peers: node, Logger: klog.Background(), Registry: prometheus.NewRegistry(), Nodes: func() []string { return names },
 		Peer: func(other string) (string, uint64, bool) {
 			current := n.copies()[other]
@@ -212,7 +212,7 @@
 		}
 		now := time.Now()
 		tenant := fmt.Sprint("tenant-", number%3)
-		node.service.Began(tenant, now)
+		node.service.CountRequest(tenant, now)
 		window := int64(time.Duration(now.UnixNano()) / testWindow)
 		if d.truth[window] == nil {
 			d.truth[window] = Counts{}
@@ -248,7 +248,7 @@
 
 func (d *day) holder() *testNode {
 	for _, node := range d.net.copies() {
-		if node.keeper.Tenure() != 0 {
+		if node.keeper.TenureToken() != 0 {
 			return node
 		}
 	}
--- a/internal/duties/weightorders/candidates_test.go
+++ b/internal/duties/weightorders/candidates_test.go
@@ -19,9 +19,9 @@
 
 // Items that are placed on replicas other than homes find old weights.
 func TestCandidatesHoldNearlyAllHomes(t *testing.T) {
-	coordinator, table := coordinatorOf(4000, Demand{Items: map[string]int{"m": 128, "n": 128}})
+	coordinator, table := coordinatorOf(4000, Demand{MaxItems: map[string]int{"m": 128, "n": 128}})
 	candidates := map[string]bool{}
-	for _, endpoint := range Candidates(planOfIDs(4000), "m", 128) {
+	for _, endpoint := range PlacementCandidates(planOfIDs(4000), "m", 128) {
 		candidates[endpoint.Name] = true
 	}
 	homes, outside := 0, 0
@@ -41,11 +41,11 @@
 
 // The cost of placing an item must not grow with the number of replicas.
 func TestCandidatesDoNotGrowWithTheReplicas(t *testing.T) {
-	few, many := len(Candidates(planOfIDs(1000), "m", 128)), len(Candidates(planOfIDs(8000), "m", 128))
+	few, many := len(PlacementCandidates(planOfIDs(1000), "m", 128)), len(PlacementCandidates(planOfIDs(8000), "m", 128))
 	if few != many {
 		t.Errorf("%d candidates of 1,000 replicas, %d of 8,000", few, many)
 	}
-	if all := len(Candidates(planOfIDs(100), "m", 128)); all != 100 {
+	if all := len(PlacementCandidates(planOfIDs(100), "m", 128)); all != 100 {
 		t.Errorf("%d candidates of 100 replicas", all)
 	}
 }
--- a/internal/duties/weightorders/config.go
+++ b/internal/duties/weightorders/config.go
@@ -11,9 +11,9 @@
 
 // Config holds the dependencies of a Coordinator.
 type Config struct {
-	Keeper    *lease.Keeper
+	Elector   *lease.Elector
 	Directory *directory.Table
-	Replicas  Replicas
+	Replicas  ReplicaClient
 	Logger    klog.Logger
 	Registry  prometheus.Registerer
 	// RunningItems returns the number of batch items that run at a replica.
--- a/internal/duties/weightorders/coordinator.go
+++ b/internal/duties/weightorders/coordinator.go
@@ -64,17 +64,17 @@
 	for ctx.Err() == nil {
 		changed := c.config.Directory.Changed()
 		pause := c.step(ctx)
-		if !c.config.Keeper.IsCandidate() {
+		if !c.config.Elector.IsCandidate() {
 			// Only candidates have to respond to changes immediately. The later this
 			// node's turn to take over, the less often it looks for work.
-			changed, pause = nil, max(pause, nonCandidateInterval, c.config.Keeper.RankDelay()/2)
+			changed, pause = nil, max(pause, nonCandidateInterval, c.config.Elector.RankDelay()/2)
 		}
 		timer := time.NewTimer(pause)
 		select {
 		case <-ctx.Done():
 		case <-changed:
 		case <-c.wake:
-		case <-c.config.Keeper.Woken():
+		case <-c.config.Elector.Available():
 		case <-timer.C:
 		}
 		timer.Stop()
@@ -88,13 +88,13 @@
 	open := c.openTasks(view, c.currentDemand())
 	open = slices.DeleteFunc(open, c.isUnderWay)
 	if len(open) == 0 {
-		c.config.Keeper.Idle(dutyName)
+		c.config.Elector.MarkIdle(dutyName)
 		if c.loadsUnderWay() > 0 {
 			return pollInterval
 		}
 		return idleInterval
 	}
-	if ready, again := c.config.Keeper.Ready(ctx, dutyName); !ready {
+	if ready, again := c.config.Elector.EnsureHeld(ctx, dutyName); !ready {
 		return again
 	}
 	c.startLoads(ctx, open, loadsAtOnce(engineReplicas(view)))
--- a/internal/duties/weightorders/coordinator_test.go
+++ b/internal/duties/weightorders/coordinator_test.go
@@ -23,17 +23,17 @@
 type orderedReplicas struct {
 	mutex    sync.Mutex
 	versions map[string]int64
-	orders   []Order
+	orders   []LoadOrder
 	last     time.Time
 }
 
-func (r *orderedReplicas) Report(_ context.Context, target Target) (Report, error) {
+func (r *orderedReplicas) WeightStatus(_ context.Context, target Target) (WeightStatus, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return Report{Sequence: int64(len(r.orders)), Versions: map[string]int64{"m": r.versions[target.ID]}}, nil
+	return WeightStatus{Sequence: int64(len(r.orders)), Versions: map[string]int64{"m": r.versions[target.ID]}}, nil
 }
 
-func (r *orderedReplicas) Order(_ context.Context, target Target, order Order) (bool, error) {
+func (r *orderedReplicas) OrderLoad(_ context.Context, target Target, order LoadOrder) (bool, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.orders, r.last = append(r.orders, order), time.Now()
@@ -42,7 +42,7 @@
 }
 
 // newest returns the last order and its time.
-func (r *orderedReplicas) newest() (Order, time.Time) {
+func (r *orderedReplicas) newest() (LoadOrder, time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.orders[len(r.orders)-1], r.last
@@ -70,13 +70,13 @@
 	ctx, f.stop = context.WithCancel(ctx)
 	var coordinators []*Coordinator
 	for _, node := range nodes {
-		var keeper *lease.Keeper
-		keeper = lease.NewKeeper(lease.Config{
-			Node: node, Lease: lease.NewLease(node, nonce, lease.DefaultTerm, f.store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
-			Nodes: func() []string { return nodes }, Silence: func(string) time.Duration { return time.Hour }, Announce: func([]string) { f.announce(keeper) },
+		var keeper *lease.Elector
+		keeper = lease.NewElector(lease.Config{
+			Node: node, Lease: lease.NewLease(node, nonce, lease.DefaultTakeoverGap, f.store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
+			Nodes: func() []string { return nodes }, SinceHeartbeat: func(string) time.Duration { return time.Hour }, Announce: func([]string) { f.announce(keeper) },
 		})
 		made := NewCoordinator(Config{
-			Keeper: keeper, Directory: f.table, Replicas: f.replicas, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
+			Elector: keeper, Directory: f.table, Replicas: f.replicas, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
 			RunningItems: func(string) int { return 0 }, Tolerance: func(string) int64 { return 0 }, Demand: func() Demand { return Demand{} }, OnChange: f.list,
 			Announce: func() { f.announce(keeper) },
 		})
@@ -100,13 +100,13 @@
 }
 
 // announce sends a node's observation of the lease to all other nodes.
-func (f *fleet) announce(from *lease.Keeper) {
+func (f *fleet) announce(from *lease.Elector) {
 	seen := from.LastObserved()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, other := range f.coordinators {
-		if other.config.Keeper != from {
-			go other.config.Keeper.Observe(seen)
+		if other.config.Elector != from {
+			go other.config.Elector.Observe(seen)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 			f.stop()
 			time.Sleep(time.Second)
 			holder, _ := f.replicas.newest()
-			current = slices.DeleteFunc(slices.Clone(current), func(node string) bool { return node == holder.Owner })
+			current = slices.DeleteFunc(slices.Clone(current), func(node string) bool { return node == holder.Holder })
 			version++
 		}
 		before, _ := f.replicas.newest()
@@ -139,8 +139,8 @@
 		began := time.Now()
 		time.Sleep(20 * time.Second)
 		after, last := f.replicas.newest()
-		if after.Version != version || after.Owner != before.Owner || last.Sub(began) > 3*time.Second {
-			t.Errorf("version %d was ordered by %s after %s, the holder was %s", after.Version, after.Owner, last.Sub(began), before.Owner)
+		if after.Version != version || after.Holder != before.Holder || last.Sub(began) > 3*time.Second {
+			t.Errorf("version %d was ordered by %s after %s, the holder was %s", after.Version, after.Holder, last.Sub(began), before.Holder)
 		}
 		f.stop()
 		time.Sleep(time.Minute)
@@ -159,7 +159,7 @@
 		f.stop()
 		var left []string
 		for _, node := range []string{"one", "two", "three"} {
-			if node != before.Owner {
+			if node != before.Holder {
 				left = append(left, node)
 			}
 		}
@@ -168,10 +168,10 @@
 		began := time.Now()
 		time.Sleep(20 * time.Second)
 		after, last := f.replicas.newest()
-		if after.Owner == before.Owner || after.Version != 3 || after.Token <= before.Token {
+		if after.Holder == before.Holder || after.Version != 3 || after.Token <= before.Token {
 			t.Errorf("the last order is %+v after %+v", after, before)
 		}
-		if last.Sub(began) < lease.SendWindow+lease.DefaultTerm {
+		if last.Sub(began) < lease.SendWindow+lease.DefaultTakeoverGap {
 			t.Errorf("a successor gave orders %s after its start", last.Sub(began))
 		}
 		f.stop()
--- a/internal/duties/weightorders/demand.go
+++ b/internal/duties/weightorders/demand.go
@@ -8,10 +8,10 @@
 
 // Demand is the demand for each model, estimated from its recent jobs.
 type Demand struct {
-	// Tokens is the mean number of tokens that a job is expected to produce, by model.
-	Tokens map[string]float64
-	// Items is the number of items of the largest job, by model; 0 if unknown.
-	Items map[string]int
+	// MeanTokens is the mean number of tokens that a job is expected to produce, by model.
+	MeanTokens map[string]float64
+	// MaxItems is the number of items of the largest job, by model; 0 if unknown.
+	MaxItems map[string]int
 }
 
 // demandChange is the relative change of a model's demand, between 0 and 1, above which homes
@@ -20,7 +20,7 @@
 
 // differsFrom reports whether the demand differs enough from the planned one for a new plan.
 func (d Demand) differsFrom(planned Demand) bool {
-	return differs(planned.Tokens, d.Tokens) || differs(asFloats(planned.Items), asFloats(d.Items))
+	return differs(planned.MeanTokens, d.MeanTokens) || differs(asFloats(planned.MaxItems), asFloats(d.MaxItems))
 }
 
 func asFloats(counts map[string]int) map[string]float64 {
--- a/internal/duties/weightorders/home_bounds_test.go
+++ b/internal/duties/weightorders/home_bounds_test.go
@@ -30,7 +30,7 @@
 // The number of loads per version must depend on the size of the jobs. Otherwise one node has
 // to order thousands of loads in a large deployment.
 func TestOrdersFollowTheItemsAndNotTheReplicas(t *testing.T) {
-	demand := Demand{Tokens: map[string]float64{"m": 100, "n": 100}, Items: map[string]int{"m": 72, "n": 120}}
+	demand := Demand{MeanTokens: map[string]float64{"m": 100, "n": 100}, MaxItems: map[string]int{"m": 72, "n": 120}}
 	want := homesNeeded(72, 6) + homesNeeded(120, 6)
 	for _, count := range []int{400, 3200} {
 		coordinator, _ := coordinatorOf(count, demand)
@@ -44,7 +44,7 @@
 // share of the replicas times homeShareFactor.
 func TestSmallDeploymentsKeepTheirShares(t *testing.T) {
 	for _, items := range []int{0, 72} {
-		coordinator, _ := coordinatorOf(30, Demand{Items: map[string]int{"m": items, "n": items}})
+		coordinator, _ := coordinatorOf(30, Demand{MaxItems: map[string]int{"m": items, "n": items}})
 		if open := coordinator.openTasks(coordinator.config.Directory.View(), coordinator.currentDemand()); len(open) != 40 {
 			t.Errorf("jobs of %d items: %d loads, want 40", items, len(open))
 		}
@@ -61,7 +61,7 @@
 
 // Each home that moves when replicas are added or removed costs a load.
 func TestBoundedHomesStayWhenReplicasGo(t *testing.T) {
-	demand := Demand{Items: map[string]int{"m": 72, "n": 72}}
+	demand := Demand{MaxItems: map[string]int{"m": 72, "n": 72}}
 	coordinator, table := coordinatorOf(400, demand)
 	homesNow := func() map[string]bool {
 		homes := map[string]bool{}
@@ -87,7 +87,7 @@
 
 // Homes are needed several times a second and must be computed only when their inputs change.
 func TestHomesAreKeptBetweenLooks(t *testing.T) {
-	coordinator, table := coordinatorOf(400, Demand{Items: map[string]int{"m": 72, "n": 72}})
+	coordinator, table := coordinatorOf(400, Demand{MaxItems: map[string]int{"m": 72, "n": 72}})
 	coordinator.openTasks(table.View(), coordinator.currentDemand())
 	current := coordinator.homePlans["s"]
 	table.SetVersion("m", 4)
--- a/internal/duties/weightorders/load.go
+++ b/internal/duties/weightorders/load.go
@@ -119,15 +119,15 @@
 // order sends an order under the lease, and returns whether the replica has the version
 // already.
 func (c *Coordinator) order(ctx context.Context, next task, sequence int64) (holds bool, err error) {
-	permit, valid := c.config.Keeper.Begin()
+	permit, valid := c.config.Elector.BeginCall()
 	if !valid {
 		return false, ErrFenced
 	}
 	defer func() { permit.Done(!errors.Is(err, ErrUnanswered)) }()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return c.config.Replicas.Order(ctx, next.target, Order{
-		Model: next.model, Version: next.version, Owner: permit.Holder, Token: permit.Token, Expected: sequence,
+	return c.config.Replicas.OrderLoad(ctx, next.target, LoadOrder{
+		Model: next.model, Version: next.version, Holder: permit.Holder, Token: permit.Token, ExpectedSequence: sequence,
 	})
 }
 
@@ -153,10 +153,10 @@
 
 // readReport reads a replica's status once, records its versions, and returns whether it
 // has the version of the task.
-func (c *Coordinator) readReport(ctx context.Context, next task) (report Report, reached bool, err error) {
+func (c *Coordinator) readReport(ctx context.Context, next task) (report WeightStatus, reached bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	report, err = c.config.Replicas.Report(ctx, next.target)
+	report, err = c.config.Replicas.WeightStatus(ctx, next.target)
 	if err != nil {
 		return report, false, err
 	}
--- a/internal/duties/weightorders/plan.go
+++ b/internal/duties/weightorders/plan.go
@@ -59,9 +59,9 @@
 		models := service.Engine.Models
 		maxHomes := map[string]int{}
 		for _, model := range models {
-			maxHomes[model] = homesNeeded(demand.Items[model], slotsOf(view.Plans[name]))
+			maxHomes[model] = homesNeeded(demand.MaxItems[model], slotsOf(view.Plans[name]))
 		}
-		for model, ids := range c.homesOf(view, name, sharesOf(models, demand.Tokens), maxHomes) {
+		for model, ids := range c.homesOf(view, name, sharesOf(models, demand.MeanTokens), maxHomes) {
 			open = append(open, tasksOf(c.modelState(view, model, ids))...)
 		}
 	}
--- a/internal/duties/weightorders/versions.go
+++ b/internal/duties/weightorders/versions.go
@@ -19,9 +19,9 @@
 	}
 }
 
-// Versions returns the finished and running changes of replicas' versions that this node's
+// AnnouncedVersions returns the finished and running changes of replicas' versions that this node's
 // heartbeats contain.
-func (c *Coordinator) Versions() []wire.ReplicaVersion {
+func (c *Coordinator) AnnouncedVersions() []wire.ReplicaVersion {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	changes := slices.Clone(c.announced)
--- a/internal/duties/weightorders/report.go
+++ b/internal/duties/weightorders/weight_status.go
@@ -1,7 +1,7 @@
 package weightorders
 
-// Report is the status of a replica's weights.
-type Report struct {
+// WeightStatus is the status of a replica's weights.
+type WeightStatus struct {
 	// Busy means that the replica is executing an order.
 	Busy bool
 	// Sequence is the number of orders that the replica has accepted.
--- a/internal/instance/adapter.go
+++ b/internal/instance/adapter.go
@@ -26,7 +26,7 @@
 	Jobs        batch.Codec
 	Retirements RetirementCodec
 	// Orders returns the client for orders to replicas over a pool.
-	Orders func(pool *exchange.Pool) weightorders.Replicas
+	Orders func(pool *exchange.Pool) weightorders.ReplicaClient
 	// Duties returns the client of the platform's API at an address, for those of
 	// the named duties that it takes.
 	Duties func(address string, named []string) Duties
--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -108,11 +108,11 @@
 // assembleDuties makes the lease and what is done under it.
 func (p *parts) assembleDuties(duties Duties) {
 	p.lease = lease.NewLease(p.self.Node, strconv.FormatUint(p.self.Incarnation, nonceBase), p.settings.DutyLease.Std(), p.store, p.clock)
-	p.keeper = lease.NewKeeper(lease.Config{
-		Node: p.self.Node, Lease: p.lease, Clock: p.clock, Logger: p.logger, Nodes: p.peers.NodeNames, Silence: p.lookup.silence, Announce: p.peers.Announce,
+	p.keeper = lease.NewElector(lease.Config{
+		Node: p.self.Node, Lease: p.lease, Clock: p.clock, Logger: p.logger, Nodes: p.peers.NodeNames, SinceHeartbeat: p.lookup.silence, Announce: p.peers.Announce,
 	})
 	p.weights = weightorders.NewCoordinator(weightorders.Config{
-		Keeper: p.keeper, Directory: p.directory, Replicas: p.adapter.Orders(p.pool), Logger: p.logger, Registry: p.registry,
+		Elector: p.keeper, Directory: p.directory, Replicas: p.adapter.Orders(p.pool), Logger: p.logger, Registry: p.registry,
 		RunningItems: p.jobs.Load, Tolerance: p.jobs.Tolerance, Demand: p.jobs.Demand, OnChange: p.jobs.LearnVersion, Announce: p.peers.ScheduleHeartbeat,
 	})
 	if duties.Usage != nil {
@@ -120,7 +120,7 @@
 	}
 	if policy := autoscale.Policy(p.settings.ReplicaPolicy); duties.Replicas != nil && policy != autoscale.PolicyNone {
 		p.autoscale = autoscale.NewService(autoscale.Config{
-			Policy: policy, Keeper: p.keeper, Store: p.store, Platform: duties.Replicas, Directory: p.directory, Logger: p.logger,
+			Policy: policy, Elector: p.keeper, Store: p.store, Platform: duties.Replicas, Directory: p.directory, Logger: p.logger,
 			Registry: p.registry, Work: p.jobs.OpenWork,
 		})
 	}
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -86,7 +86,7 @@
 	if i.parts == nil {
 		return
 	}
-	i.parts.lease.SetTerm(next.DutyLease.Std())
+	i.parts.lease.SetTakeoverGap(next.DutyLease.Std())
 	i.parts.peers.SetSeeds(next.Seeds)
 }
 
--- a/internal/instance/messages.go
+++ b/internal/instance/messages.go
@@ -41,11 +41,11 @@
 // fillHeartbeat adds this node's state to its heartbeat.
 func (p *parts) fillHeartbeat(heartbeat *wire.NodeBeat) {
 	p.jobs.FillHeartbeat(heartbeat)
-	heartbeat.Versions = p.weights.Versions()
+	heartbeat.Versions = p.weights.AnnouncedVersions()
 	if p.usage != nil {
 		p.usage.FillHeartbeat(heartbeat)
 	}
-	heartbeat.Lease = p.keeper.Tenure()
+	heartbeat.Lease = p.keeper.TenureToken()
 	last := p.keeper.LastObserved()
 	heartbeat.LeaseHolder, heartbeat.LeaseSeen, heartbeat.LeaseReleased = last.Holder, last.Revision, last.Released
 }
--- a/internal/instance/parts.go
+++ b/internal/instance/parts.go
@@ -57,7 +57,7 @@
 	server     *http.Server
 	// The duty lease, and what is done under it.
 	lease   *lease.Lease
-	keeper  *lease.Keeper
+	keeper  *lease.Elector
 	weights *weightorders.Coordinator
 	// usage is nil where the platform takes no reports of it.
 	usage *usage.Service
--- a/internal/instance/slowstart.go
+++ b/internal/instance/slowstart.go
@@ -38,7 +38,7 @@
 	self      jobstore.Owner
 	peers     *peering.Table
 	transport *transport.Transport
-	keeper    *lease.Keeper
+	keeper    *lease.Elector
 	client    *slowstart.Client
 	allotter  *slowstart.Allotter
 	// failures counts the nodes that were asked in vain: the next question goes to the
@@ -48,7 +48,7 @@
 
 // allotterLease is the duty lease as the allotter sees it.
 type allotterLease struct {
-	*lease.Keeper
+	*lease.Elector
 	*lease.Lease
 }
 
@@ -59,7 +59,7 @@
 	})
 	made.allotter = slowstart.NewAllotter(slowstart.AllotterConfig{
 		Limits: slowstart.Limits{Overage: p.settings.WarmUpOverage, Slack: p.settings.WarmUpSlack},
-		Lease:  allotterLease{Keeper: p.keeper, Lease: p.lease}, Clock: p.clock, Logger: p.logger, Registry: p.registry,
+		Lease:  allotterLease{Elector: p.keeper, Lease: p.lease}, Clock: p.clock, Logger: p.logger, Registry: p.registry,
 		Rate: func(replica string) float64 { return p.directory.View().WarmUpRate(replica) },
 	})
 	return made
@@ -113,7 +113,7 @@
 // duty lease unless it gave it up, then those that would follow it.
 func (s *slowStart) allotters() []string {
 	last := s.keeper.LastObserved()
-	named := s.keeper.Informed(allotterFollowers)
+	named := s.keeper.HolderAndSuccessors(allotterFollowers)
 	if last.Holder == "" {
 		return named
 	}
--- a/internal/instance/usage.go
+++ b/internal/instance/usage.go
@@ -17,8 +17,8 @@
 func (p *parts) newUsage(platform usage.Platform) *usage.Service {
 	return usage.NewService(usage.Config{
 		Node: p.self.Node, Incarnation: p.self.Incarnation,
-		Window: durationOr(p.settings.UsageWindow.Std(), defaultUsageWindow), Late: durationOr(p.settings.UsageLate.Std(), defaultUsageLate),
-		Keeper: p.keeper, Store: p.store, Platform: platform, Peers: p.transport, Logger: p.logger, Registry: p.registry,
+		Window: durationOr(p.settings.UsageWindow.Std(), defaultUsageWindow), ReportDeadline: durationOr(p.settings.UsageLate.Std(), defaultUsageLate),
+		Elector: p.keeper, Store: p.store, Platform: platform, Peers: p.transport, Logger: p.logger, Registry: p.registry,
 		Nodes: p.peers.NodeNames, Peer: p.lookup.process, HeartbeatSoon: p.peers.ScheduleHeartbeat,
 	})
 }
@@ -29,9 +29,9 @@
 	parts *parts
 }
 
-// Began implements forward.Meter.
-func (m usageMeter) Began(tenant string, at time.Time) {
+// CountRequest implements forward.Meter.
+func (m usageMeter) CountRequest(tenant string, at time.Time) {
 	if m.parts.usage != nil {
-		m.parts.usage.Began(tenant, at)
+		m.parts.usage.CountRequest(tenant, at)
 	}
 }
--- a/internal/jobs/batch/candidates.go
+++ b/internal/jobs/batch/candidates.go
@@ -28,7 +28,7 @@
 	key := candidateKey{model: job.submission.Model, items: len(job.submission.Items)}
 	chosen, known := set.byKey[key]
 	if !known {
-		chosen = weightorders.Candidates(plan, key.model, key.items)
+		chosen = weightorders.PlacementCandidates(plan, key.model, key.items)
 		set.byKey[key] = chosen
 	}
 	return chosen
--- a/internal/jobs/batch/watchers_test.go
+++ b/internal/jobs/batch/watchers_test.go
@@ -151,7 +151,7 @@
 		}
 	}
 	for _, node := range cluster.nodes {
-		eventually(t, "the demand of both jobs is known", func() bool { return node.Demand().Tokens["m"] == 400 })
+		eventually(t, "the demand of both jobs is known", func() bool { return node.Demand().MeanTokens["m"] == 400 })
 	}
 }
 
--- a/internal/jobs/statistics/demand.go
+++ b/internal/jobs/statistics/demand.go
@@ -40,15 +40,15 @@
 // Mean returns, by model, the mean work of the recent jobs in expected tokens, and the number
 // of items of the largest of them.
 func (d *Demand) Mean() weightorders.Demand {
-	mean := weightorders.Demand{Tokens: map[string]float64{}, Items: map[string]int{}}
+	mean := weightorders.Demand{MeanTokens: map[string]float64{}, MaxItems: map[string]int{}}
 	jobs := map[string]float64{}
 	for _, work := range d.byJob {
-		mean.Tokens[work.model] += work.tokens
-		mean.Items[work.model] = max(mean.Items[work.model], work.items)
+		mean.MeanTokens[work.model] += work.tokens
+		mean.MaxItems[work.model] = max(mean.MaxItems[work.model], work.items)
 		jobs[work.model]++
 	}
 	for model, count := range jobs {
-		mean.Tokens[model] /= count
+		mean.MeanTokens[model] /= count
 	}
 	return mean
 }
--- a/internal/jobs/statistics/statistics_test.go
+++ b/internal/jobs/statistics/statistics_test.go
@@ -66,11 +66,11 @@
 	demand.Learn(wire.JobWork{Job: "a", Model: "m", ExpectedTokens: 900, Items: 80}, began.Add(time.Second))
 	demand.Learn(wire.JobWork{Job: "b", Model: "m", ExpectedTokens: 300, Items: 16}, began.Add(time.Second))
 	demand.Learn(wire.JobWork{Job: "of no model"}, began)
-	if got := demand.Mean(); got.Tokens["m"] != 200 || got.Items["m"] != 16 {
-		t.Errorf("mean of %v tokens, largest of %d items", got.Tokens["m"], got.Items["m"])
+	if got := demand.Mean(); got.MeanTokens["m"] != 200 || got.MaxItems["m"] != 16 {
+		t.Errorf("mean of %v tokens, largest of %d items", got.MeanTokens["m"], got.MaxItems["m"])
 	}
 	demand.Evict(began.Add(demandRetention + time.Millisecond))
-	if got := demand.Mean(); got.Tokens["m"] != 300 || demand.Len() != 1 {
-		t.Errorf("mean of %v tokens of %d jobs after the first is forgotten", got.Tokens["m"], demand.Len())
+	if got := demand.Mean(); got.MeanTokens["m"] != 300 || demand.Len() != 1 {
+		t.Errorf("mean of %v tokens of %d jobs after the first is forgotten", got.MeanTokens["m"], demand.Len())
 	}
 }
--- a/internal/replicas/slowstart/allotter.go
+++ b/internal/replicas/slowstart/allotter.go
@@ -65,7 +65,7 @@
 	// The time is read before the lease is checked, so that the lease was held at that time.
 	received := a.config.Clock()
 	a.requestedAt = received
-	since, valid := a.config.Lease.Held()
+	since, valid := a.config.Lease.HeldSince()
 	mayAllot := valid && received.Sub(since) >= Window
 	var allotted []wire.ReplicaCount
 	for _, want := range wanted {
@@ -105,10 +105,10 @@
 
 // keepLease holds the lease until no request has arrived for leaseKeepTime.
 func (a *Allotter) keepLease(ctx context.Context) {
-	defer a.config.Lease.Idle(dutyName)
+	defer a.config.Lease.MarkIdle(dutyName)
 	for ctx.Err() == nil && a.wasRequested() {
 		pause := leaseCheckInterval
-		if ready, again := a.config.Lease.Ready(ctx, dutyName); !ready {
+		if ready, again := a.config.Lease.EnsureHeld(ctx, dutyName); !ready {
 			pause = min(max(again, leaseCheckInterval), leaseKeepTime)
 		}
 		wait(ctx, pause)
--- a/internal/replicas/slowstart/lease.go
+++ b/internal/replicas/slowstart/lease.go
@@ -7,12 +7,12 @@
 
 // Lease is the part of the duty lease that an Allotter uses.
 type Lease interface {
-	// Held returns the time, in the boot-time clock, since which no other node and no
+	// HeldSince returns the time, in the boot-time clock, since which no other node and no
 	// earlier process of this node has held the lease, and whether the lease is valid now.
-	Held() (since time.Time, valid bool)
-	// Ready acquires or renews the lease for a duty. If the lease is not ready, again is the
+	HeldSince() (since time.Time, valid bool)
+	// EnsureHeld acquires or renews the lease for a duty. If the lease is not ready, again is the
 	// time until the next attempt.
-	Ready(ctx context.Context, duty string) (ready bool, again time.Duration)
+	EnsureHeld(ctx context.Context, duty string) (ready bool, again time.Duration)
 	// Idle ends the use of the lease by a duty. The lease is no longer renewed for it.
-	Idle(duty string)
+	MarkIdle(duty string)
 }
--- a/internal/replicas/slowstart/model_world_test.go
+++ b/internal/replicas/slowstart/model_world_test.go
@@ -122,8 +122,8 @@
 	node.process = made
 }
 
-// Held implements Lease.
-func (p *process) Held() (time.Time, bool) {
+// HeldSince implements Lease.
+func (p *process) HeldSince() (time.Time, bool) {
 	if p.world.fault.atOnce {
 		return time.Time{}, p.holds()
 	}
@@ -132,11 +132,11 @@
 
 func (p *process) holds() bool { return p.world.holder == p && p.world.valid }
 
-// Ready implements Lease. The simulation assigns the lease itself.
-func (p *process) Ready(context.Context, string) (bool, time.Duration) { return p.holds(), 0 }
+// EnsureHeld implements Lease. The simulation assigns the lease itself.
+func (p *process) EnsureHeld(context.Context, string) (bool, time.Duration) { return p.holds(), 0 }
 
-// Idle implements Lease.
-func (p *process) Idle(string) {}
+// MarkIdle implements Lease.
+func (p *process) MarkIdle(string) {}
 
 // run advances the simulation until the time span.
 func (w *world) run(span time.Duration) {
@@ -266,8 +266,8 @@
 // forever is a lease that is always held.
 type forever struct{ *process }
 
-// Held implements Lease.
-func (forever) Held() (time.Time, bool) { return time.Time{}, true }
+// HeldSince implements Lease.
+func (forever) HeldSince() (time.Time, bool) { return time.Time{}, true }
 
 // send makes a process use all its permits at random times, so that they are used in bursts.
 func (w *world) send(from *process, burst bool) {
--- a/test/virtual_test.go
+++ b/test/virtual_test.go
@@ -94,12 +94,12 @@
 		Directory: table, Dispatcher: dispatcher, Peers: alone{}, Table: peers, Logger: logger, Registry: registry,
 		Forwarder: forward.New(forward.Config{Directory: table, Dispatcher: dispatcher, Logger: logger, Metrics: forward.NewMetrics(registry)}),
 	})
-	keeper := lease.NewKeeper(lease.Config{
+	keeper := lease.NewElector(lease.Config{
 		Node: "node", Lease: lease.NewLease("node", "1", 0, day.store, clock.Steady), Clock: clock.Steady, Logger: logger, Nodes: peers.NodeNames,
-		Silence: func(string) time.Duration { return time.Hour }, Announce: func([]string) {},
+		SinceHeartbeat: func(string) time.Duration { return time.Hour }, Announce: func([]string) {},
 	})
 	coordinator := weightorders.NewCoordinator(weightorders.Config{
-		Keeper: keeper, Directory: table, Replicas: platform.NewOrders(pool), Logger: logger, Registry: registry,
+		Elector: keeper, Directory: table, Replicas: platform.NewOrders(pool), Logger: logger, Registry: registry,
 		RunningItems: day.jobs.Load, Tolerance: day.jobs.Tolerance, Demand: day.jobs.Demand, OnChange: day.jobs.LearnVersion, Announce: func() {},
 	})
 	go day.jobs.Run(ctx)
