--- a/internal/duties/lease/decision.go
+++ b/internal/duties/lease/decision.go
@@ -52,7 +52,7 @@
 	if s.revision == 0 || s.holder == s.node || s.released {
 		return 0
 	}
-	return max(0, s.firstSeen.Add(SendWindow+s.term+takeoverMargin).Sub(now))
+	return max(0, s.firstSeen.Add(SendWindow+s.takeoverGap+takeoverMargin).Sub(now))
 }
 
 // mustRead reports whether the stored lease may differ from this node's state. It does not
@@ -62,5 +62,5 @@
 // mayRelease reports whether this node may release the lease so that its successor need not
 // wait: the calls of its predecessor must be longer ago than the takeover gap.
 func (s *state) mayRelease(now time.Time) bool {
-	return s.token != 0 && s.holder == s.node && now.Sub(s.tenureStart) >= s.term+takeoverMargin
+	return s.token != 0 && s.holder == s.node && now.Sub(s.tenureStart) >= s.takeoverGap+takeoverMargin
 }
--- a/internal/duties/lease/errors.go
+++ b/internal/duties/lease/errors.go
@@ -8,9 +8,9 @@
 
 var (
 	// ErrStopped means that this node has stopped performing duties.
-	ErrStopped = merry.Sentinel("node takes no more duties")
+	ErrStopped = merry.Sentinel("node has stopped performing duties")
 	// ErrUnanswered means that the receiver may have executed a call, or may still do so.
-	ErrUnanswered = merry.Sentinel("duty call not answered")
+	ErrUnanswered = merry.Sentinel("no response to duty call")
 	// ErrFenced means that a call was not executed because its receiver has seen a newer
 	// token, or not sent because this node no longer holds the lease.
 	ErrFenced = merry.Sentinel("fencing token is outdated")
@@ -24,5 +24,5 @@
 
 // Error implements error.
 func (e *RejectedError) Error() string {
-	return fmt.Sprintf("duty call refused: status %d", e.Status)
+	return fmt.Sprintf("duty call rejected: status %d", e.Status)
 }
--- a/internal/duties/lease/lease.go
+++ b/internal/duties/lease/lease.go
@@ -23,28 +23,28 @@
 // NewLease returns a Lease that has observed nothing yet. The nonce distinguishes the
 // processes of a node. A takeover gap of 0 means the default. The clock must keep counting
 // while the machine is suspended, because another node may acquire the lease meanwhile.
-func NewLease(node, nonce string, term time.Duration, store objectstore.Store, counting clock.Clock) *Lease {
-	lease := &Lease{nonce: nonce, store: store, clock: counting, state: state{node: node}}
-	lease.SetTakeoverGap(term)
+func NewLease(node, nonce string, takeoverGap time.Duration, store objectstore.Store, bootClock clock.Clock) *Lease {
+	lease := &Lease{nonce: nonce, store: store, clock: bootClock, state: state{node: node}}
+	lease.SetTakeoverGap(takeoverGap)
 	return lease
 }
 
-// SetTakeoverGap sets the minimum time between the last call of another holder and the first call
-// of this node; 0 means the default.
-func (l *Lease) SetTakeoverGap(term time.Duration) {
-	if term <= 0 {
-		term = DefaultTakeoverGap
+// SetTakeoverGap sets the minimum time between the last call of another holder and the first
+// call of this node; 0 means the default.
+func (l *Lease) SetTakeoverGap(takeoverGap time.Duration) {
+	if takeoverGap <= 0 {
+		takeoverGap = DefaultTakeoverGap
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.state.term = term
+	l.state.takeoverGap = takeoverGap
 }
 
 // ValidToken returns the fencing token, and whether calls may be sent now.
 func (l *Lease) ValidToken() (uint64, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.state.valid(l.clock())
+	return l.state.validToken(l.clock())
 }
 
 // HeldSince returns the time since which neither another node nor a previous process of this
@@ -52,12 +52,14 @@
 func (l *Lease) HeldSince() (since time.Time, valid bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	_, valid = l.state.valid(l.clock())
+	_, valid = l.state.validToken(l.clock())
 	return l.state.soleSince, valid
 }
 
-// TenureToken returns the token of this node's last renewal, or 0 once another node is known to
-// have acquired the lease or this node's tenure has ended.
+// TenureToken returns the fencing token of this node's tenure, or 0 if it has none. A tenure
+// begins when this node acquires the lease. It ends when another node is known to hold the
+// lease, when a renewal fails or is not answered, or when this node stops performing duties,
+// but not when the send window ends.
 func (l *Lease) TenureToken() uint64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -78,10 +80,10 @@
 func (l *Lease) Remaining() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if _, valid := l.state.valid(l.clock()); !valid {
+	if _, valid := l.state.validToken(l.clock()); !valid {
 		return 0
 	}
-	return l.clock.Until(l.state.until)
+	return l.clock.Until(l.state.sendUntil)
 }
 
 // stop ends this node's duties, and reports whether the lease may be released.
--- a/internal/duties/lease/model_key_test.go
+++ b/internal/duties/lease/model_key_test.go
@@ -16,10 +16,10 @@
 		if node.ready {
 			revisions = append(revisions, node.replaces)
 		}
-		if node.done != nil {
-			revisions = append(revisions, node.revision)
+		if node.applied != nil {
+			revisions = append(revisions, node.appliedRevision)
 		}
-		for _, write := range []*modelWrite{node.inFlight, node.done, w.late[i]} {
+		for _, write := range []*modelWrite{node.inFlight, node.applied, w.lateWrites[i]} {
 			if write != nil {
 				revisions = append(revisions, write.replaces)
 			}
@@ -33,7 +33,7 @@
 		if at.IsZero() {
 			return modelAge
 		}
-		return max(-modelAge, min(modelAge, w.now-int(at.Sub(w.at(0))/modelTick)))
+		return max(-modelAge, min(modelAge, w.now-int(at.Sub(w.timeAt(0))/modelTick)))
 	}
 	var text []byte
 	number := func(values ...int) {
@@ -53,27 +53,27 @@
 		}
 		text = append(text, '|')
 	}
-	number(rank(w.revision), w.holder, w.last, rank(w.token), age(w.acted[0]), age(w.acted[1]))
+	number(rank(w.revision), w.holder, w.lastCaller, rank(w.token), age(w.calledAt[0]), age(w.calledAt[1]))
 	flags(w.released)
 	for i := range w.nodes {
 		node := w.nodes[i]
-		number(node.behind)
+		number(node.clockLag)
 		number(rank(node.state.revision), instant(node.state.firstSeen), rank(node.state.token))
 		if node.state.token != 0 {
-			number(instant(node.state.until), instant(node.state.tenureStart))
+			number(instant(node.state.sendUntil), instant(node.state.tenureStart))
 		}
 		number(instant(node.state.soleSince))
 		if node.ready {
 			number(rank(node.replaces))
 		}
-		if node.done != nil {
-			number(rank(node.revision))
+		if node.applied != nil {
+			number(rank(node.appliedRevision))
 		}
 		flags(node.state.released, node.state.unconfirmed, node.state.stopped, node.ready)
 		text = append(text, node.state.holder...)
 		write(node.inFlight)
-		write(node.done)
-		write(w.late[i])
+		write(node.applied)
+		write(w.lateWrites[i])
 	}
 	return string(text)
 }
--- a/internal/duties/lease/model_steps_test.go
+++ b/internal/duties/lease/model_steps_test.go
@@ -5,75 +5,75 @@
 	"time"
 )
 
-// next returns the possible successors of a world, or the violation if a call violates the
-// guarantees.
-func (w modelWorld) next(fault planted, allowed disruption) (following []modelWorld, wrong string) {
-	following = append(following, w.later())
+// next returns the worlds that can follow, or a violation if a call breaks the guarantees of
+// the package.
+func (w modelWorld) next(fault injectedFault, allowed disturbances) (nextWorlds []modelWorld, violation string) {
+	nextWorlds = append(nextWorlds, w.nextTick())
 	for i := range w.nodes {
-		if fault.standsStill {
-			suspended := w.later()
-			suspended.nodes[i].behind++
-			following = append(following, suspended)
+		if fault.clockStops {
+			suspended := w.nextTick()
+			suspended.nodes[i].clockLag++
+			nextWorlds = append(nextWorlds, suspended)
 		}
-		following = append(following, w.storeSteps(i, fault, allowed)...)
-		following = append(following, w.nodeSteps(i, allowed)...)
+		nextWorlds = append(nextWorlds, w.storeSteps(i, fault, allowed)...)
+		nextWorlds = append(nextWorlds, w.nodeSteps(i, allowed)...)
 		called, calls, problem := w.call(i, fault)
 		if problem != "" {
 			return nil, problem
 		}
 		if calls {
-			following = append(following, called)
+			nextWorlds = append(nextWorlds, called)
 		}
 	}
-	return following, ""
+	return nextWorlds, ""
 }
 
-func (w modelWorld) later() modelWorld {
+func (w modelWorld) nextTick() modelWorld {
 	w.now++
 	return w
 }
 
 // storeSteps returns the worlds after the possible steps of a node's store access.
-func (w modelWorld) storeSteps(i int, fault planted, allowed disruption) (following []modelWorld) {
+func (w modelWorld) storeSteps(i int, fault injectedFault, allowed disturbances) (nextWorlds []modelWorld) {
 	node := w.nodes[i]
-	if node.inFlight == nil && node.done == nil && !node.ready && !node.state.stopped {
+	if node.inFlight == nil && node.applied == nil && !node.ready && !node.state.stopped {
 		next := w.decide(i, fault, false)
 		if next.action != actionWait {
-			following = append(following, w.prepareWrite(i, fault, next))
+			nextWorlds = append(nextWorlds, w.prepareWrite(i, fault, next))
 		}
 	}
 	if node.ready {
 		sent := w
 		replaces := node.replaces
-		if fault.newest {
+		if fault.replacesNewest {
 			replaces = node.state.revision
 		}
-		sent.nodes[i].ready, sent.nodes[i].inFlight = false, &modelWrite{replaces: replaces, sent: w.now - node.behind}
-		following = append(following, sent.unlessLost(i, allowed))
+		sent.nodes[i].ready, sent.nodes[i].inFlight = false, &modelWrite{replaces: replaces, sent: w.now - node.clockLag}
+		nextWorlds = append(nextWorlds, sent.completeIfReliable(i, allowed))
 	}
 	if node.inFlight != nil {
-		following = append(following, w.writeSteps(i, allowed)...)
+		nextWorlds = append(nextWorlds, w.writeSteps(i, allowed)...)
 	}
-	if node.done != nil {
-		following = append(following, w.answer(i))
-		if allowed.lost {
+	if node.applied != nil {
+		nextWorlds = append(nextWorlds, w.receiveResult(i))
+		if allowed.lostResults {
 			lost := w
-			lost.nodes[i].done = nil
-			lost.nodes[i].state.recordNoAnswer()
-			following = append(following, lost)
+			lost.nodes[i].applied = nil
+			lost.nodes[i].state.recordUnanswered()
+			nextWorlds = append(nextWorlds, lost)
 		}
 	}
-	if w.late[i] != nil {
+	if w.lateWrites[i] != nil {
 		arrived := w
-		arrived.late[i] = nil
-		arrived.apply(i, w.late[i])
-		following = append(following, arrived)
+		arrived.lateWrites[i] = nil
+		arrived.apply(i, w.lateWrites[i])
+		nextWorlds = append(nextWorlds, arrived)
 	}
-	return following
+	return nextWorlds
 }
 
 // decide returns a node's decision by the product code, with the injected fault.
-func (w modelWorld) decide(i int, fault planted, justRead bool) decision {
+func (w modelWorld) decide(i int, fault injectedFault, justRead bool) decision {
 	known := w.nodes[i].state
 	if fault.noWait {
 		// The product code does not wait for a released lease.
@@ -84,7 +84,7 @@
 
 // prepareWrite makes a node read the lease if it must, and prepares its write if it then need
 // not wait.
-func (w modelWorld) prepareWrite(i int, fault planted, next decision) modelWorld {
+func (w modelWorld) prepareWrite(i int, fault injectedFault, next decision) modelWorld {
 	if next.action == actionRead {
 		w.nodes[i].state.recordRead(w.clock(i), w.stored())
 		next = w.decide(i, fault, true)
@@ -95,119 +95,120 @@
 	return w
 }
 
-// unlessLost applies and confirms a write immediately if no responses are lost, which saves
-// most of the steps.
-func (w modelWorld) unlessLost(i int, allowed disruption) modelWorld {
-	if allowed.lost {
+// completeIfReliable applies and confirms a write immediately if no results are lost, which
+// saves most of the steps.
+func (w modelWorld) completeIfReliable(i int, allowed disturbances) modelWorld {
+	if allowed.lostResults {
 		return w
 	}
-	carried := w.writeSteps(i, allowed)[0]
-	if carried.nodes[i].done != nil {
-		carried = carried.answer(i)
+	completed := w.writeSteps(i, allowed)[0]
+	if completed.nodes[i].applied != nil {
+		completed = completed.receiveResult(i)
 	}
-	return carried
+	return completed
 }
 
-// answer makes a node receive the result of its write.
-func (w modelWorld) answer(i int) modelWorld {
+// receiveResult makes a node receive the result of its write.
+func (w modelWorld) receiveResult(i int) modelWorld {
 	node := &w.nodes[i]
-	if node.done.release {
-		node.state.observe(w.clock(i), Observation{Holder: modelNames[i], Revision: node.revision, Released: true})
+	if node.applied.release {
+		node.state.observe(w.clock(i), Observation{Holder: modelNames[i], Revision: node.appliedRevision, Released: true})
 	} else {
-		node.state.recordWrite(w.at(node.done.sent), node.revision)
+		node.state.recordWrite(w.timeAt(node.applied.sent), node.appliedRevision)
 	}
-	node.done = nil
+	node.applied = nil
 	return w
 }
 
 // writeSteps returns the worlds after the possible outcomes of a write in flight: it is
 // applied, its condition fails, or its sender times out and it may be applied later.
-func (w modelWorld) writeSteps(i int, allowed disruption) []modelWorld {
+func (w modelWorld) writeSteps(i int, allowed disturbances) []modelWorld {
 	write := w.nodes[i].inFlight
-	carried := w
-	carried.nodes[i].inFlight = nil
-	if revision := carried.apply(i, write); revision > 0 {
-		carried.nodes[i].done, carried.nodes[i].revision = write, revision
+	completed := w
+	completed.nodes[i].inFlight = nil
+	if revision := completed.apply(i, write); revision > 0 {
+		completed.nodes[i].applied, completed.nodes[i].appliedRevision = write, revision
 	} else {
-		carried.nodes[i].state.recordConflict(w.clock(i), w.stored())
+		completed.nodes[i].state.recordConflict(w.clock(i), w.stored())
 	}
-	if !allowed.lost {
-		return []modelWorld{carried}
+	if !allowed.lostResults {
+		return []modelWorld{completed}
 	}
-	givenUp := w
-	givenUp.nodes[i].inFlight, givenUp.late[i] = nil, write
-	givenUp.nodes[i].state.recordNoAnswer()
-	return []modelWorld{carried, givenUp}
+	timedOut := w
+	timedOut.nodes[i].inFlight, timedOut.lateWrites[i] = nil, write
+	timedOut.nodes[i].state.recordUnanswered()
+	return []modelWorld{completed, timedOut}
 }
 
 // nodeSteps returns the worlds after a restart of a node, and after a heartbeat from the other
 // node.
-func (w modelWorld) nodeSteps(i int, allowed disruption) (following []modelWorld) {
+func (w modelWorld) nodeSteps(i int, allowed disturbances) (nextWorlds []modelWorld) {
 	node := w.nodes[i]
-	if allowed.crashes || (node.state.stopped && node.inFlight == nil && node.done == nil) {
-		anew := w
-		if node.inFlight != nil && allowed.lost {
-			anew.late[i] = node.inFlight
+	if allowed.crashes || (node.state.stopped && node.inFlight == nil && node.applied == nil) {
+		restarted := w
+		if node.inFlight != nil && allowed.lostResults {
+			restarted.lateWrites[i] = node.inFlight
 		}
-		anew.nodes[i] = modelNode{state: state{node: modelNames[i], term: DefaultTakeoverGap}}
-		following = append(following, anew)
+		restarted.nodes[i] = modelNode{state: state{node: modelNames[i], takeoverGap: DefaultTakeoverGap}}
+		nextWorlds = append(nextWorlds, restarted)
 	}
-	if allowed.told {
-		told := w
+	if allowed.heartbeats {
+		informed := w
 		other := w.nodes[1-i].state
-		told.nodes[i].state.observe(w.clock(i), Observation{Holder: other.holder, Revision: other.revision, Released: other.released})
-		following = append(following, told)
+		informed.nodes[i].state.observe(w.clock(i), Observation{Holder: other.holder, Revision: other.revision, Released: other.released})
+		nextWorlds = append(nextWorlds, informed)
 	}
-	return following
+	return nextWorlds
 }
 
-// stops returns the worlds after a graceful shutdown of a node.
-func (w modelWorld) stops(i int, fault planted, allowed disruption) (following []modelWorld) {
+// shutdownSteps returns the worlds after a graceful shutdown of a node.
+func (w modelWorld) shutdownSteps(i int, fault injectedFault, allowed disturbances) (nextWorlds []modelWorld) {
 	node := w.nodes[i]
-	if node.state.stopped || node.inFlight != nil || node.done != nil {
+	if node.state.stopped || node.inFlight != nil || node.applied != nil {
 		return nil
 	}
 	stopped := w
-	mayRelease := node.state.mayRelease(w.clock(i)) || (fault.early && node.state.token != 0 && node.state.holder == modelNames[i])
+	mayRelease := node.state.mayRelease(w.clock(i)) || (fault.releasesEarly && node.state.token != 0 && node.state.holder == modelNames[i])
 	stopped.nodes[i].state.stop()
 	stopped.nodes[i].ready = false
 	if mayRelease {
-		stopped.nodes[i].inFlight = &modelWrite{replaces: node.state.revision, release: true, sent: w.now - node.behind}
-		stopped = stopped.unlessLost(i, allowed)
+		stopped.nodes[i].inFlight = &modelWrite{replaces: node.state.revision, release: true, sent: w.now - node.clockLag}
+		stopped = stopped.completeIfReliable(i, allowed)
 	}
-	return append(following, stopped)
+	return append(nextWorlds, stopped)
 }
 
-// call makes a node send a call if it may, and checks the guarantees to receivers.
-func (w modelWorld) call(i int, fault planted) (called modelWorld, calls bool, wrong string) {
-	token, valid := w.nodes[i].state.valid(w.clock(i))
-	if fault.beyond && token != 0 {
+// call makes a node send a call if it may, and checks the guarantees of the package.
+func (w modelWorld) call(i int, fault injectedFault) (called modelWorld, calls bool, violation string) {
+	token, valid := w.nodes[i].state.validToken(w.clock(i))
+	if fault.callsAfterWindow && token != 0 {
 		valid = true
 	}
 	if !valid {
 		return w, false, ""
 	}
 	switch {
-	// If clocks stop in a suspension, the start of sole tenure can't be compared with the
-	// times of the other node's calls.
 	case token < w.token:
-		return w, false, fmt.Sprintf("token %d after %d", token, w.token)
-	case token == w.token && w.last != i:
-		return w, false, fmt.Sprintf("both sent token %d", token)
-	case w.last == 1-i && time.Duration(w.now-w.acted[i])*modelTick < DefaultTakeoverGap:
-		return w, false, "calls in turns within the term"
-	case !fault.standsStill && w.acted[1-i] > -modelAge && w.at(w.acted[1-i]).After(w.nodes[i].aloneSince(w, fault)):
-		return w, false, "the other has called since this one holds the lease alone"
-	}
-	w.last, w.token = i, token
-	w.acted[i] = w.now
+		return w, false, fmt.Sprintf("call with token %d after a call with token %d", token, w.token)
+	case token == w.token && w.lastCaller != i:
+		return w, false, fmt.Sprintf("both nodes sent token %d", token)
+	case w.lastCaller == 1-i && time.Duration(w.now-w.calledAt[i])*modelTick < DefaultTakeoverGap:
+		return w, false, "calls alternate within the takeover gap"
+	// If clocks stop in a suspension, soleSince can't be compared with the times of the other
+	// node's calls.
+	case !fault.clockStops && w.calledAt[1-i] > -modelAge && w.timeAt(w.calledAt[1-i]).After(w.nodes[i].assumedSoleSince(w, fault)):
+		return w, false, "the other node has called since this node's soleSince"
+	}
+	w.lastCaller, w.token = i, token
+	w.calledAt[i] = w.now
 	return w, true, ""
 }
 
-// aloneSince returns the time since which a node assumes that no other has held the lease.
-func (n *modelNode) aloneSince(world modelWorld, fault planted) time.Time {
-	if fault.everAlone {
-		return world.at(-modelAge)
+// assumedSoleSince returns the time since which a node assumes that no other node has held
+// the lease.
+func (n *modelNode) assumedSoleSince(world modelWorld, fault injectedFault) time.Time {
+	if fault.ignoresOthers {
+		return world.timeAt(-modelAge)
 	}
 	return n.state.soleSince
 }
--- a/internal/duties/lease/model_test.go
+++ b/internal/duties/lease/model_test.go
@@ -20,55 +20,55 @@
 	modelStates = 150_000
 )
 
-// planted is a fault injected into the product's behavior, which the check must detect.
-type planted struct {
+// injectedFault is a change of the product's behavior that the check must detect.
+type injectedFault struct {
 	name string
 	// noWait makes successors take over without a wait.
 	noWait bool
-	// early makes holders release the lease after any length of tenure.
-	early bool
-	// newest makes writes replace the newest revision known when they are sent, instead of
-	// the one known when the node decided to write.
-	newest bool
-	// beyond makes holders send calls after the send window.
-	beyond bool
-	// everAlone makes holders assume that no other node ever held the lease.
-	everAlone bool
-	// standsStill makes the clock of a node stop while its machine is suspended.
-	standsStill bool
+	// releasesEarly makes holders release the lease after any length of tenure.
+	releasesEarly bool
+	// replacesNewest makes writes replace the newest revision known when they are sent,
+	// instead of the one known when the node decided to write.
+	replacesNewest bool
+	// callsAfterWindow makes holders send calls after the send window.
+	callsAfterWindow bool
+	// ignoresOthers makes holders assume that no other node ever held the lease.
+	ignoresOthers bool
+	// clockStops makes the clock of a node stop while its machine is suspended.
+	clockStops bool
 }
 
-// disruption selects the disturbances in a search. With fewer of them, a search gets further
-// in the same number of states.
-type disruption struct {
-	// lost makes the store lose results and apply writes late, crashes makes nodes restart
-	// at any time instead of only after a graceful shutdown, and told makes heartbeats
-	// arrive.
-	lost, crashes, told bool
+// disturbances are those that may occur in a search. With fewer of them, a search gets
+// further in the same number of states.
+type disturbances struct {
+	// lostResults makes the store lose results and apply writes late, crashes makes nodes
+	// restart at any time instead of only after a graceful shutdown, and heartbeats makes
+	// heartbeats arrive.
+	lostResults, crashes, heartbeats bool
 }
 
 // searches are the combinations of disturbances that are searched: all of them, no lost
 // results, and graceful shutdowns only, which take the most steps.
-var searches = []disruption{{lost: true, crashes: true, told: true}, {crashes: true, told: true}, {}}
+var searches = []disturbances{{lostResults: true, crashes: true, heartbeats: true}, {crashes: true, heartbeats: true}, {}}
 
 // search explores the worlds breadth first, and returns the first violation, "" if there is
 // none, and the number of worlds found.
-func search(fault planted, allowed disruption, most int) (wrong string, worlds int) {
+func search(fault injectedFault, allowed disturbances, maxStates int) (violation string, states int) {
 	queue := []modelWorld{firstWorld()}
 	visited := map[string]bool{queue[0].key(): true}
 	for len(queue) > 0 {
 		world := queue[0]
 		queue = queue[1:]
-		following, problem := world.next(fault, allowed)
+		nextWorlds, problem := world.next(fault, allowed)
 		if problem != "" {
 			return problem, len(visited)
 		}
 		for i := range world.nodes {
-			following = append(following, world.stops(i, fault, allowed)...)
+			nextWorlds = append(nextWorlds, world.shutdownSteps(i, fault, allowed)...)
 		}
-		for _, next := range following {
+		for _, next := range nextWorlds {
 			key := next.key()
-			if visited[key] || len(visited) >= most {
+			if visited[key] || len(visited) >= maxStates {
 				continue
 			}
 			visited[key] = true
@@ -79,34 +79,34 @@
 }
 
 // Calls of two holders that are closer than the takeover gap could be executed out of order.
-func TestNoTwoHoldersCallInTurns(t *testing.T) {
+func TestModelHoldersNeverOverlap(t *testing.T) {
 	for _, allowed := range searches {
-		wrong, worlds := search(planted{}, allowed, modelStates)
-		if wrong != "" {
-			t.Errorf("%+v: after %d states: %s", allowed, worlds, wrong)
+		violation, states := search(injectedFault{}, allowed, modelStates)
+		if violation != "" {
+			t.Errorf("%+v: violation after %d states: %s", allowed, states, violation)
 		}
-		t.Logf("%+v: %d states", allowed, worlds)
+		t.Logf("%+v: %d states", allowed, states)
 	}
 }
 
 // A model check that misses injected faults proves nothing.
-func TestPlantedFaultsAreFound(t *testing.T) {
+func TestModelDetectsInjectedFaults(t *testing.T) {
 	for _, test := range []struct {
-		fault   planted
-		allowed disruption
+		fault   injectedFault
+		allowed disturbances
 	}{
-		{planted{name: "successors do not wait", noWait: true}, searches[0]},
-		{planted{name: "the newest revision is replaced", newest: true}, searches[0]},
-		{planted{name: "calls after the window", beyond: true}, searches[1]},
-		{planted{name: "other holders are forgotten", everAlone: true}, searches[1]},
-		{planted{name: "the clock stands still in a suspension", standsStill: true}, searches[1]},
-		{planted{name: "released after a short tenure", early: true}, searches[2]},
+		{injectedFault{name: "successors do not wait", noWait: true}, searches[0]},
+		{injectedFault{name: "writes replace the newest revision", replacesNewest: true}, searches[0]},
+		{injectedFault{name: "calls after the send window", callsAfterWindow: true}, searches[1]},
+		{injectedFault{name: "other holders are ignored", ignoresOthers: true}, searches[1]},
+		{injectedFault{name: "the clock stops in a suspension", clockStops: true}, searches[1]},
+		{injectedFault{name: "release after a short tenure", releasesEarly: true}, searches[2]},
 	} {
-		wrong, worlds := search(test.fault, test.allowed, modelStates)
-		if wrong == "" {
-			t.Errorf("%s: not found in %d states", test.fault.name, worlds)
+		violation, states := search(test.fault, test.allowed, modelStates)
+		if violation == "" {
+			t.Errorf("%s: fault not detected in %d states", test.fault.name, states)
 		} else {
-			t.Logf("%s: found after %d states: %s", test.fault.name, worlds, wrong)
+			t.Logf("%s: fault detected after %d states: %s", test.fault.name, states, violation)
 		}
 	}
 }
--- a/internal/duties/lease/model_world_test.go
+++ b/internal/duties/lease/model_world_test.go
@@ -17,14 +17,14 @@
 	// replaces.
 	ready    bool
 	replaces uint64
-	// inFlight is a write that has not been applied. done is a write that has been applied
-	// as revision and whose result is in flight.
-	inFlight *modelWrite
-	done     *modelWrite
-	revision uint64
-	// behind is the number of ticks by which the node's clock is behind, because it stopped
-	// while the machine was suspended.
-	behind int
+	// inFlight is a write that has not been applied. applied is a write that has been
+	// applied as appliedRevision, but whose result is still in flight.
+	inFlight        *modelWrite
+	applied         *modelWrite
+	appliedRevision uint64
+	// clockLag is the number of ticks by which the node's clock is behind, because it
+	// stopped while the machine was suspended.
+	clockLag int
 }
 
 // modelWorld is one state of the whole system. Steps change a copy of it.
@@ -34,28 +34,28 @@
 	revision uint64
 	holder   int
 	released bool
-	// late are the writes whose senders have timed out, by node.
-	late [2]*modelWrite
-	// acted is the time of each node's last call. last is the node that called last, and
-	// token the token of that call.
-	acted [2]int
-	last  int
-	token uint64
+	// lateWrites are the writes whose senders have timed out, by node.
+	lateWrites [2]*modelWrite
+	// calledAt is the time of each node's last call. lastCaller is the node that called
+	// last, -1 if there was no call, and token the token of that call.
+	calledAt   [2]int
+	lastCaller int
+	token      uint64
 }
 
 var modelNames = [2]string{"a", "b"}
 
-func (w modelWorld) at(tick int) time.Time {
+func (w modelWorld) timeAt(tick int) time.Time {
 	return time.Unix(0, 0).Add(time.Duration(tick) * modelTick)
 }
 
 // clock returns the current time by a node's clock.
-func (w modelWorld) clock(node int) time.Time { return w.at(w.now - w.nodes[node].behind) }
+func (w modelWorld) clock(node int) time.Time { return w.timeAt(w.now - w.nodes[node].clockLag) }
 
 func firstWorld() modelWorld {
-	world := modelWorld{holder: -1, last: -1, acted: [2]int{-modelAge, -modelAge}}
+	world := modelWorld{holder: -1, lastCaller: -1, calledAt: [2]int{-modelAge, -modelAge}}
 	for i := range world.nodes {
-		world.nodes[i].state = state{node: modelNames[i], term: DefaultTakeoverGap}
+		world.nodes[i].state = state{node: modelNames[i], takeoverGap: DefaultTakeoverGap}
 	}
 	return world
 }
--- a/internal/duties/lease/observation.go
+++ b/internal/duties/lease/observation.go
@@ -12,10 +12,10 @@
 
 // Observe applies an observation that another node has sent, and reports whether it is
 // newer than the last one.
-func (l *Lease) Observe(seen Observation) bool {
+func (l *Lease) Observe(observed Observation) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.state.observe(l.clock(), seen)
+	return l.state.observe(l.clock(), observed)
 }
 
 // LastObserved returns the newest observation of the lease that this node knows of.
--- a/internal/duties/lease/release.go
+++ b/internal/duties/lease/release.go
@@ -17,27 +17,27 @@
 
 // Release ends this node's duties for a graceful shutdown. It releases the lease if that is
 // safe, so that the successor need not wait; otherwise the lease expires.
-func (k *Elector) Release(ctx context.Context) {
+func (e *Elector) Release(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	k.acquiring.Lock()
-	defer k.acquiring.Unlock()
-	mayRelease := k.config.Lease.stop()
-	if !mayRelease || !k.awaitCalls(ctx) {
+	e.acquireMutex.Lock()
+	defer e.acquireMutex.Unlock()
+	mayRelease := e.config.Lease.stop()
+	if !mayRelease || !e.awaitCalls(ctx) {
 		return
 	}
-	if err := k.config.Lease.release(ctx); err != nil {
-		k.config.Logger.Info("duty lease not released", "error", err.Error())
+	if err := e.config.Lease.release(ctx); err != nil {
+		e.config.Logger.Info("failed to release duty lease", "error", err.Error())
 		return
 	}
-	k.config.Logger.Info("duty lease released")
-	k.announce()
+	e.config.Logger.Info("duty lease released")
+	e.announce()
 }
 
 // awaitCalls waits until no call is open, and reports whether none can still arrive.
-func (k *Elector) awaitCalls(ctx context.Context) bool {
+func (e *Elector) awaitCalls(ctx context.Context) bool {
 	for {
-		open, late := k.pendingCalls()
+		open, late := e.pendingCalls()
 		if late {
 			return false
 		}
@@ -52,11 +52,11 @@
 	}
 }
 
-// pendingCalls returns the number of open calls, and whether a call that ended without an
-// answer may still arrive.
-func (k *Elector) pendingCalls() (open int, late bool) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	late = !k.unansweredAt.IsZero() && k.config.Clock.Since(k.unansweredAt) < lateCallPeriod
-	return k.openCalls, late
+// pendingCalls returns the number of open calls, and whether a call that ended without a
+// response may still arrive.
+func (e *Elector) pendingCalls() (open int, late bool) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	late = !e.unansweredAt.IsZero() && e.config.Clock.Since(e.unansweredAt) < lateCallPeriod
+	return e.openCalls, late
 }
--- a/internal/duties/lease/state.go
+++ b/internal/duties/lease/state.go
@@ -18,9 +18,9 @@
 // clock.
 type state struct {
 	node string
-	// term is the takeover gap: the minimum time between the last call of one holder and
-	// the first call of the next.
-	term time.Duration
+	// takeoverGap is the minimum time between the last call of one holder and the first
+	// call of the next.
+	takeoverGap time.Duration
 	// revision is the newest observed revision, firstSeen the time when it was first
 	// observed, and holder the node that wrote it.
 	revision  uint64
@@ -32,9 +32,9 @@
 	// applied, or may still be.
 	unconfirmed bool
 	// token is the fencing token of this node's tenure, 0 for none. Calls may be sent
-	// before until. tenureStart is the time when the tenure began.
+	// before sendUntil. tenureStart is the time when the tenure began.
 	token       uint64
-	until       time.Time
+	sendUntil   time.Time
 	tenureStart time.Time
 	// soleSince is the time when this process sent the first of its writes since which no
 	// other node is known to have held the lease, zero if there is none. An unanswered
@@ -45,19 +45,18 @@
 	stopped bool
 }
 
-// valid returns the fencing token, and whether calls may be sent now.
-func (s *state) valid(now time.Time) (uint64, bool) {
-	return s.token, s.token != 0 && !s.stopped && now.Before(s.until)
+// validToken returns the fencing token, and whether calls may be sent now.
+func (s *state) validToken(now time.Time) (uint64, bool) {
+	return s.token, s.token != 0 && !s.stopped && now.Before(s.sendUntil)
 }
 
-// observe records an observation if it is newer than the last one, and reports whether it
-// is.
-func (s *state) observe(now time.Time, seen Observation) bool {
-	if seen.Revision <= s.revision {
+// observe records an observation if it is newer than the last one, and reports whether it is.
+func (s *state) observe(now time.Time, observed Observation) bool {
+	if observed.Revision <= s.revision {
 		return false
 	}
-	s.revision, s.firstSeen, s.holder, s.released = seen.Revision, now, seen.Holder, seen.Released
-	if seen.Holder != s.node {
+	s.revision, s.firstSeen, s.holder, s.released = observed.Revision, now, observed.Holder, observed.Released
+	if observed.Holder != s.node {
 		s.token, s.soleSince = 0, time.Time{}
 	}
 	return true
@@ -72,8 +71,8 @@
 	}
 }
 
-// recordWrite records that a write of this node was applied. sent is the time when it was
-// sent.
+// recordWrite records that a write of this node was applied as a revision. sent is the time
+// when it was sent.
 func (s *state) recordWrite(sent time.Time, revision uint64) {
 	if s.token == 0 {
 		s.tenureStart = sent
@@ -82,7 +81,7 @@
 		s.soleSince = sent
 	}
 	s.revision, s.firstSeen, s.holder, s.released, s.unconfirmed = revision, sent, s.node, false, false
-	s.token, s.until = revision, sent.Add(SendWindow)
+	s.token, s.sendUntil = revision, sent.Add(SendWindow)
 }
 
 // recordConflict records that the condition of a write failed, and the lease that is stored
@@ -92,9 +91,9 @@
 	s.observe(now, stored)
 }
 
-// recordNoAnswer records that a write was not answered: it may have been applied, or may
+// recordUnanswered records that a write was not answered: it may have been applied, or may
 // still be.
-func (s *state) recordNoAnswer() { s.token, s.unconfirmed = 0, true }
+func (s *state) recordUnanswered() { s.token, s.unconfirmed = 0, true }
 
 // stop ends this node's duties permanently.
 func (s *state) stop() { s.stopped = true }
--- a/internal/duties/lease/stored.go
+++ b/internal/duties/lease/stored.go
@@ -34,7 +34,7 @@
 func decodeLease(object objectstore.Object) Observation {
 	var stored storedLease
 	if err := json.Unmarshal(object.Spec, &stored); err != nil {
-		klog.Background().Error(err, "duty lease is not readable, it is taken for another node's", "revision", object.Revision)
+		klog.Background().Error(err, "failed to decode duty lease, treating it as held by another node", "revision", object.Revision)
 		return Observation{Holder: unknownHolder, Revision: object.Revision}
 	}
 	return Observation{Holder: stored.Node, Revision: object.Revision, Released: stored.Released}
--- a/internal/duties/lease/takeover.go
+++ b/internal/duties/lease/takeover.go
@@ -13,50 +13,50 @@
 	activeHolderDelay = 6 * time.Second
 )
 
-// succession holds the inputs of takeoverDelay.
-type succession struct {
+// takeoverInputs holds the inputs of takeoverDelay.
+type takeoverInputs struct {
 	// rank is the node's rank among the successors of the last holder, from 0.
 	rank int
-	// holderMayGoOn is set if there is a last holder that did not release the lease.
-	holderMayGoOn bool
-	// holderSilence is the time since the last heartbeat of that holder.
-	holderSilence time.Duration
+	// holderMayResume is set if there is a last holder that did not release the lease.
+	holderMayResume bool
+	// sinceHeartbeat is the time since the last heartbeat of that holder.
+	sinceHeartbeat time.Duration
 }
 
 // takeoverDelay returns how long work must have been pending before the node tries to
 // acquire the lease.
-func takeoverDelay(s succession) time.Duration {
-	delay := time.Duration(s.rank) * rankDelay
-	if !s.holderMayGoOn {
+func takeoverDelay(inputs takeoverInputs) time.Duration {
+	delay := time.Duration(inputs.rank) * rankDelay
+	if !inputs.holderMayResume {
 		return delay
 	}
 	delay += holderTimeout
-	if s.holderSilence < holderTimeout {
+	if inputs.sinceHeartbeat < holderTimeout {
 		delay += activeHolderDelay
 	}
 	return delay
 }
 
-// isNext reports whether it is this node's turn to acquire the lease, given the time since
-// which work has been pending. The last holder tries immediately, its successors after
-// their takeover delay.
-func (k *Elector) isNext(since time.Time) bool {
-	last := k.config.Lease.LastObserved()
-	if last.Holder == k.config.Node {
+// mayAcquire reports whether it is this node's turn to acquire the lease, given the time
+// since which work has been pending. The last holder tries immediately, its successors after
+// their takeover delays.
+func (e *Elector) mayAcquire(since time.Time) bool {
+	last := e.config.Lease.LastObserved()
+	if last.Holder == e.config.Node {
 		return true
 	}
-	return k.config.Clock.Since(since) >= takeoverDelay(k.succession(last))
+	return e.config.Clock.Since(since) >= takeoverDelay(e.takeoverInputs(last))
 }
 
-func (k *Elector) succession(last Observation) succession {
-	known := succession{rank: k.rank(last.Holder), holderMayGoOn: last.Holder != "" && !last.Released}
-	if known.holderMayGoOn {
-		known.holderSilence = k.config.SinceHeartbeat(last.Holder)
+func (e *Elector) takeoverInputs(last Observation) takeoverInputs {
+	inputs := takeoverInputs{rank: e.rank(last.Holder), holderMayResume: last.Holder != "" && !last.Released}
+	if inputs.holderMayResume {
+		inputs.sinceHeartbeat = e.config.SinceHeartbeat(last.Holder)
 	}
-	return known
+	return inputs
 }
 
 // RankDelay returns the part of this node's takeover delay that is due to its rank.
-func (k *Elector) RankDelay() time.Duration {
-	return time.Duration(max(0, k.rank(k.config.Lease.LastObserved().Holder))) * rankDelay
+func (e *Elector) RankDelay() time.Duration {
+	return time.Duration(max(0, e.rank(e.config.Lease.LastObserved().Holder))) * rankDelay
 }
--- a/internal/duties/lease/write.go
+++ b/internal/duties/lease/write.go
@@ -11,19 +11,19 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// write writes the lease with this node as the holder, or as released, on condition that
-// the stored lease has the expected revision; 0 means that none is stored.
-func (l *Lease) write(ctx context.Context, expected uint64, release bool) error {
+// write stores the lease with this node as the holder, or as released by it, on condition
+// that it replaces the given revision; 0 means that no lease is stored.
+func (l *Lease) write(ctx context.Context, replaces uint64, release bool) error {
 	spec, err := l.encode(release)
 	if err != nil {
 		return merry.Wrap(err)
 	}
 	sent := l.clock()
 	var object objectstore.Object
-	if expected == 0 {
+	if replaces == 0 {
 		object, err = l.store.Create(ctx, leaseKind, leaseName, spec)
 	} else {
-		object, err = l.store.Replace(ctx, leaseKind, leaseName, spec, expected)
+		object, err = l.store.Replace(ctx, leaseKind, leaseName, spec, replaces)
 	}
 	return l.recordOutcome(sent, object, release, err)
 }
@@ -44,7 +44,7 @@
 	case errors.As(err, &conflict):
 		l.state.recordConflict(l.clock(), decodeLease(conflict.Current))
 	case err != nil:
-		l.state.recordNoAnswer()
+		l.state.recordUnanswered()
 	case release:
 		l.state.observe(l.clock(), Observation{Holder: l.state.node, Revision: written.Revision, Released: true})
 	default:
