--- a/internal/duties/weightorders/candidates.go
+++ b/internal/duties/weightorders/candidates.go
@@ -17,23 +17,23 @@
 // in deployments with thousands of replicas.
 func PlacementCandidates(plan *routing.Plan, model string, items int) []*routing.Endpoint {
 	endpoints := plan.Endpoints()
-	count := max(minCandidates, candidatesPerHome*homesNeeded(items, slotsOf(plan)))
+	count := max(minCandidates, candidatesPerHome*homesNeeded(items, minSlots(plan)))
 	if len(endpoints) <= count {
 		return endpoints
 	}
-	return heaviest(endpoints, func(endpoint *routing.Endpoint) string { return endpoint.Name }, model, count)
+	return highestWeighted(endpoints, func(endpoint *routing.Endpoint) string { return endpoint.Name }, model, count)
 }
 
-// slotsOf returns the number of slots of the smallest replica of a plan, at least 1.
-func slotsOf(plan *routing.Plan) int {
+// minSlots returns the number of slots of the smallest replica of a plan, at least 1.
+func minSlots(plan *routing.Plan) int {
 	if plan == nil {
 		return 1
 	}
-	least := 0
+	smallest := 0
 	for _, endpoint := range plan.Endpoints() {
-		if least == 0 || endpoint.Slots < least {
-			least = endpoint.Slots
+		if smallest == 0 || endpoint.Slots < smallest {
+			smallest = endpoint.Slots
 		}
 	}
-	return max(1, least)
+	return max(1, smallest)
 }
--- a/internal/duties/weightorders/candidates_test.go
+++ b/internal/duties/weightorders/candidates_test.go
@@ -7,9 +7,9 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// planOfIDs returns a routing plan whose endpoints are named like the replicas of
+// planNamedLikeReplicas returns a routing plan whose endpoints are named like the replicas of
 // coordinatorOf.
-func planOfIDs(count int) *routing.Plan {
+func planNamedLikeReplicas(count int) *routing.Plan {
 	endpoints := make([]*routing.Endpoint, count)
 	for number := range endpoints {
 		endpoints[number] = routing.NewReplicaEndpoint(fmt.Sprint("replica-", number), "", "zone", "", "s", 6, routing.NewEndpointState())
@@ -18,34 +18,34 @@
 }
 
 // Items that are placed on replicas other than homes find old weights.
-func TestCandidatesHoldNearlyAllHomes(t *testing.T) {
+func TestCandidatesIncludeMostHomes(t *testing.T) {
 	coordinator, table := coordinatorOf(4000, Demand{MaxItems: map[string]int{"m": 128, "n": 128}})
 	candidates := map[string]bool{}
-	for _, endpoint := range PlacementCandidates(planOfIDs(4000), "m", 128) {
+	for _, endpoint := range PlacementCandidates(planNamedLikeReplicas(4000), "m", 128) {
 		candidates[endpoint.Name] = true
 	}
 	homes, outside := 0, 0
-	for _, open := range coordinator.openTasks(table.View(), coordinator.currentDemand()) {
-		if open.model != "m" {
+	for _, pending := range coordinator.pendingTasks(table.View(), coordinator.currentDemand()) {
+		if pending.model != "m" {
 			continue
 		}
 		homes++
-		if !candidates[open.target.ID] {
+		if !candidates[pending.target.ID] {
 			outside++
 		}
 	}
 	if homes == 0 || outside > homes/10 {
-		t.Errorf("%d of %d homes are no candidates", outside, homes)
+		t.Errorf("%d of %d homes are not candidates, want at most 10%%", outside, homes)
 	}
 }
 
 // The cost of placing an item must not grow with the number of replicas.
-func TestCandidatesDoNotGrowWithTheReplicas(t *testing.T) {
-	few, many := len(PlacementCandidates(planOfIDs(1000), "m", 128)), len(PlacementCandidates(planOfIDs(8000), "m", 128))
-	if few != many {
-		t.Errorf("%d candidates of 1,000 replicas, %d of 8,000", few, many)
+func TestCandidatesAreBounded(t *testing.T) {
+	small, large := len(PlacementCandidates(planNamedLikeReplicas(1000), "m", 128)), len(PlacementCandidates(planNamedLikeReplicas(8000), "m", 128))
+	if small != large {
+		t.Errorf("%d candidates among 1,000 replicas, %d among 8,000, want the same number", small, large)
 	}
-	if all := len(PlacementCandidates(planOfIDs(100), "m", 128)); all != 100 {
-		t.Errorf("%d candidates of 100 replicas", all)
+	if all := len(PlacementCandidates(planNamedLikeReplicas(100), "m", 128)); all != 100 {
+		t.Errorf("%d candidates among 100 replicas, want all", all)
 	}
 }
--- a/internal/duties/weightorders/coordinator.go
+++ b/internal/duties/weightorders/coordinator.go
@@ -43,9 +43,9 @@
 	// plannedDemand is the demand that the current homes are based on. Only the goroutine
 	// of Run uses it.
 	plannedDemand Demand
-	// homePlans caches the homes of the models, by service. Only the goroutine of Run uses
+	// homeCache caches the homes of the models, by service. Only the goroutine of Run uses
 	// it.
-	homePlans map[string]*homePlan
+	homeCache map[string]*cachedHomes
 }
 
 // NewCoordinator returns a Coordinator that orders nothing before Run is called.
@@ -55,7 +55,7 @@
 	return &Coordinator{
 		config: config, loads: loads,
 		versions: map[string]map[string]int64{}, loading: map[string]wire.ReplicaVersion{}, retryAt: map[string]time.Time{},
-		homePlans: map[string]*homePlan{}, wake: make(chan struct{}, 1),
+		homeCache: map[string]*cachedHomes{}, wake: make(chan struct{}, 1),
 	}
 }
 
@@ -84,20 +84,20 @@
 // step starts the loads that are due, and returns the time until the next step.
 func (c *Coordinator) step(ctx context.Context) time.Duration {
 	view := c.config.Directory.View()
-	c.forgetGone(view.Replicas)
-	open := c.openTasks(view, c.currentDemand())
-	open = slices.DeleteFunc(open, c.isUnderWay)
-	if len(open) == 0 {
+	c.pruneReplicas(view.Replicas)
+	pending := c.pendingTasks(view, c.currentDemand())
+	pending = slices.DeleteFunc(pending, c.isBlocked)
+	if len(pending) == 0 {
 		c.config.Elector.MarkIdle(dutyName)
-		if c.loadsUnderWay() > 0 {
+		if c.runningLoads() > 0 {
 			return pollInterval
 		}
 		return idleInterval
 	}
-	if ready, again := c.config.Elector.EnsureHeld(ctx, dutyName); !ready {
-		return again
+	if ready, retryAfter := c.config.Elector.EnsureHeld(ctx, dutyName); !ready {
+		return retryAfter
 	}
-	c.startLoads(ctx, open, loadsAtOnce(engineReplicas(view)))
+	c.startLoads(ctx, pending, maxConcurrentLoads(countEngineReplicas(view)))
 	return pollInterval
 }
 
--- a/internal/duties/weightorders/coordinator_test.go
+++ b/internal/duties/weightorders/coordinator_test.go
@@ -19,21 +19,21 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// orderedReplicas is a fake client of replicas that execute every order immediately.
-type orderedReplicas struct {
+// fakeReplicas is a fake client of replicas that execute every order immediately.
+type fakeReplicas struct {
 	mutex    sync.Mutex
 	versions map[string]int64
 	orders   []LoadOrder
 	last     time.Time
 }
 
-func (r *orderedReplicas) WeightStatus(_ context.Context, target Target) (WeightStatus, error) {
+func (r *fakeReplicas) WeightStatus(_ context.Context, target Target) (WeightStatus, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return WeightStatus{Sequence: int64(len(r.orders)), Versions: map[string]int64{"m": r.versions[target.ID]}}, nil
 }
 
-func (r *orderedReplicas) OrderLoad(_ context.Context, target Target, order LoadOrder) (bool, error) {
+func (r *fakeReplicas) OrderLoad(_ context.Context, target Target, order LoadOrder) (bool, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.orders, r.last = append(r.orders, order), time.Now()
@@ -42,45 +42,45 @@
 }
 
 // newest returns the last order and its time.
-func (r *orderedReplicas) newest() (LoadOrder, time.Time) {
+func (r *fakeReplicas) newest() (LoadOrder, time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.orders[len(r.orders)-1], r.last
 }
 
-// fleet is a set of coordinators of the same replicas.
-type fleet struct {
+// testCluster is a set of coordinators that share a store, a directory and replicas.
+type testCluster struct {
 	store        *metastore.Store
 	table        *directory.Table
-	replicas     *orderedReplicas
+	replicas     *fakeReplicas
 	mutex        sync.Mutex
 	coordinators []*Coordinator
 	stop         context.CancelFunc
 }
 
-func newFleet() *fleet {
-	f := &fleet{store: metastore.New(), table: directory.NewTable("node", "zone", nil, klog.Background()), replicas: &orderedReplicas{versions: map[string]int64{}}}
+func newTestCluster() *testCluster {
+	f := &testCluster{store: metastore.New(), table: directory.NewTable("node", "zone", nil, klog.Background()), replicas: &fakeReplicas{versions: map[string]int64{}}}
 	f.table.SetConfiguration(&directory.Configuration{Version: 1, Services: map[string]directory.Service{"s": {Engine: &directory.Engine{Models: []string{"m"}}}}}, 1)
 	f.table.SetReplicas([]*directory.Replica{{ID: "a", Service: "s", State: directory.ReplicaReady}, {ID: "b", Service: "s", State: directory.ReplicaReady}}, 0)
 	return f
 }
 
-// start runs a new process of each of some nodes.
-func (f *fleet) start(ctx context.Context, nonce string, nodes ...string) {
+// start runs a new process of each of the nodes, in place of the previous ones.
+func (f *testCluster) start(ctx context.Context, nonce string, nodes ...string) {
 	ctx, f.stop = context.WithCancel(ctx)
 	var coordinators []*Coordinator
 	for _, node := range nodes {
-		var keeper *lease.Elector
-		keeper = lease.NewElector(lease.Config{
+		var elector *lease.Elector
+		elector = lease.NewElector(lease.Config{
 			Node: node, Lease: lease.NewLease(node, nonce, lease.DefaultTakeoverGap, f.store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
-			Nodes: func() []string { return nodes }, SinceHeartbeat: func(string) time.Duration { return time.Hour }, Announce: func([]string) { f.announce(keeper) },
+			Nodes: func() []string { return nodes }, SinceHeartbeat: func(string) time.Duration { return time.Hour }, Announce: func([]string) { f.announce(elector) },
 		})
-		made := NewCoordinator(Config{
-			Elector: keeper, Directory: f.table, Replicas: f.replicas, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
-			RunningItems: func(string) int { return 0 }, Tolerance: func(string) int64 { return 0 }, Demand: func() Demand { return Demand{} }, OnChange: f.list,
-			Announce: func() { f.announce(keeper) },
+		created := NewCoordinator(Config{
+			Elector: elector, Directory: f.table, Replicas: f.replicas, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
+			RunningItems: func(string) int { return 0 }, Tolerance: func(string) int64 { return 0 }, Demand: func() Demand { return Demand{} }, OnChange: f.updateDirectory,
+			Announce: func() { f.announce(elector) },
 		})
-		coordinators = append(coordinators, made)
+		coordinators = append(coordinators, created)
 	}
 	f.mutex.Lock()
 	f.coordinators = coordinators
@@ -90,8 +90,8 @@
 	}
 }
 
-// list updates a replica's entry in the directory when its version has changed.
-func (f *fleet) list(change wire.ReplicaVersion) {
+// updateDirectory updates a replica's entry in the directory when its version has changed.
+func (f *testCluster) updateDirectory(change wire.ReplicaVersion) {
 	if !change.Loading {
 		f.table.ApplyReplicas([]directory.ReplicaChange{{Name: change.Replica, Replica: &directory.Replica{
 			ID: change.Replica, Service: "s", State: directory.ReplicaReady, Versions: map[string]int64{change.Model: change.Version},
@@ -100,27 +100,28 @@
 }
 
 // announce sends a node's observation of the lease to all other nodes.
-func (f *fleet) announce(from *lease.Elector) {
-	seen := from.LastObserved()
+func (f *testCluster) announce(from *lease.Elector) {
+	observed := from.LastObserved()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, other := range f.coordinators {
 		if other.config.Elector != from {
-			go other.config.Elector.Observe(seen)
+			go other.config.Elector.Observe(observed)
 		}
 	}
 }
 
 // When all nodes restart, the previous holder must learn that it is the holder and resume
 // without the wait of a successor.
-func TestHolderThatWasStartedAnewGoesOnAtOnce(t *testing.T) {
+func TestRestartedHolderResumes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet()
+		f := newTestCluster()
 		var nodes []string
 		for number := range 12 {
 			nodes = append(nodes, fmt.Sprintf("node-%d", number))
 		}
-		// Each round stops the holder, so that the lease moves to a node with a low rank.
+		// Each round leaves out the previous holder, so that the lease moves to a node far
+		// down in the order of succession.
 		current := slices.Clone(nodes)
 		version := int64(2)
 		for range 8 {
@@ -140,7 +141,7 @@
 		time.Sleep(20 * time.Second)
 		after, last := f.replicas.newest()
 		if after.Version != version || after.Holder != before.Holder || last.Sub(began) > 3*time.Second {
-			t.Errorf("version %d was ordered by %s after %s, the holder was %s", after.Version, after.Holder, last.Sub(began), before.Holder)
+			t.Errorf("version %d was ordered by %s after %s, want by the previous holder %s within 3 s", after.Version, after.Holder, last.Sub(began), before.Holder)
 		}
 		f.stop()
 		time.Sleep(time.Minute)
@@ -149,9 +150,9 @@
 
 // A successor that takes over before the holder's lease has expired would send orders at the
 // same time.
-func TestSuccessorWaitsForAHolderThatStaysAway(t *testing.T) {
+func TestSuccessorWaitsForLostHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet()
+		f := newTestCluster()
 		f.table.SetVersion("m", 2)
 		f.start(t.Context(), "first", "one", "two", "three")
 		time.Sleep(20 * time.Second)
@@ -169,10 +170,10 @@
 		time.Sleep(20 * time.Second)
 		after, last := f.replicas.newest()
 		if after.Holder == before.Holder || after.Version != 3 || after.Token <= before.Token {
-			t.Errorf("the last order is %+v after %+v", after, before)
+			t.Errorf("last order is %+v, want version 3 by another holder with a newer token than %+v", after, before)
 		}
 		if last.Sub(began) < lease.SendWindow+lease.DefaultTakeoverGap {
-			t.Errorf("a successor gave orders %s after its start", last.Sub(began))
+			t.Errorf("successor sent orders %s after its start, before the previous lease had expired", last.Sub(began))
 		}
 		f.stop()
 		time.Sleep(time.Minute)
--- a/internal/duties/weightorders/demand.go
+++ b/internal/duties/weightorders/demand.go
@@ -14,9 +14,9 @@
 	MaxItems map[string]int
 }
 
-// demandChange is the relative change of a model's demand, between 0 and 1, above which homes
+// minDemandChange is the relative change of a model's demand, between 0 and 1, above which homes
 // are planned again. Estimates vary from job to job, and each new home costs a load.
-const demandChange = 0.25
+const minDemandChange = 0.25
 
 // differsFrom reports whether the demand differs enough from the planned one for a new plan.
 func (d Demand) differsFrom(planned Demand) bool {
@@ -32,13 +32,13 @@
 }
 
 // differs reports whether the demand for any model differs from the planned one by more than
-// demandChange.
+// minDemandChange.
 func differs(planned, demand map[string]float64) bool {
 	if len(planned) != len(demand) {
 		return true
 	}
 	for _, model := range slices.Sorted(maps.Keys(demand)) {
-		if math.Abs(demand[model]-planned[model]) > demandChange*planned[model] {
+		if math.Abs(demand[model]-planned[model]) > minDemandChange*planned[model] {
 			return true
 		}
 	}
--- a/internal/duties/weightorders/errors.go
+++ b/internal/duties/weightorders/errors.go
@@ -6,7 +6,7 @@
 var (
 	// ErrConflict means that the replica is executing another order or has accepted one
 	// since its status was read.
-	ErrConflict = merry.Sentinel("another order was first")
+	ErrConflict = merry.Sentinel("another order has been accepted")
 	// ErrFenced means that the replica has seen a newer token, or that this node does not
 	// hold the lease.
 	ErrFenced = merry.Sentinel("fencing token is outdated")
@@ -16,5 +16,5 @@
 	// ErrRejected means that the replica rejected the order as invalid.
 	ErrRejected = merry.Sentinel("order rejected")
 	// ErrUnanswered means that the replica may have accepted the order, or may still do so.
-	ErrUnanswered = merry.Sentinel("order not answered")
+	ErrUnanswered = merry.Sentinel("no response to order")
 )
--- a/internal/duties/weightorders/home_bounds_test.go
+++ b/internal/duties/weightorders/home_bounds_test.go
@@ -23,50 +23,50 @@
 	table.SetVersion("n", 3)
 	return &Coordinator{
 		config:   Config{Directory: table, Tolerance: func(string) int64 { return 1 }, Demand: func() Demand { return demand }},
-		versions: map[string]map[string]int64{}, homePlans: map[string]*homePlan{},
+		versions: map[string]map[string]int64{}, homeCache: map[string]*cachedHomes{},
 	}, table
 }
 
 // The number of loads per version must depend on the size of the jobs. Otherwise one node has
 // to order thousands of loads in a large deployment.
-func TestOrdersFollowTheItemsAndNotTheReplicas(t *testing.T) {
+func TestLoadsDependOnItemsNotReplicas(t *testing.T) {
 	demand := Demand{MeanTokens: map[string]float64{"m": 100, "n": 100}, MaxItems: map[string]int{"m": 72, "n": 120}}
 	want := homesNeeded(72, 6) + homesNeeded(120, 6)
 	for _, count := range []int{400, 3200} {
 		coordinator, _ := coordinatorOf(count, demand)
-		if open := coordinator.openTasks(coordinator.config.Directory.View(), coordinator.currentDemand()); len(open) != want {
-			t.Errorf("%d loads among %d replicas, want %d", len(open), count, want)
+		if pending := coordinator.pendingTasks(coordinator.config.Directory.View(), coordinator.currentDemand()); len(pending) != want {
+			t.Errorf("%d loads among %d replicas, want %d", len(pending), count, want)
 		}
 	}
 }
 
 // If the items need all replicas, or the demand is unknown, the homes of each model are its
 // share of the replicas times homeShareFactor.
-func TestSmallDeploymentsKeepTheirShares(t *testing.T) {
+func TestSmallDeploymentHomes(t *testing.T) {
 	for _, items := range []int{0, 72} {
 		coordinator, _ := coordinatorOf(30, Demand{MaxItems: map[string]int{"m": items, "n": items}})
-		if open := coordinator.openTasks(coordinator.config.Directory.View(), coordinator.currentDemand()); len(open) != 40 {
-			t.Errorf("jobs of %d items: %d loads, want 40", items, len(open))
+		if pending := coordinator.pendingTasks(coordinator.config.Directory.View(), coordinator.currentDemand()); len(pending) != 40 {
+			t.Errorf("jobs of %d items: %d loads, want 40", items, len(pending))
 		}
 	}
 }
 
 // A new holder of the lease knows no jobs yet and must not start thousands of loads.
-func TestOrdersAreBoundedWhileNoJobIsKnown(t *testing.T) {
+func TestLoadsAreBoundedWithoutDemand(t *testing.T) {
 	coordinator, _ := coordinatorOf(3200, Demand{})
-	if open := coordinator.openTasks(coordinator.config.Directory.View(), coordinator.currentDemand()); len(open) != 2*maxHomesUnknownDemand {
-		t.Errorf("%d loads of two models, want %d", len(open), 2*maxHomesUnknownDemand)
+	if pending := coordinator.pendingTasks(coordinator.config.Directory.View(), coordinator.currentDemand()); len(pending) != 2*maxHomesUnknownDemand {
+		t.Errorf("%d loads of two models, want %d", len(pending), 2*maxHomesUnknownDemand)
 	}
 }
 
 // Each home that moves when replicas are added or removed costs a load.
-func TestBoundedHomesStayWhenReplicasGo(t *testing.T) {
+func TestBoundedHomesAreStable(t *testing.T) {
 	demand := Demand{MaxItems: map[string]int{"m": 72, "n": 72}}
 	coordinator, table := coordinatorOf(400, demand)
 	homesNow := func() map[string]bool {
 		homes := map[string]bool{}
-		for _, open := range coordinator.openTasks(table.View(), coordinator.currentDemand()) {
-			homes[open.model+" "+open.target.ID] = true
+		for _, pending := range coordinator.pendingTasks(table.View(), coordinator.currentDemand()) {
+			homes[pending.model+" "+pending.target.ID] = true
 		}
 		return homes
 	}
@@ -81,35 +81,35 @@
 		}
 	}
 	if moved > 15 {
-		t.Errorf("%d of %d homes are new after a twentieth of the replicas went", moved, len(before))
+		t.Errorf("%d of %d homes are new after 5%% of the replicas were removed", moved, len(before))
 	}
 }
 
 // Homes are needed several times a second and must be computed only when their inputs change.
-func TestHomesAreKeptBetweenLooks(t *testing.T) {
+func TestHomesAreCached(t *testing.T) {
 	coordinator, table := coordinatorOf(400, Demand{MaxItems: map[string]int{"m": 72, "n": 72}})
-	coordinator.openTasks(table.View(), coordinator.currentDemand())
-	current := coordinator.homePlans["s"]
+	coordinator.pendingTasks(table.View(), coordinator.currentDemand())
+	current := coordinator.homeCache["s"]
 	table.SetVersion("m", 4)
-	coordinator.openTasks(table.View(), coordinator.currentDemand())
-	if coordinator.homePlans["s"] != current {
-		t.Error("a new version has the homes worked out anew")
+	coordinator.pendingTasks(table.View(), coordinator.currentDemand())
+	if coordinator.homeCache["s"] != current {
+		t.Error("homes were computed again for a new version")
 	}
 	table.ApplyReplicas([]directory.ReplicaChange{{Name: "replica-1"}}, 0)
-	coordinator.openTasks(table.View(), coordinator.currentDemand())
-	if coordinator.homePlans["s"] == current {
-		t.Error("homes of a replica that is gone stand")
+	coordinator.pendingTasks(table.View(), coordinator.currentDemand())
+	if coordinator.homeCache["s"] == current {
+		t.Error("homes were not computed again after a replica was removed")
 	}
 }
 
-// BenchmarkTurnsOfAThousandTasks measures the choice of all of 1,000 pending loads.
-func BenchmarkTurnsOfAThousandTasks(b *testing.B) {
-	open := make([]task, 1000)
-	for i := range open {
-		open[i] = task{target: Target{ID: fmt.Sprint("replica-", i)}, model: fmt.Sprint("model-", i%8), version: 3, held: 1, homes: 125}
+// BenchmarkLoadQueue measures the choice of all of 1,000 pending loads.
+func BenchmarkLoadQueue(b *testing.B) {
+	pending := make([]task, 1000)
+	for i := range pending {
+		pending[i] = task{target: Target{ID: fmt.Sprint("replica-", i)}, model: fmt.Sprint("model-", i%8), version: 3, loadedVersion: 1, homes: 125}
 	}
 	for b.Loop() {
-		queue := newLoadQueue(open, map[string]int{})
+		queue := newLoadQueue(pending, map[string]int{})
 		for {
 			if _, found := queue.next(); !found {
 				break
--- a/internal/duties/weightorders/home_cache.go
+++ b/internal/duties/weightorders/home_cache.go
@@ -8,11 +8,11 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// homePlan caches the homes of a service's models until their inputs change. The coordinator
-// reads them several times a second, while replicas are added or removed rarely.
-type homePlan struct {
-	// plan is the routing plan, which is replaced when replicas are added or removed.
-	plan          *routing.Plan
+// cachedHomes are the homes of a service's models and the inputs that they were computed
+// from. The coordinator reads them several times a second, while the inputs change rarely.
+type cachedHomes struct {
+	// routingPlan is replaced when replicas are added or removed.
+	routingPlan   *routing.Plan
 	configuration *directory.Configuration
 	// evacuated lists the evacuated zones.
 	evacuated []string
@@ -23,14 +23,14 @@
 	homes map[string][]string
 }
 
-// homesOf returns the replica ids of the homes of each model of a service. Replicas in
+// homeIDs returns the replica ids of the homes of each model of a service. Replicas in
 // evacuated zones are not homes.
-func (c *Coordinator) homesOf(view *directory.View, service string, shares []share, maxHomes map[string]int) map[string][]string {
-	next := &homePlan{
-		plan: view.Plans[service], configuration: view.Configuration,
+func (c *Coordinator) homeIDs(view *directory.View, service string, shares []share, maxHomes map[string]int) map[string][]string {
+	next := &cachedHomes{
+		routingPlan: view.Plans[service], configuration: view.Configuration,
 		evacuated: slices.Sorted(maps.Keys(view.Evacuated)), shares: shares, maxHomes: maxHomes,
 	}
-	if current := c.homePlans[service]; current != nil && current.sameInputs(next) {
+	if current := c.homeCache[service]; current != nil && current.sameInputs(next) {
 		return current.homes
 	}
 	var replicas []*directory.Replica
@@ -40,17 +40,17 @@
 		}
 	}
 	next.homes = map[string][]string{}
-	for model, kept := range homes(replicas, shares, maxHomes) {
-		for _, replica := range kept {
+	for model, assigned := range homes(replicas, shares, maxHomes) {
+		for _, replica := range assigned {
 			next.homes[model] = append(next.homes[model], replica.ID)
 		}
 	}
-	c.homePlans[service] = next
+	c.homeCache[service] = next
 	return next.homes
 }
 
-// sameInputs reports whether two plans have the same inputs.
-func (p *homePlan) sameInputs(next *homePlan) bool {
-	return p.plan == next.plan && p.configuration == next.configuration && slices.Equal(p.evacuated, next.evacuated) &&
-		slices.Equal(p.shares, next.shares) && maps.Equal(p.maxHomes, next.maxHomes)
+// sameInputs reports whether both were computed from the same inputs.
+func (h *cachedHomes) sameInputs(next *cachedHomes) bool {
+	return h.routingPlan == next.routingPlan && h.configuration == next.configuration && slices.Equal(h.evacuated, next.evacuated) &&
+		slices.Equal(h.shares, next.shares) && maps.Equal(h.maxHomes, next.maxHomes)
 }
--- a/internal/duties/weightorders/homes.go
+++ b/internal/duties/weightorders/homes.go
@@ -44,88 +44,89 @@
 	if len(shares) == 0 {
 		return map[string][]*directory.Replica{}
 	}
-	ordered := slices.Clone(replicas)
-	slices.SortFunc(ordered, func(a, b *directory.Replica) int { return cmp.Compare(a.ID, b.ID) })
-	kept := ownHomes(ordered, shares)
-	addSharedHomes(kept, ordered, shares)
+	sorted := slices.Clone(replicas)
+	slices.SortFunc(sorted, func(a, b *directory.Replica) int { return cmp.Compare(a.ID, b.ID) })
+	assigned := assignPrimaryHomes(sorted, shares)
+	addSharedHomes(assigned, sorted, shares)
 	for model, bound := range maxHomes {
-		if bound > 0 && len(kept[model]) > bound {
-			kept[model] = heaviest(kept[model], func(replica *directory.Replica) string { return replica.ID }, model, bound)
+		if bound > 0 && len(assigned[model]) > bound {
+			assigned[model] = highestWeighted(assigned[model], func(replica *directory.Replica) string { return replica.ID }, model, bound)
 		}
 	}
-	return kept
+	return assigned
 }
 
-// ownHomes assigns each replica to one model, according to the models' shares.
-func ownHomes(ordered []*directory.Replica, shares []share) map[string][]*directory.Replica {
-	kept := map[string][]*directory.Replica{}
-	apportioned := apportion(len(ordered), shares)
-	hasRoom := func(model string) bool { return len(kept[model]) < apportioned[model] }
-	for _, replica := range ordered {
-		model := preferred(shares, replica, hasRoom)
-		kept[model] = append(kept[model], replica)
+// assignPrimaryHomes assigns each replica to one model, according to the models' shares.
+func assignPrimaryHomes(sorted []*directory.Replica, shares []share) map[string][]*directory.Replica {
+	assigned := map[string][]*directory.Replica{}
+	counts := apportion(len(sorted), shares)
+	hasRoom := func(model string) bool { return len(assigned[model]) < counts[model] }
+	for _, replica := range sorted {
+		model := preferredModel(shares, replica, hasRoom)
+		assigned[model] = append(assigned[model], replica)
 	}
-	return kept
+	return assigned
 }
 
 // addSharedHomes adds homes to each model, up to homeShareFactor times its share of the
 // replicas. Each replica has been assigned to one model before.
-func addSharedHomes(kept map[string][]*directory.Replica, ordered []*directory.Replica, shares []share) {
-	models := make(map[string]int, len(ordered))
-	for _, replica := range ordered {
-		models[replica.ID] = 1
+func addSharedHomes(assigned map[string][]*directory.Replica, sorted []*directory.Replica, shares []share) {
+	modelCounts := make(map[string]int, len(sorted))
+	for _, replica := range sorted {
+		modelCounts[replica.ID] = 1
 	}
 	for _, share := range shares {
-		wanted := min(len(ordered), int(math.Ceil(homeShareFactor*share.part*float64(len(ordered)))))
-		for _, extra := range leastShared(ordered, share.model, models, kept[share.model], wanted-len(kept[share.model])) {
-			kept[share.model] = append(kept[share.model], extra)
-			models[extra.ID]++
+		count := min(len(sorted), int(math.Ceil(homeShareFactor*share.fraction*float64(len(sorted)))))
+		for _, added := range leastShared(sorted, share.model, modelCounts, assigned[share.model], count-len(assigned[share.model])) {
+			assigned[share.model] = append(assigned[share.model], added)
+			modelCounts[added.ID]++
 		}
 	}
 }
 
-// preferred returns the allowed model with the highest rendezvous weight for a replica.
-func preferred(shares []share, replica *directory.Replica, allowed func(model string) bool) string {
-	best, bestWeight := "", uint64(0)
+// preferredModel returns the allowed model with the highest rendezvous weight for a replica.
+func preferredModel(shares []share, replica *directory.Replica, allowed func(model string) bool) string {
+	preferred, bestWeight := "", uint64(0)
 	for _, share := range shares {
-		weight := pairWeight(replica.ID, share.model)
-		if allowed(share.model) && (best == "" || weight > bestWeight) {
-			best, bestWeight = share.model, weight
+		weight := rendezvousWeight(replica.ID, share.model)
+		if allowed(share.model) && (preferred == "" || weight > bestWeight) {
+			preferred, bestWeight = share.model, weight
 		}
 	}
-	return best
+	return preferred
 }
 
-// leastShared returns a number of replicas that are not yet homes of a model: those with the
-// fewest models first, and among equals those with the highest rendezvous weight.
-func leastShared(replicas []*directory.Replica, model string, models map[string]int, has []*directory.Replica, some int) []*directory.Replica {
-	if some <= 0 {
+// leastShared returns up to count replicas that are not among the current homes of a model:
+// those with the fewest models first, and among equals those with the highest rendezvous
+// weight.
+func leastShared(replicas []*directory.Replica, model string, modelCounts map[string]int, current []*directory.Replica, count int) []*directory.Replica {
+	if count <= 0 {
 		return nil
 	}
-	isHome := make(map[string]bool, len(has))
-	for _, replica := range has {
+	isHome := make(map[string]bool, len(current))
+	for _, replica := range current {
 		isHome[replica.ID] = true
 	}
 	var others []sharedReplica
 	for _, replica := range replicas {
 		if !isHome[replica.ID] {
-			others = append(others, sharedReplica{Replica: replica, models: models[replica.ID], weight: pairWeight(replica.ID, model)})
+			others = append(others, sharedReplica{Replica: replica, modelCount: modelCounts[replica.ID], weight: rendezvousWeight(replica.ID, model)})
 		}
 	}
 	slices.SortFunc(others, func(a, b sharedReplica) int {
-		return cmp.Or(cmp.Compare(a.models, b.models), cmp.Compare(b.weight, a.weight), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(a.modelCount, b.modelCount), cmp.Compare(b.weight, a.weight), cmp.Compare(a.ID, b.ID))
 	})
-	least := make([]*directory.Replica, 0, some)
-	for _, other := range others[:min(some, len(others))] {
-		least = append(least, other.Replica)
+	selected := make([]*directory.Replica, 0, count)
+	for _, other := range others[:min(count, len(others))] {
+		selected = append(selected, other.Replica)
 	}
-	return least
+	return selected
 }
 
 // sharedReplica is a replica with the number of models that it is a home of, and its
 // rendezvous weight for another model.
 type sharedReplica struct {
 	*directory.Replica
-	models int
-	weight uint64
+	modelCount int
+	weight     uint64
 }
--- a/internal/duties/weightorders/load.go
+++ b/internal/duties/weightorders/load.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// usualLoadTime is the usual duration of a load. The replica is not polled earlier.
-	usualLoadTime = 800 * time.Millisecond
+	// typicalLoadTime is the usual duration of a load. The replica is not polled earlier.
+	typicalLoadTime = 800 * time.Millisecond
 	// loadTimeout is the time after which a load has failed.
 	loadTimeout = 6 * time.Second
-	// reportInterval is the time between polls of a replica that is loading.
-	reportInterval = 120 * time.Millisecond
+	// statusPollInterval is the time between polls of a replica that is loading.
+	statusPollInterval = 120 * time.Millisecond
 	// callTimeout bounds one call to a replica.
 	callTimeout = 900 * time.Millisecond
 	// retryDelay is the backoff of a replica after a failed load.
 	retryDelay = 500 * time.Millisecond
-	// idleReports is the number of polls that find the replica idle, without the version,
+	// maxIdlePolls is the number of polls that find the replica idle, without the version,
 	// after which the order counts as not accepted.
-	idleReports = 3
+	maxIdlePolls = 3
 )
 
 // startLoads starts pending loads until the maximum number of concurrent loads is running.
-func (c *Coordinator) startLoads(ctx context.Context, open []task, atOnce int) {
+func (c *Coordinator) startLoads(ctx context.Context, pending []task, maxLoads int) {
 	loading := c.loadingByModel()
-	for i := range open {
-		open[i].runningItems = c.config.RunningItems(open[i].target.ID)
+	for i := range pending {
+		pending[i].runningItems = c.config.RunningItems(pending[i].target.ID)
 	}
-	for _, next := range chooseLoads(open, loading, atOnce) {
+	for _, load := range chooseLoads(pending, loading, maxLoads) {
 		c.mutex.Lock()
-		c.loading[next.target.ID] = wire.ReplicaVersion{Replica: next.target.ID, Model: next.model, Version: next.version, Loading: true}
+		c.loading[load.target.ID] = wire.ReplicaVersion{Replica: load.target.ID, Model: load.model, Version: load.version, Loading: true}
 		c.mutex.Unlock()
-		go c.bringToVersion(ctx, next)
+		go c.runLoad(ctx, load)
 	}
 }
 
@@ -50,29 +50,29 @@
 	return loading
 }
 
-// loadsUnderWay returns the number of running loads.
-func (c *Coordinator) loadsUnderWay() int {
+// runningLoads returns the number of running loads.
+func (c *Coordinator) runningLoads() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return len(c.loading)
 }
 
-// bringToVersion makes one replica load a version, and records and announces the outcome.
-func (c *Coordinator) bringToVersion(ctx context.Context, next task) {
+// runLoad makes one replica load a version, and records and announces the outcome.
+func (c *Coordinator) runLoad(ctx context.Context, load task) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	began := time.Now()
-	err := c.load(ctx, next)
-	c.endLoad(next.target.ID, err)
-	change := wire.ReplicaVersion{Replica: next.target.ID, Model: next.model, Version: c.version(next.target.ID, next.model)}
+	started := time.Now()
+	err := c.orderAndAwait(ctx, load)
+	c.endLoad(load.target.ID, err)
+	change := wire.ReplicaVersion{Replica: load.target.ID, Model: load.model, Version: c.knownVersion(load.target.ID, load.model)}
 	c.config.OnChange(change)
 	if err != nil {
-		c.config.Logger.Info("replica not brought to version", "replica", next.target.ID, "model", next.model, "version", next.version,
-			"tookMs", time.Since(began).Milliseconds(), "error", err.Error())
+		c.config.Logger.Info("failed to bring replica to version", "replica", load.target.ID, "model", load.model, "version", load.version,
+			"tookMs", time.Since(started).Milliseconds(), "error", err.Error())
 	} else {
-		c.config.Logger.Info("replica brought to version", "replica", next.target.ID, "model", next.model, "version", next.version,
-			"from", next.held, "tookMs", time.Since(began).Milliseconds())
-		c.keepAnnouncing(change)
+		c.config.Logger.Info("replica brought to version", "replica", load.target.ID, "model", load.model, "version", load.version,
+			"from", load.loadedVersion, "tookMs", time.Since(started).Milliseconds())
+		c.addAnnounced(change)
 		c.config.Announce()
 	}
 	c.wakeUp()
@@ -88,37 +88,37 @@
 	}
 }
 
-// load orders a load, unless the replica has the version or is executing another order, and
-// waits until the replica has the version.
-func (c *Coordinator) load(ctx context.Context, next task) error {
-	report, reached, err := c.readReport(ctx, next)
-	if err != nil || reached {
+// orderAndAwait orders a load, unless the replica has the version or is executing another
+// order, and waits until the replica has the version.
+func (c *Coordinator) orderAndAwait(ctx context.Context, load task) error {
+	status, loaded, err := c.readStatus(ctx, load)
+	if err != nil || loaded {
 		return err
 	}
-	if report.Busy {
-		return c.awaitVersion(ctx, next)
+	if status.Busy {
+		return c.awaitVersion(ctx, load)
 	}
-	c.config.OnChange(wire.ReplicaVersion{Replica: next.target.ID, Model: next.model, Version: next.version, Loading: true})
+	c.config.OnChange(wire.ReplicaVersion{Replica: load.target.ID, Model: load.model, Version: load.version, Loading: true})
 	c.config.Announce()
-	holds, err := c.order(ctx, next, report.Sequence)
+	alreadyLoaded, err := c.sendOrder(ctx, load, status.Sequence)
 	switch {
-	case holds:
-		c.learn(next.target.ID, next.model, next.version)
+	case alreadyLoaded:
+		c.recordVersion(load.target.ID, load.model, load.version)
 		return nil
 	case err == nil:
 		c.loads.Inc()
-		if !objectstore.Sleep(ctx, usualLoadTime) {
+		if !objectstore.Sleep(ctx, typicalLoadTime) {
 			return ctx.Err()
 		}
 	case !errors.Is(err, ErrUnanswered):
 		return err
 	}
-	return c.awaitVersion(ctx, next)
+	return c.awaitVersion(ctx, load)
 }
 
-// order sends an order under the lease, and returns whether the replica has the version
+// sendOrder sends an order under the lease, and returns whether the replica has the version
 // already.
-func (c *Coordinator) order(ctx context.Context, next task, sequence int64) (holds bool, err error) {
+func (c *Coordinator) sendOrder(ctx context.Context, load task, sequence int64) (alreadyLoaded bool, err error) {
 	permit, valid := c.config.Elector.BeginCall()
 	if !valid {
 		return false, ErrFenced
@@ -126,42 +126,42 @@
 	defer func() { permit.Done(!errors.Is(err, ErrUnanswered)) }()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return c.config.Replicas.OrderLoad(ctx, next.target, LoadOrder{
-		Model: next.model, Version: next.version, Holder: permit.Holder, Token: permit.Token, ExpectedSequence: sequence,
+	return c.config.Replicas.OrderLoad(ctx, load.target, LoadOrder{
+		Model: load.model, Version: load.version, Holder: permit.Holder, Token: permit.Token, ExpectedSequence: sequence,
 	})
 }
 
 // awaitVersion polls a replica until it has the version. It fails if the replica is
 // repeatedly idle without it.
-func (c *Coordinator) awaitVersion(ctx context.Context, next task) error {
+func (c *Coordinator) awaitVersion(ctx context.Context, load task) error {
 	idle := 0
 	for {
-		report, reached, err := c.readReport(ctx, next)
-		if err != nil || reached {
+		status, loaded, err := c.readStatus(ctx, load)
+		if err != nil || loaded {
 			return err
 		}
-		if !report.Busy {
-			if idle++; idle >= idleReports {
+		if !status.Busy {
+			if idle++; idle >= maxIdlePolls {
 				return ErrUnanswered
 			}
 		}
-		if !objectstore.Sleep(ctx, reportInterval) {
+		if !objectstore.Sleep(ctx, statusPollInterval) {
 			return ctx.Err()
 		}
 	}
 }
 
-// readReport reads a replica's status once, records its versions, and returns whether it
+// readStatus reads a replica's status once, records its versions, and returns whether it
 // has the version of the task.
-func (c *Coordinator) readReport(ctx context.Context, next task) (report WeightStatus, reached bool, err error) {
+func (c *Coordinator) readStatus(ctx context.Context, load task) (status WeightStatus, loaded bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	report, err = c.config.Replicas.WeightStatus(ctx, next.target)
+	status, err = c.config.Replicas.WeightStatus(ctx, load.target)
 	if err != nil {
-		return report, false, err
+		return status, false, err
 	}
-	for model, version := range report.Versions {
-		c.learn(next.target.ID, model, version)
+	for model, version := range status.Versions {
+		c.recordVersion(load.target.ID, model, version)
 	}
-	return report, report.Versions[next.model] >= next.version, nil
+	return status, status.Versions[load.model] >= load.version, nil
 }
--- a/internal/duties/weightorders/plan.go
+++ b/internal/duties/weightorders/plan.go
@@ -5,53 +5,55 @@
 // home is a replica assigned to a model, with the newest version of the model that the
 // replica is known to have loaded.
 type home struct {
-	replica *directory.Replica
-	held    int64
+	replica       *directory.Replica
+	loadedVersion int64
 }
 
 // modelState holds the inputs of tasksOf.
 type modelState struct {
 	model string
-	// named is the version that the model's trainer named last, and tolerance the number
-	// of versions by which the weights may lag behind it for the model's batch jobs.
-	named     int64
-	tolerance int64
-	homes     []home
+	// namedVersion is the version that the model's trainer named last, and tolerance the
+	// number of versions by which the weights may lag behind it for the model's batch jobs.
+	namedVersion int64
+	tolerance    int64
+	homes        []home
 }
 
 // isRequired reports whether a home must load the named version because its version lags too
 // far behind for new batch jobs. Other homes may skip the version, which lets replicas keep
 // up if versions are named faster than they load.
-func (m modelState) isRequired(held int64) bool { return held < m.named-m.tolerance }
+func (m modelState) isRequired(loadedVersion int64) bool {
+	return loadedVersion < m.namedVersion-m.tolerance
+}
 
 // tasksOf returns a task for each home of a model that lacks the named version. A load is
 // required if the home's version is too old for new batch jobs. Otherwise it is optional:
 // done ahead, it lets the next jobs find more homes with the named version.
-func tasksOf(known modelState) []task {
-	var open []task
-	lacking := 0
-	for _, home := range known.homes {
-		if home.held >= known.named {
+func tasksOf(state modelState) []task {
+	var pending []task
+	requiredLoads := 0
+	for _, home := range state.homes {
+		if home.loadedVersion >= state.namedVersion {
 			continue
 		}
-		required := known.isRequired(home.held)
+		required := state.isRequired(home.loadedVersion)
 		if required {
-			lacking++
+			requiredLoads++
 		}
-		open = append(open, task{target: targetOf(home.replica), model: known.model, version: known.named, held: home.held, ahead: !required})
+		pending = append(pending, task{target: targetOf(home.replica), model: state.model, version: state.namedVersion, loadedVersion: home.loadedVersion, optional: !required})
 	}
-	for i := range open {
-		open[i].currentHomes, open[i].homes = len(known.homes)-lacking, len(known.homes)
+	for i := range pending {
+		pending[i].upToDateHomes, pending[i].homes = len(state.homes)-requiredLoads, len(state.homes)
 	}
-	return open
+	return pending
 }
 
-// openTasks returns the tasks of all models of all services with an engine.
-func (c *Coordinator) openTasks(view *directory.View, demand Demand) []task {
+// pendingTasks returns the tasks of all models of all services with an engine.
+func (c *Coordinator) pendingTasks(view *directory.View, demand Demand) []task {
 	if view.Configuration == nil {
 		return nil
 	}
-	var open []task
+	var pending []task
 	for name, service := range view.Configuration.Services {
 		if service.Engine == nil {
 			continue
@@ -59,28 +61,28 @@
 		models := service.Engine.Models
 		maxHomes := map[string]int{}
 		for _, model := range models {
-			maxHomes[model] = homesNeeded(demand.MaxItems[model], slotsOf(view.Plans[name]))
+			maxHomes[model] = homesNeeded(demand.MaxItems[model], minSlots(view.Plans[name]))
 		}
-		for model, ids := range c.homesOf(view, name, sharesOf(models, demand.MeanTokens), maxHomes) {
-			open = append(open, tasksOf(c.modelState(view, model, ids))...)
+		for model, ids := range c.homeIDs(view, name, sharesOf(models, demand.MeanTokens), maxHomes) {
+			pending = append(pending, tasksOf(c.modelState(view, model, ids))...)
 		}
 	}
-	return open
+	return pending
 }
 
 // modelState returns this node's knowledge of a model and its homes.
 func (c *Coordinator) modelState(view *directory.View, model string, ids []string) modelState {
-	known := modelState{model: model, named: view.NamedVersions[model], tolerance: c.config.Tolerance(model)}
+	state := modelState{model: model, namedVersion: view.NamedVersions[model], tolerance: c.config.Tolerance(model)}
 	for _, id := range ids {
 		if replica := view.Replicas[id]; replica != nil {
-			known.homes = append(known.homes, home{replica: replica, held: c.version(id, model)})
+			state.homes = append(state.homes, home{replica: replica, loadedVersion: c.knownVersion(id, model)})
 		}
 	}
-	return known
+	return state
 }
 
-// engineReplicas returns the number of replicas that are model engines.
-func engineReplicas(view *directory.View) int {
+// countEngineReplicas returns the number of replicas that are model engines.
+func countEngineReplicas(view *directory.View) int {
 	if view.Configuration == nil {
 		return 0
 	}
--- a/internal/duties/weightorders/plan_test.go
+++ b/internal/duties/weightorders/plan_test.go
@@ -26,73 +26,73 @@
 			models[number] = fmt.Sprintf("model-%d", number)
 		}
 		all := replicas(test.replicas)
-		kept := map[string]int{}
+		assigned := map[string]int{}
 		for model, homes := range homes(all, sharesOf(models, nil), nil) {
 			if len(homes) != test.each {
-				t.Errorf("%d replicas, %d models: %s has %d", test.replicas, test.models, model, len(homes))
+				t.Errorf("%d replicas, %d models: %s has %d homes", test.replicas, test.models, model, len(homes))
 			}
 			for _, replica := range homes {
-				kept[replica.ID]++
+				assigned[replica.ID]++
 			}
 		}
-		for id, count := range kept {
+		for id, count := range assigned {
 			if test.models > 1 && count > 2 {
-				t.Errorf("%d replicas, %d models: %s keeps up with %d", test.replicas, test.models, id, count)
+				t.Errorf("%d replicas, %d models: %s is a home of %d", test.replicas, test.models, id, count)
 			}
 		}
-		if test.models > 0 && test.replicas >= test.models && len(kept) != test.replicas {
-			t.Errorf("%d replicas, %d models: only %d keep up with any", test.replicas, test.models, len(kept))
+		if test.models > 0 && test.replicas >= test.models && len(assigned) != test.replicas {
+			t.Errorf("%d replicas, %d models: only %d are homes", test.replicas, test.models, len(assigned))
 		}
 	}
 }
 
 // Each home that moves when a replica is removed costs a load.
-func TestHomesStayWhenAReplicaGoes(t *testing.T) {
+func TestHomesAreStable(t *testing.T) {
 	models := []string{"a", "b", "c"}
 	all := replicas(9)
 	before := homes(all, sharesOf(models, nil), nil)
 	has := map[string]bool{}
-	for model, kept := range before {
-		for _, replica := range kept {
+	for model, assigned := range before {
+		for _, replica := range assigned {
 			has[model+replica.ID] = true
 		}
 	}
 	added := 0
-	for model, kept := range homes(all[1:], sharesOf(models, nil), nil) {
-		for _, replica := range kept {
+	for model, assigned := range homes(all[1:], sharesOf(models, nil), nil) {
+		for _, replica := range assigned {
 			if !has[model+replica.ID] {
 				added++
 			}
 		}
 	}
 	if added > 5 {
-		t.Errorf("%d replicas have a new model to load", added)
+		t.Errorf("%d homes are new after one replica was removed", added)
 	}
 }
 
-func TestWhichReplicasNeedAVersion(t *testing.T) {
+func TestIsRequired(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		known modelState
-		held  int64
-		want  bool
+		name          string
+		state         modelState
+		loadedVersion int64
+		want          bool
 	}{
-		{"has the newest", modelState{named: 7}, 7, false},
-		{"jobs want the newest", modelState{named: 7}, 6, true},
-		{"jobs let it be one behind", modelState{named: 7, tolerance: 1}, 6, false},
-		{"it is two behind", modelState{named: 7, tolerance: 1}, 5, true},
+		{"has the named version", modelState{namedVersion: 7}, 7, false},
+		{"no tolerance, one behind", modelState{namedVersion: 7}, 6, true},
+		{"within the tolerance", modelState{namedVersion: 7, tolerance: 1}, 6, false},
+		{"beyond the tolerance", modelState{namedVersion: 7, tolerance: 1}, 5, true},
 	} {
-		if got := test.known.isRequired(test.held); got != test.want {
-			t.Errorf("%s: required %v", test.name, got)
+		if got := test.state.isRequired(test.loadedVersion); got != test.want {
+			t.Errorf("%s: load required %v", test.name, got)
 		}
 	}
 }
 
 // A model that lags less than others must not wait until all their loads are done.
 func TestModelsTakeTurns(t *testing.T) {
-	open := []task{
-		{target: Target{ID: "a1"}, model: "a", version: 3, held: 1, currentHomes: 2, homes: 4}, {target: Target{ID: "a2"}, model: "a", version: 3, held: 1, currentHomes: 2, homes: 4},
-		{target: Target{ID: "b1"}, model: "b", version: 2, held: 1, currentHomes: 0, homes: 4}, {target: Target{ID: "b2"}, model: "b", version: 2, held: 1, currentHomes: 0, homes: 4},
+	pending := []task{
+		{target: Target{ID: "a1"}, model: "a", version: 3, loadedVersion: 1, upToDateHomes: 2, homes: 4}, {target: Target{ID: "a2"}, model: "a", version: 3, loadedVersion: 1, upToDateHomes: 2, homes: 4},
+		{target: Target{ID: "b1"}, model: "b", version: 2, loadedVersion: 1, upToDateHomes: 0, homes: 4}, {target: Target{ID: "b2"}, model: "b", version: 2, loadedVersion: 1, upToDateHomes: 0, homes: 4},
 	}
 	for _, test := range []struct {
 		loading map[string]int
@@ -102,33 +102,33 @@
 		{map[string]int{"b": 1}, "b1"},
 		{map[string]int{"b": 3}, "a1"},
 	} {
-		if first, _ := newLoadQueue(open, maps.Clone(test.loading)).next(); first.target.ID != test.want {
-			t.Errorf("with %v loading, %s is first, want %s", test.loading, first.target.ID, test.want)
+		if first, _ := newLoadQueue(pending, maps.Clone(test.loading)).next(); first.target.ID != test.want {
+			t.Errorf("running loads %v: %s is first, want %s", test.loading, first.target.ID, test.want)
 		}
 	}
 }
 
 // Models must be compared by the fraction of up-to-date homes. By their number, a model with
 // many homes would lag behind.
-func TestModelsWithMoreReplicasLoadMore(t *testing.T) {
-	open := []task{
-		{target: Target{ID: "small"}, model: "small", version: 2, held: 1, currentHomes: 2, homes: 5},
-		{target: Target{ID: "large"}, model: "large", version: 2, held: 1, currentHomes: 4, homes: 20},
+func TestModelsWithMoreHomesLoadMore(t *testing.T) {
+	pending := []task{
+		{target: Target{ID: "small"}, model: "small", version: 2, loadedVersion: 1, upToDateHomes: 2, homes: 5},
+		{target: Target{ID: "large"}, model: "large", version: 2, loadedVersion: 1, upToDateHomes: 4, homes: 20},
 	}
-	if first, _ := newLoadQueue(open, map[string]int{}).next(); first.model != "large" {
-		t.Error("the model with 4 of 20 replicas waits for the one with 2 of 5")
+	if first, _ := newLoadQueue(pending, map[string]int{}).next(); first.model != "large" {
+		t.Error("model with 4 of 20 homes up to date waits for one with 2 of 5")
 	}
 }
 
 // A fixed number of concurrent loads can't keep a large deployment up to date.
-func TestLoadsAtOnceGrowWithTheEngines(t *testing.T) {
+func TestMaxLoadsGrowWithEngines(t *testing.T) {
 	for _, test := range []struct{ engines, others, want int }{{8, 3, 2}, {9, 4, 2}, {35, 9, 7}, {600, 20, 120}, {1, 0, 2}} {
 		view := &directory.View{
 			Configuration: &directory.Configuration{Services: map[string]directory.Service{"llm": {Engine: &directory.Engine{}}, "app": {}}},
 			Plans:         map[string]*routing.Plan{"llm": planOf(test.engines), "app": planOf(test.others)},
 		}
-		if got := loadsAtOnce(engineReplicas(view)); got != test.want {
-			t.Errorf("%d engines beside %d others: %d loads at once, want %d", test.engines, test.others, got, test.want)
+		if got := maxConcurrentLoads(countEngineReplicas(view)); got != test.want {
+			t.Errorf("%d engine replicas, %d other replicas: %d concurrent loads, want %d", test.engines, test.others, got, test.want)
 		}
 	}
 }
@@ -143,25 +143,25 @@
 }
 
 // An optional load must not delay a required one.
-func TestReplicasThatCanDoWithoutAVersionLoadItLast(t *testing.T) {
-	known := modelState{model: "m", named: 7, tolerance: 1}
-	for i, held := range []int64{7, 6, 5} {
-		known.homes = append(known.homes, home{replica: replicas(3)[i], held: held})
+func TestOptionalLoadsComeLast(t *testing.T) {
+	state := modelState{model: "m", namedVersion: 7, tolerance: 1}
+	for i, loadedVersion := range []int64{7, 6, 5} {
+		state.homes = append(state.homes, home{replica: replicas(3)[i], loadedVersion: loadedVersion})
 	}
-	open := tasksOf(known)
-	queue := newLoadQueue(open, map[string]int{})
+	pending := tasksOf(state)
+	queue := newLoadQueue(pending, map[string]int{})
 	first, _ := queue.next()
 	second, _ := queue.next()
-	if len(open) != 2 || first.target.ID != "replica-2" || first.ahead || second.target.ID != "replica-1" || !second.ahead {
-		t.Fatalf("to be done: %+v", open)
+	if len(pending) != 2 || first.target.ID != "replica-2" || first.optional || second.target.ID != "replica-1" || !second.optional {
+		t.Fatalf("required load is not first or optional load not second: %+v", pending)
 	}
-	if open[0].currentHomes != 2 {
-		t.Errorf("%d replicas take new jobs as they are, want 2", open[0].currentHomes)
+	if pending[0].upToDateHomes != 2 {
+		t.Errorf("%d homes without a required load, want 2", pending[0].upToDateHomes)
 	}
 }
 
 // A model whose homes are all in an evacuated zone would not be served.
-func TestModelsAreSharedAmongReplicasOutsideEvacuatedZones(t *testing.T) {
+func TestEvacuatedZonesHaveNoHomes(t *testing.T) {
 	table := directory.NewTable("node", "a", nil, klog.Background())
 	table.SetConfiguration(&directory.Configuration{Services: map[string]directory.Service{"s": {Engine: &directory.Engine{Models: []string{"m", "n"}}}}}, 1)
 	table.SetReplicas([]*directory.Replica{
@@ -173,15 +173,15 @@
 	models := map[string]bool{}
 	coordinator := &Coordinator{
 		config:   Config{Directory: table, Tolerance: func(string) int64 { return 0 }},
-		versions: map[string]map[string]int64{}, homePlans: map[string]*homePlan{},
+		versions: map[string]map[string]int64{}, homeCache: map[string]*cachedHomes{},
 	}
-	for _, open := range coordinator.openTasks(table.View(), Demand{}) {
-		models[open.model] = true
-		if open.target.ID != "1" {
-			t.Errorf("replica %s is to be ordered", open.target.ID)
+	for _, pending := range coordinator.pendingTasks(table.View(), Demand{}) {
+		models[pending.model] = true
+		if pending.target.ID != "1" {
+			t.Errorf("replica %s in the evacuated zone is a home", pending.target.ID)
 		}
 	}
 	if len(models) != 2 {
-		t.Errorf("models that replicas are left for: %v", models)
+		t.Errorf("only the models %v have homes, want 2 models", models)
 	}
 }
--- a/internal/duties/weightorders/queue.go
+++ b/internal/duties/weightorders/queue.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	// loadsDivisor limits concurrent loads to one in this many replicas, since concurrent
-	// loads slow each other down. minLoads is the lower bound of this limit.
-	loadsDivisor = 5
-	minLoads     = 2
-	// aheadLoadsDivisor limits concurrent optional loads to one in this many homes of the
+	// replicasPerLoad limits concurrent loads to one in this many replicas, since concurrent
+	// loads slow each other down. minConcurrentLoads is the lower bound of this limit.
+	replicasPerLoad    = 5
+	minConcurrentLoads = 2
+	// homesPerOptionalLoad limits concurrent optional loads to one in this many homes of the
 	// model, so that the other homes continue to accept items.
-	aheadLoadsDivisor = 2
+	homesPerOptionalLoad = 2
 )
 
-// loadsAtOnce returns the maximum number of concurrent loads for a number of replicas.
-func loadsAtOnce(replicas int) int { return max(minLoads, replicas/loadsDivisor) }
+// maxConcurrentLoads returns the maximum number of concurrent loads for a number of replicas.
+func maxConcurrentLoads(replicas int) int { return max(minConcurrentLoads, replicas/replicasPerLoad) }
 
 // chooseLoads returns the tasks to start now. loading is the number of running loads by
-// model, to which the chosen tasks are added, and atOnce the maximum number of loads in
+// model, to which the chosen tasks are added, and maxLoads the maximum number of loads in
 // all.
-func chooseLoads(open []task, loading map[string]int, atOnce int) []task {
-	underWay := 0
+func chooseLoads(pending []task, loading map[string]int, maxLoads int) []task {
+	running := 0
 	for _, count := range loading {
-		underWay += count
+		running += count
 	}
-	queue := newLoadQueue(open, loading)
+	queue := newLoadQueue(pending, loading)
 	var chosen []task
-	for ; underWay < atOnce; underWay++ {
+	for ; running < maxLoads; running++ {
 		next, found := queue.next()
 		if !found {
 			break
@@ -52,15 +52,15 @@
 	chosen map[Target]bool
 }
 
-func newLoadQueue(open []task, loading map[string]int) *loadQueue {
-	made := &loadQueue{byModel: map[string][]task{}, loading: loading, chosen: map[Target]bool{}}
-	for _, next := range open {
-		made.byModel[next.model] = append(made.byModel[next.model], next)
+func newLoadQueue(pending []task, loading map[string]int) *loadQueue {
+	queue := &loadQueue{byModel: map[string][]task{}, loading: loading, chosen: map[Target]bool{}}
+	for _, next := range pending {
+		queue.byModel[next.model] = append(queue.byModel[next.model], next)
 	}
-	for _, tasks := range made.byModel {
+	for _, tasks := range queue.byModel {
 		slices.SortFunc(tasks, compareWithinModel)
 	}
-	return made
+	return queue
 }
 
 // next removes and returns the task with the highest priority, or false if none may start.
@@ -92,7 +92,7 @@
 	if len(tasks) == 0 {
 		return task{}, false
 	}
-	if tasks[0].ahead && q.loading[model] >= max(minLoads, tasks[0].homes/aheadLoadsDivisor) {
+	if tasks[0].optional && q.loading[model] >= max(minConcurrentLoads, tasks[0].homes/homesPerOptionalLoad) {
 		return task{}, false
 	}
 	return tasks[0], true
@@ -101,8 +101,8 @@
 // compare compares the first tasks of two models by priority.
 func (q *loadQueue) compare(a, b task) int {
 	return cmp.Or(
-		compareAhead(a, b),
-		cmp.Compare(a.currentPart(q.loading), b.currentPart(q.loading)),
+		compareRequired(a, b),
+		cmp.Compare(a.upToDateFraction(q.loading), b.upToDateFraction(q.loading)),
 		compareWithinModel(a, b),
 	)
 }
--- a/internal/duties/weightorders/replica_client.go
+++ b/internal/duties/weightorders/replica_client.go
@@ -8,5 +8,5 @@
 	WeightStatus(ctx context.Context, target Target) (WeightStatus, error)
 	// OrderLoad sends an order. It returns whether the replica has the version already. The
 	// error is one of this package if the replica responded or may have accepted the order.
-	OrderLoad(ctx context.Context, target Target, order LoadOrder) (holds bool, err error)
+	OrderLoad(ctx context.Context, target Target, order LoadOrder) (alreadyLoaded bool, err error)
 }
--- a/internal/duties/weightorders/share_test.go
+++ b/internal/duties/weightorders/share_test.go
@@ -5,27 +5,27 @@
 	"testing"
 )
 
-func TestSharesFollowTheDemand(t *testing.T) {
+func TestSharesFollowDemand(t *testing.T) {
 	models := []string{"a", "b", "c"}
 	for _, test := range []struct {
 		name   string
 		demand map[string]float64
 		want   []float64
 	}{
-		{"nothing is known", nil, []float64{1. / 3, 1. / 3, 1. / 3}},
-		{"all are known", map[string]float64{"a": 100, "b": 300, "c": 600}, []float64{0.1, 0.3, 0.6}},
-		{"an unknown one gets the mean", map[string]float64{"a": 100, "b": 300}, []float64{100. / 600, 300. / 600, 200. / 600}},
-		{"others are not counted", map[string]float64{"a": 1, "b": 1, "c": 2, "d": 100}, []float64{0.25, 0.25, 0.5}},
+		{"no known demand", nil, []float64{1. / 3, 1. / 3, 1. / 3}},
+		{"all known", map[string]float64{"a": 100, "b": 300, "c": 600}, []float64{0.1, 0.3, 0.6}},
+		{"unknown gets the mean", map[string]float64{"a": 100, "b": 300}, []float64{100. / 600, 300. / 600, 200. / 600}},
+		{"other models are ignored", map[string]float64{"a": 1, "b": 1, "c": 2, "d": 100}, []float64{0.25, 0.25, 0.5}},
 	} {
 		for i, share := range sharesOf(models, test.demand) {
-			if share.model != models[i] || math.Abs(share.part-test.want[i]) > 1e-9 {
+			if share.model != models[i] || math.Abs(share.fraction-test.want[i]) > 1e-9 {
 				t.Errorf("%s: %+v, want %v", test.name, share, test.want[i])
 			}
 		}
 	}
 }
 
-func TestApportionedReplicasAddUp(t *testing.T) {
+func TestApportion(t *testing.T) {
 	for _, test := range []struct {
 		replicas int
 		parts    []float64
@@ -38,33 +38,33 @@
 		{0, []float64{0.5, 0.5}, []int{0, 0}},
 	} {
 		var shares []share
-		for i, part := range test.parts {
-			shares = append(shares, share{model: string(rune('a' + i)), part: part})
+		for i, fraction := range test.parts {
+			shares = append(shares, share{model: string(rune('a' + i)), fraction: fraction})
 		}
 		got, sum := apportion(test.replicas, shares), 0
 		for i, share := range shares {
 			sum += got[share.model]
 			if got[share.model] != test.want[i] {
-				t.Errorf("%d replicas by %v: %v, want %v", test.replicas, test.parts, got, test.want)
+				t.Errorf("%d replicas, shares %v: got %v, want %v", test.replicas, test.parts, got, test.want)
 				break
 			}
 		}
 		if sum != test.replicas {
-			t.Errorf("%d replicas by %v: %d given out", test.replicas, test.parts, sum)
+			t.Errorf("%d replicas, shares %v: got %d in total", test.replicas, test.parts, sum)
 		}
 	}
 }
 
 // Equal numbers of homes would slow down the models with the highest demand.
-func TestAModelWithMoreWorkHasMoreHomes(t *testing.T) {
+func TestMoreDemandGivesMoreHomes(t *testing.T) {
 	demand := map[string]float64{"small": 100, "large": 300}
-	kept := homes(replicas(40), sharesOf([]string{"small", "large"}, demand), nil)
-	if small, large := len(kept["small"]), len(kept["large"]); small != 14 || large != 40 {
-		t.Errorf("%d and %d replicas, want 14 and 40", small, large)
+	assigned := homes(replicas(40), sharesOf([]string{"small", "large"}, demand), nil)
+	if small, large := len(assigned["small"]), len(assigned["large"]); small != 14 || large != 40 {
+		t.Errorf("%d and %d homes, want 14 and 40", small, large)
 	}
 }
 
-func TestSmallDifferencesOfDemandMoveNothing(t *testing.T) {
+func TestDemandDiffers(t *testing.T) {
 	planned := map[string]float64{"a": 100, "b": 200}
 	for _, test := range []struct {
 		demand map[string]float64
--- a/internal/duties/weightorders/task.go
+++ b/internal/duties/weightorders/task.go
@@ -6,32 +6,32 @@
 type task struct {
 	target Target
 	model  string
-	// version is the named version, and held the newest version that the replica is known
-	// to have loaded.
-	version int64
-	held    int64
-	// currentHomes is the number of homes of the model without a required load, and homes
+	// version is the named version, and loadedVersion the newest version that the replica
+	// is known to have loaded.
+	version       int64
+	loadedVersion int64
+	// upToDateHomes is the number of homes of the model without a required load, and homes
 	// the number of all its homes.
-	currentHomes int
-	homes        int
-	// ahead is set if the load is optional: new jobs accept the replica's version.
-	ahead bool
+	upToDateHomes int
+	homes         int
+	// optional is set if new jobs accept the version that the replica has loaded.
+	optional bool
 	// runningItems is the number of items that run at the replica.
 	runningItems int
 }
 
-// currentPart returns the fraction of the model's homes that need no required load or are
-// loading.
-func (t task) currentPart(loading map[string]int) float64 {
-	return float64(t.currentHomes+loading[t.model]) / float64(t.homes)
+// upToDateFraction returns the fraction of the model's homes that either need no required
+// load or are loading.
+func (t task) upToDateFraction(loading map[string]int) float64 {
+	return float64(t.upToDateHomes+loading[t.model]) / float64(t.homes)
 }
 
-// compareAhead sorts required loads before optional ones.
-func compareAhead(a, b task) int {
+// compareRequired sorts required loads before optional ones.
+func compareRequired(a, b task) int {
 	switch {
-	case a.ahead == b.ahead:
+	case a.optional == b.optional:
 		return 0
-	case b.ahead:
+	case b.optional:
 		return -1
 	}
 	return 1
@@ -42,8 +42,8 @@
 // items.
 func compareWithinModel(a, b task) int {
 	return cmp.Or(
-		compareAhead(a, b),
-		cmp.Compare(b.version-b.held, a.version-a.held),
+		compareRequired(a, b),
+		cmp.Compare(b.version-b.loadedVersion, a.version-a.loadedVersion),
 		cmp.Compare(a.runningItems, b.runningItems),
 		cmp.Compare(a.target.ID, b.target.ID),
 	)
--- a/internal/duties/weightorders/versions.go
+++ b/internal/duties/weightorders/versions.go
@@ -15,7 +15,7 @@
 // ObserveVersion applies a replica's version that another node has sent.
 func (c *Coordinator) ObserveVersion(change wire.ReplicaVersion) {
 	if !change.Loading {
-		c.learn(change.Replica, change.Model, change.Version)
+		c.recordVersion(change.Replica, change.Model, change.Version)
 	}
 }
 
@@ -31,8 +31,8 @@
 	return changes
 }
 
-// keepAnnouncing adds a finished change to the next heartbeats.
-func (c *Coordinator) keepAnnouncing(change wire.ReplicaVersion) {
+// addAnnounced adds a finished change to the next heartbeats.
+func (c *Coordinator) addAnnounced(change wire.ReplicaVersion) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.announced = slices.DeleteFunc(c.announced, func(older wire.ReplicaVersion) bool {
@@ -45,7 +45,7 @@
 }
 
 // learn records that a replica has loaded a version.
-func (c *Coordinator) learn(replica, model string, version int64) {
+func (c *Coordinator) recordVersion(replica, model string, version int64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.versions[replica] == nil {
@@ -54,30 +54,30 @@
 	c.versions[replica][model] = max(c.versions[replica][model], version)
 }
 
-// version returns the newest version of a model that a replica is known to have loaded.
-func (c *Coordinator) version(replica, model string) int64 {
-	known := int64(0)
+// knownVersion returns the newest version of a model that a replica is known to have loaded.
+func (c *Coordinator) knownVersion(replica, model string) int64 {
+	newest := int64(0)
 	if listed := c.config.Directory.View().Replicas[replica]; listed != nil {
-		known = listed.Versions[model]
+		newest = listed.Versions[model]
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return max(known, c.versions[replica][model])
+	return max(newest, c.versions[replica][model])
 }
 
-// forgetGone drops the state of replicas that are no longer listed in the directory.
-func (c *Coordinator) forgetGone(listed map[string]*directory.Replica) {
+// pruneReplicas drops the state of replicas that are no longer listed in the directory.
+func (c *Coordinator) pruneReplicas(listed map[string]*directory.Replica) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	maps.DeleteFunc(c.versions, func(id string, _ map[string]int64) bool { return listed[id] == nil })
 	maps.DeleteFunc(c.retryAt, func(id string, _ time.Time) bool { return listed[id] == nil })
 }
 
-// isUnderWay reports whether a task must not start now, because its replica is loading or in
+// isBlocked reports whether a task must not start now, because its replica is loading or in
 // backoff after a failed load.
-func (c *Coordinator) isUnderWay(next task) bool {
+func (c *Coordinator) isBlocked(pending task) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	_, loading := c.loading[next.target.ID]
-	return loading || time.Now().Before(c.retryAt[next.target.ID])
+	_, loading := c.loading[pending.target.ID]
+	return loading || time.Now().Before(c.retryAt[pending.target.ID])
 }
