--- a/internal/duties/lease/errors.go
+++ b/internal/duties/lease/errors.go
@@ -10,7 +10,7 @@
 	// ErrStopped means that this node has stopped performing duties.
 	ErrStopped = merry.Sentinel("node has stopped performing duties")
 	// ErrUnanswered means that the receiver may have executed a call, or may still do so.
-	ErrUnanswered = merry.Sentinel("no response to duty call")
+	ErrUnanswered = merry.Sentinel("outcome of duty call is unknown")
 	// ErrFenced means that a call was not executed because its receiver has seen a newer
 	// token, or not sent because this node no longer holds the lease.
 	ErrFenced = merry.Sentinel("fencing token is outdated")
--- a/internal/duties/usage/clock.go
+++ b/internal/duties/usage/clock.go
@@ -36,10 +36,10 @@
 	// the Unix epoch.
 	start time.Time
 	unix  time.Duration
-	// stepAt is the time when the current step of the wall clock was detected, zero if
+	// stepSince is the time when the current step of the wall clock was detected, zero if
 	// there is none.
-	stepAt time.Time
-	peers  map[string]peerOffset
+	stepSince time.Time
+	peers     map[string]peerOffset
 }
 
 // peerOffset is the offset of a peer's estimate from this node's, positive if it is ahead.
@@ -53,8 +53,8 @@
 
 // newClockAt returns a Clock that starts with the given simultaneous readings of the
 // monotonic clock and the wall clock.
-func newClockAt(steady, timeOfDay time.Time, logger klog.Logger) *Clock {
-	return &Clock{logger: logger, start: steady, unix: time.Duration(timeOfDay.UnixNano()), peers: map[string]peerOffset{}}
+func newClockAt(monotonic, wallClock time.Time, logger klog.Logger) *Clock {
+	return &Clock{logger: logger, start: monotonic, unix: time.Duration(wallClock.UnixNano()), peers: map[string]peerOffset{}}
 }
 
 // Unix returns the estimated time at a reading of the monotonic clock, as a duration since
@@ -65,36 +65,37 @@
 	return c.unix + at.Sub(c.start)
 }
 
-// SyncToWallClock compares the clock with the wall clock, and corrects it by slewing or by adopting
-// a lasting step. It is called about once a second.
-func (c *Clock) SyncToWallClock(steady, timeOfDay time.Time) {
+// SyncToWallClock compares the clock with the wall clock, and corrects it by slewing or by
+// adopting a lasting step. It is called about once a second, with simultaneous readings of
+// the monotonic clock and the wall clock.
+func (c *Clock) SyncToWallClock(monotonic, wallClock time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	ahead := time.Duration(timeOfDay.UnixNano()) - c.unix - steady.Sub(c.start)
+	offset := time.Duration(wallClock.UnixNano()) - c.unix - monotonic.Sub(c.start)
 	switch {
-	case ahead.Abs() <= maxSlewOffset:
-		if !c.stepAt.IsZero() {
-			c.logger.Info("time of day is right again")
+	case offset.Abs() <= maxSlewOffset:
+		if !c.stepSince.IsZero() {
+			c.logger.Info("wall clock matches the estimated time again")
 		}
-		c.stepAt = time.Time{}
-		c.unix += max(-slewStep, min(slewStep, ahead))
-	case c.stepAt.IsZero():
-		c.stepAt = steady
-		c.logger.Info("time of day has been stepped, going by the steady clock", "aheadMs", ahead.Milliseconds())
-	case steady.Sub(c.stepAt) > lastingStepAge:
-		c.adopt(ahead, "the step lasts")
+		c.stepSince = time.Time{}
+		c.unix += max(-slewStep, min(slewStep, offset))
+	case c.stepSince.IsZero():
+		c.stepSince = monotonic
+		c.logger.Info("wall clock has been stepped, following the monotonic clock", "aheadMs", offset.Milliseconds())
+	case monotonic.Sub(c.stepSince) > lastingStepAge:
+		c.applyOffset(offset, "step of the wall clock persists")
 	}
 }
 
-// ObservePeer records the offset of a peer's estimate from this clock, positive if the peer
-// is ahead, and adopts the median offset if it is too large.
-func (c *Clock) ObservePeer(peer string, offset time.Duration, steady time.Time) {
+// ObservePeer records the offset of a peer's estimate from this clock, positive if the peer is
+// ahead, and corrects the clock by the median offset of the peers if that is too large.
+func (c *Clock) ObservePeer(peer string, offset time.Duration, monotonic time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.peers[peer] = peerOffset{offset: offset, at: steady}
+	c.peers[peer] = peerOffset{offset: offset, at: monotonic}
 	var offsets []time.Duration
 	for name, reported := range c.peers {
-		if steady.Sub(reported.at) > peerOffsetAge {
+		if monotonic.Sub(reported.at) > peerOffsetAge {
 			delete(c.peers, name)
 			continue
 		}
@@ -105,14 +106,14 @@
 	}
 	slices.Sort(offsets)
 	if median := offsets[len(offsets)/2]; median.Abs() > maxPeerOffset {
-		c.adopt(median, "most peers differ")
+		c.applyOffset(median, "median offset of the peers is too large")
 	}
 }
 
-// adopt corrects the clock by an offset. The mutex must be held.
-func (c *Clock) adopt(offset time.Duration, reason string) {
+// applyOffset corrects the clock by an offset. The mutex must be held.
+func (c *Clock) applyOffset(offset time.Duration, reason string) {
 	c.unix += offset
-	c.stepAt = time.Time{}
+	c.stepSince = time.Time{}
 	clear(c.peers)
-	c.logger.Info("estimate of the time corrected", "byMs", offset.Milliseconds(), "reason", reason)
+	c.logger.Info("corrected the estimated time", "byMs", offset.Milliseconds(), "reason", reason)
 }
--- a/internal/duties/usage/collector.go
+++ b/internal/duties/usage/collector.go
@@ -59,8 +59,8 @@
 	return total, len(c.windows[number])
 }
 
-// first returns the oldest window with counts that is newer than a given one.
-func (c *collector) first(after int64) (number int64, known bool) {
+// firstAfter returns the oldest window with counts that is newer than a given one.
+func (c *collector) firstAfter(after int64) (number int64, known bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, number := range slices.Sorted(maps.Keys(c.windows)) {
@@ -71,8 +71,8 @@
 	return 0, false
 }
 
-// forget drops the windows older than a given one.
-func (c *collector) forget(before int64) {
+// dropBefore drops the windows older than a given one.
+func (c *collector) dropBefore(before int64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	maps.DeleteFunc(c.windows, func(number int64, _ map[source]Counts) bool { return number < before })
--- a/internal/duties/usage/collector_test.go
+++ b/internal/duties/usage/collector_test.go
@@ -17,7 +17,7 @@
 
 // Repeated and reordered pushes must not change the sum, as long as the newest push of each
 // process arrives.
-func TestSumsDoNotDependOnTheOrderOfPushes(t *testing.T) {
+func TestSumIgnoresOrderOfPushes(t *testing.T) {
 	var pushes []*wire.UsagePush
 	want := Counts{}
 	for _, node := range []string{"one", "two"} {
@@ -37,24 +37,25 @@
 			}
 		}
 		if got, sources := collected.sum(7); !maps.Equal(got, want) || sources != 4 {
-			t.Fatalf("sum %v of %d sources, want %v", got, sources, want)
+			t.Fatalf("sum is %v from %d sources, want %v from 4", got, sources, want)
 		}
 	}
 }
 
-func TestOldWindowsAreForgotten(t *testing.T) {
+// Windows that are never dropped would fill the memory.
+func TestCollectorDropsOldWindows(t *testing.T) {
 	collected := newCollector()
 	for window := range int64(10) {
 		collected.add(pushOf("one", 1, window, "t", 1))
 	}
-	collected.forget(5)
+	collected.dropBefore(5)
 	if _, sources := collected.sum(4); sources != 0 {
-		t.Error("a forgotten window is known")
+		t.Error("dropped window still has counts")
 	}
-	if number, known := collected.first(6); !known || number != 7 {
-		t.Errorf("the first after 6 is %d, %v", number, known)
+	if number, known := collected.firstAfter(6); !known || number != 7 {
+		t.Errorf("first window after 6 is %d, found %v, want 7", number, known)
 	}
-	if _, known := collected.first(9); known {
-		t.Error("there is a window after the last")
+	if _, known := collected.firstAfter(9); known {
+		t.Error("found a window after the last one")
 	}
 }
--- a/internal/duties/usage/config.go
+++ b/internal/duties/usage/config.go
@@ -15,8 +15,8 @@
 type Config struct {
 	Node        string
 	Incarnation uint64
-	// Window is the length of a window, and ReportDeadline the time after its end within which its
-	// report is due.
+	// Window is the length of a window, and ReportDeadline the time after its end within
+	// which its report is due.
 	Window         time.Duration
 	ReportDeadline time.Duration
 	Elector        *lease.Elector
--- a/internal/duties/usage/counter.go
+++ b/internal/duties/usage/counter.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// tally holds this process's counts of one window.
-type tally struct {
+// windowCounts holds this process's counts of one window.
+type windowCounts struct {
 	counts Counts
-	// changed is the version of the counter at the last change.
-	changed uint64
+	// changedAt is the version of the counter at the last change.
+	changedAt uint64
 }
 
 // Counter counts the requests that this node sends to replicas, by window and tenant. It is
@@ -20,7 +20,7 @@
 	window time.Duration
 
 	mutex   sync.Mutex
-	tallies map[int64]*tally
+	windows map[int64]*windowCounts
 	// version is incremented with each counted request.
 	version uint64
 	wake    chan struct{}
@@ -28,24 +28,25 @@
 
 // NewCounter returns a Counter with the given length of windows.
 func NewCounter(clock *Clock, window time.Duration) *Counter {
-	return &Counter{clock: clock, window: window, tallies: map[int64]*tally{}, wake: make(chan struct{}, 1)}
+	return &Counter{clock: clock, window: window, windows: map[int64]*windowCounts{}, wake: make(chan struct{}, 1)}
 }
 
-// CountRequest counts a request of a tenant that began to run at a time of the monotonic clock.
+// CountRequest counts a request of a tenant, empty for none, that began to run at a time of
+// the monotonic clock.
 func (c *Counter) CountRequest(tenant string, at time.Time) {
 	if tenant == "" {
 		return
 	}
-	number := c.numberAt(at)
+	number := c.windowAt(at)
 	c.mutex.Lock()
 	c.version++
-	current := c.tallies[number]
+	current := c.windows[number]
 	if current == nil {
-		current = &tally{counts: Counts{}}
-		c.tallies[number] = current
+		current = &windowCounts{counts: Counts{}}
+		c.windows[number] = current
 	}
 	current.counts[tenant]++
-	current.changed = c.version
+	current.changedAt = c.version
 	c.mutex.Unlock()
 	select {
 	case c.wake <- struct{}{}:
@@ -53,8 +54,8 @@
 	}
 }
 
-// numberAt returns the number of the window that contains a time.
-func (c *Counter) numberAt(at time.Time) int64 { return int64(c.clock.Unix(at) / c.window) }
+// windowAt returns the number of the window that contains a time.
+func (c *Counter) windowAt(at time.Time) int64 { return int64(c.clock.Unix(at) / c.window) }
 
 // sinceEnd returns the time from the end of a window to the given time, negative if the
 // window ends later.
@@ -62,30 +63,29 @@
 	return c.clock.Unix(at) - time.Duration(number+1)*c.window
 }
 
-// since returns copies of the windows that have changed after a version, and the current
-// version.
-func (c *Counter) since(version uint64) (windows map[int64]Counts, now uint64) {
+// changedSince returns copies of the windows that have changed after a version, and the
+// current version.
+func (c *Counter) changedSince(version uint64) (windows map[int64]Counts, now uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	windows = map[int64]Counts{}
-	for number, current := range c.tallies {
-		if current.changed > version {
+	for number, current := range c.windows {
+		if current.changedAt > version {
 			windows[number] = maps.Clone(current.counts)
 		}
 	}
 	return windows, c.version
 }
 
-// newest returns the current version.
-func (c *Counter) newest() uint64 {
+func (c *Counter) currentVersion() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.version
 }
 
-// forget drops the windows older than a given one.
-func (c *Counter) forget(before int64) {
+// dropBefore drops the windows older than a given one.
+func (c *Counter) dropBefore(before int64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	maps.DeleteFunc(c.tallies, func(number int64, _ *tally) bool { return number < before })
+	maps.DeleteFunc(c.windows, func(number int64, _ *windowCounts) bool { return number < before })
 }
--- a/internal/duties/usage/ledger.go
+++ b/internal/duties/usage/ledger.go
@@ -21,7 +21,7 @@
 
 // ErrTooOld means that a window is older than those that the ledger holds, so that another
 // sum may have been settled for it before.
-var ErrTooOld = merry.Sentinel("window is older than the ledger")
+var ErrTooOld = merry.Sentinel("window is older than those in the ledger")
 
 // entry is a window with its settled sum.
 type entry struct {
@@ -38,16 +38,16 @@
 // store, updated by conditional writes. It is not safe for concurrent use.
 type ledger struct {
 	store objectstore.Store
-	// known is the content of the stored object at revision. It is valid if read is set.
-	known    ledgerSpec
+	// content is the content of the stored object at revision. It is valid if loaded is set.
+	content  ledgerSpec
 	revision uint64
-	read     bool
+	loaded   bool
 }
 
 // settle returns the settled sum of a window: the given one, unless another was settled
 // before. After an error it is unknown whether a sum is settled.
 func (l *ledger) settle(ctx context.Context, window int64, counts Counts) (Counts, error) {
-	if !l.read {
+	if !l.loaded {
 		if err := l.load(ctx); err != nil {
 			return nil, err
 		}
@@ -55,14 +55,14 @@
 	if current, found := l.find(window); found {
 		return current, nil
 	}
-	if len(l.known.Settled) == maxSettledWindows && window < l.known.Settled[0].Window {
+	if len(l.content.Settled) == maxSettledWindows && window < l.content.Settled[0].Window {
 		return nil, ErrTooOld
 	}
-	return l.append(ctx, entry{Window: window, Counts: counts})
+	return l.add(ctx, entry{Window: window, Counts: counts})
 }
 
 func (l *ledger) find(window int64) (Counts, bool) {
-	for _, current := range l.known.Settled {
+	for _, current := range l.content.Settled {
 		if current.Window == window {
 			return current.Counts, true
 		}
@@ -74,28 +74,28 @@
 func (l *ledger) load(ctx context.Context) error {
 	object, err := l.store.Get(ctx, ledgerKind, ledgerName, objectstore.Linearizable)
 	if errors.Is(err, objectstore.ErrNotFound) {
-		l.known, l.revision, l.read = ledgerSpec{}, 0, true
+		l.content, l.revision, l.loaded = ledgerSpec{}, 0, true
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	return l.take(object)
+	return l.decode(object)
 }
 
-func (l *ledger) take(object objectstore.Object) error {
+func (l *ledger) decode(object objectstore.Object) error {
 	var stored ledgerSpec
 	if err := json.Unmarshal(object.Spec, &stored); err != nil {
 		return merry.Wrap(err)
 	}
-	l.known, l.revision, l.read = stored, object.Revision, true
+	l.content, l.revision, l.loaded = stored, object.Revision, true
 	return nil
 }
 
-// append adds a window to the stored ledger. If another node has written it meanwhile,
-// append fails, and the stored content is known to the next attempt.
-func (l *ledger) append(ctx context.Context, added entry) (Counts, error) {
-	next := ledgerSpec{Settled: append(slices.Clone(l.known.Settled), added)}
+// add adds a window to the stored ledger. If another node has changed the ledger meanwhile,
+// it fails, and the next attempt starts from the stored content.
+func (l *ledger) add(ctx context.Context, added entry) (Counts, error) {
+	next := ledgerSpec{Settled: append(slices.Clone(l.content.Settled), added)}
 	slices.SortFunc(next.Settled, func(a, b entry) int { return int(a.Window - b.Window) })
 	if excess := len(next.Settled) - maxSettledWindows; excess > 0 {
 		next.Settled = next.Settled[excess:]
@@ -113,12 +113,12 @@
 	var conflict *objectstore.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		return nil, errors.Join(err, l.take(conflict.Current))
+		return nil, errors.Join(err, l.decode(conflict.Current))
 	case err != nil:
 		// The write may have been applied, or may still be.
-		l.read = false
+		l.loaded = false
 		return nil, err
 	}
-	l.known, l.revision = next, object.Revision
+	l.content, l.revision = next, object.Revision
 	return added.Counts, nil
 }
--- a/internal/duties/usage/ledger_test.go
+++ b/internal/duties/usage/ledger_test.go
@@ -8,7 +8,8 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-func TestASettledSumStands(t *testing.T) {
+// Two sums settled for one window would lead to different reports of it.
+func TestSettledSumIsFinal(t *testing.T) {
 	store := metastore.New()
 	first, second := &ledger{store: store}, &ledger{store: store}
 	ctx := context.Background()
@@ -17,7 +18,7 @@
 	}
 	for range 2 {
 		if got, err := second.settle(ctx, 5, Counts{"t": 4}); err != nil || got["t"] != 3 {
-			t.Errorf("settled as %v, %v", got, err)
+			t.Errorf("window 5 is settled as %v, error %v, want the first sum", got, err)
 		}
 	}
 	// The first ledger does not know the newest write of the second one.
@@ -25,21 +26,21 @@
 		t.Fatal(err)
 	}
 	if _, err := first.settle(ctx, 6, Counts{"t": 8}); err == nil {
-		t.Fatal("a write beside another's succeeded")
+		t.Fatal("conflicting write succeeded")
 	}
 	if got, err := first.settle(ctx, 6, Counts{"t": 8}); err != nil || got["t"] != 7 {
-		t.Errorf("settled as %v, %v", got, err)
+		t.Errorf("window 6 is settled as %v, error %v, want the first sum", got, err)
 	}
 }
 
 // A write that was not answered may have been applied, or may be applied later. A second sum
 // must not be settled beside it.
-func TestAWriteWithoutAnAnswerIsReadFirst(t *testing.T) {
+func TestLedgerRereadsUnansweredWrite(t *testing.T) {
 	for _, fault := range []metastore.Fault{metastore.Late, metastore.Unanswered} {
 		store := metastore.New()
-		settled, other := &ledger{store: store}, &ledger{store: store}
+		own, other := &ledger{store: store}, &ledger{store: store}
 		ctx := context.Background()
-		if _, err := settled.settle(ctx, 5, Counts{"t": 1}); err != nil {
+		if _, err := own.settle(ctx, 5, Counts{"t": 1}); err != nil {
 			t.Fatal(err)
 		}
 		store.SetFault(func(call metastore.Call) metastore.Fault {
@@ -48,30 +49,31 @@
 			}
 			return metastore.Sound
 		})
-		if _, err := settled.settle(ctx, 6, Counts{"t": 2}); err == nil {
-			t.Fatal("a write without an answer succeeded")
+		if _, err := own.settle(ctx, 6, Counts{"t": 2}); err == nil {
+			t.Fatal("unanswered write succeeded")
 		}
 		store.SetFault(nil)
 		store.ApplyLate()
 		if got, err := other.settle(ctx, 6, Counts{"t": 3}); err != nil || got["t"] != 2 {
-			t.Errorf("fault %v: another node settled %v, %v", fault, got, err)
+			t.Errorf("fault %v: another node settled %v, error %v, want the first sum", fault, got, err)
 		}
-		if got, err := settled.settle(ctx, 6, Counts{"t": 9}); err != nil || got["t"] != 2 {
-			t.Errorf("fault %v: settled as %v, %v", fault, got, err)
+		if got, err := own.settle(ctx, 6, Counts{"t": 9}); err != nil || got["t"] != 2 {
+			t.Errorf("fault %v: settled as %v, error %v, want the first sum", fault, got, err)
 		}
 	}
 }
 
-func TestTheLedgerHoldsTheNewestWindows(t *testing.T) {
+// A window that was dropped from the ledger must not be settled with another sum.
+func TestLedgerHoldsNewestWindows(t *testing.T) {
 	store := metastore.New()
-	settled := &ledger{store: store}
+	own := &ledger{store: store}
 	ctx := context.Background()
 	for window := range int64(maxSettledWindows + 3) {
-		if _, err := settled.settle(ctx, window, Counts{}); err != nil {
+		if _, err := own.settle(ctx, window, Counts{}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := settled.settle(ctx, 1, Counts{"t": 1}); !errors.Is(err, ErrTooOld) {
-		t.Errorf("a window that the ledger has dropped is settled anew: %v", err)
+	if _, err := own.settle(ctx, 1, Counts{"t": 1}); !errors.Is(err, ErrTooOld) {
+		t.Errorf("settling a window that the ledger has dropped: error %v, want ErrTooOld", err)
 	}
 }
--- a/internal/duties/usage/metrics.go
+++ b/internal/duties/usage/metrics.go
@@ -12,9 +12,9 @@
 type metrics struct{ reports *prometheus.CounterVec }
 
 func newMetrics(registry prometheus.Registerer) *metrics {
-	made := &metrics{reports: prometheus.NewCounterVec(prometheus.CounterOpts{
+	created := &metrics{reports: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "pathtally_usage_reports_total", Help: "Reports of a window's usage by this node, by outcome.",
 	}, []string{"outcome"})}
-	registry.MustRegister(made.reports)
-	return made
+	registry.MustRegister(created.reports)
+	return created
 }
--- a/internal/duties/usage/progress.go
+++ b/internal/duties/usage/progress.go
@@ -2,15 +2,15 @@
 
 import "github.com/pathtally/pathtally/internal/wire"
 
-// CompletedThrough returns the newest window up to which all windows have been reported or given up, 0
-// if none is known.
-func (s *Service) CompletedThrough() int64 { return s.done.Load() }
+// CompletedThrough returns the newest window up to which all windows have been reported or
+// given up, 0 if none is known.
+func (s *Service) CompletedThrough() int64 { return s.completed.Load() }
 
 // ObserveCompleted records that all windows up to a given one have been reported or given up.
 func (s *Service) ObserveCompleted(number int64) {
 	for {
-		known := s.done.Load()
-		if number <= known || s.done.CompareAndSwap(known, number) {
+		known := s.completed.Load()
+		if number <= known || s.completed.CompareAndSwap(known, number) {
 			return
 		}
 	}
@@ -26,21 +26,22 @@
 		return
 	}
 	s.ObserveCompleted(heartbeat.UsageDone)
-	s.forgetSettled(heartbeat.UsageDone)
+	s.dropOldCounts(heartbeat.UsageDone)
 }
 
-// finish completes a window with an outcome, and drops the counts that are no longer needed.
-func (s *Service) finish(number int64, outcome string) {
+// complete completes a window with an outcome, and drops the counts that are no longer
+// needed.
+func (s *Service) complete(number int64, outcome string) {
 	s.metrics.reports.WithLabelValues(outcome).Inc()
 	s.ObserveCompleted(number)
 	s.config.HeartbeatSoon()
-	s.forgetSettled(number)
+	s.dropOldCounts(number)
 }
 
-// forgetSettled drops the counts of windows that the ledger no longer holds, given the newest
+// dropOldCounts drops the counts of windows that the ledger no longer holds, given the newest
 // completed window.
-func (s *Service) forgetSettled(done int64) {
-	before := done - maxSettledWindows
-	s.collector.forget(before)
-	s.counter.forget(before)
+func (s *Service) dropOldCounts(completed int64) {
+	before := completed - maxSettledWindows
+	s.collector.dropBefore(before)
+	s.counter.dropBefore(before)
 }
--- a/internal/duties/usage/pusher.go
+++ b/internal/duties/usage/pusher.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// followers is the number of successors that receive all counts besides the holder. If
+	// pushSuccessors is the number of successors that receive all counts besides the holder. If
 	// all of these nodes fail at once, the other nodes push their counts to the next
 	// successors.
-	followers = 3
+	pushSuccessors = 3
 	// minPushInterval is the minimum time between pushes of a node. The counts that a
 	// killed node has not pushed are lost, so it bounds the error of the reports.
 	minPushInterval = 250 * time.Millisecond
@@ -49,20 +49,20 @@
 	clock   *Clock
 
 	mutex sync.Mutex
-	// pushed is the version of the counter that each receiver has confirmed, and pushing
-	// the set of receivers with a push in flight.
-	pushed  map[receiver]uint64
-	pushing map[receiver]bool
+	// confirmed is the version of the counter that each receiver has confirmed, and
+	// inFlight the set of receivers with a push in flight.
+	confirmed map[receiver]uint64
+	inFlight  map[receiver]bool
 }
 
 func newPusher(config Config, counter *Counter, clock *Clock) *pusher {
-	return &pusher{config: config, counter: counter, clock: clock, pushed: map[receiver]uint64{}, pushing: map[receiver]bool{}}
+	return &pusher{config: config, counter: counter, clock: clock, confirmed: map[receiver]uint64{}, inFlight: map[receiver]bool{}}
 }
 
 // run pushes counts until the context is done.
 func (p *pusher) run(ctx context.Context) {
 	for {
-		behind := p.push(ctx)
+		behind := p.startPushes(ctx)
 		if !objectstore.Sleep(ctx, p.pushInterval()) {
 			return
 		}
@@ -83,7 +83,7 @@
 func (p *pusher) flush(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
-	for p.push(ctx) {
+	for p.startPushes(ctx) {
 		if !objectstore.Sleep(ctx, flushPollInterval) {
 			return false
 		}
@@ -98,33 +98,33 @@
 
 // receivers returns the processes that counts are pushed to, without this one.
 func (p *pusher) receivers() []receiver {
-	var named []receiver
-	for _, node := range p.config.Elector.HolderAndSuccessors(followers) {
+	var found []receiver
+	for _, node := range p.config.Elector.HolderAndSuccessors(pushSuccessors) {
 		address, incarnation, known := p.config.Peer(node)
 		if node != p.config.Node && known {
-			named = append(named, receiver{node: node, address: address, incarnation: incarnation})
+			found = append(found, receiver{node: node, address: address, incarnation: incarnation})
 		}
 	}
-	return named
+	return found
 }
 
-// push starts a push to each receiver that lacks counts and has no push in flight, and
-// returns whether any receiver lacks counts. It does not wait for responses, so that one
+// startPushes starts a push to each receiver that lacks counts and has no push in flight, and
+// returns whether any receiver lacks counts. It does not wait for replies, so that one
 // unresponsive receiver does not delay the others.
-func (p *pusher) push(ctx context.Context) (behind bool) {
+func (p *pusher) startPushes(ctx context.Context) (behind bool) {
 	receivers := p.receivers()
-	version := p.counter.newest()
+	version := p.counter.currentVersion()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	maps.DeleteFunc(p.pushed, func(known receiver, _ uint64) bool { return !slices.Contains(receivers, known) })
+	maps.DeleteFunc(p.confirmed, func(known receiver, _ uint64) bool { return !slices.Contains(receivers, known) })
 	for _, to := range receivers {
-		if p.pushed[to] >= version {
+		if p.confirmed[to] >= version {
 			continue
 		}
 		behind = true
-		if !p.pushing[to] {
-			p.pushing[to] = true
-			go p.pushTo(ctx, to, p.pushed[to])
+		if !p.inFlight[to] {
+			p.inFlight[to] = true
+			go p.pushTo(ctx, to, p.confirmed[to])
 		}
 	}
 	return behind
@@ -132,26 +132,26 @@
 
 // pushTo pushes the windows changed after a version to a receiver. The reply also gives the
 // offset of the receiver's clock.
-func (p *pusher) pushTo(ctx context.Context, to receiver, known uint64) {
-	windows, version := p.counter.since(known)
+func (p *pusher) pushTo(ctx context.Context, to receiver, since uint64) {
+	windows, version := p.counter.changedSince(since)
 	sent := time.Now()
-	message, err := environment.Ask(ctx, p.config.Peers, to.address, p.message(windows, sent), pushTimeout)
-	answered := time.Now()
-	taken, isTaken := message.(*wire.UsageTaken)
+	message, err := environment.Ask(ctx, p.config.Peers, to.address, p.newPush(windows, sent), pushTimeout)
+	replied := time.Now()
+	reply, isReply := message.(*wire.UsageTaken)
 	p.mutex.Lock()
-	delete(p.pushing, to)
-	if err == nil && isTaken {
-		p.pushed[to] = version
+	delete(p.inFlight, to)
+	if err == nil && isReply {
+		p.confirmed[to] = version
 	}
 	p.mutex.Unlock()
-	if err == nil && isTaken {
-		halfway := sent.Add(answered.Sub(sent) / 2)
-		p.clock.ObservePeer(to.node, time.Duration(taken.UnixMs)*time.Millisecond-p.clock.Unix(halfway), answered)
+	if err == nil && isReply {
+		halfway := sent.Add(replied.Sub(sent) / 2)
+		p.clock.ObservePeer(to.node, time.Duration(reply.UnixMs)*time.Millisecond-p.clock.Unix(halfway), replied)
 	}
 }
 
-// message returns the push message for some windows.
-func (p *pusher) message(windows map[int64]Counts, sent time.Time) *wire.UsagePush {
+// newPush returns a push of some windows that is sent at a time.
+func (p *pusher) newPush(windows map[int64]Counts, sent time.Time) *wire.UsagePush {
 	push := &wire.UsagePush{Node: p.config.Node, Incarnation: p.config.Incarnation, UnixMs: p.clock.Unix(sent).Milliseconds()}
 	for _, number := range slices.Sorted(maps.Keys(windows)) {
 		window := wire.UsageWindow{Number: number}
--- a/internal/duties/usage/service.go
+++ b/internal/duties/usage/service.go
@@ -24,11 +24,11 @@
 	ledger    ledger
 	metrics   *metrics
 	started   time.Time
-	// informedAt is the time since which other nodes push their counts to this node, zero
+	// receiverSince is the time since which other nodes push their counts to this node, zero
 	// if they do not. Only the reporting goroutine uses it.
-	informedAt time.Time
-	// done is the newest window up to which all windows have been reported or given up.
-	done atomic.Int64
+	receiverSince time.Time
+	// completed is the newest window up to which all windows have been reported or given up.
+	completed atomic.Int64
 }
 
 // NewService returns a Service that only counts requests before Run is called.
@@ -42,7 +42,8 @@
 	}
 }
 
-// CountRequest counts a request of a tenant that began to run at a time of the monotonic clock.
+// CountRequest counts a request of a tenant, empty for none, that began to run at a time of
+// the monotonic clock.
 func (s *Service) CountRequest(tenant string, at time.Time) { s.counter.CountRequest(tenant, at) }
 
 // ReceivePush records another node's counts, and returns the reply.
@@ -55,12 +56,12 @@
 func (s *Service) Run(ctx context.Context) {
 	var duties sync.WaitGroup
 	duties.Go(func() { s.pusher.run(ctx) })
-	duties.Go(func() { s.compareClock(ctx) })
-	duties.Go(func() { s.report(ctx) })
+	duties.Go(func() { s.syncClock(ctx) })
+	duties.Go(func() { s.runReports(ctx) })
 	duties.Wait()
 }
 
-func (s *Service) compareClock(ctx context.Context) {
+func (s *Service) syncClock(ctx context.Context) {
 	for objectstore.Sleep(ctx, clockPollInterval) {
 		now := time.Now()
 		s.clock.SyncToWallClock(now, now)
@@ -70,6 +71,6 @@
 // Flush pushes this node's counts before a graceful shutdown.
 func (s *Service) Flush(ctx context.Context) {
 	if !s.pusher.flush(ctx) {
-		s.config.Logger.Info("usage counts not pushed to all at the stop")
+		s.config.Logger.Info("failed to push all usage counts before shutdown")
 	}
 }
--- a/internal/duties/usage/service_test.go
+++ b/internal/duties/usage/service_test.go
@@ -21,63 +21,63 @@
 )
 
 const (
-	testWindow = 5 * time.Second
-	testLate   = 10 * time.Second
+	testWindow   = 5 * time.Second
+	testDeadline = 10 * time.Second
 )
 
-// received is a report that the platform has accepted, with the delay since the end of its
-// window.
-type received struct {
+// receivedReport is a report that the platform has accepted, with the time since the end of
+// its window.
+type receivedReport struct {
 	Report
 	late time.Duration
 }
 
-// billing is a fake platform. It checks that tokens never decrease and that reports of a
-// window never differ.
-type billing struct {
+// fakePlatform implements Platform. It checks that tokens never decrease and that reports of
+// a window never differ.
+type fakePlatform struct {
 	t       *testing.T
 	mutex   sync.Mutex
-	reports map[int64]received
+	reports map[int64]receivedReport
 	token   uint64
-	// away is the time until which the platform does not respond, though it accepts
-	// reports.
-	away time.Time
+	// unresponsiveUntil is the time until which the platform does not respond, though it
+	// accepts reports.
+	unresponsiveUntil time.Time
 }
 
-func (b *billing) Report(_ context.Context, report Report) error {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if report.Token < b.token {
-		b.t.Errorf("token %d of %s after %d", report.Token, report.Holder, b.token)
+func (p *fakePlatform) Report(_ context.Context, report Report) error {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if report.Token < p.token {
+		p.t.Errorf("report with token %d of %s after one with token %d", report.Token, report.Holder, p.token)
 	}
-	b.token = report.Token
-	current, known := b.reports[report.Window]
+	p.token = report.Token
+	current, known := p.reports[report.Window]
 	if known && !maps.Equal(current.Counts, report.Counts) {
-		b.t.Errorf("window %d is reported as %v and as %v", report.Window, current.Counts, report.Counts)
+		p.t.Errorf("window %d was reported as %v and then as %v", report.Window, current.Counts, report.Counts)
 	}
 	if !known {
 		late := time.Duration(time.Now().UnixNano()) - time.Duration(report.Window+1)*testWindow
-		b.reports[report.Window] = received{Report: report, late: late}
+		p.reports[report.Window] = receivedReport{Report: report, late: late}
 	}
-	if time.Now().Before(b.away) {
+	if time.Now().Before(p.unresponsiveUntil) {
 		return lease.ErrUnanswered
 	}
 	return nil
 }
 
-// net connects the nodes of a test.
-type net struct {
+// testNetwork connects the nodes of a test.
+type testNetwork struct {
 	mutex sync.Mutex
 	nodes map[string]*testNode
-	// lost is the percentage of lost messages.
-	lost   int
-	random *rand.Rand
+	// lossPercent is the percentage of lost messages.
+	lossPercent int
+	random      *rand.Rand
 }
 
-func (n *net) get(name string) *testNode {
+func (n *testNetwork) get(name string) *testNode {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if n.random.IntN(100) < n.lost {
+	if n.random.IntN(100) < n.lossPercent {
 		return nil
 	}
 	return n.nodes[name]
@@ -87,9 +87,9 @@
 type testNode struct {
 	name        string
 	incarnation uint64
-	net         *net
+	network     *testNetwork
 	service     *Service
-	keeper      *lease.Elector
+	elector     *lease.Elector
 	heartbeats  sync.Map
 	stop        context.CancelFunc
 }
@@ -104,7 +104,7 @@
 func (n *testNode) Call(address string, message wire.Message, timeout time.Duration, done func(wire.Message, error)) {
 	go func() {
 		time.Sleep(2 * time.Millisecond)
-		to := n.net.get(address)
+		to := n.network.get(address)
 		if to == nil {
 			time.Sleep(timeout)
 			done(nil, merry.New("no answer"))
@@ -116,31 +116,31 @@
 
 // announce sends a node's heartbeat to all other nodes.
 func (n *testNode) announce() {
-	beat := &wire.NodeBeat{}
-	n.service.FillHeartbeat(beat)
-	seen := n.keeper.LastObserved()
-	for name := range n.net.copies() {
-		if other := n.net.get(name); other != nil && other != n {
+	heartbeat := &wire.NodeBeat{}
+	n.service.FillHeartbeat(heartbeat)
+	seen := n.elector.LastObserved()
+	for name := range n.network.runningNodes() {
+		if other := n.network.get(name); other != nil && other != n {
 			go func() {
 				other.heartbeats.Store(n.name, time.Now())
-				other.keeper.Observe(seen)
-				other.service.ReceiveHeartbeat(beat)
+				other.elector.Observe(seen)
+				other.service.ReceiveHeartbeat(heartbeat)
 			}()
 		}
 	}
 }
 
-func (n *net) copies() map[string]*testNode {
+func (n *testNetwork) runningNodes() map[string]*testNode {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return maps.Clone(n.nodes)
 }
 
 // start runs a new process of a node.
-func (n *net) start(ctx context.Context, name string, incarnation uint64, names []string, store *metastore.Store, platform Platform) *testNode {
+func (n *testNetwork) start(ctx context.Context, name string, incarnation uint64, names []string, store *metastore.Store, platform Platform) *testNode {
 	ctx, stop := context.WithCancel(ctx)
-	node := &testNode{name: name, incarnation: incarnation, net: n, stop: stop}
-	node.keeper = lease.NewElector(lease.Config{
+	node := &testNode{name: name, incarnation: incarnation, network: n, stop: stop}
+	node.elector = lease.NewElector(lease.Config{
 		Node: name, Lease: lease.NewLease(name, fmt.Sprint(incarnation), 0, store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
 		Nodes: func() []string { return names }, Announce: func([]string) { node.announce() },
 		SinceHeartbeat: func(other string) time.Duration {
@@ -150,10 +150,10 @@
 		},
 	})
 	node.service = NewService(Config{
-		Node: name, Incarnation: incarnation, Window: testWindow, ReportDeadline: testLate, Elector: node.keeper, Store: store, Platform: platform,
+		Node: name, Incarnation: incarnation, Window: testWindow, ReportDeadline: testDeadline, Elector: node.elector, Store: store, Platform: platform,
 		Peers: node, Logger: klog.Background(), Registry: prometheus.NewRegistry(), Nodes: func() []string { return names },
 		Peer: func(other string) (string, uint64, bool) {
-			current := n.copies()[other]
+			current := n.runningNodes()[other]
 			if current == nil {
 				return other, 0, true
 			}
@@ -169,44 +169,44 @@
 }
 
 // kill ends a process immediately.
-func (n *net) kill(node *testNode) {
+func (n *testNetwork) kill(node *testNode) {
 	n.mutex.Lock()
 	delete(n.nodes, node.name)
 	n.mutex.Unlock()
 	node.stop()
 }
 
-// day is a test run of some nodes that serve requests of several tenants.
-type day struct {
-	t       *testing.T
-	ctx     context.Context
-	net     *net
-	store   *metastore.Store
-	billing *billing
-	names   []string
-	// truth is the true number of requests, by window.
-	truth map[int64]Counts
+// testRun is a test run of some nodes that serve requests of several tenants.
+type testRun struct {
+	t        *testing.T
+	ctx      context.Context
+	network  *testNetwork
+	store    *metastore.Store
+	platform *fakePlatform
+	names    []string
+	// expected is the number of requests that were counted, by window.
+	expected map[int64]Counts
 }
 
-func newDay(t *testing.T, nodes int, lost int) *day {
-	d := &day{
-		t: t, ctx: t.Context(), store: metastore.New(), billing: &billing{t: t, reports: map[int64]received{}},
-		net: &net{nodes: map[string]*testNode{}, lost: lost, random: rand.New(rand.NewPCG(3, 4))}, truth: map[int64]Counts{},
+func newTestRun(t *testing.T, nodes int, lossPercent int) *testRun {
+	r := &testRun{
+		t: t, ctx: t.Context(), store: metastore.New(), platform: &fakePlatform{t: t, reports: map[int64]receivedReport{}},
+		network: &testNetwork{nodes: map[string]*testNode{}, lossPercent: lossPercent, random: rand.New(rand.NewPCG(3, 4))}, expected: map[int64]Counts{},
 	}
 	for number := range nodes {
-		d.names = append(d.names, fmt.Sprint("node-", number))
+		r.names = append(r.names, fmt.Sprint("node-", number))
 	}
-	for _, name := range d.names {
-		d.net.start(d.ctx, name, 1, d.names, d.store, d.billing)
+	for _, name := range r.names {
+		r.network.start(r.ctx, name, 1, r.names, r.store, r.platform)
 	}
-	return d
+	return r
 }
 
 // serve makes a running node begin a request every 20 ms, for a time. The nodes take turns.
-func (d *day) serve(span time.Duration) {
+func (r *testRun) serve(span time.Duration) {
 	for number, end := 0, time.Now().Add(span); time.Now().Before(end); number++ {
 		time.Sleep(20 * time.Millisecond)
-		node := d.net.copies()[d.names[number%len(d.names)]]
+		node := r.network.runningNodes()[r.names[number%len(r.names)]]
 		if node == nil {
 			continue
 		}
@@ -214,137 +214,139 @@
 		tenant := fmt.Sprint("tenant-", number%3)
 		node.service.CountRequest(tenant, now)
 		window := int64(time.Duration(now.UnixNano()) / testWindow)
-		if d.truth[window] == nil {
-			d.truth[window] = Counts{}
+		if r.expected[window] == nil {
+			r.expected[window] = Counts{}
 		}
-		d.truth[window][tenant]++
+		r.expected[window][tenant]++
 	}
 }
 
-// judge compares the reports with the truth, without the first and the last two windows. It
-// returns the number of windows, and how many were missed: not reported in time, or with a
-// relative error above the tolerance.
-func (d *day) judge(tolerance float64) (windows, missed int) {
-	d.billing.mutex.Lock()
-	defer d.billing.mutex.Unlock()
+// compareReports compares the reports with the expected counts, without the first and the
+// last two windows. It returns the number of windows, and how many were missed: not reported
+// in time, or with a relative error above the tolerance.
+func (r *testRun) compareReports(tolerance float64) (windows, missed int) {
+	r.platform.mutex.Lock()
+	defer r.platform.mutex.Unlock()
 	first, last := int64(1<<62), int64(0)
-	for window := range d.truth {
+	for window := range r.expected {
 		first, last = min(first, window), max(last, window)
 	}
 	for window := first + 1; window < last-1; window++ {
 		windows++
-		report, known := d.billing.reports[window]
+		report, known := r.platform.reports[window]
 		off := 0.0
-		for tenant, count := range d.truth[window] {
+		for tenant, count := range r.expected[window] {
 			off += max(float64(count)-float64(report.Counts[tenant]), float64(report.Counts[tenant])-float64(count))
 		}
-		if !known || report.late > testLate || off > tolerance*float64(d.truth[window].total()) {
-			d.t.Logf("window %d: %v (late %s), truth %v", window, report.Counts, report.late, d.truth[window])
+		if !known || report.late > testDeadline || off > tolerance*float64(r.expected[window].total()) {
+			r.t.Logf("window %d: reported %v %s after its end, want %v", window, report.Counts, report.late, r.expected[window])
 			missed++
 		}
 	}
 	return windows, missed
 }
 
-func (d *day) holder() *testNode {
-	for _, node := range d.net.copies() {
-		if node.keeper.TenureToken() != 0 {
+func (r *testRun) holder() *testNode {
+	for _, node := range r.network.runningNodes() {
+		if node.elector.TenureToken() != 0 {
 			return node
 		}
 	}
-	d.t.Fatal("nobody holds the lease")
+	r.t.Fatal("no node holds the lease")
 	return nil
 }
 
-func (d *day) end() {
+func (r *testRun) shutDown() {
 	time.Sleep(30 * time.Second)
-	for _, node := range d.net.copies() {
-		d.net.kill(node)
+	for _, node := range r.network.runningNodes() {
+		r.network.kill(node)
 	}
 	time.Sleep(time.Minute)
 }
 
 // expectAllReported ends the run and checks that no window was missed, and that there were
 // enough windows.
-func (d *day) expectAllReported(tolerance float64, least int) {
-	d.t.Helper()
-	d.end()
-	if windows, missed := d.judge(tolerance); missed > 0 || windows < least {
-		d.t.Errorf("%d of %d windows missed, want none of %d or more", missed, windows, least)
+func (r *testRun) expectAllReported(tolerance float64, minWindows int) {
+	r.t.Helper()
+	r.shutDown()
+	if windows, missed := r.compareReports(tolerance); missed > 0 || windows < minWindows {
+		r.t.Errorf("%d of %d windows missed, want none of at least %d", missed, windows, minWindows)
 	}
 }
 
+// Every window must be reported in time with the counts of all nodes, exactly if no messages
+// are lost and with a small error otherwise.
 func TestEveryWindowIsReportedOnce(t *testing.T) {
-	for lost, tolerance := range map[int]float64{0: 0, 10: 0.05} {
+	for lossPercent, tolerance := range map[int]float64{0: 0, 10: 0.05} {
 		synctest.Test(t, func(t *testing.T) {
-			d := newDay(t, 8, lost)
-			d.serve(60 * time.Second)
-			t.Logf("%d%% of the messages lost", lost)
-			d.expectAllReported(tolerance, 8)
+			r := newTestRun(t, 8, lossPercent)
+			r.serve(60 * time.Second)
+			t.Logf("%d%% message loss", lossPercent)
+			r.expectAllReported(tolerance, 8)
 		})
 	}
 }
 
 // A new holder must report the sums that its predecessor settled, and the counts that killed
 // nodes had pushed.
-func TestHoldersAreKilled(t *testing.T) {
+func TestReportsSurviveKilledHolders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDay(t, 8, 0)
-		d.serve(12 * time.Second)
+		r := newTestRun(t, 8, 0)
+		r.serve(12 * time.Second)
 		for range 3 {
-			d.net.kill(d.holder())
-			d.serve(20 * time.Second)
+			r.network.kill(r.holder())
+			r.serve(20 * time.Second)
 		}
-		d.end()
-		if windows, missed := d.judge(0.05); missed > windows/4 || windows < 8 {
-			t.Errorf("%d of %d windows missed", missed, windows)
+		r.shutDown()
+		if windows, missed := r.compareReports(0.05); missed > windows/4 || windows < 8 {
+			t.Errorf("%d of %d windows missed, too many or too few windows", missed, windows)
 		}
 	})
 }
 
 // If half of the nodes crash at the same time, at most one window may be lost.
-func TestHalfOfTheNodesAreStartedAnew(t *testing.T) {
+func TestReportsSurviveCrashOfHalfTheNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDay(t, 12, 0)
-		d.serve(13 * time.Second)
-		killed := d.names[:6]
+		r := newTestRun(t, 12, 0)
+		r.serve(13 * time.Second)
+		killed := r.names[:6]
 		for _, name := range killed {
-			d.net.kill(d.net.copies()[name])
+			r.network.kill(r.network.runningNodes()[name])
 		}
-		d.serve(2 * time.Second)
+		r.serve(2 * time.Second)
 		for _, name := range killed {
-			d.net.start(d.ctx, name, 2, d.names, d.store, d.billing)
+			r.network.start(r.ctx, name, 2, r.names, r.store, r.platform)
 		}
-		d.serve(30 * time.Second)
-		d.end()
-		if windows, missed := d.judge(0.05); missed > 1 || windows < 6 {
-			t.Errorf("%d of %d windows missed", missed, windows)
+		r.serve(30 * time.Second)
+		r.shutDown()
+		if windows, missed := r.compareReports(0.05); missed > 1 || windows < 6 {
+			t.Errorf("%d of %d windows missed, too many or too few windows", missed, windows)
 		}
 	})
 }
 
 // While the platform does not respond, reports must be repeated unchanged.
-func TestReportsAreRepeatedWhileThePlatformIsAway(t *testing.T) {
+func TestReportsRepeatDuringPlatformOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDay(t, 5, 0)
-		d.serve(12 * time.Second)
-		d.billing.mutex.Lock()
-		d.billing.away = time.Now().Add(8 * time.Second)
-		d.billing.mutex.Unlock()
-		d.serve(30 * time.Second)
-		d.expectAllReported(0, 5)
+		r := newTestRun(t, 5, 0)
+		r.serve(12 * time.Second)
+		r.platform.mutex.Lock()
+		r.platform.unresponsiveUntil = time.Now().Add(8 * time.Second)
+		r.platform.mutex.Unlock()
+		r.serve(30 * time.Second)
+		r.expectAllReported(0, 5)
 	})
 }
 
 // A store outage of a few seconds must not lose a window.
-func TestTheStoreIsAway(t *testing.T) {
+func TestReportsSurviveStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDay(t, 5, 0)
-		d.serve(12 * time.Second)
-		d.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Refused })
-		d.serve(4 * time.Second)
-		d.store.SetFault(nil)
-		d.serve(25 * time.Second)
-		d.expectAllReported(0, 5)
+		r := newTestRun(t, 5, 0)
+		r.serve(12 * time.Second)
+		r.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Refused })
+		r.serve(4 * time.Second)
+		r.store.SetFault(nil)
+		r.serve(25 * time.Second)
+		r.expectAllReported(0, 5)
 	})
 }
--- a/internal/duties/weightorders/errors.go
+++ b/internal/duties/weightorders/errors.go
@@ -16,5 +16,5 @@
 	// ErrRejected means that the replica rejected the order as invalid.
 	ErrRejected = merry.Sentinel("order rejected")
 	// ErrUnanswered means that the replica may have accepted the order, or may still do so.
-	ErrUnanswered = merry.Sentinel("no response to order")
+	ErrUnanswered = merry.Sentinel("outcome of order is unknown")
 )
