--- a/internal/duties/usage/ledger.go
+++ b/internal/duties/usage/ledger.go
@@ -58,7 +58,7 @@
 	if len(l.content.Settled) == maxSettledWindows && window < l.content.Settled[0].Window {
 		return nil, ErrTooOld
 	}
-	return l.add(ctx, entry{Window: window, Counts: counts})
+	return l.append(ctx, entry{Window: window, Counts: counts})
 }
 
 func (l *ledger) find(window int64) (Counts, bool) {
@@ -92,9 +92,9 @@
 	return nil
 }
 
-// add adds a window to the stored ledger. If another node has changed the ledger meanwhile,
+// append adds a window to the stored ledger. If another node has changed the ledger meanwhile,
 // it fails, and the next attempt starts from the stored content.
-func (l *ledger) add(ctx context.Context, added entry) (Counts, error) {
+func (l *ledger) append(ctx context.Context, added entry) (Counts, error) {
 	next := ledgerSpec{Settled: append(slices.Clone(l.content.Settled), added)}
 	slices.SortFunc(next.Settled, func(a, b entry) int { return int(a.Window - b.Window) })
 	if excess := len(next.Settled) - maxSettledWindows; excess > 0 {
