--- a/internal/duties/autoscale/decide.go
+++ b/internal/duties/autoscale/decide.go
@@ -6,85 +6,86 @@
 	"slices"
 )
 
-// Decide returns the target number of replicas of each zone, sorted by zone. base is the
-// baseline: the number of replicas in each zone before any was ordered. No target is below
-// it, and the baseline of evacuated zones is added to the targets of other zones.
-// Additional replicas are spread evenly over the zones, cheaper zones first.
-func Decide(policy Policy, view *ServiceState, base map[string]int) []ZoneTarget {
-	zones := zonesOf(base, view)
-	wanted := make(map[string]*ZoneTarget, len(zones))
-	open := make([]string, 0, len(zones))
-	lost := 0
+// Decide returns the target number of replicas of each zone, sorted by zone. baseline is the
+// number of replicas in each zone before any was ordered. No target is below it, and the
+// baseline of evacuated zones is added to the targets of other zones. Additional replicas
+// are spread evenly over the zones, cheaper zones first.
+func Decide(policy Policy, state *ServiceState, baseline map[string]int) []ZoneTarget {
+	zones := zonesOf(baseline, state)
+	targets := make(map[string]*ZoneTarget, len(zones))
+	available := make([]string, 0, len(zones))
+	evacuated := 0
 	for _, zone := range zones {
-		wanted[zone] = &ZoneTarget{Zone: zone, Replicas: base[zone], Reason: ReasonBase}
-		if view.Evacuated[zone] {
-			lost += base[zone]
-		} else if !view.Exhausted[zone] {
-			open = append(open, zone)
+		targets[zone] = &ZoneTarget{Zone: zone, Replicas: baseline[zone], Reason: ReasonBase}
+		if state.Evacuated[zone] {
+			evacuated += baseline[zone]
+		} else if !state.Exhausted[zone] {
+			available = append(available, zone)
 		}
 	}
-	total, reason := target(policy, view)
-	further := max(0, total-sum(base)) + lost
-	if lost > 0 && further == lost {
+	total, reason := totalReplicas(policy, state)
+	additional := max(0, total-sum(baseline)) + evacuated
+	if evacuated > 0 && additional == evacuated {
 		reason = ReasonEvacuation
 	}
-	spread(further, open, reason, wanted, view)
+	spread(additional, available, reason, targets, state)
 	decided := make([]ZoneTarget, 0, len(zones))
 	for _, zone := range zones {
-		decided = append(decided, *wanted[zone])
+		decided = append(decided, *targets[zone])
 	}
 	return decided
 }
 
-// target returns the total number of replicas that the policy requires, 0 without a policy.
-func target(policy Policy, view *ServiceState) (int, Reason) {
-	slots := float64(max(1, view.Slots))
+// totalReplicas returns the total number of replicas that the policy requires, 0 without a
+// policy.
+func totalReplicas(policy Policy, state *ServiceState) (int, Reason) {
+	slots := float64(max(1, state.Slots))
 	switch policy {
 	case PolicySlots:
-		return int(math.Ceil(float64(view.RunningItems) / slotTarget / slots)), ReasonUtilization
+		return int(math.Ceil(float64(state.RunningItems) / targetUtilization / slots)), ReasonUtilization
 	case PolicyWork:
-		return int(math.Ceil(float64(view.OpenItems) * workHeadroom / slots)), ReasonOpenItems
+		return int(math.Ceil(float64(state.OpenItems) * slotsPerOpenItem / slots)), ReasonOpenItems
 	}
 	return 0, ReasonBase
 }
 
-// spread adds replicas to the open zones one by one, each to the zone with the fewest
+// spread adds replicas to the available zones one by one, each to the zone with the fewest
 // added so far, the cheapest one among equals. Scaling.Most limits each zone.
-func spread(further int, open []string, reason Reason, wanted map[string]*ZoneTarget, view *ServiceState) {
+func spread(additional int, available []string, reason Reason, targets map[string]*ZoneTarget, state *ServiceState) {
 	added := map[string]int{}
-	for ; further > 0; further-- {
-		room := slices.DeleteFunc(slices.Clone(open), func(zone string) bool {
-			return view.Scaling.Most > 0 && wanted[zone].Replicas >= view.Scaling.Most
+	for ; additional > 0; additional-- {
+		room := slices.DeleteFunc(slices.Clone(available), func(zone string) bool {
+			return state.Scaling.Most > 0 && targets[zone].Replicas >= state.Scaling.Most
 		})
 		if len(room) == 0 {
 			return
 		}
 		next := slices.MinFunc(room, func(a, b string) int {
-			return cmp.Or(cmp.Compare(added[a], added[b]), cmp.Compare(price(view, a), price(view, b)), cmp.Compare(a, b))
+			return cmp.Or(cmp.Compare(added[a], added[b]), cmp.Compare(price(state, a), price(state, b)), cmp.Compare(a, b))
 		})
 		added[next]++
-		wanted[next].Replicas++
-		wanted[next].Reason = reason
+		targets[next].Replicas++
+		targets[next].Reason = reason
 	}
 }
 
 // price returns the price of a replica in a zone, 1 if none is configured.
-func price(view *ServiceState, zone string) float64 {
-	if named, known := view.Scaling.ZonePrices[zone]; known {
-		return named
+func price(state *ServiceState, zone string) float64 {
+	if configured, known := state.Scaling.ZonePrices[zone]; known {
+		return configured
 	}
 	return 1
 }
 
 // zonesOf returns the sorted names of the zones that have replicas or had some in the
 // baseline.
-func zonesOf(base map[string]int, view *ServiceState) []string {
+func zonesOf(baseline map[string]int, state *ServiceState) []string {
 	var zones []string
-	for zone := range base {
+	for zone := range baseline {
 		zones = append(zones, zone)
 	}
-	for zone := range view.Present {
-		if _, known := base[zone]; !known {
+	for zone := range state.Present {
+		if _, known := baseline[zone]; !known {
 			zones = append(zones, zone)
 		}
 	}
--- a/internal/duties/autoscale/ledger.go
+++ b/internal/duties/autoscale/ledger.go
@@ -25,31 +25,31 @@
 type ledger struct {
 	store   objectstore.Store
 	service string
-	known   record
+	content record
 	// revision is the revision of the stored object, 0 if there is none.
 	revision uint64
-	// read is set while known and revision are believed to match the store.
-	read bool
+	// loaded is set while content and revision are believed to match the store.
+	loaded bool
 }
 
 // load reads the stored record unless it is known.
 func (l *ledger) load(ctx context.Context) error {
-	if l.read {
+	if l.loaded {
 		return nil
 	}
 	object, err := l.store.Get(ctx, ledgerKind, l.service, objectstore.Linearizable)
 	if errors.Is(err, objectstore.ErrNotFound) {
-		l.known, l.revision, l.read = record{Base: map[string]int{}, Ordered: map[string]int{}}, 0, true
+		l.content, l.revision, l.loaded = record{Base: map[string]int{}, Ordered: map[string]int{}}, 0, true
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	return l.take(object)
+	return l.decode(object)
 }
 
-// take decodes the stored record.
-func (l *ledger) take(object objectstore.Object) error {
+// decode replaces the content by the decoded stored record.
+func (l *ledger) decode(object objectstore.Object) error {
 	var stored record
 	if err := json.Unmarshal(object.Spec, &stored); err != nil {
 		return merry.Wrap(err)
@@ -60,7 +60,7 @@
 	if stored.Ordered == nil {
 		stored.Ordered = map[string]int{}
 	}
-	l.known, l.revision, l.read = stored, object.Revision, true
+	l.content, l.revision, l.loaded = stored, object.Revision, true
 	return nil
 }
 
@@ -77,9 +77,9 @@
 		object, err = l.store.Replace(ctx, ledgerKind, l.service, spec, l.revision)
 	}
 	if err != nil {
-		l.read = false
+		l.loaded = false
 		return err
 	}
-	l.known, l.revision = next, object.Revision
+	l.content, l.revision = next, object.Revision
 	return nil
 }
--- a/internal/duties/autoscale/metrics.go
+++ b/internal/duties/autoscale/metrics.go
@@ -8,9 +8,9 @@
 
 // Outcomes of orders, as label values of metrics.
 const (
-	outcomeTaken         = "taken"
-	outcomeNoneAvailable = "none_to_have"
-	outcomeFailed        = "failed"
+	outcomeAccepted   = "taken"
+	outcomeNoCapacity = "none_to_have"
+	outcomeFailed     = "failed"
 )
 
 // metrics are the metrics of a Service.
@@ -21,7 +21,7 @@
 }
 
 func newMetrics(registry prometheus.Registerer) *metrics {
-	made := &metrics{
+	created := &metrics{
 		present: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "pathtally_replicas_present", Help: "Replicas that serve or warm up, of services whose replicas can be ordered.",
 		}, []string{"service", "zone"}),
@@ -32,27 +32,27 @@
 			Name: "pathtally_replica_orders_total", Help: "Orders of replicas sent by this node, by outcome.",
 		}, []string{"outcome"}),
 	}
-	registry.MustRegister(made.present, made.ordered, made.orders)
-	return made
+	registry.MustRegister(created.present, created.ordered, created.orders)
+	return created
 }
 
-// show sets the gauges of one service.
-func (m *metrics) show(seen *ServiceState, plan *plan) {
-	for zone, count := range seen.Present {
-		m.present.WithLabelValues(seen.Service, zone).Set(float64(count))
+// setGauges sets the gauges of one service.
+func (m *metrics) setGauges(state *ServiceState, tracker *tracker) {
+	for zone, count := range state.Present {
+		m.present.WithLabelValues(state.Service, zone).Set(float64(count))
 	}
-	for zone, count := range plan.ledger.known.Ordered {
-		m.ordered.WithLabelValues(seen.Service, zone).Set(float64(count))
+	for zone, count := range tracker.ledger.content.Ordered {
+		m.ordered.WithLabelValues(state.Service, zone).Set(float64(count))
 	}
 }
 
-// count counts an order by its outcome.
-func (m *metrics) count(err error) {
+// countOrder counts an order by its outcome.
+func (m *metrics) countOrder(err error) {
 	switch {
 	case err == nil:
-		m.orders.WithLabelValues(outcomeTaken).Inc()
+		m.orders.WithLabelValues(outcomeAccepted).Inc()
 	case errors.Is(err, ErrNoCapacity):
-		m.orders.WithLabelValues(outcomeNoneAvailable).Inc()
+		m.orders.WithLabelValues(outcomeNoCapacity).Inc()
 	default:
 		m.orders.WithLabelValues(outcomeFailed).Inc()
 	}
--- a/internal/duties/autoscale/peak.go
+++ b/internal/duties/autoscale/peak.go
@@ -21,10 +21,10 @@
 	p.samples = slices.DeleteFunc(p.samples, func(old sample) bool { return now.Sub(old.at) > peakPeriod })
 }
 
-// greatest returns the maximum numbers of running items and of open items among the samples.
-func (p *peak) greatest() (running, open int) {
-	for _, one := range p.samples {
-		running, open = max(running, one.running), max(open, one.open)
+// maximum returns the maximum numbers of running items and of open items among the samples.
+func (p *peak) maximum() (running, open int) {
+	for _, kept := range p.samples {
+		running, open = max(running, kept.running), max(open, kept.open)
 	}
 	return running, open
 }
--- a/internal/duties/autoscale/platform.go
+++ b/internal/duties/autoscale/platform.go
@@ -7,7 +7,7 @@
 )
 
 // ErrNoCapacity means that a zone has no more replicas available at present.
-var ErrNoCapacity = merry.Sentinel("the zone has no more replicas available now")
+var ErrNoCapacity = merry.Sentinel("zone has no more replicas available")
 
 // Platform accepts orders of replicas.
 type Platform interface {
--- a/internal/duties/autoscale/service.go
+++ b/internal/duties/autoscale/service.go
@@ -20,8 +20,8 @@
 	// orderTimeout bounds one order, and storeTimeout one store access.
 	orderTimeout = 900 * time.Millisecond
 	storeTimeout = 900 * time.Millisecond
-	// fullZoneDelay is the backoff of a zone that had no replicas available.
-	fullZoneDelay = 10 * time.Second
+	// exhaustedZoneBackoff is the backoff of a zone that had no replicas available.
+	exhaustedZoneBackoff = 10 * time.Second
 )
 
 // Service orders replicas while this node holds the duty lease. Only the goroutine of Run
@@ -29,12 +29,12 @@
 type Service struct {
 	config   Config
 	metrics  *metrics
-	services map[string]*plan
+	trackers map[string]*tracker
 }
 
 // NewService returns a Service that does nothing before Run is called.
 func NewService(config Config) *Service {
-	return &Service{config: config, metrics: newMetrics(config.Registry), services: map[string]*plan{}}
+	return &Service{config: config, metrics: newMetrics(config.Registry), trackers: map[string]*tracker{}}
 }
 
 // Run orders replicas until the context is done.
@@ -56,15 +56,15 @@
 		if service.Scaling == nil || service.Engine == nil {
 			continue
 		}
-		plan := s.plan(name)
-		seen := s.viewOf(view, &service, plan, now)
-		if !s.config.Elector.IsCandidate() || !s.loadLedger(ctx, plan) {
+		tracker := s.tracker(name)
+		state := s.serviceState(view, &service, tracker, now)
+		if !s.config.Elector.IsCandidate() || !s.loadLedger(ctx, tracker) {
 			continue
 		}
-		for _, change := range plan.due(Decide(s.config.Policy, seen, plan.base()), now) {
+		for _, change := range tracker.due(Decide(s.config.Policy, state, tracker.baseline()), now) {
 			due = true
 			if ready, _ := s.config.Elector.EnsureHeld(ctx, dutyName); ready {
-				s.placeOrder(ctx, plan, name, change, now)
+				s.placeOrder(ctx, tracker, name, change, now)
 			}
 		}
 	}
@@ -75,93 +75,93 @@
 
 // loadLedger reads the recorded orders unless they are known, and returns whether that
 // succeeded.
-func (s *Service) loadLedger(ctx context.Context, plan *plan) bool {
+func (s *Service) loadLedger(ctx context.Context, tracker *tracker) bool {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	if err := plan.ledger.load(ctx); err != nil {
-		s.config.Logger.Info("orders of replicas not read", "service", plan.ledger.service, "error", err.Error())
+	if err := tracker.ledger.load(ctx); err != nil {
+		s.config.Logger.Info("failed to read replica orders", "service", tracker.ledger.service, "error", err.Error())
 		return false
 	}
 	return true
 }
 
-// plan returns the state of a service, a new one if there is none.
-func (s *Service) plan(service string) *plan {
-	current := s.services[service]
+// tracker returns the tracker of a service, a new one if there is none.
+func (s *Service) tracker(service string) *tracker {
+	current := s.trackers[service]
 	if current == nil {
-		current = newPlan(s.config.Store, service)
-		s.services[service] = current
+		current = newTracker(s.config.Store, service)
+		s.trackers[service] = current
 	}
 	return current
 }
 
-// viewOf returns the view of a service, and updates the plan and the metrics from it.
-func (s *Service) viewOf(view *directory.View, service *directory.Service, plan *plan, now time.Time) *ServiceState {
+// serviceState returns the state of a service, and updates its tracker and metrics.
+func (s *Service) serviceState(view *directory.View, service *directory.Service, tracker *tracker, now time.Time) *ServiceState {
 	running, open := s.config.Work(service.Name)
-	plan.peak.add(now, running, open)
-	seen := &ServiceState{
+	tracker.peak.add(now, running, open)
+	state := &ServiceState{
 		Service: service.Name, Scaling: *service.Scaling, Slots: service.Engine.Slots, Present: map[string]int{}, Evacuated: map[string]bool{}, Exhausted: map[string]bool{},
 	}
-	seen.RunningItems, seen.OpenItems = plan.peak.greatest()
+	state.RunningItems, state.OpenItems = tracker.peak.maximum()
 	for _, replica := range view.Replicas {
 		if replica.Service == service.Name {
-			seen.Present[replica.Zone]++
+			state.Present[replica.Zone]++
 		}
 	}
-	for zone, until := range plan.fullUntil {
-		seen.Exhausted[zone] = now.Before(until)
+	for zone, until := range tracker.exhaustedUntil {
+		state.Exhausted[zone] = now.Before(until)
 	}
 	for _, endpoint := range view.Endpoints {
 		if endpoint.Model == service.Name && endpoint.State.Evacuated() {
-			seen.Evacuated[endpoint.Zone] = true
+			state.Evacuated[endpoint.Zone] = true
 		}
 	}
-	for zone, count := range seen.Present {
-		if plan.ledger.known.Ordered[zone] == 0 {
-			plan.maxSeen[zone] = max(plan.maxSeen[zone], count)
+	for zone, count := range state.Present {
+		if tracker.ledger.content.Ordered[zone] == 0 {
+			tracker.maxSeen[zone] = max(tracker.maxSeen[zone], count)
 		}
 	}
-	s.metrics.show(seen, plan)
-	return seen
+	s.metrics.setGauges(state, tracker)
+	return state
 }
 
 // placeOrder records a target in the ledger and orders it.
-func (s *Service) placeOrder(ctx context.Context, plan *plan, service string, want ZoneTarget, now time.Time) {
-	if err := s.recordOrder(ctx, plan, want); err != nil {
-		s.config.Logger.Info("replicas not ordered", "service", service, "zone", want.Zone, "replicas", want.Replicas, "error", err.Error())
+func (s *Service) placeOrder(ctx context.Context, tracker *tracker, service string, target ZoneTarget, now time.Time) {
+	if err := s.recordOrder(ctx, tracker, target); err != nil {
+		s.config.Logger.Info("failed to record replica order", "service", service, "zone", target.Zone, "replicas", target.Replicas, "error", err.Error())
 		return
 	}
-	plan.orderedAt[want.Zone] = now
-	err := s.order(ctx, service, want)
-	s.metrics.count(err)
+	tracker.orderedAt[target.Zone] = now
+	err := s.sendOrder(ctx, service, target)
+	s.metrics.countOrder(err)
 	switch {
 	case errors.Is(err, ErrNoCapacity):
-		plan.fullUntil[want.Zone] = now.Add(fullZoneDelay)
+		tracker.exhaustedUntil[target.Zone] = now.Add(exhaustedZoneBackoff)
 	case err == nil:
-		plan.accepted[want.Zone] = want.Replicas
-		s.config.Logger.Info("replicas ordered", "service", service, "zone", want.Zone, "replicas", want.Replicas, "reason", want.Reason)
+		tracker.accepted[target.Zone] = target.Replicas
+		s.config.Logger.Info("replicas ordered", "service", service, "zone", target.Zone, "replicas", target.Replicas, "reason", target.Reason)
 		return
 	}
-	s.config.Logger.Info("order of replicas not taken", "service", service, "zone", want.Zone, "replicas", want.Replicas, "error", err.Error())
+	s.config.Logger.Info("replica order not accepted", "service", service, "zone", target.Zone, "replicas", target.Replicas, "error", err.Error())
 }
 
 // recordOrder stores an order. It is called before the order is sent.
-func (s *Service) recordOrder(ctx context.Context, plan *plan, want ZoneTarget) error {
+func (s *Service) recordOrder(ctx context.Context, tracker *tracker, target ZoneTarget) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	if err := plan.ledger.load(ctx); err != nil {
+	if err := tracker.ledger.load(ctx); err != nil {
 		return err
 	}
-	next := record{Base: plan.base(), Ordered: maps.Clone(plan.ledger.known.Ordered)}
-	if next.Ordered[want.Zone] == want.Replicas {
+	next := record{Base: tracker.baseline(), Ordered: maps.Clone(tracker.ledger.content.Ordered)}
+	if next.Ordered[target.Zone] == target.Replicas {
 		return nil
 	}
-	next.Ordered[want.Zone] = want.Replicas
-	return plan.ledger.write(ctx, next)
+	next.Ordered[target.Zone] = target.Replicas
+	return tracker.ledger.write(ctx, next)
 }
 
-// order sends an order under the lease.
-func (s *Service) order(ctx context.Context, service string, want ZoneTarget) error {
+// sendOrder sends an order under the lease.
+func (s *Service) sendOrder(ctx context.Context, service string, target ZoneTarget) error {
 	permit, valid := s.config.Elector.BeginCall()
 	if !valid {
 		return lease.ErrFenced
@@ -169,7 +169,7 @@
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	err := s.config.Platform.Order(ctx, Order{
-		Service: service, Zone: want.Zone, Replicas: want.Replicas, Holder: permit.Holder, Token: permit.Token,
+		Service: service, Zone: target.Zone, Replicas: target.Replicas, Holder: permit.Holder, Token: permit.Token,
 	})
 	permit.Done(!errors.Is(err, lease.ErrUnanswered))
 	return err
--- a/internal/duties/autoscale/service_state.go
+++ b/internal/duties/autoscale/service_state.go
@@ -14,8 +14,8 @@
 	// more replicas available at their last order.
 	Evacuated map[string]bool
 	Exhausted map[string]bool
-	// RunningItems is the recent peak of running items, and OpenItems the recent peak of open items,
-	// which run or wait.
+	// RunningItems is the recent peak of running items, and OpenItems the recent peak of
+	// open items, which run or wait.
 	RunningItems int
 	OpenItems    int
 }
--- a/internal/duties/autoscale/service_test.go
+++ b/internal/duties/autoscale/service_test.go
@@ -18,78 +18,78 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// market is a fake platform.
-type market struct {
-	mutex  sync.Mutex
-	orders map[string]int
-	calls  int
-	token  uint64
-	stale  int
-	// empty are the zones that have no replicas available. mute makes the platform accept
-	// orders without a response.
-	empty map[string]bool
-	mute  bool
+// fakePlatform implements Platform.
+type fakePlatform struct {
+	mutex    sync.Mutex
+	orders   map[string]int
+	calls    int
+	token    uint64
+	outdated int
+	// exhausted are the zones that have no replicas available. unresponsive makes the
+	// platform accept orders without a response.
+	exhausted    map[string]bool
+	unresponsive bool
 }
 
-func (m *market) Order(_ context.Context, order Order) error {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	m.calls++
-	if order.Token < m.token {
-		m.stale++
+func (p *fakePlatform) Order(_ context.Context, order Order) error {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.calls++
+	if order.Token < p.token {
+		p.outdated++
 	}
-	m.token = max(m.token, order.Token)
-	if m.empty[order.Zone] {
+	p.token = max(p.token, order.Token)
+	if p.exhausted[order.Zone] {
 		return ErrNoCapacity
 	}
-	m.orders[order.Zone] = order.Replicas
-	if m.mute {
+	p.orders[order.Zone] = order.Replicas
+	if p.unresponsive {
 		return lease.ErrUnanswered
 	}
 	return nil
 }
 
-func (m *market) held() string {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	return fmt.Sprint(maps.Clone(m.orders))
+func (p *fakePlatform) ordered() string {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return fmt.Sprint(maps.Clone(p.orders))
 }
 
-func (m *market) setMute(mute bool) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	m.mute = mute
+func (p *fakePlatform) setUnresponsive(unresponsive bool) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.unresponsive = unresponsive
 }
 
 // received returns the number of orders, and the number of those with an outdated token.
-func (m *market) received() (calls, stale int) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	return m.calls, m.stale
+func (p *fakePlatform) received() (calls, outdated int) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return p.calls, p.outdated
 }
 
-// world is a store, a fake platform, and a number of open items that all nodes observe.
-type world struct {
-	store  *metastore.Store
-	market *market
-	mutex  sync.Mutex
-	open   int
+// testWorld is a store, a fake platform, and a number of open items that all nodes observe.
+type testWorld struct {
+	store     *metastore.Store
+	platform  *fakePlatform
+	mutex     sync.Mutex
+	openItems int
 }
 
-func (w *world) setOpen(open int) {
+func (w *testWorld) setOpenItems(openItems int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.open = open
+	w.openItems = openItems
 }
 
-func (w *world) work(string) (running, open int) {
+func (w *testWorld) work(string) (running, openItems int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return 0, w.open
+	return 0, w.openItems
 }
 
 // start runs a node that orders replicas of a service with 12 replicas.
-func (w *world) start(ctx context.Context, name string) *Service {
+func (w *testWorld) start(ctx context.Context, name string) *Service {
 	table := directory.NewTable("node", "a", nil, klog.Background())
 	table.SetConfiguration(&directory.Configuration{Version: 1, Services: map[string]directory.Service{"model": {
 		Name: "model", Engine: &directory.Engine{Slots: 8}, Scaling: &directory.Scaling{Least: 1, Most: 10},
@@ -101,107 +101,111 @@
 		})
 	}
 	table.SetReplicas(replicas, 0)
-	keeper := lease.NewElector(lease.Config{
+	elector := lease.NewElector(lease.Config{
 		Node: name, Lease: lease.NewLease(name, name, 0, w.store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
 		Nodes: func() []string { return []string{name} }, Announce: func([]string) {}, SinceHeartbeat: func(string) time.Duration { return time.Hour },
 	})
 	service := NewService(Config{
-		Policy: PolicyWork, Elector: keeper, Store: w.store, Platform: w.market, Directory: table, Logger: klog.Background(),
+		Policy: PolicyWork, Elector: elector, Store: w.store, Platform: w.platform, Directory: table, Logger: klog.Background(),
 		Registry: prometheus.NewRegistry(), Work: w.work,
 	})
 	go service.Run(ctx)
 	return service
 }
 
-func inWorld(t *testing.T, play func(ctx context.Context, w *world)) {
+func runInTestWorld(t *testing.T, run func(ctx context.Context, w *testWorld)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		play(ctx, &world{store: metastore.New(), market: &market{orders: map[string]int{}, empty: map[string]bool{}}})
+		run(ctx, &testWorld{store: metastore.New(), platform: &fakePlatform{orders: map[string]int{}, exhausted: map[string]bool{}}})
 	})
 }
 
-func TestReplicasFollowTheOpenItems(t *testing.T) {
-	inWorld(t, func(ctx context.Context, w *world) {
+// Replicas must be ordered for open items, and given back only after they have been
+// unnecessary for scaleDownDelay.
+func TestReplicasFollowOpenItems(t *testing.T) {
+	runInTestWorld(t, func(ctx context.Context, w *testWorld) {
 		w.start(ctx, "node")
 		time.Sleep(10 * time.Second)
-		if calls, _ := w.market.received(); calls != 0 {
-			t.Errorf("%d orders without work", calls)
+		if calls, _ := w.platform.received(); calls != 0 {
+			t.Errorf("%d orders without open items, want none", calls)
 		}
-		w.setOpen(131)
+		w.setOpenItems(131)
 		time.Sleep(5 * time.Second)
-		if got := w.market.held(); got != "map[a:7 b:6 c:6]" {
-			t.Errorf("ordered %s", got)
+		if got := w.platform.ordered(); got != "map[a:7 b:6 c:6]" {
+			t.Errorf("ordered %s, want a slot for each open item", got)
 		}
-		w.setOpen(0)
-		time.Sleep(peakPeriod + shrinkDelay/2)
-		if got := w.market.held(); got != "map[a:7 b:6 c:6]" {
-			t.Errorf("given back at once: %s", got)
+		w.setOpenItems(0)
+		time.Sleep(peakPeriod + scaleDownDelay/2)
+		if got := w.platform.ordered(); got != "map[a:7 b:6 c:6]" {
+			t.Errorf("scaled down to %s before scaleDownDelay", got)
 		}
-		time.Sleep(shrinkDelay)
-		if got := w.market.held(); got != "map[a:4 b:4 c:4]" {
-			t.Errorf("not given back: %s", got)
+		time.Sleep(scaleDownDelay)
+		if got := w.platform.ordered(); got != "map[a:4 b:4 c:4]" {
+			t.Errorf("ordered %s after scaleDownDelay, want the baseline", got)
 		}
 	})
 }
 
 // A new holder that ignores the recorded orders would take the ordered replicas for the
 // baseline and order the wrong number.
-func TestFurtherHolderGoesOnFromWhatWasOrdered(t *testing.T) {
-	inWorld(t, func(ctx context.Context, w *world) {
-		w.setOpen(131)
+func TestNewHolderContinuesFromOrders(t *testing.T) {
+	runInTestWorld(t, func(ctx context.Context, w *testWorld) {
+		w.setOpenItems(131)
 		first, stop := context.WithCancel(ctx)
 		w.start(first, "first")
 		time.Sleep(5 * time.Second)
 		stop()
-		current := w.market.held()
+		current := w.platform.ordered()
 		w.start(ctx, "second")
 		for range 40 {
 			time.Sleep(pollInterval)
-			_, stale := w.market.received()
-			if got := w.market.held(); got != current || stale != 0 {
-				t.Fatalf("ordered %s after %s, %d with an old token", got, current, stale)
+			_, outdated := w.platform.received()
+			if got := w.platform.ordered(); got != current || outdated != 0 {
+				t.Fatalf("new holder ordered %s, want %s unchanged; %d orders with an outdated token", got, current, outdated)
 			}
 		}
-		w.setOpen(180)
+		w.setOpenItems(180)
 		time.Sleep(20 * time.Second)
-		if got := w.market.held(); got != "map[a:9 b:8 c:8]" {
-			t.Errorf("ordered %s", got)
+		if got := w.platform.ordered(); got != "map[a:9 b:8 c:8]" {
+			t.Errorf("new holder ordered %s, want a slot for each open item", got)
 		}
 	})
 }
 
-func TestZoneWithNoneToGiveIsLeftAlone(t *testing.T) {
-	inWorld(t, func(ctx context.Context, w *world) {
-		w.market.empty["b"] = true
-		w.setOpen(180)
+// A zone without available replicas must not be asked at every step, and other zones must
+// replace it.
+func TestExhaustedZoneIsNotRetriedEarly(t *testing.T) {
+	runInTestWorld(t, func(ctx context.Context, w *testWorld) {
+		w.platform.exhausted["b"] = true
+		w.setOpenItems(180)
 		w.start(ctx, "node")
 		time.Sleep(9500 * time.Millisecond)
-		if calls, _ := w.market.received(); calls > 5 {
-			t.Errorf("%d orders in 9 s", calls)
+		if calls, _ := w.platform.received(); calls > 5 {
+			t.Errorf("%d orders in 9.5 s, want at most 5", calls)
 		}
-		if got := w.market.held(); got != "map[a:9 c:10]" {
-			t.Errorf("ordered %s", got)
+		if got := w.platform.ordered(); got != "map[a:9 c:10]" {
+			t.Errorf("ordered %s, want the replicas of the exhausted zone in the others", got)
 		}
 	})
 }
 
 // An order that was not answered may not have been accepted. It must be sent again, but not
 // at every step.
-func TestUnansweredOrderIsSentAgainLater(t *testing.T) {
-	inWorld(t, func(ctx context.Context, w *world) {
-		w.market.setMute(true)
-		w.setOpen(131)
+func TestUnansweredOrderIsRetried(t *testing.T) {
+	runInTestWorld(t, func(ctx context.Context, w *testWorld) {
+		w.platform.setUnresponsive(true)
+		w.setOpenItems(131)
 		w.start(ctx, "node")
 		time.Sleep(7 * time.Second)
-		if calls, _ := w.market.received(); calls != 3 {
-			t.Errorf("%d orders of three zones", calls)
+		if calls, _ := w.platform.received(); calls != 3 {
+			t.Errorf("%d orders, want one for each of 3 zones", calls)
 		}
 		time.Sleep(minOrderInterval)
-		w.market.setMute(false)
+		w.platform.setUnresponsive(false)
 		time.Sleep(3 * minOrderInterval)
-		if calls, _ := w.market.received(); calls != 9 {
-			t.Errorf("%d orders once the third of each was answered", calls)
+		if calls, _ := w.platform.received(); calls != 9 {
+			t.Errorf("%d orders after the platform responds again, want 3 for each of 3 zones", calls)
 		}
 	})
 }
