--- a/internal/duties/lease/doc.go
+++ b/internal/duties/lease/doc.go
@@ -12,17 +12,16 @@
 //
 // States of one node's view of the lease:
 //
-//	state        meaning                                 may call    next action
-//	unknown      nothing has been observed               no          read, then as below
-//	other        another node wrote the newest revision  no          wait, read, replace that revision
-//	released     the holder released the lease           no          read, replace that revision
-//	held         this node's write was confirmed         until the   renew before the send window ends
-//	                                                     send window
-//	                                                     ends
-//	expired      as held, but the send window has ended  no          write: either no other node may call
-//	                                                                 yet, or the conditional write fails
-//	unconfirmed  this node's write was not answered      no          read: the write may still be applied
-//	stopped      this node performs no more duties       no          none
+//	state        meaning                                 may call  next action
+//	unknown      nothing has been observed               no        read, then as below
+//	other        another node wrote the newest revision  no        wait, read, replace the revision
+//	released     the holder released the lease           no        read, replace the revision
+//	held         this node's write was confirmed, its    yes       renew before the window ends
+//	             send window has not ended
+//	expired      as held, but the send window has ended  no        write: either no other node may
+//	                                                               call yet, or the write conflicts
+//	unconfirmed  this node's write was not answered      no        read: it may still be applied
+//	stopped      this node performs no more duties       no        none
 //
 // state.decide returns the next action, state.mayRelease whether a stopping holder may
 // release the lease, and takeoverDelay how long a node waits for the nodes that precede it
--- a/internal/duties/weightorders/candidates.go
+++ b/internal/duties/weightorders/candidates.go
@@ -11,10 +11,10 @@
 	candidatesPerHome = 2
 )
 
-// PlacementCandidates returns the replicas of a plan among which the items of a model's jobs are
-// placed: all of them if they are few, else those with the highest rendezvous weights for
-// the model, which include nearly all of its homes. This bounds the cost of placing an item
-// in deployments with thousands of replicas.
+// PlacementCandidates returns the replicas of a plan among which the items of a model's jobs
+// are placed: all of them if they are few, else those with the highest rendezvous weights
+// for the model, which include nearly all of its homes. This bounds the cost of placing an
+// item in deployments with thousands of replicas.
 func PlacementCandidates(plan *routing.Plan, model string, items int) []*routing.Endpoint {
 	endpoints := plan.Endpoints()
 	count := max(minCandidates, candidatesPerHome*homesNeeded(items, minSlots(plan)))
--- a/internal/duties/weightorders/doc.go
+++ b/internal/duties/weightorders/doc.go
@@ -4,13 +4,13 @@
 // have loaded from the directory, from the replicas themselves, and from the heartbeats of
 // other nodes.
 //
-// The decisions are pure functions:
+// The decisions are made without I/O:
 //
 //  1. sharesOf and apportion (share.go) divide the replicas of a service among its models
 //     in proportion to their demand.
 //  2. homes (homes.go) assigns replicas to each model, its homes.
 //  3. tasksOf (plan.go) lists the homes that lack the named version, and whether each load
-//     is required now.
+//     is required or optional.
 //  4. chooseLoads (queue.go) selects the loads to start next, within the limits on
 //     concurrent loads.
 //
--- a/internal/duties/weightorders/load_order.go
+++ b/internal/duties/weightorders/load_order.go
@@ -7,7 +7,7 @@
 	// Holder and Token identify the lease under which the order is sent.
 	Holder string
 	Token  uint64
-	// ExpectedSequence is the sequence number that the replica must have to accept the order, so
-	// that an order that arrives late has no effect.
+	// ExpectedSequence is the sequence number that the replica must have to accept the
+	// order, so that an order that arrives late has no effect.
 	ExpectedSequence int64
 }
--- a/internal/duties/weightorders/versions.go
+++ b/internal/duties/weightorders/versions.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// AnnouncedVersions returns the finished and running changes of replicas' versions that this node's
-// heartbeats contain.
+// AnnouncedVersions returns the finished and running changes of replicas' versions that this
+// node's heartbeats contain.
 func (c *Coordinator) AnnouncedVersions() []wire.ReplicaVersion {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -44,7 +44,7 @@
 	}
 }
 
-// learn records that a replica has loaded a version.
+// recordVersion records that a replica has loaded a version.
 func (c *Coordinator) recordVersion(replica, model string, version int64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
