--- a/internal/duties/autoscale/service.go
+++ b/internal/duties/autoscale/service.go
@@ -12,38 +12,40 @@
 )
 
 const (
-	// dutyName names the orders among the duties of the lease.
+	// dutyName identifies this duty to the lease.
 	dutyName = "replica-orders"
-	// pollInterval is the time between two decisions: short beside the time between two
-	// steps of a trainer.
+	// pollInterval is the time between decisions. It is much shorter than the time between
+	// a trainer's steps.
 	pollInterval = 500 * time.Millisecond
-	// orderTimeout bounds one order, and storeTimeout one access to the ledger.
+	// orderTimeout bounds one order, and storeTimeout one store access.
 	orderTimeout = 900 * time.Millisecond
 	storeTimeout = 900 * time.Millisecond
-	// fullZoneDelay is how long a zone that had no replicas to give is not asked.
+	// fullZoneDelay is the backoff of a zone that had no replicas available.
 	fullZoneDelay = 10 * time.Second
 )
 
-// Service orders replicas while this node holds the duty lease. Run alone uses it.
+// Service orders replicas while this node holds the duty lease. Only the goroutine of Run
+// uses its state.
 type Service struct {
 	config   Config
 	metrics  *metrics
 	services map[string]*plan
 }
 
-// NewService returns a service that does nothing before Run.
+// NewService returns a Service that does nothing before Run is called.
 func NewService(config Config) *Service {
 	return &Service{config: config, metrics: newMetrics(config.Registry), services: map[string]*plan{}}
 }
 
-// Run works until the context ends.
+// Run orders replicas until the context is done.
 func (s *Service) Run(ctx context.Context) {
 	for objectstore.Sleep(ctx, pollInterval) {
 		s.step(ctx, time.Now())
 	}
 }
 
-// step decides on each service whose replicas can be ordered.
+// step updates the state of each service whose replicas can be ordered, and places the
+// orders that are due.
 func (s *Service) step(ctx context.Context, now time.Time) {
 	view := s.config.Directory.View()
 	if view.Configuration == nil {
@@ -56,23 +58,23 @@
 		}
 		plan := s.plan(name)
 		seen := s.viewOf(view, &service, plan, now)
-		if !s.config.Keeper.IsCandidate() || !s.loadLedger(ctx, plan) {
+		if !s.config.Elector.IsCandidate() || !s.loadLedger(ctx, plan) {
 			continue
 		}
 		for _, change := range plan.due(Decide(s.config.Policy, seen, plan.base()), now) {
 			due = true
-			if ready, _ := s.config.Keeper.Ready(ctx, dutyName); ready {
+			if ready, _ := s.config.Elector.EnsureHeld(ctx, dutyName); ready {
 				s.placeOrder(ctx, plan, name, change, now)
 			}
 		}
 	}
 	if !due {
-		s.config.Keeper.Idle(dutyName)
+		s.config.Elector.MarkIdle(dutyName)
 	}
 }
 
-// loadLedger reads what was ordered before, unless it is known, and returns whether that
-// succeeded. It is read anew after another node has written it.
+// loadLedger reads the recorded orders unless they are known, and returns whether that
+// succeeded.
 func (s *Service) loadLedger(ctx context.Context, plan *plan) bool {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -83,7 +85,7 @@
 	return true
 }
 
-// plan returns what is known of a service, which is nothing at first.
+// plan returns the state of a service, a new one if there is none.
 func (s *Service) plan(service string) *plan {
 	current := s.services[service]
 	if current == nil {
@@ -93,21 +95,21 @@
 	return current
 }
 
-// viewOf returns the view of a service, and records in the plan what it shows.
-func (s *Service) viewOf(view *directory.View, service *directory.Service, plan *plan, now time.Time) *View {
+// viewOf returns the view of a service, and updates the plan and the metrics from it.
+func (s *Service) viewOf(view *directory.View, service *directory.Service, plan *plan, now time.Time) *ServiceState {
 	running, open := s.config.Work(service.Name)
 	plan.peak.add(now, running, open)
-	seen := &View{
-		Service: service.Name, Scaling: *service.Scaling, Slots: service.Engine.Slots, Present: map[string]int{}, Evacuated: map[string]bool{}, Full: map[string]bool{},
+	seen := &ServiceState{
+		Service: service.Name, Scaling: *service.Scaling, Slots: service.Engine.Slots, Present: map[string]int{}, Evacuated: map[string]bool{}, Exhausted: map[string]bool{},
 	}
-	seen.Running, seen.Open = plan.peak.greatest()
+	seen.RunningItems, seen.OpenItems = plan.peak.greatest()
 	for _, replica := range view.Replicas {
 		if replica.Service == service.Name {
 			seen.Present[replica.Zone]++
 		}
 	}
 	for zone, until := range plan.fullUntil {
-		seen.Full[zone] = now.Before(until)
+		seen.Exhausted[zone] = now.Before(until)
 	}
 	for _, endpoint := range view.Endpoints {
 		if endpoint.Model == service.Name && endpoint.State.Evacuated() {
@@ -123,8 +125,8 @@
 	return seen
 }
 
-// placeOrder records a wanted number in the ledger and orders it.
-func (s *Service) placeOrder(ctx context.Context, plan *plan, service string, want Wanted, now time.Time) {
+// placeOrder records a target in the ledger and orders it.
+func (s *Service) placeOrder(ctx context.Context, plan *plan, service string, want ZoneTarget, now time.Time) {
 	if err := s.recordOrder(ctx, plan, want); err != nil {
 		s.config.Logger.Info("replicas not ordered", "service", service, "zone", want.Zone, "replicas", want.Replicas, "error", err.Error())
 		return
@@ -133,7 +135,7 @@
 	err := s.order(ctx, service, want)
 	s.metrics.count(err)
 	switch {
-	case errors.Is(err, ErrNoneAvailable):
+	case errors.Is(err, ErrNoCapacity):
 		plan.fullUntil[want.Zone] = now.Add(fullZoneDelay)
 	case err == nil:
 		plan.accepted[want.Zone] = want.Replicas
@@ -143,8 +145,8 @@
 	s.config.Logger.Info("order of replicas not taken", "service", service, "zone", want.Zone, "replicas", want.Replicas, "error", err.Error())
 }
 
-// recordOrder stores an order before it is sent.
-func (s *Service) recordOrder(ctx context.Context, plan *plan, want Wanted) error {
+// recordOrder stores an order. It is called before the order is sent.
+func (s *Service) recordOrder(ctx context.Context, plan *plan, want ZoneTarget) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if err := plan.ledger.load(ctx); err != nil {
@@ -158,9 +160,9 @@
 	return plan.ledger.write(ctx, next)
 }
 
-// order sends one order under the lease.
-func (s *Service) order(ctx context.Context, service string, want Wanted) error {
-	permit, valid := s.config.Keeper.Begin()
+// order sends an order under the lease.
+func (s *Service) order(ctx context.Context, service string, want ZoneTarget) error {
+	permit, valid := s.config.Elector.BeginCall()
 	if !valid {
 		return lease.ErrFenced
 	}
