--- a/internal/store/watchcache/area.go
+++ b/internal/store/watchcache/area.go
@@ -80,8 +80,8 @@
 // leaveArea makes this node follow the reader of the next narrower area, if there is one,
 // for the given time. A reader that this node can't reach may be unreachable from the whole
 // region.
-func (s *Source) leaveArea(span time.Duration) {
+func (s *Source) leaveArea(duration time.Duration) {
 	if left, narrowest := s.followedArea(s.config.Nodes()); !narrowest {
-		s.exclusions.excludeArea(left.kind, span)
+		s.exclusions.excludeArea(left.kind, duration)
 	}
 }
--- a/internal/store/watchcache/area_test.go
+++ b/internal/store/watchcache/area_test.go
@@ -11,44 +11,44 @@
 var twoRegions = map[string]string{"east-a": "east", "east-b": "east", "west-a": "west", "west-b": "west"}
 
 // A small deployment has one reader across its zones and regions.
-func TestOneNodeReadsForAllRegions(t *testing.T) {
-	inZones(t, 5, twoRegions, func(c *cluster) {
+func TestSmallDeploymentHasOneReader(t *testing.T) {
+	withZones(t, 5, twoRegions, func(c *cluster) {
 		if readers := c.readers(); len(readers) != 1 {
-			t.Errorf("%d nodes read the store", len(readers))
+			t.Errorf("%d nodes read the store, want 1", len(readers))
 		}
 		c.store.Write(testKind, "first", 2)
-		c.await(c.nodes, "first", "2", soon)
+		c.waitFor(c.nodes, "first", "2", normalDelay)
 	})
 }
 
 // A reader serves a bounded number of nodes; in a larger deployment each region has its own
 // reader.
-func TestALargeDeploymentHasOneReaderARegion(t *testing.T) {
-	inZones(t, maxFollowers/4+1, twoRegions, func(c *cluster) {
+func TestLargeDeploymentHasReaderPerRegion(t *testing.T) {
+	withZones(t, maxFollowers/4+1, twoRegions, func(c *cluster) {
 		readers := c.readers()
 		if len(readers) != 2 || twoRegions[readers[0].node.Zone] == twoRegions[readers[1].node.Zone] {
-			t.Errorf("%d nodes read the store", len(readers))
+			t.Errorf("%d nodes read the store, want one in each of two regions", len(readers))
 		}
 	})
 }
 
 // Guards against late changes while regions are disconnected, and against more than one
 // reader once they are connected again.
-func TestRegionsThatLoseEachOtherReadOnTheirOwn(t *testing.T) {
+func TestDisconnectedRegionsReadSeparately(t *testing.T) {
 	for phase := range 6 {
-		inZones(t, 5, twoRegions, func(c *cluster) {
-			settle(time.Duration(phase) * 77 * time.Millisecond)
-			c.parted.Store(true)
+		withZones(t, 5, twoRegions, func(c *cluster) {
+			advance(time.Duration(phase) * 77 * time.Millisecond)
+			c.disconnected.Store(true)
 			c.store.Write(testKind, "first", 2)
-			c.await(c.nodes, "first", "2", bound)
-			settle(3 * time.Second)
+			c.waitFor(c.nodes, "first", "2", maxDelay)
+			advance(3 * time.Second)
 			if readers := c.readers(); len(readers) > 3 {
-				t.Errorf("phase %d: %d nodes read the store while regions are apart", phase, len(readers))
+				t.Errorf("phase %d: %d nodes read the store while regions are disconnected, want at most 3", phase, len(readers))
 			}
-			c.parted.Store(false)
-			settle(40 * time.Second)
+			c.disconnected.Store(false)
+			advance(40 * time.Second)
 			if readers := c.readers(); len(readers) != 1 {
-				t.Errorf("phase %d: %d nodes read the store in the end", phase, len(readers))
+				t.Errorf("phase %d: %d nodes read the store in the end, want 1", phase, len(readers))
 			}
 		})
 	}
@@ -56,20 +56,20 @@
 
 // Guards against all followers reading the store at once when the reader is lost or refused
 // by the store: at most one node per zone may, and no follower gets changes late.
-func TestLossOfTheReaderOfAllCostsFewReaders(t *testing.T) {
-	for _, trouble := range troubles {
-		t.Run(trouble.name, func(t *testing.T) {
+func TestReaderLossAddsFewReaders(t *testing.T) {
+	for _, fault := range readerFaults {
+		t.Run(fault.name, func(t *testing.T) {
 			for phase := range 8 {
-				inZones(t, 8, twoRegions, func(c *cluster) {
+				withZones(t, 8, twoRegions, func(c *cluster) {
 					reader, followers := c.readers()[0], c.followers()
-					settle(time.Duration(phase) * 77 * time.Millisecond)
-					trouble.begin(reader)
-					settle(time.Duration(phase%3) * 130 * time.Millisecond)
+					advance(time.Duration(phase) * 77 * time.Millisecond)
+					fault.inject(reader)
+					advance(time.Duration(phase%3) * 130 * time.Millisecond)
 					c.store.Write(testKind, "first", 2)
-					c.await(followers, "first", "2", bound)
-					settle(2 * time.Second)
+					c.waitFor(followers, "first", "2", maxDelay)
+					advance(2 * time.Second)
 					if readers := c.readers(); len(readers) > len(twoRegions) {
-						t.Errorf("phase %d: %d nodes read the store", phase, len(readers))
+						t.Errorf("phase %d: %d nodes read the store, want at most one per zone", phase, len(readers))
 					}
 				})
 			}
@@ -78,47 +78,47 @@
 }
 
 // Guards against late changes when the store refuses many nodes, including the reader.
-func TestStoreThatTurnsManyNodesAwayDelaysNewsWithinTheBound(t *testing.T) {
+func TestRefusedNodesDelayChangesWithinBound(t *testing.T) {
 	for phase := range 8 {
-		inZones(t, 8, twoRegions, func(c *cluster) {
-			settle(time.Duration(phase) * 77 * time.Millisecond)
+		withZones(t, 8, twoRegions, func(c *cluster) {
+			advance(time.Duration(phase) * 77 * time.Millisecond)
 			reader := c.readers()[0]
-			var served []*testNode
+			var accepted []*testNode
 			for number, node := range c.nodes {
 				if node == reader || (number+phase)%3 == 0 {
 					node.store.cut.Store(true)
 				} else {
-					served = append(served, node)
+					accepted = append(accepted, node)
 				}
 			}
 			c.store.Write(testKind, "first", 2)
-			c.await(served, "first", "2", bound)
-			settle(3 * time.Second)
+			c.waitFor(accepted, "first", "2", maxDelay)
+			advance(3 * time.Second)
 			c.store.Write(testKind, "first", 3)
-			c.await(c.nodes, "first", "3", bound)
+			c.waitFor(c.nodes, "first", "3", maxDelay)
 		})
 	}
 }
 
 // Guards against frequent polls of a machine that is lost for good but still listed, each
 // of which delays changes.
-func TestAReaderThatIsGoneIsTriedEverLessOften(t *testing.T) {
-	inZones(t, 5, twoRegions, func(c *cluster) {
+func TestLostReaderIsPolledWithBackoff(t *testing.T) {
+	withZones(t, 5, twoRegions, func(c *cluster) {
 		lost, followers := c.readers()[0], c.followers()
 		lost.dead.Store(true)
 		lost.stop()
-		settle(time.Minute)
+		advance(time.Minute)
 		if readers := c.readers(); len(readers) != 1 {
-			t.Errorf("%d nodes read the store a minute later", len(readers))
+			t.Errorf("%d nodes read the store a minute later, want 1", len(readers))
 		}
-		settle(2 * time.Minute)
-		if tries := lost.polledDead.Load(); tries > int64(6*len(followers)) {
-			t.Errorf("%d tries of %d nodes in three minutes", tries, len(followers))
+		advance(2 * time.Minute)
+		if polls := lost.pollsWhileDead.Load(); polls > int64(6*len(followers)) {
+			t.Errorf("lost node polled %d times by %d nodes in three minutes", polls, len(followers))
 		}
 	})
 }
 
-func TestAreasOfANode(t *testing.T) {
+func TestAreasOf(t *testing.T) {
 	// others returns itself and the given number of nodes in each zone.
 	others := func(perZone map[string]int) []Node {
 		nodes := []Node{{Name: "self", Zone: "east-a"}}
@@ -149,7 +149,7 @@
 			kinds = append(kinds, area.kind)
 		}
 		if !slices.Equal(kinds, test.want) {
-			t.Errorf("%s: %v, want %v", test.name, kinds, test.want)
+			t.Errorf("%s: areas %v, want %v", test.name, kinds, test.want)
 		}
 	}
 }
--- a/internal/store/watchcache/cache.go
+++ b/internal/store/watchcache/cache.go
@@ -16,38 +16,38 @@
 	sink   Sink
 	notify func()
 	logger klog.Logger
-	// wait is how long the store may hold a watch without events.
-	wait time.Duration
+	// watchTimeout is how long the store may hold a watch without events.
+	watchTimeout time.Duration
 
 	mutex sync.Mutex
-	copy  kindCopy
+	state cacheState
 }
 
 // newCache returns an empty cache. Notify is called after each change, with the cache's
 // mutex locked.
-func newCache(kind string, sink Sink, wait time.Duration, notify func()) *Cache {
-	return &Cache{kind: kind, sink: sink, wait: wait, notify: notify, logger: klog.Background(), copy: newKindCopy()}
+func newCache(kind string, sink Sink, watchTimeout time.Duration, notify func()) *Cache {
+	return &Cache{kind: kind, sink: sink, watchTimeout: watchTimeout, notify: notify, logger: klog.Background(), state: newCacheState()}
 }
 
 // Revision returns the store revision of the cache, 0 before the first listing.
 func (c *Cache) Revision() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.copy.revision
+	return c.state.revision
 }
 
 // Listed reports whether the kind has been listed at least once.
 func (c *Cache) Listed() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.copy.listed
+	return c.state.listed
 }
 
 // isLarge reports whether the cache is costly to list again.
 func (c *Cache) isLarge() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.copy.isLarge()
+	return c.state.isLarge()
 }
 
 // Replace replaces the contents by a listing. It returns false, and changes nothing, if the
@@ -55,7 +55,7 @@
 func (c *Cache) Replace(objects []objectstore.Object, revision uint64, afterOutage bool) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.copy.replace(objects, revision, afterOutage) {
+	if !c.state.replace(objects, revision, afterOutage) {
 		return false
 	}
 	c.sink.Replace(objects, afterOutage)
@@ -68,7 +68,7 @@
 func (c *Cache) Advance(from uint64, changes []objectstore.Change, to uint64, afterOutage bool) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.copy.advance(from, changes, to, afterOutage) {
+	if !c.state.advance(from, changes, to, afterOutage) {
 		return false
 	}
 	if len(changes) > 0 {
@@ -80,16 +80,16 @@
 
 // UpdateSince returns the update for a follower's cache at a revision, and whether there is
 // one. If the follower reads compressed updates, a large snapshot may be of an earlier
-// revision, from which the history leads to the present one.
+// revision, from which the history leads to the current one.
 func (c *Cache) UpdateSince(revision uint64, compressed bool) (Update, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	update, found, err := c.copy.updateSince(revision, compressed)
+	update, found, err := c.state.updateSince(revision, compressed)
 	switch {
 	case err != nil && update.Snapshot:
-		c.logger.Error(err, "listing is sent uncompressed", "kind", c.kind, "objects", len(update.Changes))
+		c.logger.Error(err, "failed to compress snapshot, sending it uncompressed", "kind", c.kind, "objects", len(update.Changes))
 	case err != nil:
-		c.logger.Error(err, "changes are sent uncompressed", "kind", c.kind, "changes", len(update.Changes))
+		c.logger.Error(err, "failed to compress changes, sending them uncompressed", "kind", c.kind, "changes", len(update.Changes))
 	}
 	return update, found
 }
--- a/internal/store/watchcache/kind_copy.go
+++ b/internal/store/watchcache/cache_state.go
@@ -12,23 +12,23 @@
 	// that, as many changes as objects are kept, so that a follower further behind gets a
 	// snapshot that is no longer than the changes it missed.
 	minHistory = 256
-	// largeListing is the number of objects at which a snapshot is compressed for
+	// minLargeListing is the number of objects at which a snapshot is compressed for
 	// followers, and at which an informer resumes its watch rather than list the kind
 	// again. Smaller listings are one or two pages of the store.
-	largeListing = 256
-	// manyChanges is the number of changes at which they are compressed.
-	manyChanges = 16
+	minLargeListing = 256
+	// minCompressedChanges is the number of changes at which they are compressed.
+	minCompressedChanges = 16
 )
 
-// kindCopy is the contents of a cache: the objects of one kind and the latest changes. It
+// cacheState is the contents of a cache: the objects of one kind and the latest changes. It
 // is not safe for concurrent use.
-type kindCopy struct {
+type cacheState struct {
 	listed  bool
 	objects map[string]objectstore.Object
 	// revision is the store revision of the objects.
 	revision uint64
-	// history holds the changes after revision base, oldest first.
-	base        uint64
+	// history holds the changes after revision historyBase, oldest first.
+	historyBase uint64
 	history     []historyEntry
 	afterOutage bool
 	compressed  compressedUpdates
@@ -40,13 +40,13 @@
 	change   objectstore.Change
 }
 
-func newKindCopy() kindCopy { return kindCopy{objects: map[string]objectstore.Object{}} }
+func newCacheState() cacheState { return cacheState{objects: map[string]objectstore.Object{}} }
 
 // isLarge reports whether the objects are costly to list again.
-func (c *kindCopy) isLarge() bool { return c.listed && len(c.objects) >= largeListing }
+func (c *cacheState) isLarge() bool { return c.listed && len(c.objects) >= minLargeListing }
 
 // replace replaces the objects by a listing, unless the listing is older.
-func (c *kindCopy) replace(objects []objectstore.Object, revision uint64, afterOutage bool) bool {
+func (c *cacheState) replace(objects []objectstore.Object, revision uint64, afterOutage bool) bool {
 	if c.listed && revision < c.revision {
 		return false
 	}
@@ -55,7 +55,7 @@
 		c.objects[object.Name] = object
 	}
 	if !c.listed || revision > c.revision {
-		c.base, c.history = revision, nil
+		c.historyBase, c.history = revision, nil
 	}
 	c.compressed = compressedUpdates{}
 	c.listed, c.revision, c.afterOutage = true, revision, afterOutage
@@ -64,7 +64,7 @@
 
 // advance applies the changes between two revisions, if the objects are at the first of
 // them.
-func (c *kindCopy) advance(from uint64, changes []objectstore.Change, to uint64, afterOutage bool) bool {
+func (c *cacheState) advance(from uint64, changes []objectstore.Change, to uint64, afterOutage bool) bool {
 	if !c.listed || from != c.revision {
 		return false
 	}
@@ -83,34 +83,34 @@
 
 // trimHistory drops the oldest changes. It drops changes of the same revision together, so
 // that no follower gets only some of them.
-func (c *kindCopy) trimHistory() {
-	surplus := len(c.history) - max(minHistory, len(c.objects))
-	if surplus <= 0 {
+func (c *cacheState) trimHistory() {
+	excess := len(c.history) - max(minHistory, len(c.objects))
+	if excess <= 0 {
 		return
 	}
-	c.base = c.history[surplus-1].revision
-	c.history = slices.DeleteFunc(c.history, func(entry historyEntry) bool { return entry.revision <= c.base })
+	c.historyBase = c.history[excess-1].revision
+	c.history = slices.DeleteFunc(c.history, func(entry historyEntry) bool { return entry.revision <= c.historyBase })
 }
 
 // updateSince returns the update for a follower's cache at a revision, and whether there is
 // one. An error means that the update could not be compressed and is returned uncompressed.
-func (c *kindCopy) updateSince(revision uint64, compressed bool) (update Update, found bool, err error) {
+func (c *cacheState) updateSince(revision uint64, compressed bool) (update Update, found bool, err error) {
 	if !c.listed || (revision >= c.revision && revision > 0) {
 		return Update{}, false, nil
 	}
-	if revision < c.base || revision == 0 {
-		update, err = c.wholeUpdate(compressed)
+	if revision < c.historyBase || revision == 0 {
+		update, err = c.snapshotUpdate(compressed)
 		return update, true, err
 	}
-	return c.updateFromHistory(revision, compressed)
+	return c.historyUpdate(revision, compressed)
 }
 
-// wholeUpdate returns a snapshot of all objects.
-func (c *kindCopy) wholeUpdate(compressed bool) (Update, error) {
+// snapshotUpdate returns a snapshot of all objects.
+func (c *cacheState) snapshotUpdate(compressed bool) (Update, error) {
 	update := Update{Revision: c.revision, AfterOutage: c.afterOutage, Snapshot: true}
 	var err error
-	if compressed && len(c.objects) >= largeListing {
-		update.Compressed, update.Revision, err = c.compressed.listingSince(c.base, c.revision, c.sortedObjects)
+	if compressed && len(c.objects) >= minLargeListing {
+		update.Compressed, update.Revision, err = c.compressed.snapshotSince(c.historyBase, c.revision, c.sortedObjects)
 		if err == nil {
 			return update, nil
 		}
@@ -122,8 +122,8 @@
 	return update, err
 }
 
-// updateFromHistory returns the changes after a revision.
-func (c *kindCopy) updateFromHistory(revision uint64, compressed bool) (Update, bool, error) {
+// historyUpdate returns the changes after a revision.
+func (c *cacheState) historyUpdate(revision uint64, compressed bool) (Update, bool, error) {
 	update := Update{Revision: c.revision, AfterOutage: c.afterOutage}
 	for _, entry := range c.history {
 		if entry.revision > revision {
@@ -131,7 +131,7 @@
 		}
 	}
 	var err error
-	if compressed && len(update.Changes) >= manyChanges {
+	if compressed && len(update.Changes) >= minCompressedChanges {
 		update.Compressed, err = c.compressed.changesBetween(revision, c.revision, update.Changes)
 		if err == nil {
 			update.Changes = nil
@@ -142,7 +142,7 @@
 }
 
 // sortedObjects returns all objects sorted by name.
-func (c *kindCopy) sortedObjects() []objectstore.Object {
+func (c *cacheState) sortedObjects() []objectstore.Object {
 	objects := make([]objectstore.Object, 0, len(c.objects))
 	for _, name := range slices.Sorted(maps.Keys(c.objects)) {
 		objects = append(objects, c.objects[name])
--- a/internal/store/watchcache/compressed_updates.go
+++ b/internal/store/watchcache/compressed_updates.go
@@ -8,27 +8,27 @@
 // compressedUpdates keeps the last compressed snapshot and the last compressed changes,
 // since many followers request the same ones. It is not safe for concurrent use.
 type compressedUpdates struct {
-	// listing holds all objects at revision listingAt; nil for none.
-	listing   []byte
-	listingAt uint64
+	// snapshot holds all objects at revision snapshotRevision; nil for none.
+	snapshot         []byte
+	snapshotRevision uint64
 	// changes holds the changes between two revisions; nil for none.
 	changes     []byte
 	changesFrom uint64
 	changesTo   uint64
 }
 
-// listingSince returns a compressed snapshot at revision base or later, and its revision.
-// It compresses the present objects if it has no such snapshot.
-func (u *compressedUpdates) listingSince(base, current uint64, objects func() []objectstore.Object) (listing []byte, at uint64, err error) {
-	if u.listing != nil && u.listingAt >= base {
-		return u.listing, u.listingAt, nil
+// snapshotSince returns a compressed snapshot at revision base or later, and its revision.
+// It compresses the current objects if it has no such snapshot.
+func (u *compressedUpdates) snapshotSince(base, current uint64, objects func() []objectstore.Object) (snapshot []byte, revision uint64, err error) {
+	if u.snapshot != nil && u.snapshotRevision >= base {
+		return u.snapshot, u.snapshotRevision, nil
 	}
 	compressed, err := objectwire.Compress(objects())
 	if err != nil {
 		return nil, 0, err
 	}
-	u.listing, u.listingAt = compressed, current
-	return u.listing, u.listingAt, nil
+	u.snapshot, u.snapshotRevision = compressed, current
+	return u.snapshot, u.snapshotRevision, nil
 }
 
 // changesBetween returns the compressed changes between two revisions.
--- a/internal/store/watchcache/config.go
+++ b/internal/store/watchcache/config.go
@@ -16,8 +16,8 @@
 	Regions map[string]string
 	Store   objectstore.Store
 	Peers   environment.Peers
-	// Nodes lists the other known nodes. JoinAttempted reports whether that list has been read, or
-	// reading it has failed at least once.
+	// Nodes lists the other known nodes. JoinAttempted reports whether that list has been
+	// read, or reading it has failed at least once.
 	Nodes         func() []Node
 	JoinAttempted func() bool
 	// ProbeKind and ProbeName name the object that is read to check whether the store is
--- a/internal/store/watchcache/decide.go
+++ b/internal/store/watchcache/decide.go
@@ -28,13 +28,13 @@
 type pollObservation struct {
 	outcome  pollOutcome
 	position treePosition
-	// copyAge is how long ago the caches were last known to be current.
-	copyAge time.Duration
+	// cacheAge is how long ago the caches were last known to be current.
+	cacheAge time.Duration
 	// listed reports that this node has listed all kinds.
 	listed bool
-	// storeAnswers reports that a probe of the store has just succeeded; false without a
+	// storeAvailable reports that a probe of the store has just succeeded; false without a
 	// probe.
-	storeAnswers bool
+	storeAvailable bool
 	// unsureReplies counts the parent's consecutive unsure replies while the store was
 	// available to this node, including this one.
 	unsureReplies int
@@ -46,7 +46,7 @@
 	// silent.
 	silentBefore bool
 	// narrowerArea reports that the reader of a narrower area can be followed. It is only
-	// set together with storeAnswers.
+	// set together with storeAvailable.
 	narrowerArea bool
 	// sinceRelayLeft is the time since this node last left a relaying parent.
 	sinceRelayLeft time.Duration
@@ -59,8 +59,8 @@
 // stale, because a node first tries the next parent, which starts to read when it is
 // polled.
 func (o pollObservation) mayReadStore() bool {
-	tooEarly := o.position.inTree && o.copyAge <= staleAge
-	return (o.position.mayRead && !tooEarly) || o.copyAge > criticalAge
+	tooEarly := o.position.inTree && o.cacheAge <= staleAge
+	return (o.position.mayRead && !tooEarly) || o.cacheAge > criticalAge
 }
 
 // exclusionCause is why a parent is excluded. It determines for how long.
@@ -78,19 +78,19 @@
 type decisionReason string
 
 const (
-	reasonCurrent         decisionReason = "parent is current"
-	reasonLeaving         decisionReason = "parent is stopping"
-	reasonSilent          decisionReason = "parent is silent"
-	reasonListing         decisionReason = "parent is listing"
-	reasonListingTooLong  decisionReason = "parent is not listed in time"
-	reasonStoreDown       decisionReason = "store answers neither the parent nor this node"
-	reasonUnsureOnce      decisionReason = "parent may not have noticed the end of an outage"
-	reasonUnsure          decisionReason = "parent is unsure but the store answers this node"
-	reasonInterrupted     decisionReason = "following was cancelled"
-	reasonRelayRecent     decisionReason = "copies of a relaying parent are young enough"
-	reasonRelayWait       decisionReason = "relaying parent waits for its own parent"
-	reasonRelayStale      decisionReason = "relaying parent has no current copies"
-	reasonCriticalAndBack decisionReason = "copies are critically old and the store answers this node"
+	reasonCurrent                decisionReason = "parent is current"
+	reasonLeaving                decisionReason = "parent is stopping"
+	reasonSilent                 decisionReason = "parent did not reply"
+	reasonListing                decisionReason = "parent is listing"
+	reasonListingTimeout         decisionReason = "parent did not list in time"
+	reasonStoreUnavailable       decisionReason = "store is unavailable to the parent and to this node"
+	reasonUnsureOnce             decisionReason = "parent may not have detected the end of an outage"
+	reasonUnsure                 decisionReason = "parent is unsure but the store is available to this node"
+	reasonInterrupted            decisionReason = "following was cancelled"
+	reasonRelayFresh             decisionReason = "caches behind a relaying parent are fresh enough"
+	reasonRelayWait              decisionReason = "relaying parent is given time to recover"
+	reasonRelayStale             decisionReason = "relaying parent has no current caches"
+	reasonCriticalStoreAvailable decisionReason = "cache age is critical and the store is available to this node"
 )
 
 // decision is what to do after a poll of the parent.
@@ -127,15 +127,15 @@
 	return decideUnsureReader(observed)
 }
 
-// decideSilent leaves a parent that did not reply. At the first missing reply it also leaves
-// the area, since the connection between regions may be lost. If the caches are stale, there
-// is no time to try another parent.
+// decideSilent leaves a parent that did not reply. At the first missing reply it also
+// leaves the area, since the connection between regions may be lost. If the caches are
+// stale, there is no time to try another parent.
 func decideSilent(observed pollObservation) decision {
 	decided := decision{reason: reasonSilent, exclude: excludeSilent}
 	if !observed.silentBefore {
 		decided.leaveAreaFor = silentExclusion
 	}
-	decided.readStore = observed.copyAge > staleAge && observed.mayReadStore()
+	decided.readStore = observed.cacheAge > staleAge && observed.mayReadStore()
 	return decided
 }
 
@@ -143,22 +143,22 @@
 // follows that parent because another one was unsure: the caches are then about to become
 // stale.
 func decideStarting(observed pollObservation) decision {
-	mayWait := observed.copyAge < staleAge && !observed.suspect
+	mayWait := observed.cacheAge < staleAge && !observed.suspect
 	if observed.outcome == outcomeStarting && !observed.listed {
-		mayWait = observed.copyAge < startTimeout
+		mayWait = observed.cacheAge < startTimeout
 	}
 	if mayWait {
 		return decision{reason: reasonListing, follow: true}
 	}
-	return decision{reason: reasonListingTooLong, exclude: excludeUnsure, readStore: observed.mayReadStore()}
+	return decision{reason: reasonListingTimeout, exclude: excludeUnsure, readStore: observed.mayReadStore()}
 }
 
 // decideUnsureReader leaves a reader to which the store is unavailable, if it is available
 // to this node. This node tries the reader of a narrower area before it reads the store
 // itself.
 func decideUnsureReader(observed pollObservation) decision {
-	if !observed.storeAnswers {
-		return decision{reason: reasonStoreDown, follow: true, pause: unsureRetryInterval}
+	if !observed.storeAvailable {
+		return decision{reason: reasonStoreUnavailable, follow: true, pause: unsureRetryInterval}
 	}
 	if observed.unsureReplies < maxUnsureReplies {
 		return decision{reason: reasonUnsureOnce, follow: true, pause: unsureRetryInterval}
@@ -179,10 +179,10 @@
 	switch {
 	case observed.interrupted:
 		return decision{reason: reasonInterrupted, follow: true}
-	case observed.copyAge < staleAge:
-		return decision{reason: reasonRelayRecent, follow: true}
-	case observed.copyAge > criticalAge && observed.storeAnswers:
-		return decision{reason: reasonCriticalAndBack, readStore: true}
+	case observed.cacheAge < staleAge:
+		return decision{reason: reasonRelayFresh, follow: true}
+	case observed.cacheAge > criticalAge && observed.storeAvailable:
+		return decision{reason: reasonCriticalStoreAvailable, readStore: true}
 	case observed.sinceRelayLeft < unsureExclusion:
 		return decision{reason: reasonRelayWait, follow: true}
 	}
--- a/internal/store/watchcache/doc.go
+++ b/internal/store/watchcache/doc.go
@@ -3,8 +3,8 @@
 //
 // Few nodes read the store. The nodes of an area (the deployment if it is small enough,
 // else a region or a zone) rank one another, and all follow the first one, the reader. The
-// reader lists and watches the kinds and replies to the other nodes' polls from its caches. A
-// node that is polled reads the store, so the nodes need not agree on the ranking. In a
+// reader lists and watches the kinds and replies to the other nodes' polls from its caches.
+// A node that is polled reads the store, so the nodes need not agree on the ranking. In a
 // zone with more nodes than one reader can serve, the followers form a tree below the
 // reader.
 //
@@ -19,10 +19,10 @@
 //   - Cache: the objects of one kind and their recent history
 //   - readMode: whether this node reads, and until when it has to
 //   - exclusions: nodes and areas that are temporarily not followed
-//   - pollHistory: what the polls of the present outage have shown
+//   - pollHistory: what the polls of the last outage have shown
 //   - storeHealth: whether the store is available to this node
 //   - freshness: when the caches were last known to be current
-//   - answeringPeer: a peer to which the store is available
+//   - accessPeer: a peer to which the store is available
 //
 // The decisions are pure functions: positionOf selects the node to follow, decideAfterPoll
 // decides whether to keep it or to read the store, and timingOf sets the hold and the
--- a/internal/store/watchcache/exclusions.go
+++ b/internal/store/watchcache/exclusions.go
@@ -40,19 +40,19 @@
 }
 
 // exclude excludes a node for the given time.
-func (e *exclusions) exclude(node string, span time.Duration) {
+func (e *exclusions) exclude(node string, duration time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.nodeUntil[node] = time.Now().Add(span)
+	e.nodeUntil[node] = time.Now().Add(duration)
 }
 
 // excludeSilent excludes a node that did not reply, longer after each consecutive failure.
 func (e *exclusions) excludeSilent(node string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	span := min(max(silentExclusion, 2*e.silentFor[node]), maxSilentExclusion)
-	e.silentFor[node] = span
-	e.nodeUntil[node] = time.Now().Add(span)
+	duration := min(max(silentExclusion, 2*e.silentFor[node]), maxSilentExclusion)
+	e.silentFor[node] = duration
+	e.nodeUntil[node] = time.Now().Add(duration)
 }
 
 // wasSilent reports whether a node was excluded as silent and has not replied since.
@@ -80,10 +80,10 @@
 }
 
 // excludeArea excludes the reader of an area for the given time.
-func (e *exclusions) excludeArea(kind areaKind, span time.Duration) {
+func (e *exclusions) excludeArea(kind areaKind, duration time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.areaUntil[kind] = time.Now().Add(span)
+	e.areaUntil[kind] = time.Now().Add(duration)
 }
 
 // isAreaExcluded reports whether the reader of an area is excluded.
--- a/internal/store/watchcache/exclusions_test.go
+++ b/internal/store/watchcache/exclusions_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestExclusionOfASilentNodeDoublesUntilItReplies(t *testing.T) {
+func TestSilentExclusionDoublesUntilReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		excluded := newExclusions()
 		nodes := []Node{{Name: "silent"}}
@@ -17,20 +17,20 @@
 				time.Sleep(time.Second)
 			}
 			if took := time.Since(began); took != want*time.Second {
-				t.Errorf("excluded for %s, want %ds", took, want)
+				t.Errorf("excluded for %s, want %d s", took, want)
 			}
 		}
 		if !excluded.wasSilent("silent") {
-			t.Error("the end of an exclusion counts as a reply")
+			t.Error("end of an exclusion counted as a reply")
 		}
 		excluded.recordReply("silent")
 		if excluded.wasSilent("silent") {
-			t.Error("a node that replied counts as silent")
+			t.Error("node that replied counted as silent")
 		}
 		excluded.excludeSilent("silent")
 		time.Sleep(silentExclusion)
 		if len(excluded.allowed(nodes)) == 0 {
-			t.Error("a node that replied is excluded for as long as before")
+			t.Error("node that replied excluded for longer than silentExclusion")
 		}
 	})
 }
--- a/internal/store/watchcache/answer.go
+++ b/internal/store/watchcache/handle_poll.go
@@ -19,14 +19,13 @@
 	maxRelayedAge = 900 * time.Millisecond
 )
 
-// HandlePoll returns the reply to a follower's poll. It returns when there are changes, when
-// this node reports unsure or leaving, or when the requested hold has passed. A polled node
-// reads the store, unless the poll is marked as one to a relay, which follows another node.
+// HandlePoll returns the reply to a follower's poll. It returns when there are changes,
+// when this node reports unsure or leaving, or when the requested hold has passed. A polled
+// node reads the store, unless the sender takes it for a relay, which follows another node.
 func (s *Source) HandlePoll(ctx context.Context, poll *wire.WatchPoll) *wire.WatchNews {
 	s.metrics.answered.Inc()
-	if poll.Direct && !s.reading.isActive() && !s.probe.answered(ctx) {
-		// The store is available to neither node, so reading it would not help the other
-		// one.
+	if poll.Direct && !s.reading.isActive() && !s.probe.succeeds(ctx) {
+		// The store is available to neither node, so this one could not help the other.
 		return &wire.WatchNews{Standing: uint8(wire.ReaderUnsure)}
 	}
 	if !poll.Relay {
@@ -36,22 +35,22 @@
 	defer hold.Stop()
 	for {
 		changed := s.changed.next()
-		reply := s.replyNow(poll)
-		if isWorthSending(reply) {
+		reply := s.buildReply(poll)
+		if endsHold(reply) {
 			return reply
 		}
 		select {
 		case <-ctx.Done():
 			return reply
 		case <-hold.C:
-			return s.replyNow(poll)
+			return s.buildReply(poll)
 		case <-changed:
 		}
 	}
 }
 
-// isWorthSending reports whether a reply is sent before the hold ends.
-func isWorthSending(reply *wire.WatchNews) bool {
+// endsHold reports whether a reply is sent before the hold ends.
+func endsHold(reply *wire.WatchNews) bool {
 	switch wire.ReaderState(reply.Standing) {
 	case wire.ReaderLeaving, wire.ReaderUnsure:
 		return true
@@ -61,8 +60,8 @@
 	return false
 }
 
-// replyNow returns the reply to a poll from the present state.
-func (s *Source) replyNow(poll *wire.WatchPoll) *wire.WatchNews {
+// buildReply returns the reply to a poll from the current state.
+func (s *Source) buildReply(poll *wire.WatchPoll) *wire.WatchNews {
 	status := s.readerStatus(poll.Direct)
 	if poll.Relay && status.state != wire.ReaderLeaving && !s.reading.isActive() {
 		status = s.relayStatus()
@@ -75,8 +74,8 @@
 	}
 }
 
-// copyStatus is what a node reports about its caches.
-type copyStatus struct {
+// cacheStatus is what a node reports about its caches.
+type cacheStatus struct {
 	state wire.ReaderState
 	// through is the address of the node to which the store is available, if it is another
 	// one.
@@ -86,45 +85,45 @@
 }
 
 // relayStatus returns the status of a node that follows another one.
-func (s *Source) relayStatus() copyStatus {
+func (s *Source) relayStatus() cacheStatus {
 	age := s.CacheAge()
 	switch {
 	case !s.listed():
-		return copyStatus{state: wire.ReaderStarting}
+		return cacheStatus{state: wire.ReaderStarting}
 	case age > maxRelayedAge:
-		return copyStatus{state: wire.ReaderUnsure}
+		return cacheStatus{state: wire.ReaderUnsure}
 	}
-	return copyStatus{state: wire.ReaderCurrent, through: s.peer.last(), age: age}
+	return cacheStatus{state: wire.ReaderCurrent, through: s.accessPeer.last(), age: age}
 }
 
 // readerStatus returns the status of a node that reads the store. A reader that follows a
-// fallback peer also reports current and names that peer, except in reply to a direct poll:
+// helper also reports current and names the helper, except in reply to a direct poll:
 // otherwise two nodes without the store could each take the other for current.
-func (s *Source) readerStatus(direct bool) copyStatus {
-	helper, helped := s.peer.helper()
+func (s *Source) readerStatus(direct bool) cacheStatus {
+	helper, helped := s.accessPeer.helper()
 	switch {
 	case s.leaving.Load():
-		return copyStatus{state: wire.ReaderLeaving}
+		return cacheStatus{state: wire.ReaderLeaving}
 	case helped && !direct:
-		return copyStatus{state: wire.ReaderCurrent, through: helper}
+		return cacheStatus{state: wire.ReaderCurrent, through: helper}
 	case s.health.isUnavailable():
-		return copyStatus{state: wire.ReaderUnsure}
+		return cacheStatus{state: wire.ReaderUnsure}
 	case s.isCurrent():
-		return copyStatus{state: wire.ReaderCurrent}
+		return cacheStatus{state: wire.ReaderCurrent}
 	}
-	return copyStatus{state: wire.ReaderStarting}
+	return cacheStatus{state: wire.ReaderStarting}
 }
 
 // updatesFor returns an update for each kind of which the sender of a poll lacks changes.
 func (s *Source) updatesFor(poll *wire.WatchPoll) []wire.KindNews {
 	var updates []wire.KindNews
-	for _, has := range poll.Kinds {
+	for _, held := range poll.Kinds {
 		for _, cache := range s.caches {
-			if cache.kind != has.Kind {
+			if cache.kind != held.Kind {
 				continue
 			}
-			if update, found := cache.UpdateSince(has.Revision, poll.Compressed); found {
-				updates = append(updates, encodeUpdate(has.Kind, update))
+			if update, found := cache.UpdateSince(held.Revision, poll.Compressed); found {
+				updates = append(updates, encodeUpdate(held.Kind, update))
 			}
 		}
 	}
--- a/internal/store/watchcache/harness_test.go
+++ b/internal/store/watchcache/harness_test.go
@@ -27,20 +27,21 @@
 	storeTimeout = 1500 * time.Millisecond
 )
 
-// cutStore is one node's connection to the store, which a test can cut.
-type cutStore struct {
+// cuttableStore is one node's connection to the store, which a test can cut.
+type cuttableStore struct {
 	*metastore.Store
 	cut atomic.Bool
-	// losesWatch makes the store lose the next watch response, and only that.
-	losesWatch atomic.Bool
-	// calls counts the lists and watches that reach the store.
-	calls atomic.Int64
-	// asked counts all calls, including those without a response.
-	asked atomic.Int64
+	// loseNextWatch makes the store lose the next watch response, and only that.
+	loseNextWatch atomic.Bool
+	// servedCalls counts the lists and watches that reach the store.
+	servedCalls atomic.Int64
+	// allCalls counts all calls, including those without a response.
+	allCalls atomic.Int64
 }
 
-func (s *cutStore) pass(ctx context.Context) error {
-	s.asked.Add(1)
+// checkCut counts a call and makes it fail after storeTimeout if the connection is cut.
+func (s *cuttableStore) checkCut(ctx context.Context) error {
+	s.allCalls.Add(1)
 	if !s.cut.Load() {
 		return nil
 	}
@@ -48,43 +49,43 @@
 	return &objectstore.UnansweredError{Cause: metastore.ErrFault}
 }
 
-func (s *cutStore) List(ctx context.Context, kind, after string, freshness objectstore.Freshness) (objectstore.Page, error) {
-	if err := s.pass(ctx); err != nil {
+func (s *cuttableStore) List(ctx context.Context, kind, after string, freshness objectstore.Freshness) (objectstore.Page, error) {
+	if err := s.checkCut(ctx); err != nil {
 		return objectstore.Page{}, err
 	}
-	s.calls.Add(1)
+	s.servedCalls.Add(1)
 	return s.Store.List(ctx, kind, after, freshness)
 }
 
-func (s *cutStore) Get(ctx context.Context, kind, name string, freshness objectstore.Freshness) (objectstore.Object, error) {
-	if err := s.pass(ctx); err != nil {
+func (s *cuttableStore) Get(ctx context.Context, kind, name string, freshness objectstore.Freshness) (objectstore.Object, error) {
+	if err := s.checkCut(ctx); err != nil {
 		return objectstore.Object{}, err
 	}
 	return s.Store.Get(ctx, kind, name, freshness)
 }
 
-// Watch loses its response if the connection is cut by then, or if losesWatch is set.
-func (s *cutStore) Watch(ctx context.Context, kind string, from uint64, wait time.Duration) (objectstore.Changes, error) {
-	if err := s.pass(ctx); err != nil {
+// Watch loses its response if the connection is cut by then, or if loseNextWatch is set.
+func (s *cuttableStore) Watch(ctx context.Context, kind string, from uint64, wait time.Duration) (objectstore.Changes, error) {
+	if err := s.checkCut(ctx); err != nil {
 		return objectstore.Changes{}, err
 	}
-	s.calls.Add(1)
+	s.servedCalls.Add(1)
 	changes, err := s.Store.Watch(ctx, kind, from, wait)
-	if s.cut.Load() || s.losesWatch.CompareAndSwap(true, false) {
+	if s.cut.Load() || s.loseNextWatch.CompareAndSwap(true, false) {
 		objectstore.Sleep(ctx, wait)
 		return objectstore.Changes{}, &objectstore.UnansweredError{Cause: metastore.ErrFault}
 	}
 	return changes, err
 }
 
-// recorder is a sink that keeps the objects.
-type recorder struct {
+// recordingSink is a sink that keeps the objects.
+type recordingSink struct {
 	mutex       sync.Mutex
 	objects     map[string]objectstore.Object
 	afterOutage bool
 }
 
-func (r *recorder) Replace(objects []objectstore.Object, afterOutage bool) {
+func (r *recordingSink) Replace(objects []objectstore.Object, afterOutage bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.objects, r.afterOutage = map[string]objectstore.Object{}, afterOutage
@@ -93,7 +94,7 @@
 	}
 }
 
-func (r *recorder) Apply(changes []objectstore.Change, afterOutage bool) {
+func (r *recordingSink) Apply(changes []objectstore.Change, afterOutage bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.afterOutage = afterOutage
@@ -107,7 +108,7 @@
 }
 
 // spec returns the spec of an object, empty if the sink doesn't have it.
-func (r *recorder) spec(name string) string {
+func (r *recordingSink) spec(name string) string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return string(r.objects[name].Spec)
@@ -116,14 +117,14 @@
 // testNode is a source with its connection to the store and its sink.
 type testNode struct {
 	node   Node
-	store  *cutStore
+	store  *cuttableStore
 	source *Source
-	sink   *recorder
+	sink   *recordingSink
 	// dead nodes reply to nobody.
 	dead atomic.Bool
-	// polledDead counts the polls of this node since it was killed.
-	polledDead atomic.Int64
-	stop       context.CancelFunc
+	// pollsWhileDead counts the polls of this node since it was killed.
+	pollsWhileDead atomic.Int64
+	stop           context.CancelFunc
 }
 
 // cluster is a number of nodes with one store, on a fake clock.
@@ -131,14 +132,14 @@
 	t     *testing.T
 	store *metastore.Store
 	nodes []*testNode
-	// regions holds the region of each zone. parted disconnects the regions.
-	regions map[string]string
-	parted  atomic.Bool
+	// regions holds the region of each zone. disconnected cuts the links between regions.
+	regions      map[string]string
+	disconnected atomic.Bool
 }
 
-// reach reports whether one node can send messages to another.
-func (c *cluster) reach(from, to Node) bool {
-	return !c.parted.Load() || c.regions[from.Zone] == c.regions[to.Zone]
+// connected reports whether one node can send messages to another.
+func (c *cluster) connected(from, to Node) bool {
+	return !c.disconnected.Load() || c.regions[from.Zone] == c.regions[to.Zone]
 }
 
 // link is a node's connection to the others.
@@ -156,9 +157,9 @@
 		defer cancel()
 		for _, node := range l.cluster.nodes {
 			if node.node.Address == address && node.dead.Load() {
-				node.polledDead.Add(1)
+				node.pollsWhileDead.Add(1)
 			}
-			if node.node.Address == address && !node.dead.Load() && l.cluster.reach(l.node, node.node) {
+			if node.node.Address == address && !node.dead.Load() && l.cluster.connected(l.node, node.node) {
 				reply := node.source.HandlePoll(ctx, message.(*wire.WatchPoll))
 				if !node.dead.Load() && ctx.Err() == nil {
 					done(reply, nil)
@@ -171,14 +172,14 @@
 	}()
 }
 
-// inCluster runs a test with the given number of nodes in one zone, all joined.
-func inCluster(t *testing.T, count int, test func(*cluster)) {
-	inZones(t, count, nil, test)
+// withCluster runs a test with the given number of nodes in one zone, all joined.
+func withCluster(t *testing.T, count int, test func(*cluster)) {
+	withZones(t, count, nil, test)
 }
 
-// inZones runs a test with the given number of nodes in each zone of the regions, or in a
+// withZones runs a test with the given number of nodes in each zone of the regions, or in a
 // single zone if there are none.
-func inZones(t *testing.T, count int, regions map[string]string, test func(*cluster)) {
+func withZones(t *testing.T, count int, regions map[string]string, test func(*cluster)) {
 	zones := slices.Sorted(maps.Keys(regions))
 	if len(zones) == 0 {
 		zones = []string{"zone"}
@@ -194,30 +195,30 @@
 			node.stop = cancel
 			go node.source.Run(ctx)
 		}
-		settle(2 * time.Second)
+		advance(2 * time.Second)
 		test(cluster)
 		for _, node := range cluster.nodes {
 			node.stop()
 		}
-		settle(2 * time.Minute)
+		advance(2 * time.Minute)
 	})
 }
 
 func (c *cluster) add(number int, zone string) {
 	node := &testNode{
 		node:  Node{Name: fmt.Sprintf("node-%d", number), Address: fmt.Sprintf("address-%d", number), Zone: zone},
-		store: &cutStore{Store: c.store}, sink: &recorder{},
+		store: &cuttableStore{Store: c.store}, sink: &recordingSink{},
 	}
 	node.source = NewSource(Config{
 		Clock: clock.Steady,
-		Self:  node.node, Regions: c.regions, Store: node.store, Peers: link{cluster: c, node: node.node}, Nodes: c.list, JoinAttempted: func() bool { return true },
+		Self:  node.node, Regions: c.regions, Store: node.store, Peers: link{cluster: c, node: node.node}, Nodes: c.listNodes, JoinAttempted: func() bool { return true },
 		ProbeKind: "nodes", ProbeName: node.node.Name, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
 	})
 	node.source.Add(testKind, node.sink, ShortWatchTimeout)
 	c.nodes = append(c.nodes, node)
 }
 
-func (c *cluster) list() []Node {
+func (c *cluster) listNodes() []Node {
 	var nodes []Node
 	for _, node := range c.nodes {
 		nodes = append(nodes, node.node)
@@ -247,22 +248,23 @@
 	return followers
 }
 
-// await checks that the nodes get an object's content within the given time.
-func (c *cluster) await(nodes []*testNode, name, want string, span time.Duration) {
+// waitFor checks that the nodes get an object's content within the given time.
+func (c *cluster) waitFor(nodes []*testNode, name, want string, timeout time.Duration) {
 	c.t.Helper()
-	began := time.Now()
+	start := time.Now()
 	for _, node := range nodes {
 		for node.sink.spec(name) != want {
-			if time.Since(began) > span {
-				c.t.Errorf("%s has %q of %s after %s, want %q", node.node.Name, node.sink.spec(name), name, span, want)
+			if time.Since(start) > timeout {
+				c.t.Errorf("%s has spec %q of %s after %s, want %q", node.node.Name, node.sink.spec(name), name, timeout, want)
 				break
 			}
-			settle(10 * time.Millisecond)
+			advance(10 * time.Millisecond)
 		}
 	}
 }
 
-func settle(span time.Duration) {
-	time.Sleep(span)
+// advance advances the fake clock and waits until all goroutines are blocked.
+func advance(duration time.Duration) {
+	time.Sleep(duration)
 	synctest.Wait()
 }
--- a/internal/store/watchcache/health.go
+++ b/internal/store/watchcache/health.go
@@ -23,10 +23,10 @@
 	// not report current.
 	failedAt    time.Time
 	suspectedAt time.Time
-	// failedCallSent and answeredCallSent are when the latest failed and the latest
+	// lastFailureSentAt and lastSuccessSentAt are when the latest failed and the latest
 	// successful call were sent.
-	failedCallSent   time.Time
-	answeredCallSent time.Time
+	lastFailureSentAt time.Time
+	lastSuccessSentAt time.Time
 	// recovery is closed at the end of an outage.
 	recovery chan struct{}
 }
@@ -42,10 +42,10 @@
 	h.mutex.Lock()
 	h.failedAt = time.Now()
 	changed := false
-	if sentAt.After(h.answeredCallSent) {
+	if sentAt.After(h.lastSuccessSentAt) {
 		changed = !h.unavailable
 		h.unavailable = true
-		h.failedCallSent = latest(h.failedCallSent, sentAt)
+		h.lastFailureSentAt = latest(h.lastFailureSentAt, sentAt)
 	}
 	h.mutex.Unlock()
 	if changed {
@@ -53,12 +53,12 @@
 	}
 }
 
-// recordAnswer records that a call sent at the given time succeeded. It ends the outage if
+// recordSuccess records that a call sent at the given time succeeded. It ends the outage if
 // that call was not sent before the last failed one.
-func (h *storeHealth) recordAnswer(sentAt time.Time) {
+func (h *storeHealth) recordSuccess(sentAt time.Time) {
 	h.mutex.Lock()
-	h.answeredCallSent = latest(h.answeredCallSent, sentAt)
-	recovered := h.unavailable && !sentAt.Before(h.failedCallSent)
+	h.lastSuccessSentAt = latest(h.lastSuccessSentAt, sentAt)
+	recovered := h.unavailable && !sentAt.Before(h.lastFailureSentAt)
 	if recovered {
 		h.unavailable = false
 		close(h.recovery)
@@ -66,7 +66,7 @@
 	}
 	h.mutex.Unlock()
 	if recovered {
-		h.logger.Info("store answers again")
+		h.logger.Info("store available again")
 		h.notify()
 	}
 }
@@ -94,7 +94,7 @@
 	return h.unavailable
 }
 
-// recovered returns a channel that is closed at the end of the present or next outage.
+// recovered returns a channel that is closed at the end of the ongoing or next outage.
 func (h *storeHealth) recovered() <-chan struct{} {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -105,8 +105,8 @@
 // the store also holds them for seconds in normal operation. During an outage monitor
 // doesn't wait for open probes, so that it detects the recovery within outageProbeInterval.
 func (h *storeHealth) monitor(ctx context.Context, probe storeProbe) {
-	var open sync.WaitGroup
-	defer open.Wait()
+	var probes sync.WaitGroup
+	defer probes.Wait()
 	for {
 		if !h.isUnavailable() {
 			if !objectstore.Sleep(ctx, probeInterval) {
@@ -118,18 +118,18 @@
 		if !objectstore.Sleep(ctx, outageProbeInterval) {
 			return
 		}
-		open.Go(func() { h.check(ctx, probe) })
+		probes.Go(func() { h.check(ctx, probe) })
 	}
 }
 
 // check probes the store once and records the result.
 func (h *storeHealth) check(ctx context.Context, probe storeProbe) {
 	sentAt := time.Now()
-	answered := probe.answered(ctx)
+	ok := probe.succeeds(ctx)
 	switch {
 	case ctx.Err() != nil:
-	case answered:
-		h.recordAnswer(sentAt)
+	case ok:
+		h.recordSuccess(sentAt)
 	default:
 		h.recordFailure(sentAt)
 	}
--- a/internal/store/watchcache/help.go
+++ b/internal/store/watchcache/helpers.go
@@ -9,44 +9,44 @@
 )
 
 const (
-	// helpCheckInterval is the time between checks whether this node needs a fallback peer.
-	// helpRetryInterval is the pause after a peer that was no fallback.
-	helpCheckInterval = 100 * time.Millisecond
-	helpRetryInterval = 300 * time.Millisecond
+	// helperCheckInterval is the time between checks whether this node needs a helper.
+	// helperRetryInterval is the pause after a peer that could not help.
+	helperCheckInterval = 100 * time.Millisecond
+	helperRetryInterval = 300 * time.Millisecond
 )
 
-// seekHelp polls peers in rotation while this node should read the store but the store is
-// unavailable to it.
-func (s *Source) seekHelp(ctx context.Context) {
-	for objectstore.Sleep(ctx, helpCheckInterval) {
+// followHelpers polls helpers in rotation while this node should read the store but the
+// store is unavailable to it.
+func (s *Source) followHelpers(ctx context.Context) {
+	for objectstore.Sleep(ctx, helperCheckInterval) {
 		for attempt := 0; s.health.isUnavailable() && ctx.Err() == nil; attempt++ {
 			helpers := helpersOf(s.config.Self, s.config.Nodes())
 			if len(helpers) == 0 {
 				break
 			}
-			s.getHelp(ctx, helpers[attempt%len(helpers)])
-			if !objectstore.Sleep(ctx, helpRetryInterval) {
+			s.followHelper(ctx, helpers[attempt%len(helpers)])
+			if !objectstore.Sleep(ctx, helperRetryInterval) {
 				return
 			}
 		}
 	}
 }
 
-// getHelp polls a peer for as long as the peer is current and the store is unavailable to
-// this node.
-func (s *Source) getHelp(ctx context.Context, helper Node) {
+// followHelper polls a helper for as long as the helper is current and the store is
+// unavailable to this node.
+func (s *Source) followHelper(ctx context.Context, helper Node) {
 	target := pollTarget{node: helper, direct: true}
-	for s.health.isUnavailable() && s.poll(ctx, target, ordinaryTiming).outcome == outcomeCurrent {
+	for s.health.isUnavailable() && s.poll(ctx, target, defaultTiming).outcome == outcomeCurrent {
 		s.freshness.markCurrent()
-		if s.peer.recordHelp() {
-			s.config.Logger.Info("following the store through a peer while it does not answer this node", "reader", helper.Name)
+		if s.accessPeer.recordHelped() {
+			s.config.Logger.Info("following a helper while the store is unavailable to this node", "reader", helper.Name)
 			s.changed.broadcast()
 		}
 	}
 }
 
-// helpersOf returns the fallback peers of a node: the first in rank of each zone, and in a
-// large deployment standbyReaders of its own zone. Peers in other zones come first, since
+// helpersOf returns the nodes that may help a node: the first in rank of each zone, and in
+// a large deployment standbyReaders of its own zone. Those in other zones come first, since
 // they are likely to read the store already.
 func helpersOf(self Node, nodes []Node) []Node {
 	byName := map[string]Node{}
--- a/internal/store/watchcache/help_test.go
+++ b/internal/store/watchcache/helpers_test.go
@@ -23,13 +23,13 @@
 		}
 		helpers := helpersOf(self, nodes)
 		if want := 2 + test.inOwn; len(helpers) != want {
-			t.Errorf("%d nodes a zone: %d helpers, want %d", test.perZone, len(helpers), want)
+			t.Errorf("%d nodes per zone: %d helpers, want %d", test.perZone, len(helpers), want)
 			continue
 		}
 		zones := map[string]bool{}
-		for place, helper := range helpers {
-			if other := helper.Zone != self.Zone; other != (place < 2) || (other && zones[helper.Zone]) || helper == self {
-				t.Errorf("%d nodes a zone: helper %d is %+v", test.perZone, place, helper)
+		for index, helper := range helpers {
+			if other := helper.Zone != self.Zone; other != (index < 2) || (other && zones[helper.Zone]) || helper == self {
+				t.Errorf("%d nodes per zone: unexpected helper %d: %+v", test.perZone, index, helper)
 			}
 			zones[helper.Zone] = true
 		}
--- a/internal/store/watchcache/informer.go
+++ b/internal/store/watchcache/informer.go
@@ -45,9 +45,9 @@
 	relistTimer *time.Timer
 	// backoff is the wait before the last attempt.
 	backoff time.Duration
-	// resumes makes the first watch start from the cached revision, so that a node that
+	// resumeFirst makes the first watch start from the cached revision, so that a node that
 	// takes over from a reader doesn't list all kinds at once.
-	resumes bool
+	resumeFirst bool
 	// current is set while the last call to the store succeeded.
 	current atomic.Bool
 }
@@ -67,18 +67,18 @@
 func (i *Informer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		sentAt := time.Now()
-		if i.resumes && i.resume(ctx) {
+		if i.resumeFirst && i.resume(ctx) {
 			i.watchUntilGap(ctx)
 			continue
 		}
 		err := i.relist(ctx)
 		if errors.Is(err, errRecovered) {
-			i.logger.Info("listing anew", "kind", i.cache.kind, "reason", err.Error())
+			i.logger.Info("listing again", "kind", i.cache.kind, "reason", err.Error())
 			i.recordGap()
 			continue
 		}
 		if err != nil {
-			i.fail(ctx, "list", sentAt, err)
+			i.handleFailure(ctx, "list", sentAt, err)
 			continue
 		}
 		i.watchUntilGap(ctx)
@@ -89,21 +89,21 @@
 // had them. It schedules another listing: a store that is losing its history may not report
 // that.
 func (i *Informer) resume(ctx context.Context) bool {
-	i.resumes = false
+	i.resumeFirst = false
 	from := i.cache.Revision()
 	changes, err := untilRecovered(ctx, i.Recovered(), nil, func() (objectstore.Changes, error) {
 		return i.store.Watch(ctx, i.cache.kind, from, 0)
 	})
 	if err != nil {
-		i.logger.Info("copy not resumed", "kind", i.cache.kind, "from", from, "reason", err.Error())
+		i.logger.Info("failed to resume the watch from the cache", "kind", i.cache.kind, "from", from, "reason", err.Error())
 		return false
 	}
 	if !i.cache.Advance(from, changes.Events, changes.Revision, i.isAfterOutage()) {
 		return false
 	}
-	i.logger.Info("copy resumed", "kind", i.cache.kind, "from", from, "changes", len(changes.Events))
+	i.logger.Info("resumed the watch from the cache", "kind", i.cache.kind, "from", from, "changes", len(changes.Events))
 	i.relistTimer = time.NewTimer(relistDelay)
-	i.succeed()
+	i.recordSuccess()
 	return true
 }
 
@@ -118,7 +118,7 @@
 	if !i.cache.Replace(listed.Objects, listed.Revision, i.isAfterOutage()) {
 		return &objectstore.UnansweredError{Cause: objectstore.ErrHistoryGone}
 	}
-	i.succeed()
+	i.recordSuccess()
 	return nil
 }
 
@@ -131,31 +131,31 @@
 		sentAt := time.Now()
 		changes, err := i.watch(ctx, from)
 		if err != nil {
-			i.endWatch(ctx, from, sentAt, err)
+			i.handleWatchError(ctx, from, sentAt, err)
 			return
 		}
 		if ctx.Err() != nil || !i.cache.Advance(from, changes.Events, changes.Revision, i.isAfterOutage()) {
 			continue
 		}
-		i.succeed()
+		i.recordSuccess()
 		if len(changes.Events) > 0 {
 			objectstore.SleepWithJitter(ctx, watchPause)
 		}
 	}
 }
 
-// endWatch handles the error that ended a watch.
-func (i *Informer) endWatch(ctx context.Context, from uint64, sentAt time.Time, err error) {
+// handleWatchError handles the error that ended a watch.
+func (i *Informer) handleWatchError(ctx context.Context, from uint64, sentAt time.Time, err error) {
 	switch {
 	case errors.Is(err, errRecovered):
-		i.logger.Info("listing anew", "kind", i.cache.kind, "from", from, "reason", err.Error())
+		i.logger.Info("listing again", "kind", i.cache.kind, "from", from, "reason", err.Error())
 		i.recordGap()
 	case errors.Is(err, errRelistDue):
-		i.logger.Info("listing anew", "kind", i.cache.kind, "from", from, "reason", err.Error())
+		i.logger.Info("listing again", "kind", i.cache.kind, "from", from, "reason", err.Error())
 	case errors.Is(err, objectstore.ErrHistoryGone):
-		i.logger.Info("watch history gone, listing anew", "kind", i.cache.kind, "from", from)
+		i.logger.Info("watch history expired, listing again", "kind", i.cache.kind, "from", from)
 	default:
-		i.fail(ctx, "watch", sentAt, err)
+		i.handleFailure(ctx, "watch", sentAt, err)
 	}
 }
 
@@ -172,20 +172,20 @@
 	return time.Since(latest(i.gapAt, i.health.lastOutage())) < outageWindow
 }
 
-// succeed records a successful call.
-func (i *Informer) succeed() {
+// recordSuccess records a successful call.
+func (i *Informer) recordSuccess() {
 	if !i.current.Swap(true) {
 		i.cache.notify()
 	}
 	i.backoff = 0
 	if i.failing {
 		i.failing = false
-		i.logger.Info("store reachable again", "kind", i.cache.kind)
+		i.logger.Info("store calls succeed again", "kind", i.cache.kind)
 	}
 }
 
-// fail records a failed call and waits before the next attempt.
-func (i *Informer) fail(ctx context.Context, call string, sentAt time.Time, err error) {
+// handleFailure records a failed call and waits before the next attempt.
+func (i *Informer) handleFailure(ctx context.Context, call string, sentAt time.Time, err error) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -193,14 +193,14 @@
 	i.current.Store(false)
 	if !i.failing {
 		i.failing = true
-		i.logger.Error(err, "store unreachable", "kind", i.cache.kind, "call", call)
+		i.logger.Error(err, "store call failed", "kind", i.cache.kind, "call", call)
 	}
 	i.health.recordFailure(sentAt)
-	i.awaitRetry(ctx)
+	i.waitBackoff(ctx)
 }
 
-// awaitRetry waits for the backoff, or until an outage ends.
-func (i *Informer) awaitRetry(ctx context.Context) {
+// waitBackoff waits for the backoff, or until an outage ends.
+func (i *Informer) waitBackoff(ctx context.Context) {
 	i.backoff = min(max(minRetryBackoff, 2*i.backoff), maxRetryBackoff)
 	recovered := i.Recovered()
 	timer := time.NewTimer(i.backoff)
--- a/internal/store/watchcache/informer_test.go
+++ b/internal/store/watchcache/informer_test.go
@@ -13,21 +13,22 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// forgetfulStore loses its history in steps: at first watches report nothing, then they are
-// cut, and a watch that begins too soon after that reports the gap only at the next change.
-type forgetfulStore struct {
+// historyLosingStore loses its history in steps: at first watches report nothing, then they
+// are cut, and a watch that begins too soon after that reports the gap only at the next
+// change.
+type historyLosingStore struct {
 	*metastore.Store
 	mutex sync.Mutex
-	// cut ends the open watches. New watches report nothing before deafUntil.
-	cut       chan struct{}
-	deafUntil time.Time
+	// cut ends the open watches. New watches report nothing before stalledUntil.
+	cut          chan struct{}
+	stalledUntil time.Time
 }
 
-func (s *forgetfulStore) Watch(ctx context.Context, kind string, from uint64, wait time.Duration) (objectstore.Changes, error) {
+func (s *historyLosingStore) Watch(ctx context.Context, kind string, from uint64, wait time.Duration) (objectstore.Changes, error) {
 	s.mutex.Lock()
-	cut, deafUntil := s.cut, s.deafUntil
+	cut, stalledUntil := s.cut, s.stalledUntil
 	s.mutex.Unlock()
-	if time.Now().Before(deafUntil) {
+	if time.Now().Before(stalledUntil) {
 		objectstore.Sleep(ctx, wait)
 		return objectstore.Changes{}, objectstore.ErrHistoryGone
 	}
@@ -45,42 +46,42 @@
 	select {
 	case <-cut:
 		return objectstore.Changes{}, &objectstore.UnansweredError{Cause: metastore.ErrFault}
-	case ended := <-results:
-		return ended.changes, ended.err
+	case result := <-results:
+		return result.changes, result.err
 	}
 }
 
 // Guards against missing a change that was made while the store lost its history, by
 // resuming a watch right after it was cut.
-func TestWatchThatWasCutIsNotBegunAgainFromWhereItStood(t *testing.T) {
-	for _, deaf := range []time.Duration{0, 400 * time.Millisecond, 1200 * time.Millisecond} {
+func TestCutWatchIsNotResumed(t *testing.T) {
+	for _, stall := range []time.Duration{0, 400 * time.Millisecond, 1200 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			store := &forgetfulStore{Store: metastore.New(), cut: make(chan struct{})}
+			store := &historyLosingStore{Store: metastore.New(), cut: make(chan struct{})}
 			store.Write(testKind, "first", 1)
-			sink := &recorder{}
+			sink := &recordingSink{}
 			health := newStoreHealth(klog.Background(), func() {})
 			informer := newInformer(store, newCache(testKind, sink, LongWatchTimeout, func() {}), health, klog.Background())
 			go informer.Run(ctx)
-			settle(time.Second)
+			advance(time.Second)
 			// While watches report nothing, a change is made. Then the history is lost and
 			// the watches are cut. The probe succeeds at once.
 			store.mutex.Lock()
 			cut := store.cut
-			store.cut, store.deafUntil = make(chan struct{}), time.Now().Add(deaf)
+			store.cut, store.stalledUntil = make(chan struct{}), time.Now().Add(stall)
 			store.mutex.Unlock()
 			close(cut)
 			synctest.Wait()
-			health.recordAnswer(time.Now())
-			settle(deaf / 2)
+			health.recordSuccess(time.Now())
+			advance(stall / 2)
 			store.Write(testKind, "first", 2)
 			store.Forget()
-			settle(relistDelay + 500*time.Millisecond)
+			advance(relistDelay + 500*time.Millisecond)
 			if got := sink.spec("first"); got != "2" {
-				t.Errorf("deaf for %s: the sink has %q two seconds after the change", deaf, got)
+				t.Errorf("watches stalled for %s: sink has %q two seconds after the change, want 2", stall, got)
 			}
 			cancel()
-			settle(time.Minute)
+			advance(time.Minute)
 		})
 	}
 }
--- a/internal/store/watchcache/poll.go
+++ b/internal/store/watchcache/poll.go
@@ -12,18 +12,19 @@
 type pollOutcome string
 
 const (
-	// outcomeCurrent: the node's caches are current.
+	// outcomeCurrent means that the node's caches are current.
 	outcomeCurrent pollOutcome = "current"
-	// outcomeUnsure: the store is unavailable to the node, or its reply could not be
-	// decoded.
+	// outcomeUnsure means that the store is unavailable to the node, or its reply could not
+	// be decoded.
 	outcomeUnsure pollOutcome = "unsure"
-	// outcomeLeaving: the node is stopping.
+	// outcomeLeaving means that the node is stopping.
 	outcomeLeaving pollOutcome = "leaving"
-	// outcomeSilent: the node did not reply in time.
+	// outcomeSilent means that the node did not reply in time.
 	outcomeSilent pollOutcome = "silent"
-	// outcomeStarting: the node has begun to list.
+	// outcomeStarting means that the node has begun to list.
 	outcomeStarting pollOutcome = "starting"
-	// outcomeUnlisted: the node, which runs an earlier version, doesn't know all kinds.
+	// outcomeUnlisted means that the node, which runs an earlier version, doesn't know all
+	// kinds.
 	outcomeUnlisted pollOutcome = "unlisted"
 )
 
@@ -52,14 +53,14 @@
 		return pollResult{outcome: outcomeSilent}
 	}
 	s.exclusions.recordReply(target.node.Name)
-	began := time.Now()
+	start := time.Now()
 	err = s.apply(request, reply)
 	result := pollResult{}
 	if len(reply.Kinds) > 0 {
-		result.applyTime = max(time.Since(began), 1)
+		result.applyTime = max(time.Since(start), 1)
 	}
 	if err != nil {
-		s.config.Logger.Error(err, "reply of the reader is not readable", "reader", target.node.Name)
+		s.config.Logger.Error(err, "failed to apply the reply of a reader", "reader", target.node.Name)
 		result.outcome = outcomeUnsure
 		return result
 	}
@@ -86,11 +87,11 @@
 	if !s.listed() {
 		return outcomeUnlisted
 	}
-	answering := node.Address
+	accessAddress := node.Address
 	if reply.Through != "" {
-		answering = reply.Through
+		accessAddress = reply.Through
 	}
-	s.peer.record(answering)
+	s.accessPeer.recordCurrent(accessAddress)
 	s.freshness.markCurrentBefore(time.Duration(reply.AgeMs) * time.Millisecond)
 	return outcomeCurrent
 }
--- a/internal/store/watchcache/poll_history.go
+++ b/internal/store/watchcache/poll_history.go
@@ -7,7 +7,7 @@
 type pollHistory struct {
 	// lastSilent reports that the last poll of a parent had no reply.
 	lastSilent bool
-	// unsureReplies counts the consecutive unsure replies of the present parent while the
+	// unsureReplies counts the consecutive unsure replies of the current parent while the
 	// store was available to this node.
 	unsureReplies int
 	// suspectSince is when the first such reply came, from any parent; zero for none.
--- a/internal/store/watchcache/poll_timing.go
+++ b/internal/store/watchcache/poll_timing.go
@@ -31,9 +31,8 @@
 	timeout time.Duration
 }
 
-// ordinaryTiming is the timing of polls in normal operation, and of polls of fallback
-// peers.
-var ordinaryTiming = pollTiming{hold: pollHold, timeout: pollHold + replyMargin}
+// defaultTiming is the timing of polls in normal operation, and of polls of helpers.
+var defaultTiming = pollTiming{hold: pollHold, timeout: pollHold + replyMargin}
 
 // timingInput is the input of timingOf.
 type timingInput struct {
@@ -58,7 +57,7 @@
 	case input.suspect:
 		return pollTiming{hold: shortHold, timeout: pollHold + replyMargin}
 	}
-	return ordinaryTiming
+	return defaultTiming
 }
 
 // pauseAfter returns how long to wait before the next poll of the same node.
--- a/internal/store/watchcache/poll_timing_test.go
+++ b/internal/store/watchcache/poll_timing_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-func TestTimingOfAPoll(t *testing.T) {
+func TestTimingOf(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		input timingInput
 		want  pollTiming
 	}{
-		{"ordinary", timingInput{listed: true}, pollTiming{400 * time.Millisecond, 750 * time.Millisecond}},
-		{"ordinary in a tree", timingInput{listed: true, inTree: true}, pollTiming{400 * time.Millisecond, 750 * time.Millisecond}},
+		{"normal", timingInput{listed: true}, pollTiming{400 * time.Millisecond, 750 * time.Millisecond}},
+		{"normal in a tree", timingInput{listed: true, inTree: true}, pollTiming{400 * time.Millisecond, 750 * time.Millisecond}},
 		{"first listing", timingInput{}, pollTiming{400 * time.Millisecond, 750 * time.Millisecond}},
 		{"first listing in a tree", timingInput{inTree: true, lastSilent: true, suspect: true}, pollTiming{400 * time.Millisecond, 2900 * time.Millisecond}},
 		{"after a silent node", timingInput{listed: true, lastSilent: true}, pollTiming{400 * time.Millisecond, 750 * time.Millisecond}},
@@ -21,12 +21,12 @@
 		{"after an unsure node in a tree", timingInput{listed: true, inTree: true, suspect: true}, pollTiming{150 * time.Millisecond, 750 * time.Millisecond}},
 	} {
 		if got := timingOf(test.input); got != test.want {
-			t.Errorf("%s: %+v, want %+v", test.name, got, test.want)
+			t.Errorf("%s: timing %+v, want %+v", test.name, got, test.want)
 		}
 	}
 }
 
-func TestPauseAfterAPoll(t *testing.T) {
+func TestPauseAfter(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		result pollResult
@@ -41,7 +41,7 @@
 		{"a listing", pollResult{outcome: outcomeCurrent, applyTime: time.Second}, true, 400 * time.Millisecond},
 	} {
 		if got := pauseAfter(test.result, test.inTree); got != test.want {
-			t.Errorf("%s: %s, want %s", test.name, got, test.want)
+			t.Errorf("%s: pause %s, want %s", test.name, got, test.want)
 		}
 	}
 }
--- a/internal/store/watchcache/probe.go
+++ b/internal/store/watchcache/probe.go
@@ -25,9 +25,9 @@
 	name  string
 }
 
-// answered probes the store once and reports whether the probe succeeded within
+// succeeds probes the store once and reports whether the probe succeeded within
 // probeTimeout.
-func (p storeProbe) answered(ctx context.Context) bool {
+func (p storeProbe) succeeds(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	_, err := p.store.Get(ctx, p.kind, p.name, objectstore.MayBeStale)
--- a/internal/store/watchcache/read.go
+++ b/internal/store/watchcache/read.go
@@ -31,7 +31,7 @@
 		tasks.Go(func() { informer.Run(ctx) })
 	}
 	tasks.Go(func() { s.health.monitor(ctx, s.probe) })
-	tasks.Go(func() { s.seekHelp(ctx) })
+	tasks.Go(func() { s.followHelpers(ctx) })
 	for objectstore.Sleep(ctx, modeCheckInterval) {
 		if s.isCurrent() {
 			s.freshness.markCurrent()
@@ -41,7 +41,7 @@
 		}
 	}
 	cancel()
-	s.polls.suspectSince = time.Time{}
+	s.pollHistory.suspectSince = time.Time{}
 	s.reading.stop()
 	s.metrics.reading.Set(0)
 	tasks.Wait()
@@ -52,7 +52,7 @@
 	informers := make([]*Informer, 0, len(s.caches))
 	for _, cache := range s.caches {
 		informer := newInformer(s.config.Store, cache, s.health, s.config.Logger)
-		informer.resumes = cache.isLarge()
+		informer.resumeFirst = cache.isLarge()
 		informers = append(informers, informer)
 	}
 	return informers
--- a/internal/store/watchcache/read_mode.go
+++ b/internal/store/watchcache/read_mode.go
@@ -14,16 +14,16 @@
 	informers []*Informer
 	// requiredUntil is until when this node reads the store whatever its rank.
 	requiredUntil time.Time
-	// stopFollowing cancels the present following, so that the switch to reading doesn't
-	// wait for the parent's reply; nil before the first.
+	// stopFollowing makes follow return, so that the switch to reading doesn't wait for the
+	// parent's reply; nil before the first.
 	stopFollowing context.CancelFunc
 }
 
 // require makes this node read the store for at least the given time.
-func (m *readMode) require(span time.Duration) {
+func (m *readMode) require(duration time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.requiredUntil = latest(m.requiredUntil, time.Now().Add(span))
+	m.requiredUntil = latest(m.requiredUntil, time.Now().Add(duration))
 	if m.stopFollowing != nil {
 		m.stopFollowing()
 	}
@@ -36,8 +36,8 @@
 	return time.Now().Before(m.requiredUntil)
 }
 
-// followUntil sets the function that cancels the present following.
-func (m *readMode) followUntil(stop context.CancelFunc) {
+// setStopFollowing sets the function that makes follow return.
+func (m *readMode) setStopFollowing(stop context.CancelFunc) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.stopFollowing = stop
--- a/internal/store/watchcache/source.go
+++ b/internal/store/watchcache/source.go
@@ -29,10 +29,10 @@
 	reading    readMode
 	exclusions *exclusions
 	freshness  freshness
-	peer       answeringPeer
-	// polls is only used by Run's goroutine.
-	polls   pollHistory
-	leaving atomic.Bool
+	accessPeer accessPeer
+	// pollHistory is only used by Run's goroutine.
+	pollHistory pollHistory
+	leaving     atomic.Bool
 }
 
 // NewSource returns a source that has not started.
@@ -49,10 +49,10 @@
 	}
 }
 
-// Add registers a sink for a kind. Wait is how long the store may hold a watch of it:
-// LongWatchTimeout or ShortWatchTimeout. Add must be called before Run.
-func (s *Source) Add(kind string, sink Sink, wait time.Duration) {
-	cache := newCache(kind, sink, wait, s.changed.broadcast)
+// Add registers a sink for a kind. WatchTimeout is how long the store may hold a watch of
+// it: LongWatchTimeout or ShortWatchTimeout. Add must be called before Run.
+func (s *Source) Add(kind string, sink Sink, watchTimeout time.Duration) {
+	cache := newCache(kind, sink, watchTimeout, s.changed.broadcast)
 	cache.logger = s.config.Logger
 	s.caches = append(s.caches, cache)
 }
@@ -72,15 +72,15 @@
 
 // awaitNodes waits until the peers are known, at most joinTimeout.
 func (s *Source) awaitNodes(ctx context.Context) {
-	for began := time.Now(); !s.config.JoinAttempted() && time.Since(began) < joinTimeout; {
+	for start := time.Now(); !s.config.JoinAttempted() && time.Since(start) < joinTimeout; {
 		if !objectstore.Sleep(ctx, joinCheckInterval) {
 			return
 		}
 	}
 }
 
-// AnnounceShutdown announces in replies to polls that this node is stopping, so that its followers
-// switch to other nodes.
+// AnnounceShutdown announces in replies to polls that this node is stopping, so that its
+// followers switch to other nodes.
 func (s *Source) AnnounceShutdown() {
 	s.leaving.Store(true)
 	s.changed.broadcast()
@@ -89,9 +89,9 @@
 // CacheAge returns how long ago the caches were last known to be current.
 func (s *Source) CacheAge() time.Duration { return s.freshness.age() }
 
-// PeerWithStoreAccess returns the address of a peer that reported within helpMaxAge that the store
-// is available to it, if one is known.
-func (s *Source) PeerWithStoreAccess() (address string, known bool) { return s.peer.current() }
+// PeerWithStoreAccess returns the address of a peer that reported within accessReportTTL
+// that the store is available to it, if one is known.
+func (s *Source) PeerWithStoreAccess() (address string, known bool) { return s.accessPeer.current() }
 
 // listed reports whether every kind has been listed at least once.
 func (s *Source) listed() bool {
--- a/internal/store/watchcache/tree.go
+++ b/internal/store/watchcache/tree.go
@@ -83,9 +83,9 @@
 // level of the tree is a single node, and each level is fanOut times as long as the one
 // above, whose nodes share its followers evenly.
 func parentRank(rank int) int {
-	above, start, length := 0, 1, fanOut
-	for rank >= start+length {
-		above, start, length = start, start+length, length*fanOut
+	parentStart, levelStart, levelLength := 0, 1, fanOut
+	for rank >= levelStart+levelLength {
+		parentStart, levelStart, levelLength = levelStart, levelStart+levelLength, levelLength*fanOut
 	}
-	return above + (rank-start)%(start-above)
+	return parentStart + (rank-levelStart)%(levelStart-parentStart)
 }
--- a/internal/store/watchcache/tree_test.go
+++ b/internal/store/watchcache/tree_test.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// large is more nodes than one reader can serve.
-const large = maxFollowers + 40
+// largeCount is more nodes than one reader can serve.
+const largeCount = maxFollowers + 40
 
-func TestParentsAreSharedEvenly(t *testing.T) {
+func TestFollowersAreSpreadEvenly(t *testing.T) {
 	for _, count := range []int{2, fanOut + 1, fanOut + 2, 170, 985, 2000} {
 		children := map[int]int{}
-		for place := 1; place < count; place++ {
-			above := parentRank(place)
-			if above < 0 || above >= place {
-				t.Fatalf("%d follows %d", place, above)
+		for rank := 1; rank < count; rank++ {
+			parent := parentRank(rank)
+			if parent < 0 || parent >= rank {
+				t.Fatalf("parent of rank %d is rank %d, want one before it", rank, parent)
 			}
-			children[above]++
+			children[parent]++
 		}
-		for place, followers := range children {
+		for rank, followers := range children {
 			if followers > fanOut {
-				t.Errorf("of %d nodes, %d follow the one in place %d", count, followers, place)
+				t.Errorf("of %d nodes, %d follow the node of rank %d, want at most fanOut", count, followers, rank)
 			}
 		}
 		if leaves := count - 1 - fanOut; leaves > 0 && leaves < fanOut*fanOut && children[1] > leaves/fanOut+1 {
-			t.Errorf("of %d nodes, %d follow the one in place 1, %d the one in place %d", count, children[1], children[fanOut], fanOut)
+			t.Errorf("of %d nodes, %d follow the node of rank 1, but %d the node of rank %d", count, children[1], children[fanOut], fanOut)
 		}
 	}
 }
 
-func TestTheLargestNodesAnswerTheMost(t *testing.T) {
+func TestLargestNodesServeMostFollowers(t *testing.T) {
 	var others []Node
-	for number := range large {
+	for number := range largeCount {
 		node := Node{Name: fmt.Sprintf("node-%d", number), Capacity: 192}
 		if number < 10 {
 			node.Capacity = 800
@@ -40,12 +40,12 @@
 		others = append(others, node)
 	}
 	for _, self := range others[20:60] {
-		place := positionOf(self, others)
-		if !place.follows || !place.inTree {
-			t.Fatalf("%s: %+v", self.Name, place)
+		position := positionOf(self, others)
+		if !position.follows || !position.inTree {
+			t.Fatalf("%s: unexpected position %+v", self.Name, position)
 		}
-		if !place.relayed && place.parent.Capacity != 800 {
-			t.Errorf("%s follows %s", self.Name, place.parent.Name)
+		if !position.relayed && position.parent.Capacity != 800 {
+			t.Errorf("%s follows %s, want one of the largest nodes", self.Name, position.parent.Name)
 		}
 	}
 }
@@ -54,38 +54,39 @@
 func (c *cluster) calls() int64 {
 	sum := int64(0)
 	for _, node := range c.nodes {
-		sum += node.store.calls.Load()
+		sum += node.store.servedCalls.Load()
 	}
 	return sum
 }
 
 // Each change costs the store one call and reaches each node over at most three links.
-func TestOneNodeReadsForALargeArea(t *testing.T) {
-	inCluster(t, large, func(c *cluster) {
+func TestLargeAreaHasOneReader(t *testing.T) {
+	withCluster(t, largeCount, func(c *cluster) {
 		if readers := c.readers(); len(readers) != 1 {
-			t.Fatalf("%d nodes read the store", len(readers))
+			t.Fatalf("%d nodes read the store, want 1", len(readers))
 		}
 		before := c.calls()
 		for round := range 10 {
 			c.store.Write(testKind, "first", round+2)
-			settle(time.Second)
+			advance(time.Second)
 		}
-		c.await(c.nodes, "first", "11", soon)
+		c.waitFor(c.nodes, "first", "11", normalDelay)
 		if calls := c.calls() - before; calls > 14 {
-			t.Errorf("%d calls for 10 changes", calls)
+			t.Errorf("%d store calls for 10 changes, want at most 14", calls)
 		}
 		for _, node := range c.nodes {
 			if age := node.source.CacheAge(); age > staleAge {
-				t.Errorf("the copies of %s are %s old", node.node.Name, age)
+				t.Errorf("cache age of %s is %s, want at most staleAge", node.node.Name, age)
 			}
 		}
 	})
 }
 
-// startCalls returns the number of store calls with which the given number of nodes starts.
-func startCalls(t *testing.T, count int) (calls int64) {
-	inCluster(t, count, func(c *cluster) {
-		c.await(c.nodes, "first", "1", 4*time.Second)
+// callsToStart returns the number of store calls with which the given number of nodes
+// starts.
+func callsToStart(t *testing.T, count int) (calls int64) {
+	withCluster(t, count, func(c *cluster) {
+		c.waitFor(c.nodes, "first", "1", 4*time.Second)
 		calls = c.calls()
 	})
 	return calls
@@ -93,30 +94,30 @@
 
 // Guards against every starting node listing all replicas because its reader has not listed
 // in time.
-func TestAStartCostsTheStoreTheSameForAnyNumberOfNodes(t *testing.T) {
-	few, many := startCalls(t, 50), startCalls(t, 400)
+func TestStartCallsIndependentOfNodeCount(t *testing.T) {
+	few, many := callsToStart(t, 50), callsToStart(t, 400)
 	if many > few+standbyReaders {
-		t.Errorf("%d calls to start 400 nodes, %d to start 50", many, few)
+		t.Errorf("%d store calls to start 400 nodes, but %d to start 50", many, few)
 	}
 }
 
 // Guards against late changes and many readers when the reader of a large area, or nodes
 // that relay its changes, are lost.
-func TestLossesInALargeAreaDelayNewsWithinTheBound(t *testing.T) {
-	for _, trouble := range troubles {
-		t.Run(trouble.name, func(t *testing.T) {
+func TestLargeAreaReaderLossWithinBound(t *testing.T) {
+	for _, fault := range readerFaults {
+		t.Run(fault.name, func(t *testing.T) {
 			for phase := range 2 {
-				inCluster(t, large, func(c *cluster) {
+				withCluster(t, largeCount, func(c *cluster) {
 					reader, followers := c.readers()[0], c.followers()
-					settle(time.Duration(phase) * 77 * time.Millisecond)
+					advance(time.Duration(phase) * 77 * time.Millisecond)
 					before := c.calls()
-					trouble.begin(reader)
-					settle(time.Duration(phase%3) * 130 * time.Millisecond)
+					fault.inject(reader)
+					advance(time.Duration(phase%3) * 130 * time.Millisecond)
 					c.store.Write(testKind, "first", 2)
-					c.await(followers, "first", "2", bound)
-					settle(4 * time.Second)
+					c.waitFor(followers, "first", "2", maxDelay)
+					advance(4 * time.Second)
 					if calls := c.calls() - before; calls > 12*(standbyReaders+1) {
-						t.Errorf("phase %d: %d calls", phase, calls)
+						t.Errorf("phase %d: %d store calls, want few nodes to read the store", phase, calls)
 					}
 				})
 			}
@@ -125,11 +126,11 @@
 }
 
 // A tenth of the nodes is lost at once, including the reader and some relaying nodes.
-func TestManyLossesInALargeAreaDelayNewsWithinTheBound(t *testing.T) {
+func TestLargeAreaManyLossesWithinBound(t *testing.T) {
 	for phase := range 2 {
-		inCluster(t, large, func(c *cluster) {
+		withCluster(t, largeCount, func(c *cluster) {
 			reader := c.readers()[0]
-			settle(time.Duration(phase) * 77 * time.Millisecond)
+			advance(time.Duration(phase) * 77 * time.Millisecond)
 			var rest []*testNode
 			for number, node := range c.nodes {
 				if node == reader || number%10 == phase {
@@ -140,42 +141,42 @@
 				rest = append(rest, node)
 			}
 			c.store.Write(testKind, "first", 2)
-			c.await(rest, "first", "2", bound+staleAge)
+			c.waitFor(rest, "first", "2", maxDelay+staleAge)
 		})
 	}
 }
 
 // Guards against probes by all nodes of a large area during an outage.
-func TestAnOutageCostsTheSameForAnyNumberOfNodes(t *testing.T) {
+func TestOutageCallsIndependentOfNodeCount(t *testing.T) {
 	probes := func(count int) (asked int) {
-		inCluster(t, count, func(c *cluster) {
+		withCluster(t, count, func(c *cluster) {
 			for _, node := range c.nodes {
 				node.store.cut.Store(true)
 			}
-			settle(2500 * time.Millisecond)
+			advance(2500 * time.Millisecond)
 			for _, node := range c.nodes {
-				asked += int(node.store.asked.Load())
+				asked += int(node.store.allCalls.Load())
 			}
 			for _, node := range c.nodes {
 				node.store.cut.Store(false)
 			}
 			c.store.Write(testKind, "first", 2)
-			c.await(c.nodes, "first", "2", 3*time.Second)
+			c.waitFor(c.nodes, "first", "2", 3*time.Second)
 		})
 		return asked
 	}
-	few, many := probes(large), probes(2*large)
+	few, many := probes(largeCount), probes(2*largeCount)
 	if many > few+few/4 {
-		t.Errorf("%d questions of %d nodes in an outage, %d of %d", many, 2*large, few, large)
+		t.Errorf("%d calls by %d nodes in an outage, but %d by %d", many, 2*largeCount, few, largeCount)
 	}
 }
 
-// The store refuses a third of the nodes, including the reader and possibly its fallback
-// peers in other zones.
-func TestStoreThatTurnsManyNodesOfALargeAreaAway(t *testing.T) {
+// The store refuses a third of the nodes, including the reader and possibly its helpers in
+// other zones.
+func TestLargeAreaRefusedNodesWithinBound(t *testing.T) {
 	for phase := range 2 {
-		inCluster(t, large, func(c *cluster) {
-			settle(time.Duration(phase) * 77 * time.Millisecond)
+		withCluster(t, largeCount, func(c *cluster) {
+			advance(time.Duration(phase) * 77 * time.Millisecond)
 			reader := c.readers()[0]
 			for number, node := range c.nodes {
 				if node == reader || (number+phase)%3 == 0 {
@@ -183,12 +184,12 @@
 				}
 			}
 			c.store.Write(testKind, "first", 2)
-			c.await(c.nodes, "first", "2", bound+staleAge)
-			settle(3 * time.Second)
+			c.waitFor(c.nodes, "first", "2", maxDelay+staleAge)
+			advance(3 * time.Second)
 			c.store.Write(testKind, "first", 3)
-			c.await(c.nodes, "first", "3", bound)
+			c.waitFor(c.nodes, "first", "3", maxDelay)
 			if readers := c.readers(); len(readers) > standbyReaders+1 {
-				t.Errorf("phase %d: %d nodes read the store", phase, len(readers))
+				t.Errorf("phase %d: %d nodes read the store, want at most standbyReaders+1", phase, len(readers))
 			}
 		})
 	}
--- a/internal/store/watchcache/watch.go
+++ b/internal/store/watchcache/watch.go
@@ -13,20 +13,20 @@
 // The timeouts of a watch call: how long the store may hold it without events. A lost
 // response is only noticed when this time has passed.
 const (
-	// LongWatchTimeout is for kinds whose changes may take effect late. It is shorter than the time
-	// for which stores keep their history, so that a watch without changes doesn't lead to
-	// a new listing.
+	// LongWatchTimeout is for kinds whose changes may take effect late. It is shorter than
+	// the time for which stores keep their history, so that a watch without changes doesn't
+	// lead to a new listing.
 	LongWatchTimeout = 15 * time.Second
-	// ShortWatchTimeout is for kinds whose changes have to take effect within two seconds, or five
-	// seconds if responses of the store are lost.
+	// ShortWatchTimeout is for kinds whose changes have to take effect within two seconds,
+	// or five seconds if responses of the store are lost.
 	ShortWatchTimeout = 3 * time.Second
 )
 
 var (
 	// errRecovered ends a call that was sent before the end of an outage.
-	errRecovered = merry.Sentinel("store reachable again")
+	errRecovered = merry.Sentinel("store available again")
 	// errRelistDue ends a watch when relistDelay has passed since a gap.
-	errRelistDue = merry.Sentinel("store settled after an outage")
+	errRelistDue = merry.Sentinel("relist due after an outage")
 )
 
 // watch waits for changes, at most until an outage ends or the kind is due to be listed
@@ -37,7 +37,7 @@
 		relistDue = i.relistTimer.C
 	}
 	changes, err := untilRecovered(ctx, i.Recovered(), relistDue, func() (objectstore.Changes, error) {
-		return i.store.Watch(ctx, i.cache.kind, from, i.cache.wait)
+		return i.store.Watch(ctx, i.cache.kind, from, i.cache.watchTimeout)
 	})
 	if errors.Is(err, errRelistDue) {
 		i.relistTimer = nil
@@ -46,8 +46,8 @@
 }
 
 // untilRecovered makes a call to the store and waits for its result, at most until an
-// outage ends or a new listing is due. A call sent before the end of an outage may never get a
-// response.
+// outage ends or a new listing is due. A call sent before the end of an outage may never
+// get a response.
 func untilRecovered[T any](ctx context.Context, recovered <-chan struct{}, relistDue <-chan time.Time, call func() (T, error)) (T, error) {
 	type result struct {
 		value T
@@ -58,15 +58,15 @@
 		value, err := call()
 		results <- result{value, err}
 	}()
-	var none T
+	var zero T
 	select {
-	case ended := <-results:
-		return ended.value, ended.err
+	case result := <-results:
+		return result.value, result.err
 	case <-relistDue:
-		return none, errRelistDue
+		return zero, errRelistDue
 	case <-recovered:
-		return none, errRecovered
+		return zero, errRecovered
 	case <-ctx.Done():
-		return none, ctx.Err()
+		return zero, ctx.Err()
 	}
 }
