--- a/internal/store/storerelay/call.go
+++ b/internal/store/storerelay/call.go
@@ -22,13 +22,13 @@
 // once if direct calls have failed recently, and otherwise if the store refuses the direct
 // call. The reply is nil if the direct connection was used. A call without a response is
 // not retried, since it may have taken effect.
-func (r *Relay) do(ctx context.Context, call *wire.StoreCall, own func() error) (*wire.StoreReply, error) {
-	if r.ownAccess.hasFailedRecently() {
+func (r *Relay) do(ctx context.Context, call *wire.StoreCall, direct func() error) (*wire.StoreReply, error) {
+	if r.directAccess.hasFailedRecently() {
 		if helpers := r.helpersFor(ctx, call); len(helpers) > 0 {
 			return r.callThroughAny(ctx, helpers, call)
 		}
 	}
-	err := own()
+	err := direct()
 	var refused *objectstore.RefusedError
 	var unanswered *objectstore.UnansweredError
 	switch {
@@ -44,7 +44,7 @@
 		}
 		return nil, err
 	}
-	r.recordAnswer()
+	r.recordSuccess()
 	return nil, err
 }
 
@@ -53,7 +53,7 @@
 	return r.inFlight.do(ctx, call, func() (reply *wire.StoreReply, err error) {
 		err = &objectstore.RefusedError{Cause: errRelayed}
 		for _, address := range helpers {
-			if !r.mayGive(ctx, address, call) {
+			if !r.maySend(ctx, address, call) {
 				if ctx.Err() != nil {
 					return nil, &objectstore.UnansweredError{Cause: merry.Wrap(ctx.Err())}
 				}
@@ -89,15 +89,15 @@
 
 // recordFailure records that the store refused or did not respond to a direct call.
 func (r *Relay) recordFailure() {
-	if r.ownAccess.recordFailure() {
+	if r.directAccess.recordFailure() {
 		address, known := r.config.PeerWithStoreAccess()
-		r.config.Logger.Info("store does not answer this node's calls", "throughPeer", known, "peer", address)
+		r.config.Logger.Info("store is unavailable to this node", "throughPeer", known, "peer", address)
 	}
 }
 
-// recordAnswer records that the store responded to a direct call.
-func (r *Relay) recordAnswer() {
-	if r.ownAccess.recordAnswer() {
-		r.config.Logger.Info("store answers this node's calls again")
+// recordSuccess records that the store responded to a direct call.
+func (r *Relay) recordSuccess() {
+	if r.directAccess.recordSuccess() {
+		r.config.Logger.Info("store is available to this node again")
 	}
 }
--- a/internal/store/storerelay/choose_helper.go
+++ b/internal/store/storerelay/choose_helper.go
@@ -12,7 +12,7 @@
 
 const (
 	// largeCallSize is the content size in bytes at which a call goes through other helpers
-	// than the current peer, whose link is busy with its followers.
+	// than the peer with store access, whose link is busy with its followers.
 	largeCallSize = 64 << 10
 	// maxHelpers is the most helpers that are tried for one call.
 	maxHelpers = 3
@@ -26,26 +26,27 @@
 
 // helpersFor returns the addresses of the helpers for a call in the order in which they are
 // tried. It returns none if no peer is known to which the store is available, or if no
-// candidate is in a region that may hold the body in the call; the call is then left to the
-// direct connection.
+// candidate is in a region that may hold the request body in the call; the call is then
+// left to the direct connection.
 func (r *Relay) helpersFor(ctx context.Context, call *wire.StoreCall) []string {
-	current, known := r.config.PeerWithStoreAccess()
+	accessPeer, known := r.config.PeerWithStoreAccess()
 	if !known {
 		return nil
 	}
-	candidates := []string{current}
+	candidates := []string{accessPeer}
 	if isLarge(call) && r.config.LargeCallHelpers != nil {
-		candidates = append(r.config.LargeCallHelpers(), current)
+		candidates = append(r.config.LargeCallHelpers(), accessPeer)
 	}
-	allowed := r.withinHomes(ctx, candidates)
-	if len(allowed) == 0 && r.ownAccess.hasFailedRecently() {
+	allowed := r.inAllowedRegions(ctx, candidates)
+	if len(allowed) == 0 && r.directAccess.hasFailedRecently() {
 		r.relayed.WithLabelValues("outside homes").Inc()
 	}
 	return chooseHelpers(allowed, r.helpers.isExcluded)
 }
 
-// withinHomes returns the candidates that may hold the body in the context's call.
-func (r *Relay) withinHomes(ctx context.Context, candidates []string) []string {
+// inAllowedRegions returns the candidates in regions that may hold the request body in the
+// context's call.
+func (r *Relay) inAllowedRegions(ctx context.Context, candidates []string) []string {
 	bounds := homes.BoundsOf(ctx)
 	if !bounds.Homes().Bound() {
 		return candidates
@@ -56,7 +57,7 @@
 }
 
 // chooseHelpers returns the first candidates that are not excluded, at most maxHelpers. If
-// all are excluded, it returns the last one, the current peer.
+// all are excluded, it returns the last one, the peer with store access.
 func chooseHelpers(candidates []string, isExcluded func(address string) bool) []string {
 	chosen := slices.DeleteFunc(slices.Clone(candidates), isExcluded)
 	if len(chosen) == 0 && len(candidates) > 0 {
@@ -65,12 +66,12 @@
 	return chosen[:min(len(chosen), maxHelpers)]
 }
 
-// mayGive reports whether a call may be sent to a helper. A small call may be sent to any
-// helper. A large one may be sent to the current peer, or to a helper to which the store is
-// available according to its recent record or a probe.
-func (r *Relay) mayGive(ctx context.Context, address string, call *wire.StoreCall) bool {
-	current, _ := r.config.PeerWithStoreAccess()
-	if !isLarge(call) || address == current || r.helpers.isAnswering(address) {
+// maySend reports whether a call may be sent to a helper. A small call may be sent to any
+// helper. A large one may be sent to the peer with store access, or to a helper to which
+// the store is available according to its recent record or a probe.
+func (r *Relay) maySend(ctx context.Context, address string, call *wire.StoreCall) bool {
+	accessPeer, _ := r.config.PeerWithStoreAccess()
+	if !isLarge(call) || address == accessPeer || r.helpers.isAvailable(address) {
 		return true
 	}
 	probe := &wire.StoreCall{Verb: uint8(wire.StoreGet), Kind: call.Kind, Name: call.Name, MayBeStale: true}
@@ -81,7 +82,7 @@
 	}
 	switch wire.StoreOutcome(reply.Outcome) {
 	case wire.StoreDone, wire.StoreNotFound:
-		r.helpers.recordAnswering(address)
+		r.helpers.recordAvailable(address)
 		return true
 	}
 	return false
--- a/internal/store/storerelay/config.go
+++ b/internal/store/storerelay/config.go
@@ -13,8 +13,8 @@
 	// Direct is this node's direct connection to the store.
 	Direct objectstore.Store
 	Peers  environment.Peers
-	// PeerWithStoreAccess returns the address of a peer to which the store is available, if one is
-	// known.
+	// PeerWithStoreAccess returns the address of a peer to which the store is available, if
+	// one is known.
 	PeerWithStoreAccess func() (address string, known bool)
 	// LargeCallHelpers returns the addresses of further nodes that may be sent large calls,
 	// in order of preference; nil for none.
--- a/internal/store/storerelay/own_access.go
+++ b/internal/store/storerelay/direct_access.go
@@ -9,9 +9,9 @@
 // helper, if there is one.
 const relayAfterFailure = 2 * time.Second
 
-// ownAccess tracks whether the store responds to direct calls. It is safe for concurrent
+// directAccess tracks whether the store responds to direct calls. It is safe for concurrent
 // use.
-type ownAccess struct {
+type directAccess struct {
 	mutex   sync.Mutex
 	failing bool
 	// failedAt is when the last direct call failed; zero after a successful one.
@@ -20,7 +20,7 @@
 
 // hasFailedRecently reports whether a direct call failed within relayAfterFailure and none
 // has succeeded since.
-func (a *ownAccess) hasFailedRecently() bool {
+func (a *directAccess) hasFailedRecently() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return time.Since(a.failedAt) < relayAfterFailure
@@ -28,7 +28,7 @@
 
 // recordFailure records a failed direct call. First reports whether it is the first failure
 // since a success.
-func (a *ownAccess) recordFailure() (first bool) {
+func (a *directAccess) recordFailure() (first bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	first = !a.failing
@@ -36,9 +36,9 @@
 	return first
 }
 
-// recordAnswer records a direct call to which the store responded. Recovered reports
+// recordSuccess records a direct call to which the store responded. Recovered reports
 // whether the previous one failed.
-func (a *ownAccess) recordAnswer() (recovered bool) {
+func (a *directAccess) recordSuccess() (recovered bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	recovered = a.failing
--- a/internal/store/storerelay/doc.go
+++ b/internal/store/storerelay/doc.go
@@ -12,6 +12,6 @@
 //
 // Errors keep their meaning through a helper: after an *objectstore.RefusedError the call
 // has not taken effect, after an *objectstore.UnansweredError it may have or may still do
-// so. The package never retries a call without a response. A call that carries a body is
-// only sent to nodes that may hold it (package homes).
+// so. The package never retries a call without a response. A call that carries a request
+// body is only sent to nodes in its allowed regions.
 package storerelay
--- a/internal/store/storerelay/answer.go
+++ b/internal/store/storerelay/handle_call.go
@@ -13,25 +13,25 @@
 func (r *Relay) HandleCall(ctx context.Context, call *wire.StoreCall) *wire.StoreReply {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	own := r.config.Direct
+	direct := r.config.Direct
 	freshness := objectstore.Freshness(call.MayBeStale)
 	var object objectstore.Object
 	var err error
 	switch wire.StoreVerb(call.Verb) {
 	case wire.StoreList:
-		page, err := own.List(ctx, call.Kind, call.Name, freshness)
+		page, err := direct.List(ctx, call.Kind, call.Name, freshness)
 		reply := replyTo(err)
 		reply.More, reply.At = page.More, page.Revision
 		reply.Objects = objectwire.EncodeAll(page.Objects)
 		return reply
 	case wire.StoreGet:
-		object, err = own.Get(ctx, call.Kind, call.Name, freshness)
+		object, err = direct.Get(ctx, call.Kind, call.Name, freshness)
 	case wire.StoreCreate:
-		object, err = own.Create(ctx, call.Kind, call.Name, call.Content)
+		object, err = direct.Create(ctx, call.Kind, call.Name, call.Content)
 	case wire.StoreReplace:
-		object, err = own.Replace(ctx, call.Kind, call.Name, call.Content, call.Revision)
+		object, err = direct.Replace(ctx, call.Kind, call.Name, call.Content, call.Revision)
 	case wire.StoreReplaceStatus:
-		object, err = own.ReplaceStatus(ctx, call.Kind, call.Name, call.Content, call.Revision)
+		object, err = direct.ReplaceStatus(ctx, call.Kind, call.Name, call.Content, call.Revision)
 	default:
 		return &wire.StoreReply{Outcome: uint8(wire.StoreRefused)}
 	}
--- a/internal/store/storerelay/in_flight.go
+++ b/internal/store/storerelay/in_flight.go
@@ -43,7 +43,7 @@
 // concurrent use.
 type inFlightCalls struct {
 	mutex sync.Mutex
-	open  map[callKey]*inFlightCall
+	calls map[callKey]*inFlightCall
 }
 
 // do sends a call, or waits for an identical large call in flight, and returns the result.
@@ -72,21 +72,21 @@
 func (c *inFlightCalls) begin(key callKey) (inFlight *inFlightCall, first bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if existing := c.open[key]; existing != nil {
+	if existing := c.calls[key]; existing != nil {
 		return existing, false
 	}
-	if c.open == nil {
-		c.open = map[callKey]*inFlightCall{}
+	if c.calls == nil {
+		c.calls = map[callKey]*inFlightCall{}
 	}
 	inFlight = &inFlightCall{done: make(chan struct{})}
-	c.open[key] = inFlight
+	c.calls[key] = inFlight
 	return inFlight, true
 }
 
 // end removes a call and wakes those that wait for its result.
 func (c *inFlightCalls) end(key callKey, ended *inFlightCall) {
 	c.mutex.Lock()
-	delete(c.open, key)
+	delete(c.calls, key)
 	c.mutex.Unlock()
 	close(ended.done)
 }
--- a/internal/store/storerelay/large_calls_test.go
+++ b/internal/store/storerelay/large_calls_test.go
@@ -18,18 +18,17 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// link delivers calls to other nodes at linkBytes per second each, and none to silent ones.
+// link delivers calls to other nodes at linkBytesPerSecond each, and none to silent ones.
 type link struct {
 	mutex sync.Mutex
 	store *metastore.Store
-	// free is when each node's link has delivered all that was sent.
-	free   map[string]time.Time
+	// idleAt is when each node's link has delivered all that was sent.
+	idleAt map[string]time.Time
 	silent map[string]bool
 	sent   map[string]int
 }
 
-// linkBytes is the rate of a link in bytes per second.
-const linkBytes = 1 << 20
+const linkBytesPerSecond = 1 << 20
 
 func (*link) Send(string, wire.Message)        {}
 func (*link) Broadcast([]string, wire.Message) {}
@@ -38,12 +37,12 @@
 	call := message.(*wire.StoreCall)
 	l.mutex.Lock()
 	l.sent[address]++
-	begun := time.Now()
-	if l.free[address].After(begun) {
-		begun = l.free[address]
+	start := time.Now()
+	if l.idleAt[address].After(start) {
+		start = l.idleAt[address]
 	}
-	l.free[address] = begun.Add(time.Duration(float64(len(call.Content)) / linkBytes * float64(time.Second)))
-	wait, silent := time.Until(l.free[address]), l.silent[address]
+	l.idleAt[address] = start.Add(time.Duration(float64(len(call.Content)) / linkBytesPerSecond * float64(time.Second)))
+	wait, silent := time.Until(l.idleAt[address]), l.silent[address]
 	l.mutex.Unlock()
 	go func() {
 		if silent || wait > timeout {
@@ -62,60 +61,61 @@
 	}()
 }
 
-// over returns a relay over a link, for a node that the store refuses.
-func over(l *link, others ...string) *Relay {
+// newRelayOverLink returns a relay over a link, for a node that the store refuses.
+func newRelayOverLink(l *link, others ...string) *Relay {
 	return New(Config{
-		Direct: &gate{Store: l.store, fail: refusal}, Peers: l, PeerWithStoreAccess: func() (string, bool) { return "reader", true },
+		Direct: &testConnection{Store: l.store, fail: errRefused}, Peers: l, PeerWithStoreAccess: func() (string, bool) { return "reader", true },
 		LargeCallHelpers: func() []string { return others }, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
 	})
 }
 
 func newLink() *link {
-	return &link{store: metastore.New(), free: map[string]time.Time{}, silent: map[string]bool{}, sent: map[string]int{}}
+	return &link{store: metastore.New(), idleAt: map[string]time.Time{}, silent: map[string]bool{}, sent: map[string]int{}}
 }
 
-// large returns an object of 600 KiB.
-func large() json.RawMessage {
+// largeSpec returns a spec of 600 KiB.
+func largeSpec() json.RawMessage {
 	return json.RawMessage(`"` + string(bytes.Repeat([]byte("x"), 600<<10)) + `"`)
 }
 
 // Guards against several nodes that the store refuses sending their large results through
 // the same helper, which delays all of them.
-func TestLargeObjectsOfSeveralNodesArriveThroughOthers(t *testing.T) {
+func TestLargeCallsUseSeveralHelpers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLink()
-		began := time.Now()
+		start := time.Now()
 		var owners sync.WaitGroup
 		for _, name := range []string{"a", "b", "c"} {
-			relay := over(l, "first-of-"+name, "second-of-"+name)
+			relay := newRelayOverLink(l, "first-of-"+name, "second-of-"+name)
 			owners.Go(func() {
-				if _, _, err := objectstore.CreateWithRetry(t.Context(), relay, "results", name, large()); err != nil {
+				if _, _, err := objectstore.CreateWithRetry(t.Context(), relay, "results", name, largeSpec()); err != nil {
 					t.Error(err)
 				}
 			})
 		}
 		owners.Wait()
-		if took := time.Since(began); took > 2*time.Second {
-			t.Errorf("it took %s", took)
+		if took := time.Since(start); took > 2*time.Second {
+			t.Errorf("calls took %s, want at most 2 s", took)
 		}
 		time.Sleep(2 * relayTimeout)
 	})
 }
 
-func TestANodeThatDoesNotCarryACallIsLeft(t *testing.T) {
+// Guards against sending further calls to a helper that did not reply.
+func TestSilentHelperIsExcluded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLink()
 		l.silent["first"] = true
-		relay := over(l, "first", "second")
-		if _, _, err := objectstore.CreateWithRetry(t.Context(), relay, "results", "one", large()); err != nil {
+		relay := newRelayOverLink(l, "first", "second")
+		if _, _, err := objectstore.CreateWithRetry(t.Context(), relay, "results", "one", largeSpec()); err != nil {
 			t.Error(err)
 		}
 		before := l.sent["first"]
-		if _, _, err := objectstore.CreateWithRetry(t.Context(), relay, "results", "two", large()); err != nil {
+		if _, _, err := objectstore.CreateWithRetry(t.Context(), relay, "results", "two", largeSpec()); err != nil {
 			t.Error(err)
 		}
 		if l.sent["second"] == 0 || l.sent["first"] != before {
-			t.Errorf("sent %v", l.sent)
+			t.Errorf("messages by node: %v, want some to second and no more to first", l.sent)
 		}
 		time.Sleep(2 * relayTimeout)
 	})
--- a/internal/store/storerelay/relay.go
+++ b/internal/store/storerelay/relay.go
@@ -15,11 +15,11 @@
 // Relay is a store that makes calls through another node while the store refuses this one.
 // It is safe for concurrent use.
 type Relay struct {
-	config    Config
-	relayed   *prometheus.CounterVec
-	ownAccess ownAccess
-	helpers   helperHistory
-	inFlight  inFlightCalls
+	config       Config
+	relayed      *prometheus.CounterVec
+	directAccess directAccess
+	helpers      helperHistory
+	inFlight     inFlightCalls
 }
 
 var _ objectstore.Store = (*Relay)(nil)
@@ -82,10 +82,10 @@
 }
 
 // doForObject makes a call that returns one object.
-func (r *Relay) doForObject(ctx context.Context, call *wire.StoreCall, own func() (objectstore.Object, error)) (objectstore.Object, error) {
+func (r *Relay) doForObject(ctx context.Context, call *wire.StoreCall, direct func() (objectstore.Object, error)) (objectstore.Object, error) {
 	var object objectstore.Object
 	reply, err := r.do(ctx, call, func() (err error) {
-		object, err = own()
+		object, err = direct()
 		return err
 	})
 	if reply != nil && len(reply.Objects) > 0 {
--- a/internal/store/watchcache/cache.go
+++ b/internal/store/watchcache/cache.go
@@ -20,34 +20,35 @@
 	watchTimeout time.Duration
 
 	mutex sync.Mutex
-	state cacheState
+	// copy holds the objects and their recent history.
+	copy cacheState
 }
 
 // newCache returns an empty cache. Notify is called after each change, with the cache's
 // mutex locked.
 func newCache(kind string, sink Sink, watchTimeout time.Duration, notify func()) *Cache {
-	return &Cache{kind: kind, sink: sink, watchTimeout: watchTimeout, notify: notify, logger: klog.Background(), state: newCacheState()}
+	return &Cache{kind: kind, sink: sink, watchTimeout: watchTimeout, notify: notify, logger: klog.Background(), copy: newCacheState()}
 }
 
 // Revision returns the store revision of the cache, 0 before the first listing.
 func (c *Cache) Revision() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.state.revision
+	return c.copy.revision
 }
 
 // Listed reports whether the kind has been listed at least once.
 func (c *Cache) Listed() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.state.listed
+	return c.copy.listed
 }
 
 // isLarge reports whether the cache is costly to list again.
 func (c *Cache) isLarge() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.state.isLarge()
+	return c.copy.isLarge()
 }
 
 // Replace replaces the contents by a listing. It returns false, and changes nothing, if the
@@ -55,7 +56,7 @@
 func (c *Cache) Replace(objects []objectstore.Object, revision uint64, afterOutage bool) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.state.replace(objects, revision, afterOutage) {
+	if !c.copy.replace(objects, revision, afterOutage) {
 		return false
 	}
 	c.sink.Replace(objects, afterOutage)
@@ -68,7 +69,7 @@
 func (c *Cache) Advance(from uint64, changes []objectstore.Change, to uint64, afterOutage bool) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.state.advance(from, changes, to, afterOutage) {
+	if !c.copy.advance(from, changes, to, afterOutage) {
 		return false
 	}
 	if len(changes) > 0 {
@@ -84,7 +85,7 @@
 func (c *Cache) UpdateSince(revision uint64, compressed bool) (Update, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	update, found, err := c.state.updateSince(revision, compressed)
+	update, found, err := c.copy.updateSince(revision, compressed)
 	switch {
 	case err != nil && update.Snapshot:
 		c.logger.Error(err, "failed to compress snapshot, sending it uncompressed", "kind", c.kind, "objects", len(update.Changes))
--- a/internal/store/watchcache/informer_test.go
+++ b/internal/store/watchcache/informer_test.go
@@ -46,8 +46,8 @@
 	select {
 	case <-cut:
 		return objectstore.Changes{}, &objectstore.UnansweredError{Cause: metastore.ErrFault}
-	case result := <-results:
-		return result.changes, result.err
+	case got := <-results:
+		return got.changes, got.err
 	}
 }
 
--- a/internal/store/watchcache/watch.go
+++ b/internal/store/watchcache/watch.go
@@ -60,8 +60,8 @@
 	}()
 	var zero T
 	select {
-	case result := <-results:
-		return result.value, result.err
+	case got := <-results:
+		return got.value, got.err
 	case <-relistDue:
 		return zero, errRelistDue
 	case <-recovered:
