--- a/internal/store/objectstore/create_settled.go
+++ b/internal/store/objectstore/create_with_retry.go
@@ -44,26 +44,26 @@
 // response after its end either. If the context ends first, the error is the last
 // attempt's, or an *UnansweredError.
 func CreateWithRetry(ctx context.Context, store Store, kind, name string, spec json.RawMessage) (Object, CreateOutcome, error) {
-	pending := &pendingCreate{answers: make(chan createAnswer, maxOpenAttempts)}
+	pending := &pendingCreate{results: make(chan createResult, maxOpenAttempts)}
 	create := func() {
 		object, err := store.Create(ctx, kind, name, spec)
-		pending.answers <- createAnswer{object: object, err: err}
+		pending.results <- createResult{object: object, err: err}
 	}
-	for pause := minRetryBackoff; ; pause = min(2*pause, maxRetryBackoff) {
+	for backoff := minRetryBackoff; ; backoff = min(2*backoff, maxRetryBackoff) {
 		pending.open++
 		go create()
-		object, outcome, settled := pending.wait(ctx)
-		if settled {
+		object, outcome, conclusive := pending.wait(ctx)
+		if conclusive {
 			return object, outcome, nil
 		}
-		if pending.open == 0 && !SleepWithJitter(ctx, pause) || ctx.Err() != nil {
-			return Object{}, pending.unsettled(), pending.failure(ctx)
+		if pending.open == 0 && !SleepWithJitter(ctx, backoff) || ctx.Err() != nil {
+			return Object{}, pending.outcome(), pending.err(ctx)
 		}
 	}
 }
 
-// createAnswer is the result of one attempt.
-type createAnswer struct {
+// createResult is the result of one attempt.
+type createResult struct {
 	object Object
 	err    error
 }
@@ -71,7 +71,7 @@
 // pendingCreate is a create without a conclusive response. It is used by one goroutine,
 // which receives the results of the attempts through the channel.
 type pendingCreate struct {
-	answers chan createAnswer
+	results chan createResult
 	// open counts the attempts without a response.
 	open int
 	// unanswered is set once an attempt has ended without a response. lastError is the
@@ -81,7 +81,7 @@
 }
 
 // wait waits until there is a conclusive response or another attempt is due.
-func (p *pendingCreate) wait(ctx context.Context) (object Object, outcome CreateOutcome, settled bool) {
+func (p *pendingCreate) wait(ctx context.Context) (object Object, outcome CreateOutcome, conclusive bool) {
 	hedge := time.NewTimer(hedgeDelay)
 	defer hedge.Stop()
 	due := hedge.C
@@ -94,10 +94,10 @@
 			return Object{}, 0, false
 		case <-due:
 			return Object{}, 0, false
-		case answer := <-p.answers:
+		case result := <-p.results:
 			p.open--
-			if object, outcome, settled = p.record(answer); settled || p.open == 0 {
-				return object, outcome, settled
+			if object, outcome, conclusive = p.record(result); conclusive || p.open == 0 {
+				return object, outcome, conclusive
 			}
 			due = hedge.C
 		}
@@ -105,31 +105,31 @@
 }
 
 // record records the result of an attempt and reports whether it is conclusive.
-func (p *pendingCreate) record(answer createAnswer) (Object, CreateOutcome, bool) {
+func (p *pendingCreate) record(result createResult) (Object, CreateOutcome, bool) {
 	var conflict *ConflictError
 	var refused *RefusedError
 	switch {
-	case answer.err == nil:
-		return answer.object, Created, true
-	case errors.As(answer.err, &conflict):
+	case result.err == nil:
+		return result.object, Created, true
+	case errors.As(result.err, &conflict):
 		return conflict.Current, AlreadyExists, true
-	case !errors.As(answer.err, &refused):
+	case !errors.As(result.err, &refused):
 		p.unanswered = true
 	}
-	p.lastError = answer.err
+	p.lastError = result.err
 	return Object{}, 0, false
 }
 
-// unsettled returns the outcome if the context has ended.
-func (p *pendingCreate) unsettled() CreateOutcome {
+// outcome returns the outcome if the context has ended.
+func (p *pendingCreate) outcome() CreateOutcome {
 	if p.unanswered || p.open > 0 {
 		return OutcomeUnknown
 	}
 	return NotCreated
 }
 
-// failure returns why there is no conclusive response.
-func (p *pendingCreate) failure(ctx context.Context) error {
+// err returns why there is no conclusive response.
+func (p *pendingCreate) err(ctx context.Context) error {
 	if p.lastError != nil {
 		return p.lastError
 	}
--- a/internal/store/objectstore/list.go
+++ b/internal/store/objectstore/list.go
@@ -21,15 +21,15 @@
 
 // ListAll lists a kind and returns all pages as one, at the first page's revision.
 func ListAll(ctx context.Context, store Store, kind string, freshness Freshness) (Page, error) {
-	var listed Page
+	var all Page
 	err := ListPages(ctx, store, kind, freshness, func(page Page) {
-		listed.Objects = append(listed.Objects, page.Objects...)
-		if listed.Revision == 0 {
-			listed.Revision = page.Revision
+		all.Objects = append(all.Objects, page.Objects...)
+		if all.Revision == 0 {
+			all.Revision = page.Revision
 		}
 	})
 	if err != nil {
 		return Page{}, err
 	}
-	return listed, nil
+	return all, nil
 }
--- a/internal/store/objectstore/list_test.go
+++ b/internal/store/objectstore/list_test.go
@@ -37,17 +37,17 @@
 	return page, nil
 }
 
-func TestListAllReturnsAllPagesAtTheFirstRevision(t *testing.T) {
+func TestListAllReturnsFirstRevision(t *testing.T) {
 	for _, count := range []int{0, 1, 9, 10, 11, 35} {
 		store := &pagedStore{count: count, perPage: 10}
 		listed, err := objectstore.ListAll(t.Context(), store, "kind", objectstore.Linearizable)
 		if err != nil || len(listed.Objects) != count || listed.Revision != 1 {
-			t.Errorf("%d objects: %d listed at %d, error %v", count, len(listed.Objects), listed.Revision, err)
+			t.Errorf("%d objects: listed %d at revision %d, error %v", count, len(listed.Objects), listed.Revision, err)
 		}
 	}
 }
 
-func TestListAllReturnsNothingIfAPageFails(t *testing.T) {
+func TestListAllFailsIfAPageFails(t *testing.T) {
 	store := &pagedStore{count: 35, perPage: 10, failAt: 3}
 	listed, err := objectstore.ListAll(t.Context(), store, "kind", objectstore.Linearizable)
 	var unanswered *objectstore.UnansweredError
--- a/internal/store/objectstore/metered_test.go
+++ b/internal/store/objectstore/metered_test.go
@@ -9,7 +9,7 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-func TestCallsAreCountedByWhatBecomesOfThem(t *testing.T) {
+func TestMeteredCountsCallsByOutcome(t *testing.T) {
 	registry := prometheus.NewRegistry()
 	store := objectstore.NewMetered(metastore.New(), registry)
 	for range 2 {
@@ -21,6 +21,6 @@
 	}
 	families, err := registry.Gather()
 	if err != nil || len(families) != 1 || len(families[0].GetMetric()) != 4 {
-		t.Errorf("figures %v, error %v, want four ways in which calls ended", families, err)
+		t.Errorf("metrics %v, error %v, want four combinations of call and outcome", families, err)
 	}
 }
--- a/internal/store/objectwire/compress_test.go
+++ b/internal/store/objectwire/compress_test.go
@@ -16,7 +16,7 @@
 	return objects
 }
 
-func TestCompressedListingIsReadBack(t *testing.T) {
+func TestCompressRoundTrip(t *testing.T) {
 	want := replicaEntries(300)
 	want[7].Status, want[8].Deleting = []byte(`{"ok":true}`), true
 	compressed, err := Compress(want)
@@ -25,28 +25,28 @@
 	}
 	got, err := Decompress(compressed)
 	if err != nil || len(got) != len(want) {
-		t.Fatalf("%d of %d objects, %v", len(got), len(want), err)
+		t.Fatalf("got %d of %d objects, error %v", len(got), len(want), err)
 	}
 	for i := range want {
 		if fmt.Sprint(got[i]) != fmt.Sprint(want[i]) {
-			t.Fatalf("object %d: %v, want %v", i, got[i], want[i])
+			t.Fatalf("object %d is %v, want %v", i, got[i], want[i])
 		}
 	}
 }
 
-func TestDamagedListingIsAnError(t *testing.T) {
+func TestDecompressRejectsCorruptListing(t *testing.T) {
 	compressed, err := Compress(replicaEntries(300))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, damaged := range [][]byte{nil, {1, 2, 3}, compressed[:len(compressed)/2]} {
-		if _, err := Decompress(damaged); err == nil {
-			t.Errorf("%d damaged bytes are read", len(damaged))
+	for _, corrupt := range [][]byte{nil, {1, 2, 3}, compressed[:len(compressed)/2]} {
+		if _, err := Decompress(corrupt); err == nil {
+			t.Errorf("%d corrupt bytes were decoded without an error", len(corrupt))
 		}
 	}
 }
 
-func BenchmarkCompressTenThousandReplicas(b *testing.B) {
+func BenchmarkCompress10kReplicas(b *testing.B) {
 	objects := replicaEntries(10000)
 	size := 0
 	for b.Loop() {
@@ -59,7 +59,7 @@
 	b.ReportMetric(float64(size)/1000, "kB")
 }
 
-func BenchmarkDecompressTenThousandReplicas(b *testing.B) {
+func BenchmarkDecompress10kReplicas(b *testing.B) {
 	compressed, err := Compress(replicaEntries(10000))
 	if err != nil {
 		b.Fatal(err)
