--- a/internal/cluster/peering/config.go
+++ b/internal/cluster/peering/config.go
@@ -29,8 +29,8 @@
 	FillHeartbeat func(heartbeat *wire.NodeBeat)
 	// OnHeartbeat is called with each heartbeat received from another node.
 	OnHeartbeat func(heartbeat *wire.NodeBeat)
-	// HeartbeatTargets returns the names of the nodes that get every heartbeat of this node,
-	// besides the active peers; nil for none.
+	// HeartbeatTargets returns the names of the nodes that get every heartbeat of this
+	// node, besides the active peers; nil for none.
 	HeartbeatTargets func() []string
 	// MaxBroadcastPeers is the number of peers up to which Announce reaches all of them, 0
 	// for the default of 128.
--- a/internal/cluster/peering/doc.go
+++ b/internal/cluster/peering/doc.go
@@ -6,7 +6,7 @@
 // package watchcache.
 //
 // Only an active node sends heartbeats: one that runs batch jobs or holds the duty lease.
-// It sends them to the other active peers and to a few watchers, so that their number
+// It sends them to the other active peers and to a few chosen targets, so that their number
 // doesn't depend on the number of nodes. Rare changes go to all peers in a small
 // deployment, and to the nodes concerned in a large one.
 //
--- a/internal/cluster/peering/heartbeat.go
+++ b/internal/cluster/peering/heartbeat.go
@@ -20,7 +20,7 @@
 // lease. Active nodes send each other their heartbeats.
 func isActive(heartbeat *wire.NodeBeat) bool { return len(heartbeat.Jobs) > 0 || heartbeat.Lease > 0 }
 
-// newHeartbeat returns this node's heartbeat with its present state.
+// newHeartbeat returns this node's heartbeat with its current state.
 func (t *Table) newHeartbeat() *wire.NodeBeat {
 	heartbeat := &wire.NodeBeat{
 		Node:        t.config.Node,
@@ -48,30 +48,30 @@
 }
 
 // Announce sends this node's heartbeat because of a rare change: to all peers if
-// AnnouncesToAll, and otherwise to those that get every heartbeat and to the concerned
+// AnnouncesToAll, and otherwise to those that get every heartbeat and to the affected
 // nodes.
-func (t *Table) Announce(concerned []string) {
+func (t *Table) Announce(affected []string) {
 	if t.AnnouncesToAll() {
 		t.Broadcast()
 		return
 	}
-	t.sendToWatchersAnd(concerned)
+	t.sendToTargets(affected)
 }
 
-// SendHeartbeat sends this node's heartbeat to its watchers and to the active peers, whose
+// SendHeartbeat sends this node's heartbeat to its targets and to the active peers, whose
 // number doesn't grow with the number of nodes.
-func (t *Table) SendHeartbeat() { t.sendToWatchersAnd(nil) }
+func (t *Table) SendHeartbeat() { t.sendToTargets(nil) }
 
-// sendToWatchersAnd sends this node's heartbeat to its watchers, to the active peers, and
-// to the given nodes.
-func (t *Table) sendToWatchersAnd(more []string) {
+// sendToTargets sends this node's heartbeat to its targets, to the active peers, and to the
+// given nodes.
+func (t *Table) sendToTargets(extra []string) {
 	recipients := map[string]bool{}
-	for _, node := range more {
+	for _, node := range extra {
 		recipients[node] = true
 	}
 	if t.config.HeartbeatTargets != nil {
-		for _, watcher := range t.config.HeartbeatTargets() {
-			recipients[watcher] = true
+		for _, node := range t.config.HeartbeatTargets() {
+			recipients[node] = true
 		}
 	}
 	t.send(t.addresses(func(peer *Peer) bool {
@@ -87,14 +87,14 @@
 		t.mutex.Unlock()
 		return
 	}
-	pause := minHeartbeatInterval - time.Since(t.lastHeartbeat)
-	t.heartbeatDue = pause > 0
+	delay := minHeartbeatInterval - time.Since(t.lastHeartbeat)
+	t.heartbeatDue = delay > 0
 	t.mutex.Unlock()
-	if pause <= 0 {
+	if delay <= 0 {
 		t.SendHeartbeat()
 		return
 	}
-	time.AfterFunc(pause, func() {
+	time.AfterFunc(delay, func() {
 		t.mutex.Lock()
 		t.heartbeatDue = false
 		t.mutex.Unlock()
@@ -113,12 +113,12 @@
 }
 
 // addresses returns the sorted addresses of the peers that match a condition.
-func (t *Table) addresses(wanted func(*Peer) bool) []string {
+func (t *Table) addresses(matches func(*Peer) bool) []string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	addresses := make([]string, 0, len(t.peers))
 	for _, peer := range t.peers {
-		if wanted(peer) {
+		if matches(peer) {
 			addresses = append(addresses, peer.Address)
 		}
 	}
--- a/internal/cluster/peering/join.go
+++ b/internal/cluster/peering/join.go
@@ -30,7 +30,7 @@
 			return
 		}
 		objectstore.SleepWithJitter(ctx, joinRetryInterval)
-		t.greetSeeds(ctx)
+		t.sendJoinRequests(ctx)
 	}
 }
 
@@ -40,7 +40,7 @@
 func (t *Table) tryJoin(ctx context.Context) bool {
 	isNew, err := t.register(ctx)
 	if err != nil {
-		t.config.Logger.V(1).Info("node entry not written", "error", err.Error())
+		t.config.Logger.V(1).Info("failed to write the node entry", "error", err.Error())
 		return false
 	}
 	if isNew {
@@ -55,7 +55,7 @@
 		return true
 	}
 	if err := t.readEntries(ctx); err != nil {
-		t.config.Logger.V(1).Info("node entries not read", "error", err.Error())
+		t.config.Logger.V(1).Info("failed to read the node entries", "error", err.Error())
 		return false
 	}
 	return true
--- a/internal/cluster/peering/lookup.go
+++ b/internal/cluster/peering/lookup.go
@@ -64,8 +64,8 @@
 	return capacities
 }
 
-// MembershipVersion returns a counter that increases with each change of the set of nodes or of
-// their zones. Callers cache what they derive from these until it changes.
+// MembershipVersion returns a counter that increases with each change of the set of nodes
+// or of their zones. Callers cache what they derive from these until it changes.
 func (t *Table) MembershipVersion() uint64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/cluster/peering/registration.go
+++ b/internal/cluster/peering/registration.go
@@ -30,7 +30,7 @@
 	}
 	existing, err := decodeEntry(conflict.Current)
 	if err != nil {
-		t.config.Logger.Error(err, "own node entry is replaced")
+		t.config.Logger.Error(err, "failed to decode this node's entry, replacing it")
 	} else if existing.Address == t.config.Address && existing.Incarnation == t.config.Incarnation {
 		return false, nil
 	}
--- a/internal/cluster/peering/seeds.go
+++ b/internal/cluster/peering/seeds.go
@@ -44,11 +44,11 @@
 	}
 	seeds = rendezvous.RankNames(t.config.Node, seeds)
 	for range seedAttempts {
-		known, answering := t.askSeeds(ctx, seeds)
-		if known || len(answering) == 0 {
+		known, replying := t.askSeeds(ctx, seeds)
+		if known || len(replying) == 0 {
 			return known
 		}
-		seeds = answering
+		seeds = replying
 		if !objectstore.Sleep(ctx, seedRetryInterval) {
 			return false
 		}
@@ -56,26 +56,26 @@
 	return false
 }
 
-// seedAnswer is the result of asking a seed; its heartbeat is nil if the seed didn't reply.
-type seedAnswer struct {
-	// place is the index of the seed in the order of asking.
-	place     int
+// seedReply is the result of asking a seed; its heartbeat is nil if the seed didn't reply.
+type seedReply struct {
+	// index is the position of the seed in the order of asking.
+	index     int
 	heartbeat *wire.NodeBeat
 }
 
 // askSeeds asks seeds in order until one replies. It asks the next one early if a seed is
-// slow. Known reports whether the replying seed knows the list; answering holds that seed
+// slow. Known reports whether the replying seed knows the list; replying holds that seed
 // and those after it.
-func (t *Table) askSeeds(ctx context.Context, seeds []string) (known bool, answering []string) {
+func (t *Table) askSeeds(ctx context.Context, seeds []string) (known bool, replying []string) {
 	ctx, cancel := context.WithTimeout(ctx, seedTimeout)
 	defer cancel()
-	answers := make(chan seedAnswer, len(seeds))
+	replies := make(chan seedReply, len(seeds))
 	hedge := time.NewTicker(seedHedgeDelay)
 	defer hedge.Stop()
 	asked, silent := 0, 0
 	askNext := func() {
 		if asked < len(seeds) {
-			go t.askSeed(ctx, seeds[asked], asked, answers)
+			go t.askSeed(ctx, seeds[asked], asked, replies)
 			asked++
 		}
 	}
@@ -84,10 +84,10 @@
 		select {
 		case <-ctx.Done():
 			return false, nil
-		case answer := <-answers:
-			if answer.heartbeat != nil {
-				t.HandleHeartbeat(answer.heartbeat)
-				return answer.heartbeat.PeersKnown, seeds[answer.place:]
+		case reply := <-replies:
+			if reply.heartbeat != nil {
+				t.HandleHeartbeat(reply.heartbeat)
+				return reply.heartbeat.PeersKnown, seeds[reply.index:]
 			}
 			silent++
 			askNext()
@@ -99,11 +99,11 @@
 }
 
 // askSeed asks one seed for the list of nodes.
-func (t *Table) askSeed(ctx context.Context, seed string, place int, answers chan<- seedAnswer) {
+func (t *Table) askSeed(ctx context.Context, seed string, index int, replies chan<- seedReply) {
 	reply, err := environment.Ask(ctx, t.config.Peers, seed, t.newHeartbeat(), seedTimeout)
-	heartbeat, isBeat := reply.(*wire.NodeBeat)
-	if err != nil || !isBeat {
+	heartbeat, isHeartbeat := reply.(*wire.NodeBeat)
+	if err != nil || !isHeartbeat {
 		heartbeat = nil
 	}
-	answers <- seedAnswer{place: place, heartbeat: heartbeat}
+	replies <- seedReply{index: index, heartbeat: heartbeat}
 }
--- a/internal/cluster/peering/sink.go
+++ b/internal/cluster/peering/sink.go
@@ -14,7 +14,7 @@
 func (t *Table) Apply(changes []objectstore.Change, _ bool) {
 	for _, change := range changes {
 		if change.Deleted {
-			t.forget(change.Object.Name)
+			t.remove(change.Object.Name)
 			continue
 		}
 		t.addEntry(change.Object)
@@ -25,14 +25,14 @@
 func (t *Table) addEntry(object objectstore.Object) {
 	decoded, err := decodeEntry(object)
 	if err != nil {
-		t.config.Logger.Error(err, "node entry is not readable", "peer", object.Name)
+		t.config.Logger.Error(err, "failed to decode a node entry", "peer", object.Name)
 		return
 	}
 	t.add(Peer{Node: object.Name, Address: decoded.Address, Zone: decoded.Zone, Incarnation: decoded.Incarnation, Capacity: decoded.Capacity})
 }
 
-// forget removes a node.
-func (t *Table) forget(node string) {
+// remove removes a node.
+func (t *Table) remove(node string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.peers[node] != nil {
--- a/internal/cluster/peering/sink_test.go
+++ b/internal/cluster/peering/sink_test.go
@@ -7,7 +7,7 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-func TestUnreadableEntryNamesItsNode(t *testing.T) {
+func TestDecodeEntryErrorNamesNode(t *testing.T) {
 	_, err := decodeEntry(objectstore.Object{Name: "node-7", Spec: []byte(`{"address":7}`)})
 	var unreadable *EntryError
 	if !errors.As(err, &unreadable) || unreadable.Node != "node-7" || unreadable.Cause == nil {
@@ -24,7 +24,7 @@
 		_, err := decodeEntry(objectstore.Object{Name: "node-7", Spec: spec})
 		var unreadable *EntryError
 		if err != nil && !errors.As(err, &unreadable) {
-			t.Fatalf("error %v has no type", err)
+			t.Fatalf("error %v is no *EntryError", err)
 		}
 	})
 }
--- a/internal/cluster/peering/start_test.go
+++ b/internal/cluster/peering/start_test.go
@@ -17,7 +17,7 @@
 	mutex   sync.Mutex
 	tables  map[string]*Table
 	peers   int
-	answers int
+	replies int
 }
 
 func (n *network) Send(string, wire.Message)        {}
@@ -31,17 +31,17 @@
 		done(nil, environment.ErrPeerUnreachable)
 		return
 	}
-	answer := table.HandleJoin(message.(*wire.NodeBeat))
+	reply := table.HandleJoin(message.(*wire.NodeBeat))
 	n.mutex.Lock()
-	n.answers++
-	n.peers += len(answer.Peers)
+	n.replies++
+	n.peers += len(reply.Peers)
 	n.mutex.Unlock()
-	done(answer, nil)
+	done(reply, nil)
 }
 
-// startCosts returns the listings of nodes that the store serves and the addresses that one
-// seed sends when the given number of nodes in five zones starts at once.
-func startCosts(t *testing.T, count int) (lists, sent int) {
+// startupCosts returns the listings of nodes that the store serves and the addresses that
+// one seed sends when the given number of nodes in five zones starts at once.
+func startupCosts(t *testing.T, count int) (lists, sent int) {
 	synctest.Test(t, func(t *testing.T) {
 		store := metastore.New()
 		joined := &network{tables: map[string]*Table{}}
@@ -67,7 +67,7 @@
 		started.Wait()
 		for _, table := range tables {
 			if !table.Joined() {
-				t.Errorf("%s has not joined", table.config.Node)
+				t.Errorf("%s did not join", table.config.Node)
 			}
 		}
 		lists, sent = int(store.Calls("list")), joined.peers/len(seeds)
@@ -77,15 +77,15 @@
 
 // Guards against every starting node listing all entries, and against every seed replying
 // to each of them with all nodes.
-func TestAStartCostsTheStoreNoListingByEveryNode(t *testing.T) {
-	fewLists, _ := startCosts(t, 50)
-	manyLists, sent := startCosts(t, 400)
+func TestStartDoesNotListFromEveryNode(t *testing.T) {
+	fewLists, _ := startupCosts(t, 50)
+	manyLists, sent := startupCosts(t, 400)
 	// The three seeds read all pages, of which 400 nodes have eight times as many as 50.
 	if manyLists > 8*fewLists || fewLists > 3 {
-		t.Errorf("%d pages read by 400 nodes, %d by 50", manyLists, fewLists)
+		t.Errorf("%d pages listed by 400 nodes, %d by 50", manyLists, fewLists)
 	}
 	// Each node gets the nodes of its zone at most a few times.
 	if bound := 400 / 3 * 400 / 5 * 4; sent > bound {
-		t.Errorf("a seed sends %d addresses, want %d at the most", sent, bound)
+		t.Errorf("a seed sent %d addresses, want at most %d", sent, bound)
 	}
 }
--- a/internal/cluster/peering/table_test.go
+++ b/internal/cluster/peering/table_test.go
@@ -57,10 +57,10 @@
 	return len(r.sent)
 }
 
-func newTestTable(node string, store objectstore.Store, peers environment.Peers, watchers ...string) *Table {
+func newTestTable(node string, store objectstore.Store, peers environment.Peers, targets ...string) *Table {
 	return NewTable(Config{
 		Node: node, Address: "address-of-" + node, Zone: "zone", Incarnation: 1, Store: store, Peers: peers, Logger: klog.Background(),
-		FillHeartbeat: func(*wire.NodeBeat) {}, OnHeartbeat: func(*wire.NodeBeat) {}, HeartbeatTargets: func() []string { return watchers },
+		FillHeartbeat: func(*wire.NodeBeat) {}, OnHeartbeat: func(*wire.NodeBeat) {}, HeartbeatTargets: func() []string { return targets },
 	})
 }
 
@@ -70,7 +70,7 @@
 }
 
 // Guards against each owner of jobs sending its heartbeats to all of hundreds of nodes.
-func TestHeartbeatsGoToWatchersAndActivePeersOnly(t *testing.T) {
+func TestHeartbeatRecipients(t *testing.T) {
 	network := &recorder{}
 	table := newTestTable("self", metastore.New(), network, "node-7", "node-unknown")
 	for number := range 300 {
@@ -87,27 +87,27 @@
 	}
 }
 
-func TestAnInactivePeerHearsNoMoreHeartbeats(t *testing.T) {
+func TestInactivePeerGetsNoHeartbeats(t *testing.T) {
 	network := &recorder{}
 	table := newTestTable("self", metastore.New(), network)
 	receiveHeartbeat(table, "owner", "job")
 	table.peers["owner"].LastActive = time.Now().Add(-activeTimeout)
 	table.SendHeartbeat()
 	if got := network.count(); got != 0 {
-		t.Errorf("%d heartbeats sent to %v", got, network.last())
+		t.Errorf("%d heartbeats sent to %v, want none", got, network.last())
 	}
 }
 
-func TestChangesCloseTogetherAreOneHeartbeat(t *testing.T) {
+func TestScheduleHeartbeatCoalescesChanges(t *testing.T) {
 	network := &recorder{}
-	table := newTestTable("self", metastore.New(), network, "watcher")
-	receiveHeartbeat(table, "watcher")
+	table := newTestTable("self", metastore.New(), network, "target")
+	receiveHeartbeat(table, "target")
 	for range 1000 {
 		table.ScheduleHeartbeat()
 	}
 	first := network.count()
 	if first == 0 {
-		t.Fatal("the first change is not reported at once")
+		t.Fatal("first change was not sent at once")
 	}
 	table.mutex.Lock()
 	due := table.heartbeatDue
@@ -116,16 +116,16 @@
 		time.Sleep(time.Millisecond)
 	}
 	if due && network.count() == first {
-		t.Error("the last change is never reported")
+		t.Error("last change was never sent")
 	}
 	if network.count() > 500 {
-		t.Errorf("%d heartbeats for 1000 changes", network.count())
+		t.Errorf("%d heartbeats for 1000 changes, want at most 500", network.count())
 	}
 }
 
 // Guards against a new node sending join requests to all nodes, each of which replies with
 // its whole list.
-func TestJoiningCallsSeedsOnly(t *testing.T) {
+func TestJoinCallsSeedsOnly(t *testing.T) {
 	store := metastore.New()
 	ctx := context.Background()
 	for number := range 50 {
@@ -144,56 +144,56 @@
 		table.SetSeeds(test.seeds)
 		table.Join(ctx)
 		if got := len(table.NodeNames()); got != 51 {
-			t.Errorf("%d nodes are known, want 51", got)
+			t.Errorf("%d nodes known, want 51", got)
 		}
 		if !slices.Equal(network.calls, test.called) {
 			t.Errorf("called %v, want %v", network.calls, test.called)
 		}
 		if network.count() != 0 {
-			t.Errorf("%d messages sent to join", network.count())
+			t.Errorf("%d one-way messages sent to join, want none", network.count())
 		}
 	}
 }
 
-func TestAGreetedNodeTellsWhomItKnows(t *testing.T) {
+func TestHandleJoinRepliesWithPeers(t *testing.T) {
 	table := newTestTable("seed", metastore.New(), &recorder{})
 	receiveHeartbeat(table, "other")
-	answer := table.HandleJoin(&wire.NodeBeat{Node: "new", Address: "address-of-new", Zone: "zone", Incarnation: 1})
-	learner := newTestTable("new", metastore.New(), &recorder{})
-	learner.HandleHeartbeat(answer)
-	if got, want := learner.NodeNames(), []string{"new", "other", "seed"}; !slices.Equal(got, want) {
-		t.Errorf("knows %v, want %v", got, want)
+	reply := table.HandleJoin(&wire.NodeBeat{Node: "new", Address: "address-of-new", Zone: "zone", Incarnation: 1})
+	joining := newTestTable("new", metastore.New(), &recorder{})
+	joining.HandleHeartbeat(reply)
+	if got, want := joining.NodeNames(), []string{"new", "other", "seed"}; !slices.Equal(got, want) {
+		t.Errorf("known nodes %v, want %v", got, want)
 	}
-	if peer, _ := learner.Get("other"); peer.Zone != "zone" || peer.Address != "address-of-other" {
-		t.Errorf("learnt of the other node: %+v", peer)
+	if peer, _ := joining.Get("other"); peer.Zone != "zone" || peer.Address != "address-of-other" {
+		t.Errorf("unexpected entry of the other node: %+v", peer)
 	}
 }
 
-func TestTheEntryOfANewProcessReplacesThatOfTheOld(t *testing.T) {
+func TestRegisterReplacesEarlierProcess(t *testing.T) {
 	store := metastore.New()
 	ctx := context.Background()
 	old := newTestTable("self", store, &recorder{})
 	if isNew, err := old.register(ctx); err != nil || !isNew {
-		t.Fatalf("first entry: new %v, error %v", isNew, err)
+		t.Fatalf("first entry: isNew %v, error %v", isNew, err)
 	}
 	if isNew, err := old.register(ctx); err != nil || isNew {
-		t.Fatalf("same entry: new %v, error %v", isNew, err)
+		t.Fatalf("same entry: isNew %v, error %v", isNew, err)
 	}
 	restarted := newTestTable("self", store, &recorder{})
 	restarted.config.Incarnation = 2
 	if isNew, err := restarted.register(ctx); err != nil || isNew {
-		t.Fatalf("entry of the new process: new %v, error %v", isNew, err)
+		t.Fatalf("entry of a later process: isNew %v, error %v", isNew, err)
 	}
 	peer := newTestTable("peer", store, &recorder{})
 	if err := peer.readEntries(ctx); err != nil {
 		t.Fatal(err)
 	}
 	if known, _ := peer.Get("self"); known.Incarnation != 2 {
-		t.Errorf("peers know incarnation %d, want 2", known.Incarnation)
+		t.Errorf("incarnation is %d, want 2", known.Incarnation)
 	}
 }
 
-func TestEntriesOfTheStoreAreFollowed(t *testing.T) {
+func TestTableAppliesEntries(t *testing.T) {
 	table := newTestTable("self", metastore.New(), &recorder{})
 	object := func(name, spec string) objectstore.Object {
 		return objectstore.Object{Name: name, Spec: []byte(spec)}
@@ -202,17 +202,17 @@
 	before := table.MembershipVersion()
 	table.Apply([]objectstore.Change{{Object: object("a", `{"address":"a2","zone":"z","incarnation":6}`)}}, false)
 	if peer, _ := table.Get("a"); peer.Address != "a2" || peer.Incarnation != 6 {
-		t.Errorf("after a change: %+v", peer)
+		t.Errorf("unexpected peer after a change: %+v", peer)
 	}
 	if table.MembershipVersion() != before {
-		t.Error("a new address counts as a new member")
+		t.Error("new address changed the membership version")
 	}
-	receiveHeartbeat(table, "a") // an older process's heartbeat that was late
+	receiveHeartbeat(table, "a") // a late heartbeat of an earlier process
 	if peer, _ := table.Get("a"); peer.Address != "a2" || !peer.LastHeartbeat.IsZero() {
-		t.Errorf("after an old heartbeat: %+v", peer)
+		t.Errorf("unexpected peer after a heartbeat of an earlier process: %+v", peer)
 	}
 	table.Apply([]objectstore.Change{{Deleted: true, Object: object("a", ``)}}, false)
 	if _, known := table.Get("a"); known || table.MembershipVersion() == before {
-		t.Error("a removed node is still a member")
+		t.Error("node is still known after its entry was deleted")
 	}
 }
--- a/internal/cluster/rendezvous/rank_test.go
+++ b/internal/cluster/rendezvous/rank_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestRankByCapacityPutsTheLargestFirst(t *testing.T) {
+func TestRankByCapacityRanksLargestFirst(t *testing.T) {
 	var candidates []Candidate
 	for number := range 12 {
 		// In millicores: two of 800, two of 600, eight of 192 or unknown.
@@ -16,26 +16,26 @@
 	for key := range 300 {
 		ranked := RankByCapacity(fmt.Sprint("key-", key), candidates)
 		if len(ranked) != len(candidates) {
-			t.Fatalf("%d of %d are ranked", len(ranked), len(candidates))
+			t.Fatalf("%d of %d candidates ranked", len(ranked), len(candidates))
 		}
-		for place, candidate := range ranked {
-			if large := candidate.Capacity >= 600; large != (place < 4) {
-				t.Fatalf("%s with %d is in place %d", candidate.ID, candidate.Capacity, place)
+		for rank, candidate := range ranked {
+			if large := candidate.Capacity >= 600; large != (rank < 4) {
+				t.Fatalf("%s with capacity %d has rank %d", candidate.ID, candidate.Capacity, rank)
 			}
 		}
 		first[ranked[0].ID]++
 	}
 	for id, count := range first {
 		if count < 40 {
-			t.Errorf("%s is first for %d of 300 keys", id, count)
+			t.Errorf("%s is first for %d of 300 keys, want at least 40", id, count)
 		}
 	}
 	if len(first) != 4 {
-		t.Errorf("%d candidates share the keys, want the four largest", len(first))
+		t.Errorf("%d candidates rank first for some key, want the four largest", len(first))
 	}
 }
 
-func TestRankNamesOrdersAsRankDoes(t *testing.T) {
+func TestRankNamesMatchesRank(t *testing.T) {
 	var names []string
 	var candidates []Candidate
 	for number := range 9 {
@@ -43,9 +43,9 @@
 		candidates = append(candidates, Candidate{ID: names[number]})
 	}
 	ranked := RankNames("key", names)
-	for place, candidate := range Rank("key", candidates) {
-		if ranked[place] != candidate.ID {
-			t.Errorf("place %d has %s, want %s", place, ranked[place], candidate.ID)
+	for rank, candidate := range Rank("key", candidates) {
+		if ranked[rank] != candidate.ID {
+			t.Errorf("rank %d is %s, want %s", rank, ranked[rank], candidate.ID)
 		}
 	}
 }
--- a/internal/cluster/rendezvous/rendezvous.go
+++ b/internal/cluster/rendezvous/rendezvous.go
@@ -13,7 +13,7 @@
 const mixMultiplier = 0xbf58476d1ce4e5b9
 
 // Hash returns the 64-bit hash of a string.
-func Hash(text string) uint64 { return xxhash.Sum64String(text) }
+func Hash(s string) uint64 { return xxhash.Sum64String(s) }
 
 // Weight returns the weight of a candidate for a key, given the hashes of both.
 func Weight(key, candidate uint64) uint64 {
@@ -35,18 +35,18 @@
 // Rank returns the candidates by weight for a key, the greatest first.
 func Rank(key string, candidates []Candidate) []Candidate {
 	keyHash := Hash(key)
-	weighed := make([]weighedCandidate, len(candidates))
+	weighted := make([]weightedCandidate, len(candidates))
 	for i, candidate := range candidates {
-		weighed[i] = weighedCandidate{Candidate: candidate, weight: Weight(keyHash, Hash(candidate.ID))}
+		weighted[i] = weightedCandidate{Candidate: candidate, weight: Weight(keyHash, Hash(candidate.ID))}
 	}
-	slices.SortFunc(weighed, func(a, b weighedCandidate) int {
+	slices.SortFunc(weighted, func(a, b weightedCandidate) int {
 		if order := cmp.Compare(b.weight, a.weight); order != 0 {
 			return order
 		}
 		return strings.Compare(a.ID, b.ID)
 	})
-	ranked := make([]Candidate, len(weighed))
-	for i, candidate := range weighed {
+	ranked := make([]Candidate, len(weighted))
+	for i, candidate := range weighted {
 		ranked[i] = candidate.Candidate
 	}
 	return ranked
@@ -77,8 +77,8 @@
 // capacityClass returns the number of bits of a capacity, 0 for unknown.
 func capacityClass(capacity uint32) int { return bits.Len32(capacity) }
 
-// weighedCandidate is a candidate with its weight for a key.
-type weighedCandidate struct {
+// weightedCandidate is a candidate with its weight for a key.
+type weightedCandidate struct {
 	Candidate
 	weight uint64
 }
@@ -87,7 +87,7 @@
 // second of any, so that the first few are in different zones.
 func RankAcrossZones(key string, candidates []Candidate) []Candidate {
 	ranked := Rank(key, candidates)
-	spread := make([]Candidate, 0, len(ranked))
+	result := make([]Candidate, 0, len(ranked))
 	for len(ranked) > 0 {
 		seen := map[string]bool{}
 		rest := ranked[:0:0]
@@ -97,9 +97,9 @@
 				continue
 			}
 			seen[candidate.Zone] = true
-			spread = append(spread, candidate)
+			result = append(result, candidate)
 		}
 		ranked = rest
 	}
-	return spread
+	return result
 }
--- a/internal/cluster/transport/incoming.go
+++ b/internal/cluster/transport/incoming.go
@@ -56,9 +56,9 @@
 // dispatch passes a message to the handler, unless the request's timeout has passed by
 // then.
 func (t *Transport) dispatch(from string, frame wire.Frame, replies *replyWriter) {
-	arrived := time.Now()
+	receivedAt := time.Now()
 	t.config.Post(func() {
-		if frame.Timeout != 0 && time.Since(arrived) > frame.Timeout {
+		if frame.Timeout != 0 && time.Since(receivedAt) > frame.Timeout {
 			return
 		}
 		t.config.Handler(from, frame.Message, func(message wire.Message) {
--- a/internal/cluster/transport/outgoing.go
+++ b/internal/cluster/transport/outgoing.go
@@ -24,8 +24,8 @@
 	lastCorrelation uint64
 	pending         map[uint64]*pendingCall
 	broken          bool
-	opened          time.Time
-	// lastReceived is when the peer last sent a frame, in nanoseconds since opened.
+	openedAt        time.Time
+	// lastReceived is when the peer last sent a frame, in nanoseconds since openedAt.
 	lastReceived atomic.Int64
 }
 
@@ -42,7 +42,7 @@
 		queue:     make(chan []byte, queueLength),
 		stop:      make(chan struct{}),
 		pending:   map[uint64]*pendingCall{},
-		opened:    time.Now(),
+		openedAt:  time.Now(),
 	}
 }
 
@@ -94,8 +94,8 @@
 }
 
 // isSilentFor reports whether nothing was received from the peer for the given time.
-func (o *outgoing) isSilentFor(span time.Duration) bool {
-	return time.Since(o.opened) > span && time.Since(o.opened)-time.Duration(o.lastReceived.Load()) > span
+func (o *outgoing) isSilentFor(duration time.Duration) bool {
+	return time.Since(o.openedAt) > duration && time.Since(o.openedAt)-time.Duration(o.lastReceived.Load()) > duration
 }
 
 // close ends the connection.
@@ -160,7 +160,7 @@
 		if err != nil {
 			return
 		}
-		o.lastReceived.Store(int64(time.Since(o.opened)))
+		o.lastReceived.Store(int64(time.Since(o.openedAt)))
 		o.transport.config.Traffic.count(frame.Message, directionIn, frame.Bytes)
 		if failure, failed := frame.Message.(*wire.Failure); failed {
 			o.finish(frame.Correlation, nil, &wire.RemoteError{Code: wire.FailureCode(failure.Code), Detail: failure.Detail})
@@ -172,15 +172,15 @@
 
 // failPending ends every pending request with environment.ErrPeerUnreachable.
 func (o *outgoing) failPending() {
-	o.transport.forget(o)
+	o.transport.removeOutgoing(o)
 	o.mutex.Lock()
 	o.broken = true
-	open := make([]uint64, 0, len(o.pending))
+	correlations := make([]uint64, 0, len(o.pending))
 	for correlation := range o.pending {
-		open = append(open, correlation)
+		correlations = append(correlations, correlation)
 	}
 	o.mutex.Unlock()
-	for _, correlation := range open {
+	for _, correlation := range correlations {
 		o.finish(correlation, nil, merry.Wrap(environment.ErrPeerUnreachable))
 	}
 }
--- a/internal/cluster/transport/traffic_test.go
+++ b/internal/cluster/transport/traffic_test.go
@@ -9,7 +9,7 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-func TestMessagesAreCountedByKindAndDirection(t *testing.T) {
+func TestTrafficCountsByKindAndDirection(t *testing.T) {
 	registry := prometheus.NewRegistry()
 	traffic := NewTraffic(registry)
 	traffic.count(&wire.Ping{}, directionOut, 10)
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -142,8 +142,8 @@
 	t.unreachableAt[address] = time.Now()
 }
 
-// forget removes a connection that has ended.
-func (t *Transport) forget(peer *outgoing) {
+// removeOutgoing removes a connection that has ended.
+func (t *Transport) removeOutgoing(peer *outgoing) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.outgoing[peer.address] == peer {
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -42,18 +42,18 @@
 	reply(&wire.DocumentReply{Name: pull.Name, Version: pull.Have})
 }
 
-type answer struct {
+type callResult struct {
 	message wire.Message
 	err     error
 }
 
-func (e *endpoint) ask(to string, version uint64, timeout time.Duration) chan answer {
-	answers := make(chan answer, 2)
-	e.Call(to, &wire.DocumentPull{Name: "d", Have: version}, timeout, func(message wire.Message, err error) { answers <- answer{message, err} })
-	return answers
+func (e *endpoint) request(to string, version uint64, timeout time.Duration) chan callResult {
+	results := make(chan callResult, 2)
+	e.Call(to, &wire.DocumentPull{Name: "d", Have: version}, timeout, func(message wire.Message, err error) { results <- callResult{message, err} })
+	return results
 }
 
-func TestEachCallGetsItsOwnAnswer(t *testing.T) {
+func TestRepliesMatchTheirRequests(t *testing.T) {
 	var held []func()
 	server := listen(t, wire.ProtocolVersion, func(from string, message wire.Message, reply func(wire.Message)) {
 		// Replies are sent in reverse order.
@@ -65,43 +65,43 @@
 		}
 	})
 	client := listen(t, wire.ProtocolVersion, echo)
-	var calls []chan answer
+	var calls []chan callResult
 	for version := range uint64(50) {
-		calls = append(calls, client.ask(server.address, version, callTimeout))
+		calls = append(calls, client.request(server.address, version, callTimeout))
 	}
 	for version, call := range calls {
 		got := <-call
 		if reply, ok := got.message.(*wire.DocumentReply); got.err != nil || !ok || reply.Version != uint64(version) {
-			t.Fatalf("call %d got %+v, %v", version, got.message, got.err)
+			t.Fatalf("call %d got reply %+v, error %v", version, got.message, got.err)
 		}
 	}
 }
 
-func TestLateAnswerIsDropped(t *testing.T) {
+func TestLateReplyIsDropped(t *testing.T) {
 	release := make(chan struct{})
-	var answered atomic.Int32
+	var replied atomic.Int32
 	server := listen(t, wire.ProtocolVersion, func(from string, message wire.Message, reply func(wire.Message)) {
 		go func() {
 			<-release
 			echo(from, message, reply)
-			answered.Add(1)
+			replied.Add(1)
 		}()
 	})
 	client := listen(t, wire.ProtocolVersion, echo)
-	call := client.ask(server.address, 1, 50*time.Millisecond)
+	call := client.request(server.address, 1, 50*time.Millisecond)
 	if got := <-call; !errors.Is(got.err, environment.ErrPeerUnreachable) {
-		t.Fatalf("got %+v", got)
+		t.Fatalf("got %+v, want ErrPeerUnreachable", got)
 	}
 	close(release)
-	if got := <-client.ask(client.address, 2, callTimeout); got.err != nil {
+	if got := <-client.request(client.address, 2, callTimeout); got.err != nil {
 		t.Fatal(got.err)
 	}
 	if len(call) > 0 {
-		t.Error("the late answer was delivered too")
+		t.Error("late reply was delivered")
 	}
 }
 
-func TestUnreachablePeerAndItsReturn(t *testing.T) {
+func TestUnreachablePeerReturns(t *testing.T) {
 	client := listen(t, wire.ProtocolVersion, echo)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -109,37 +109,37 @@
 	}
 	address := listener.Addr().String()
 	listener.Close()
-	if got := <-client.ask(address, 1, callTimeout); !errors.Is(got.err, environment.ErrPeerUnreachable) {
-		t.Fatalf("got %+v", got)
+	if got := <-client.request(address, 1, callTimeout); !errors.Is(got.err, environment.ErrPeerUnreachable) {
+		t.Fatalf("got %+v, want ErrPeerUnreachable", got)
 	}
 	listener, err = net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	back := loop.New()
-	defer back.Close()
-	server := Listen(listener, Config{Hello: wire.Hello{Protocol: wire.ProtocolVersion}, Post: back.Post, Handler: echo})
+	eventLoop := loop.New()
+	defer eventLoop.Close()
+	server := Listen(listener, Config{Hello: wire.Hello{Protocol: wire.ProtocolVersion}, Post: eventLoop.Post, Handler: echo})
 	defer server.Close()
-	if got := <-client.ask(address, 2, callTimeout); got.err != nil {
-		t.Errorf("after its return: %v", got.err)
+	if got := <-client.request(address, 2, callTimeout); got.err != nil {
+		t.Errorf("call to the peer after its return: %v", got.err)
 	}
 }
 
-func TestOtherProtocolVersionIsRefused(t *testing.T) {
+func TestOtherProtocolVersionIsRejected(t *testing.T) {
 	server := listen(t, wire.ProtocolVersion, echo)
 	client := listen(t, wire.ProtocolVersion+1, echo)
-	if got := <-client.ask(server.address, 1, callTimeout); got.err == nil {
-		t.Error("a peer of another protocol version was served")
+	if got := <-client.request(server.address, 1, callTimeout); got.err == nil {
+		t.Error("peer of another protocol version was served")
 	}
 }
 
-func TestRefusalIsTyped(t *testing.T) {
+func TestFailureReplyIsRemoteError(t *testing.T) {
 	server := listen(t, wire.ProtocolVersion, func(_ string, _ wire.Message, reply func(wire.Message)) {
 		reply(&wire.Failure{Code: uint16(wire.CodeNotServing), Detail: "no"})
 	})
 	client := listen(t, wire.ProtocolVersion, echo)
 	var remote *wire.RemoteError
-	if got := <-client.ask(server.address, 1, callTimeout); !errors.As(got.err, &remote) || remote.Code != wire.CodeNotServing {
-		t.Errorf("got %v", got.err)
+	if got := <-client.request(server.address, 1, callTimeout); !errors.As(got.err, &remote) || remote.Code != wire.CodeNotServing {
+		t.Errorf("got error %v, want a *wire.RemoteError with CodeNotServing", got.err)
 	}
 }
