--- a/internal/cluster/peering/join_request.go
+++ b/internal/cluster/peering/join_request.go
@@ -57,7 +57,7 @@
 	all := len(t.peers) <= maxFullReply
 	for _, peer := range t.peers {
 		if all || peer.Zone == heartbeat.Zone {
-			reply.Peers = append(reply.Peers, peer.address())
+			reply.Peers = append(reply.Peers, peer.toWire())
 		}
 	}
 	return reply
--- a/internal/cluster/peering/lookup.go
+++ b/internal/cluster/peering/lookup.go
@@ -69,5 +69,5 @@
 func (t *Table) MembershipVersion() uint64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.membership
+	return t.membershipVersion
 }
--- a/internal/cluster/peering/peer.go
+++ b/internal/cluster/peering/peer.go
@@ -23,7 +23,7 @@
 	LastActive time.Time
 }
 
-// address returns the peer as listed in the reply to a join request.
-func (p *Peer) address() wire.PeerAddress {
+// toWire returns the peer as listed in the reply to a join request.
+func (p *Peer) toWire() wire.PeerAddress {
 	return wire.PeerAddress{Node: p.Node, Address: p.Address, Zone: p.Zone, Capacity: p.Capacity, Incarnation: p.Incarnation}
 }
--- a/internal/cluster/peering/seeds.go
+++ b/internal/cluster/peering/seeds.go
@@ -44,11 +44,11 @@
 	}
 	seeds = rendezvous.RankNames(t.config.Node, seeds)
 	for range seedAttempts {
-		known, replying := t.askSeeds(ctx, seeds)
-		if known || len(replying) == 0 {
+		known, remaining := t.askSeeds(ctx, seeds)
+		if known || len(remaining) == 0 {
 			return known
 		}
-		seeds = replying
+		seeds = remaining
 		if !objectstore.Sleep(ctx, seedRetryInterval) {
 			return false
 		}
@@ -64,9 +64,9 @@
 }
 
 // askSeeds asks seeds in order until one replies. It asks the next one early if a seed is
-// slow. Known reports whether the replying seed knows the list; replying holds that seed
+// slow. Known reports whether the replying seed knows the list; remaining holds that seed
 // and those after it.
-func (t *Table) askSeeds(ctx context.Context, seeds []string) (known bool, replying []string) {
+func (t *Table) askSeeds(ctx context.Context, seeds []string) (known bool, remaining []string) {
 	ctx, cancel := context.WithTimeout(ctx, seedTimeout)
 	defer cancel()
 	replies := make(chan seedReply, len(seeds))
--- a/internal/cluster/peering/sink.go
+++ b/internal/cluster/peering/sink.go
@@ -37,6 +37,6 @@
 	defer t.mutex.Unlock()
 	if t.peers[node] != nil {
 		delete(t.peers, node)
-		t.membership++
+		t.membershipVersion++
 	}
 }
--- a/internal/cluster/peering/table.go
+++ b/internal/cluster/peering/table.go
@@ -13,8 +13,8 @@
 	mutex  sync.Mutex
 	seeds  []string
 	peers  map[string]*Peer
-	// membership counts the changes of the set of peers and of their zones.
-	membership uint64
+	// membershipVersion counts the changes of the set of peers and of their zones.
+	membershipVersion uint64
 	// joined is set once this node's entry is written and the other nodes are known.
 	joined bool
 	// joinAttempted is set after the first attempt to join.
@@ -53,7 +53,7 @@
 	known := t.peers[peer.Node]
 	if known == nil {
 		t.peers[peer.Node] = &peer
-		t.membership++
+		t.membershipVersion++
 		return
 	}
 	if peer.Incarnation < known.Incarnation || (peer.Incarnation == 0 && peer.Address == known.Address) {
@@ -62,14 +62,15 @@
 	known.Address, known.Incarnation = peer.Address, peer.Incarnation
 	if peer.Zone != "" && peer.Zone != known.Zone {
 		known.Zone = peer.Zone
-		t.membership++
+		t.membershipVersion++
 	}
 	if peer.Capacity > 0 {
 		known.Capacity = peer.Capacity
 	}
 }
 
-// HandleHeartbeat handles a heartbeat of another node.
+// HandleHeartbeat updates the table with the sender of a heartbeat and the peers that it
+// lists.
 func (t *Table) HandleHeartbeat(heartbeat *wire.NodeBeat) {
 	if heartbeat.Node == t.config.Node {
 		return
