--- a/internal/store/watchcache/source_test.go
+++ b/internal/store/watchcache/source_test.go
@@ -308,15 +308,15 @@
 		reader := c.readers()[0]
 		reader.store.loseNextWatch.Store(true)
 		c.store.Write(testKind, "first", 2)
-		// Longer than the store counts as unavailable.
+		// Longer than it takes until the store counts as available again.
 		advance(4 * time.Second)
 		c.store.Write(testKind, "first", 3)
 		c.waitFor(c.nodes, "first", "3", maxDelay)
 	})
 }
 
-// Guards against following a node of an earlier version, which doesn't know a new kind,
-// without ever listing that kind.
+// Guards against never listing a new kind because the followed node, of an earlier version,
+// doesn't know it.
 func TestReaderWithoutKindIsNotFollowed(t *testing.T) {
 	withCluster(t, 3, func(c *cluster) {
 		c.store.Write("newer", "first", 1)
--- a/internal/store/watchcache/tree_test.go
+++ b/internal/store/watchcache/tree_test.go
@@ -101,8 +101,7 @@
 	}
 }
 
-// Guards against late changes and many readers when the reader of a large area, or nodes
-// that relay its changes, are lost.
+// Guards against late changes and many readers when the reader of a large area is lost.
 func TestLargeAreaReaderLossWithinBound(t *testing.T) {
 	for _, fault := range readerFaults {
 		t.Run(fault.name, func(t *testing.T) {
@@ -148,14 +147,14 @@
 
 // Guards against probes by all nodes of a large area during an outage.
 func TestOutageCallsIndependentOfNodeCount(t *testing.T) {
-	probes := func(count int) (asked int) {
+	callsInOutage := func(count int) (calls int) {
 		withCluster(t, count, func(c *cluster) {
 			for _, node := range c.nodes {
 				node.store.cut.Store(true)
 			}
 			advance(2500 * time.Millisecond)
 			for _, node := range c.nodes {
-				asked += int(node.store.allCalls.Load())
+				calls += int(node.store.allCalls.Load())
 			}
 			for _, node := range c.nodes {
 				node.store.cut.Store(false)
@@ -163,9 +162,9 @@
 			c.store.Write(testKind, "first", 2)
 			c.waitFor(c.nodes, "first", "2", 3*time.Second)
 		})
-		return asked
+		return calls
 	}
-	few, many := probes(largeCount), probes(2*largeCount)
+	few, many := callsInOutage(largeCount), callsInOutage(2*largeCount)
 	if many > few+few/4 {
 		t.Errorf("%d calls by %d nodes in an outage, but %d by %d", many, 2*largeCount, few, largeCount)
 	}
