--- a/internal/cluster/peering/start_test.go
+++ b/internal/cluster/peering/start_test.go
@@ -14,8 +14,9 @@
 
 // network connects tables by address.
 type network struct {
-	mutex   sync.Mutex
-	tables  map[string]*Table
+	mutex  sync.Mutex
+	tables map[string]*Table
+	// peers counts the peers listed in all replies.
 	peers   int
 	replies int
 }
