--- a/internal/callers/dispatch/answer.go
+++ b/internal/callers/dispatch/answer.go
@@ -10,21 +10,23 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// Answer is a replica's answer with its verdict. It must be closed or discarded.
+// Answer is a replica's response with the metadata from its headers. It must be closed or
+// discarded.
 type Answer struct {
 	*exchange.Response
 	Verdict  Verdict
 	Endpoint *routing.Endpoint
 	ended    bool
-	// ctx is that of the attempt.
+	// ctx is the context of the attempt.
 	ctx context.Context
-	// run is what the guard learns of; nil until the answer is known to belong to the
-	// request, and again once the guard has learned the end.
+	// run is the attempt whose outcome is reported to the guard. It is nil until the
+	// response has passed check, and again once the outcome has been reported.
 	run *Run
 }
 
-// Read implements io.Reader over the body, and reports to the guard how the run ends. An
-// end without framing is not reported, nor an error after the attempt's context ended.
+// Read reads from the body and reports the outcome of the attempt to the guard. It does not
+// report the end of a body without framing, which may be truncated, nor an error after the
+// context of the attempt has ended.
 func (a *Answer) Read(buffer []byte) (int, error) {
 	count, err := a.Response.Read(buffer)
 	if a.run == nil {
@@ -48,19 +50,20 @@
 	return count, err
 }
 
-// Close ends the answer and keeps its connection if the body was read whole.
+// Close closes the response. Its connection is kept for reuse if the body was read
+// completely.
 func (a *Answer) Close() {
 	a.end()
 	a.Response.Close()
 }
 
-// Discard ends the answer and closes its connection.
+// Discard closes the response and its connection.
 func (a *Answer) Discard() {
 	a.end()
 	a.Response.Discard()
 }
 
-// end takes the answer off the endpoint's open dispatches, once.
+// end decrements the endpoint's number of requests in flight, once.
 func (a *Answer) end() {
 	if !a.ended {
 		a.ended = true
@@ -68,8 +71,10 @@
 	}
 }
 
-// check returns an *exchange.BrokenError for an answer of another request or without a
-// signature, and a *NotRunError for a replica's promise.
+// check validates the head of the response. It returns an *exchange.BrokenError if the
+// response belongs to another request or is a success without a signature, and a
+// *NotRunError if the replica states that it did not run the request. After an error the
+// response is closed.
 func (a *Answer) check(call *Call) error {
 	if a.Verdict.RequestID != call.ID {
 		a.Endpoint.State.Failures.Add(1)
@@ -88,10 +93,10 @@
 	return nil
 }
 
-// maxDrainBytes bounds what is read of a refusal to keep its connection.
+// maxDrainBytes is the maximum number of bytes of a body read to reuse its connection.
 const maxDrainBytes = 2 << 10
 
-// drain reads a short body, so that the connection can be kept, and closes the answer.
+// drain reads a short body, so that its connection can be reused, and closes the response.
 func (a *Answer) drain() {
 	buffer := make([]byte, maxDrainBytes)
 	for read := 0; read < maxDrainBytes; {
--- a/internal/callers/dispatch/dispatcher.go
+++ b/internal/callers/dispatch/dispatcher.go
@@ -8,16 +8,16 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// Dispatcher sends calls to replicas. It is safe for use by many goroutines.
+// Dispatcher sends calls to replicas. It is safe for concurrent use.
 type Dispatcher struct {
 	pool    *exchange.Pool
 	headers Headers
 	metrics *Metrics
-	// guard is nil for none.
+	// guard may be nil.
 	guard Guard
 }
 
-// New returns a dispatcher over a pool of connections. Metrics may be nil.
+// New returns a Dispatcher that uses a pool of connections. Metrics may be nil.
 func New(pool *exchange.Pool, headers Headers, metrics *Metrics) *Dispatcher {
 	return &Dispatcher{pool: pool, headers: headers, metrics: metrics}
 }
@@ -25,10 +25,10 @@
 // SetGuard sets the guard. It must be called before the first Send.
 func (d *Dispatcher) SetGuard(guard Guard) { d.guard = guard }
 
-// Send makes one attempt and returns the answer, whose body is still to be read. The
+// Send makes one attempt and returns the response, whose body has not been read yet. The
 // caller must Close or Discard it. The error is a *QuarantinedError, a *WithheldError, a
-// *NotRunError, an *exchange.NotSentError or an *exchange.BrokenError; MayHaveRun tells
-// them apart.
+// *NotRunError, an *exchange.NotSentError or an *exchange.BrokenError; MayHaveRun reports
+// whether the replica may have run the request.
 func (d *Dispatcher) Send(ctx context.Context, endpoint *routing.Endpoint, call *Call) (*Answer, error) {
 	if d.guard != nil {
 		if err := d.guard.Admit(ctx, call); err != nil {
@@ -59,8 +59,8 @@
 	return answer, nil
 }
 
-// admit returns why a replica must get no request now, nil if it may. It takes the permit
-// of a replica that is warming up.
+// admit returns an error if the replica must not get a request now. If the replica is
+// warming up, admit takes one of its slow-start permits.
 func admit(endpoint *routing.Endpoint) *WithheldError {
 	if endpoint.State.Evacuated() {
 		return &WithheldError{Replica: endpoint.Name, Reason: routing.ReasonEvacuated}
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// newRequest returns the request to a replica for a call.
+// newRequest returns the HTTP request that sends a call to a replica.
 func (d *Dispatcher) newRequest(endpoint *routing.Endpoint, call *Call) *exchange.Request {
 	header := call.Header.Clone()
 	d.headers.Prepare(header, Conditions{
--- a/internal/callers/dispatch/dispatcher_test.go
+++ b/internal/callers/dispatch/dispatcher_test.go
@@ -12,7 +12,7 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// A zone may be evacuated between the pick and the send.
+// Guards against sending to a replica whose zone was evacuated after the replica was picked.
 func TestNothingIsSentToAnEvacuatedZone(t *testing.T) {
 	pool := exchange.NewPool(func(context.Context, string) (net.Conn, error) {
 		t.Error("a connection was opened")
--- a/internal/callers/dispatch/doc.go
+++ b/internal/callers/dispatch/doc.go
@@ -1,13 +1,16 @@
-// Package dispatch sends one request once to one replica and judges the answer: whether
-// the replica ran the request, whether the answer belongs to it, and whether it is signed.
-// Live requests (package forward) and items of batch jobs (package batch) go through it.
+// Package dispatch makes single attempts: it sends a request to one replica and validates
+// the response, that is, whether the replica ran the request, whether the response belongs
+// to the request, and whether it is signed. Live requests (package forward) and items of
+// batch jobs (package batch) are sent through it.
 //
-// Send is the last check before a replica gets a request, since what a pick found may
-// have changed: the guard (package quarantine), then admit: the evacuation of the zone and
-// a permit of the replica's slow start.
+// Before sending, Send checks again what may have changed since the replica was picked: the
+// guard (package quarantine), then whether the zone of the replica is evacuated, then
+// whether a slow-start permit of the replica is available.
 //
-// The package owns no state. It counts open dispatches and failures in a row at the
-// endpoint, and relies on Headers for the names on the wire and on an exchange.Pool for
-// connections. It guarantees that an error for which MayHaveRun is false means that the
-// replica did not and will not run the request, and never repeats anything itself.
+// The package is stateless. It counts the requests in flight and the consecutive failures
+// in the state of the endpoint. Headers encodes and decodes the headers on the wire, and an
+// exchange.Pool provides connections.
+//
+// Guarantees: if MayHaveRun is false for an error, the replica did not run the request and
+// will not; the package never retries.
 package dispatch
--- a/internal/callers/dispatch/errors.go
+++ b/internal/callers/dispatch/errors.go
@@ -11,54 +11,51 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// ErrForeignAnswer means that an answer belongs to another request.
+// ErrForeignAnswer means that a response carries the id of another request.
 var ErrForeignAnswer = merry.Sentinel("answer belongs to another request")
 
-// ErrUnsigned means that an answer of status 2xx has no replica's signature.
+// ErrUnsigned means that a response with status 2xx is not signed by a replica.
 var ErrUnsigned = merry.Sentinel("success without a signature")
 
-// NotRunError is a replica's promise that it has not run a request.
+// NotRunError reports that a replica states that it did not run the request.
 type NotRunError struct {
 	Replica string
 	Status  int
-	// OtherReplica is set if another replica has the address by now.
+	// OtherReplica is set if another replica now has the address.
 	OtherReplica bool
 }
 
-// Error names the replica and the status.
 func (e *NotRunError) Error() string {
 	return fmt.Sprintf("replica %s did not run the request: status %d", e.Replica, e.Status)
 }
 
-// WithheldError is a request that this node did not send, since the replica gets none
-// now.
+// WithheldError reports that this node did not send a request, because the replica must not
+// get requests now.
 type WithheldError struct {
 	Replica string
 	// Reason is routing.ReasonEvacuated or routing.ReasonSlowStart.
 	Reason routing.Reason
 }
 
-// Error names the replica and the reason.
 func (e *WithheldError) Error() string {
 	return fmt.Sprintf("nothing sent to replica %s: it is %s", e.Replica, e.Reason)
 }
 
-// QuarantinedError is a request that this node did not send, since replicas crash under
-// it. It must go to no other replica either.
+// QuarantinedError reports that this node did not send a request, because the request has
+// crashed several replicas. It must not be sent to another replica either.
 type QuarantinedError struct {
-	// Fingerprint identifies the request, whatever its id.
+	// Fingerprint identifies the request independently of its id.
 	Fingerprint string
 	// Left is the time until the quarantine ends.
 	Left time.Duration
 }
 
-// Error names the request and the time.
 func (e *QuarantinedError) Error() string {
 	return fmt.Sprintf("request %s is not sent for %v: replicas end under it", e.Fingerprint, e.Left.Round(time.Second))
 }
 
-// MayHaveRun returns whether a request may have run whose Send or read of an answer failed
-// with an error.
+// MayHaveRun reports whether a replica may have run the request of an attempt that failed
+// with err, in Send or while the response was read.
 func MayHaveRun(err error) bool {
 	var notRun *NotRunError
 	var notSent *exchange.NotSentError
--- a/internal/callers/dispatch/guard.go
+++ b/internal/callers/dispatch/guard.go
@@ -2,15 +2,16 @@
 
 import "context"
 
-// Guard keeps requests that crash replicas from further replicas. It learns how the runs
-// of requests end.
+// Guard keeps requests that crash replicas from being sent to more replicas. It is told the
+// outcome of attempts.
 type Guard interface {
-	// Admit returns a *QuarantinedError for a call that must not be sent. It may wait
-	// until the end of the call's previous run has been examined.
+	// Admit returns a *QuarantinedError if the call must not be sent. It may block until
+	// it is known whether a broken attempt of the same request crashed its replica.
 	Admit(ctx context.Context, call *Call) error
-	// ObserveBroken takes a run whose connection broke while this node waited for the
-	// answer.
+	// ObserveBroken is called for an attempt whose connection broke before the response
+	// was complete.
 	ObserveBroken(run Run)
-	// ObserveServed takes a call that a replica has answered whole, with a status.
+	// ObserveServed is called for a call whose complete response, of whatever status, has
+	// been read.
 	ObserveServed(call *Call, status int)
 }
--- a/internal/callers/dispatch/metrics.go
+++ b/internal/callers/dispatch/metrics.go
@@ -6,12 +6,12 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// Metrics count requests that were withheld from replicas.
+// Metrics counts requests that failed with a WithheldError.
 type Metrics struct {
 	withheld *prometheus.CounterVec
 }
 
-// NewMetrics registers the metrics of dispatching.
+// NewMetrics creates and registers the metrics of a Dispatcher.
 func NewMetrics(registry prometheus.Registerer) *Metrics {
 	metrics := &Metrics{withheld: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "pathtally_sends_withheld_total", Help: "Requests that were picked a replica for and then not sent there, by reason.",
@@ -20,7 +20,7 @@
 	return metrics
 }
 
-// withheldNames are the values of the metric's reason label.
+// withheldNames maps reasons to values of the reason label.
 var withheldNames = map[routing.Reason]string{
 	routing.ReasonEvacuated: "evacuated",
 	routing.ReasonSlowStart: "slow_start",
--- a/internal/callers/dispatch/run.go
+++ b/internal/callers/dispatch/run.go
@@ -8,22 +8,21 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// Run is one run of a call at a replica, so far. It belongs to the goroutine that reads
-// the answer.
+// Run is one attempt to run a call at a replica. It is used by the goroutine that reads the
+// response.
 type Run struct {
 	Call     *Call
 	Endpoint *routing.Endpoint
-	// Lasted is the time from the sending to the end.
+	// Lasted is the time from the start of the attempt until its connection broke.
 	Lasted time.Duration
-	// Received is set once a part of the answer's body has come.
+	// Received is set once a part of the response body has been read.
 	Received bool
 
 	guard Guard
 	sent  time.Time
 }
 
-// reportError reports a run that failed with an error to the guard, if its connection
-// broke.
+// reportError reports the attempt to the guard if err says that its connection broke.
 func (r *Run) reportError(err error) {
 	var broken *exchange.BrokenError
 	if r.guard != nil && errors.As(err, &broken) {
@@ -32,7 +31,7 @@
 	}
 }
 
-// reportServed reports a whole answer with a status to the guard.
+// reportServed reports a complete response to the guard.
 func (r *Run) reportServed(status int) {
 	if r.guard != nil {
 		r.guard.ObserveServed(r.Call, status)
--- a/internal/callers/exchange/bounds.go
+++ b/internal/callers/exchange/bounds.go
@@ -1,16 +1,19 @@
 package exchange
 
-// defaultMaxIdle bounds the idle connections to an address before the first SetBounds.
+// defaultMaxIdle is the maximum number of idle connections to an address until SetBounds is
+// called.
 const defaultMaxIdle = 32
 
-// Bound is how many connections to one address this node may have.
+// Bound limits the connections of a pool to one address.
 type Bound struct {
-	// Open bounds all connections, Idle those without a request.
+	// Open is the maximum number of connections, including idle ones.
 	Open int
+	// Idle is the maximum number of idle connections.
 	Idle int
 }
 
-// maxIdle returns the bound on idle connections to an address. The mutex must be held.
+// maxIdle returns the maximum number of idle connections to an address. The caller must hold
+// the mutex.
 func (p *Pool) maxIdle(address string) int {
 	if p.bounds == nil {
 		return defaultMaxIdle
@@ -18,8 +21,8 @@
 	return p.bounds[address].Idle
 }
 
-// reserve counts a new connection to an address unless its bound is reached, and returns
-// how many others there are.
+// reserve counts a new connection to an address, unless the limit is reached. It returns the
+// number of other connections to the address.
 func (p *Pool) reserve(address string) (others int, reserved bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -32,7 +35,7 @@
 	return others, true
 }
 
-// release counts a connection as closed.
+// release undoes reserve for a connection that is closed or could not be opened.
 func (p *Pool) release(address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -42,14 +45,15 @@
 	}
 }
 
-// SetBounds sets the bounds of each address. Idle connections beyond them are closed, and
-// all idle ones to addresses not named.
+// SetBounds sets the limits of each address. It closes idle connections that exceed them, and
+// all idle connections to addresses that are not listed.
 func (p *Pool) SetBounds(bounds map[string]Bound) {
 	p.mutex.Lock()
 	p.bounds = bounds
 	var dropped []*connection
 	for address, idle := range p.idle {
-		// The last ones are the least likely to have been closed by the peer.
+		// Keep the most recently used connections: the peer is least likely to have
+		// closed them.
 		if surplus := len(idle) - bounds[address].Idle; surplus > 0 {
 			dropped = append(dropped, idle[:surplus]...)
 			p.idle[address] = idle[surplus:]
--- a/internal/callers/exchange/connection.go
+++ b/internal/callers/exchange/connection.go
@@ -12,14 +12,14 @@
 	writeBufferBytes = 4 << 10
 )
 
-// connection is one kept connection to a replica.
+// connection is a persistent connection to a replica.
 type connection struct {
 	net.Conn
 	address string
 	reader  *bufio.Reader
 	writer  *bufio.Writer
-	// idleUntil is when the peer may close the connection while it is idle, and idleSince
-	// when it last became idle.
+	// idleUntil is the time from which the peer may close the idle connection, idleSince
+	// the time at which the connection last became idle.
 	idleUntil time.Time
 	idleSince time.Time
 }
@@ -30,8 +30,8 @@
 	}
 }
 
-// checkIdle returns why an idle connection must not be used, nil if it may. Anything
-// readable on it is an answer that nobody waits for, or its end.
+// checkIdle returns an error if an idle connection must not be reused. If the socket is
+// readable, either the peer sent unsolicited data or it closed the connection.
 func (c *connection) checkIdle() error {
 	if c.reader.Buffered() > 0 {
 		return ErrSurplus
--- a/internal/callers/exchange/dial.go
+++ b/internal/callers/exchange/dial.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection to a replica.
+	// dialTimeout is the timeout for opening a connection to a replica.
 	dialTimeout = 600 * time.Millisecond
-	// TCP keepalive: the time without data before the first probe, the time between
-	// probes, and how many without an answer end the connection.
+	// TCP keepalive: the idle time before the first probe, the interval between probes,
+	// and the number of unacknowledged probes after which the connection is closed.
 	keepAliveIdle     = 3 * time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
--- a/internal/callers/exchange/doc.go
+++ b/internal/callers/exchange/doc.go
@@ -1,13 +1,13 @@
-// Package exchange sends single HTTP/1.1 requests to replicas over kept connections.
+// Package exchange sends single HTTP/1.1 requests to replicas over persistent connections.
 //
-// Unlike an ordinary HTTP client it never repeats a request and changes nothing on the way.
-// It closes a connection at the first sign that what comes on it may belong to another
-// request.
+// Unlike net/http.Client it never retries a request and adds no headers other than Host and
+// Content-Length. It closes a connection as soon as data on it may belong to another request.
 //
-// A Pool owns the connections. Each carries one request, or is idle. Which idle one a
-// request gets, and when one is kept or closed, is decided in takeIdle (pool.go),
-// Response.reusable (response.go) and keep (idle.go). Who uses the pool sets its bounds.
+// A Pool owns the connections. Each connection either carries one request or is idle.
+// takeIdle (pool.go) selects the idle connection for a request; Response.reusable
+// (response.go) and keep (idle.go) decide whether a connection is reused or closed. The user
+// of the pool sets the limits on connections.
 //
-// It guarantees that a *NotSentError means that no byte of the request was sent, and that
-// an answer is read on the connection of its own request.
+// Guarantees: a *NotSentError means that no byte of the request was sent; a response is read
+// from the connection that carried its request.
 package exchange
--- a/internal/callers/exchange/idle.go
+++ b/internal/callers/exchange/idle.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// defaultIdleTime is how long an idle connection is kept if the replica names no time,
-	// and idleTimeMargin how much sooner than the replica's time it is given up.
+	// defaultIdleTime is how long an idle connection may be reused if the replica sends no
+	// Keep-Alive timeout. idleTimeMargin is subtracted from the timeout that it sends.
 	defaultIdleTime = 20 * time.Second
 	idleTimeMargin  = 700 * time.Millisecond
 )
 
-// popIdle takes the idle connection to an address that was used last, nil for none.
+// popIdle removes and returns the most recently used idle connection to an address, or nil.
 func (p *Pool) popIdle(address string) *connection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -24,13 +24,14 @@
 	if len(idle) == 0 {
 		return nil
 	}
-	// The one used last is the least likely to have been closed.
+	// The peer is least likely to have closed the most recently used connection.
 	conn := idle[len(idle)-1]
 	p.idle[address] = idle[:len(idle)-1]
 	return conn
 }
 
-// keep keeps a connection for further requests, unless there are enough idle ones.
+// keep makes a connection idle so that it can be reused. It closes the connection if the limit
+// on idle connections is reached. header is that of the last response, nil if there was none.
 func (p *Pool) keep(conn *connection, header http.Header) {
 	conn.idleSince = time.Now()
 	conn.idleUntil = conn.idleSince.Add(defaultIdleTime)
@@ -47,7 +48,7 @@
 	p.idle[conn.address] = append(idle, conn)
 }
 
-// keepAliveTime returns how long the peer keeps an idle connection, by its Keep-Alive header.
+// keepAliveTime returns the timeout in the Keep-Alive header, if there is one.
 func keepAliveTime(header http.Header) (time.Duration, bool) {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/internal/callers/exchange/metrics.go
+++ b/internal/callers/exchange/metrics.go
@@ -2,13 +2,13 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics count the connections opened and reused by a pool.
+// Metrics counts the connections that a pool opens and reuses.
 type Metrics struct {
 	dialed *prometheus.CounterVec
 	reused *prometheus.CounterVec
 }
 
-// NewMetrics registers the metrics of a pool.
+// NewMetrics creates and registers the metrics of a Pool.
 func NewMetrics(registry prometheus.Registerer) *Metrics {
 	made := &Metrics{
 		dialed: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -22,18 +22,19 @@
 	return made
 }
 
-// The reasons of new connections.
+// Reasons for opening a connection instead of reusing one.
 const (
 	// reasonNone: there was no connection to the replica.
 	reasonNone = "none"
-	// reasonBusy: all connections carried a request.
+	// reasonBusy: all connections were carrying requests.
 	reasonBusy = "busy"
-	// reasonUnfit: the idle ones were closed, idle for too long, or had surplus bytes.
+	// reasonUnfit: the idle connections were closed, had been idle for too long, or had
+	// unsolicited data.
 	reasonUnfit = "unfit"
 )
 
-// reasonOf returns why a new connection is opened, by the number of idle ones that could
-// not be used and the number of others.
+// reasonOf returns the reason for opening a connection, given the number of idle connections
+// that could not be reused and the number of other connections to the address.
 func reasonOf(unfit, others int) string {
 	switch {
 	case unfit > 0:
--- a/internal/callers/exchange/pool.go
+++ b/internal/callers/exchange/pool.go
@@ -7,33 +7,35 @@
 	"time"
 )
 
-// maxYoungIdleTime is how long a connection may have been idle that carries a request which
+// maxYoungIdleTime is the maximum idle time of a connection that is reused for a request which
 // must not run twice.
 const maxYoungIdleTime = 500 * time.Millisecond
 
-// Counts are totals of a pool since it was made; Open is the number now.
+// Counts holds the counters of a pool.
 type Counts struct {
 	Dialed atomic.Int64
 	Reused atomic.Int64
-	// Unsound counts idle connections that were found closed or with surplus bytes.
+	// Unsound counts idle connections that were closed by the peer or had unsolicited
+	// data.
 	Unsound atomic.Int64
-	Open    atomic.Int64
+	// Open is the current number of connections, including idle ones.
+	Open atomic.Int64
 }
 
-// Pool keeps connections to replicas. It is safe for use by many goroutines.
+// Pool maintains connections to replicas. It is safe for concurrent use.
 type Pool struct {
 	dial  Dial
 	mutex sync.Mutex
 	idle  map[string][]*connection
-	// open counts the connections to each address, idle ones included.
+	// open is the number of connections to each address, including idle ones.
 	open   map[string]int
 	bounds map[string]Bound
 	Counts Counts
-	// Metrics is nil for none. It must be set before the first request.
+	// Metrics may be nil. It must not be changed after the first request.
 	Metrics *Metrics
 }
 
-// NewPool returns an empty pool. A nil dial means TCP.
+// NewPool returns an empty Pool. If dial is nil, connections are opened over TCP.
 func NewPool(dial Dial) *Pool {
 	if dial == nil {
 		dial = dialTCP
@@ -41,10 +43,10 @@
 	return &Pool{dial: dial, idle: map[string][]*connection{}, open: map[string]int{}}
 }
 
-// Send sends a request to an address and reads the head of its answer. Young asks for a
-// connection that the peer is not about to close: a new one, or one idle for no more than
-// maxYoungIdleTime. The end of the context breaks the exchange. The error is a *NotSentError
-// or a *BrokenError.
+// Send sends a request to an address and reads the head of the response. If young is set, it
+// uses only a new connection or one that has been idle for at most maxYoungIdleTime, which the
+// peer is unlikely to be closing. When the context ends, the connection is closed, also while
+// the body is read. The error is a *NotSentError or a *BrokenError.
 func (p *Pool) Send(ctx context.Context, address string, request *Request, young bool) (*Response, error) {
 	conn, err := p.acquire(ctx, address, request.Purpose, young)
 	if err != nil {
@@ -64,7 +66,7 @@
 	return response, nil
 }
 
-// acquire returns an idle connection that can be used, or a new one.
+// acquire returns a usable idle connection, or a new one.
 func (p *Pool) acquire(ctx context.Context, address string, purpose Purpose, young bool) (*connection, error) {
 	idle, unfit := p.takeIdle(address, young)
 	if idle != nil {
@@ -85,8 +87,8 @@
 	return newConnection(address, raw), nil
 }
 
-// takeIdle returns the idle connection used last that is young enough and sound, nil for
-// none. Those that are not are closed, and counted as unfit.
+// takeIdle returns the most recently used idle connection that can be reused, or nil. It
+// closes the ones that cannot be reused and returns their number.
 func (p *Pool) takeIdle(address string, young bool) (idle *connection, unfit int) {
 	for ; ; unfit++ {
 		conn := p.popIdle(address)
@@ -106,7 +108,7 @@
 	}
 }
 
-// discard closes a connection.
+// discard closes a connection and releases its reservation.
 func (p *Pool) discard(conn *connection) {
 	conn.Close()
 	p.release(conn.address)
--- a/internal/callers/exchange/pool_test.go
+++ b/internal/callers/exchange/pool_test.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// script answers the connections of a test, one function each.
+// script starts a server that handles each connection with the next of the functions, and
+// returns its address.
 func script(t *testing.T, answers ...func(connection net.Conn, requests *bufio.Reader)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,7 +36,7 @@
 	return listener.Addr().String()
 }
 
-// receive reads one request, its body included.
+// receive reads one request and its body.
 func receive(requests *bufio.Reader) (*http.Request, string, error) {
 	request, err := http.ReadRequest(requests)
 	if err != nil {
@@ -49,7 +50,7 @@
 	return &Request{Method: http.MethodPost, Target: "/a%2Fb?c=%20d", Host: "host.example", Header: http.Header{"X-Name": {"v"}}, Body: []byte(body)}
 }
 
-// exchangeOnce sends a request and reads the whole answer.
+// exchangeOnce sends a request and returns the complete response body.
 func exchangeOnce(pool *Pool, address string, request *Request) (string, error) {
 	response, err := pool.Send(context.Background(), address, request, false)
 	if err != nil {
@@ -104,8 +105,7 @@
 	}
 }
 
-// second is what a second request gets after a first answer that leaves its
-// connection unusable.
+// Guards against reading the response of another request from a reused connection.
 func TestUnusableConnectionIsNotUsedAgain(t *testing.T) {
 	second := func(connection net.Conn, requests *bufio.Reader) {
 		receive(requests)
@@ -161,7 +161,7 @@
 		http.ReadRequest(requests)
 		io.WriteString(connection, whole)
 		<-released
-		// What comes now must be the rest of the body, or the end.
+		// Only the rest of the body or EOF may follow.
 		rest, _ := io.ReadAll(requests)
 		if strings.Contains(string(rest), "POST") {
 			t.Error("another request followed an unfinished body")
@@ -252,8 +252,7 @@
 	}
 }
 
-// Connections to replicas that are gone used to rest until the process ended,
-// and as many as liked could be opened to one that is there.
+// Guards against unlimited connections to a replica and idle ones to removed replicas.
 func TestBoundsHoldForOpenAndRestingConnections(t *testing.T) {
 	held := make(chan struct{})
 	answer := func(connection net.Conn, requests *bufio.Reader) {
--- a/internal/callers/exchange/probe.go
+++ b/internal/callers/exchange/probe.go
@@ -6,21 +6,22 @@
 	"syscall"
 )
 
-// Liveness is what the opening of a connection shows of the process at an address.
+// Liveness says whether a process listens at an address.
 type Liveness string
 
-// The kinds of liveness.
+// Results of a Probe.
 const (
-	// Alive means that the connection was accepted.
+	// Alive: a connection was accepted.
 	Alive Liveness = "alive"
-	// Ended means that the machine refused it: no process listens there.
+	// Ended: the connection was refused, so no process listens at the address.
 	Ended Liveness = "ended"
-	// Unknown means no answer, or that the bound on connections is reached.
+	// Unknown: opening the connection failed in another way, or the limit on connections
+	// is reached.
 	Unknown Liveness = "unknown"
 )
 
 // Probe opens a new connection to an address to check whether a process listens there. The
-// connection is kept for further requests.
+// connection is then available for requests.
 func (p *Pool) Probe(ctx context.Context, address string) Liveness {
 	others, reserved := p.reserve(address)
 	if !reserved {
--- a/internal/callers/exchange/probe_test.go
+++ b/internal/callers/exchange/probe_test.go
@@ -32,7 +32,7 @@
 	if found := pool.Probe(cancelled, alive); found != Unknown {
 		t.Errorf("a peer without an answer is %s", found)
 	}
-	// The connection of the first look carries the next request.
+	// The next request reuses the connection of the first probe.
 	if body, err := exchangeOnce(pool, alive, post("x")); err != nil || body != "ok" || pool.Counts.Dialed.Load() != 1 {
 		t.Errorf("got %q, %v over %d connections", body, err, pool.Counts.Dialed.Load())
 	}
--- a/internal/callers/exchange/request.go
+++ b/internal/callers/exchange/request.go
@@ -6,19 +6,19 @@
 	"strconv"
 )
 
-// Request is one request as it goes over the wire.
+// Request is an HTTP request.
 type Request struct {
 	Method string
-	// Target is the request target, path and query, exactly as received.
+	// Target is the request target (path and query), sent unchanged.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Purpose is for the metrics; empty means PurposeLive.
+	// Purpose labels the metrics; empty means PurposeLive.
 	Purpose Purpose
 }
 
-// writeHead writes the request line and the headers.
+// writeHead writes the request line and headers.
 func (r *Request) writeHead(writer *bufio.Writer) error {
 	writer.WriteString(r.Method)
 	writer.WriteByte(' ')
--- a/internal/callers/exchange/response.go
+++ b/internal/callers/exchange/response.go
@@ -7,35 +7,39 @@
 	"net/http"
 )
 
-// maxInlineBodyBytes is the size up to which a body is written before the answer is read. A
-// longer one is written meanwhile, since a replica may answer before it has read all.
+// maxInlineBodyBytes is the size up to which a request body is written before the response is
+// read. A larger body is written concurrently, since a replica may respond before it has read
+// the whole body.
 const maxInlineBodyBytes = 32 << 10
 
-// Response is an answer whose body is still to be read. It must be closed or discarded.
+// Response is a response whose body has not been read yet. It must be closed or discarded.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is the length of the body, -1 when the answer names none.
+	// Length is the length of the body, -1 if unknown.
 	Length int64
-	// Framed is false if only the end of the connection ends the body, so that a body cut
-	// off looks whole.
+	// Framed is set if the body has a Content-Length or a transfer encoding. Otherwise the
+	// body ends when the connection is closed, so that truncation cannot be detected.
 	Framed bool
 
 	body io.ReadCloser
-	// peerCloses is set if the peer closes the connection after the answer.
+	// peerCloses is set if the peer closes the connection after the response.
 	peerCloses bool
+	// whole is set once the complete body has been read.
 	whole      bool
 	pool       *Pool
 	connection *connection
-	stop       func() bool
-	ctx        context.Context
-	// written gets the result of a body that is written beside the reading; nil if it was
-	// written before.
+	// stop detaches the connection from ctx. It returns false if the connection has
+	// already been closed because ctx ended.
+	stop func() bool
+	ctx  context.Context
+	// written receives the result of writing a request body concurrently. It is nil if the
+	// body was written before the response was read.
 	written  chan error
 	finished bool
 }
 
-// roundTrip writes a request and reads the head of its answer.
+// roundTrip writes a request and reads the head of the response.
 func (c *connection) roundTrip(request *Request) (*Response, error) {
 	written, err := c.write(request)
 	if err != nil {
@@ -51,8 +55,8 @@
 	}, nil
 }
 
-// write writes a request. A body over maxInlineBodyBytes is written by another goroutine,
-// whose result comes through the channel; else the channel is nil.
+// write writes a request. A body larger than maxInlineBodyBytes is written by another
+// goroutine, which sends its result to the returned channel; otherwise the channel is nil.
 func (c *connection) write(request *Request) (chan error, error) {
 	if err := request.writeHead(c.writer); err != nil {
 		return nil, err
@@ -72,7 +76,8 @@
 	return written, nil
 }
 
-// readHead reads the answer's head, past any interim answers.
+// readHead reads the head of the response, skipping informational (1xx) responses other than
+// 101.
 func readHead(c *connection, method string) (*http.Response, error) {
 	for {
 		answer, err := http.ReadResponse(c.reader, &http.Request{Method: method})
@@ -85,8 +90,8 @@
 	}
 }
 
-// Read implements io.Reader over the body. It returns io.EOF only at the end
-// of a whole body; every other end is a *BrokenError.
+// Read reads from the body. It returns io.EOF at the end of the body, and a *BrokenError if
+// the connection fails or a framed body is truncated.
 func (r *Response) Read(buffer []byte) (int, error) {
 	count, err := r.body.Read(buffer)
 	if errors.Is(err, io.EOF) {
@@ -102,8 +107,8 @@
 	return count, err
 }
 
-// Close ends the exchange. Its connection is kept for further requests if it is reusable,
-// else closed.
+// Close closes the response. Its connection becomes idle if it is reusable and is closed
+// otherwise.
 func (r *Response) Close() {
 	if r.finished {
 		return
@@ -117,19 +122,20 @@
 	r.pool.keep(r.connection, r.Header)
 }
 
-// reusable returns whether the connection may carry another request: the request was written
-// and the answer read whole, the peer keeps the connection, and nothing more came on it.
+// reusable reports whether the connection may carry another request: the request was written
+// and the framed response read completely, the peer keeps the connection open, and no
+// unsolicited data arrived on it.
 func (r *Response) reusable() bool {
 	return r.whole && r.Framed && !r.peerCloses && r.requestWritten() && r.connection.reader.Buffered() == 0
 }
 
-// Discard ends the exchange and closes the connection.
+// Discard closes the response and its connection.
 func (r *Response) Discard() {
 	r.whole = false
 	r.Close()
 }
 
-// requestWritten returns whether the whole request was written.
+// requestWritten reports whether the complete request has been written.
 func (r *Response) requestWritten() bool {
 	if r.written == nil {
 		return true
--- a/internal/callers/forward/answer.go
+++ b/internal/callers/forward/answer.go
@@ -12,27 +12,29 @@
 )
 
 const (
-	// initialBodyBytes is the buffer for a body of unknown or great length.
+	// initialBodyBytes is the initial buffer size for a body whose length is unknown
+	// or at least maxPreallocatedBytes.
 	initialBodyBytes = 4 << 10
-	// maxAnswerBytes bounds the body of one answer.
+	// maxAnswerBytes is the maximum size of a buffered response body.
 	maxAnswerBytes = 64 << 20
-	// maxPreallocatedBytes is the announced length up to which the buffer is
-	// made in one piece.
+	// maxPreallocatedBytes is the Content-Length below which the buffer is allocated
+	// in one piece.
 	maxPreallocatedBytes = 1 << 20
 )
 
-// BufferedAnswer is a replica's answer, read to its end.
+// BufferedAnswer is a replica's response with its complete body.
 type BufferedAnswer struct {
 	Answer *dispatch.Answer
 	Body   []byte
-	// Failures counts the answers of status 500 to this request, this one
-	// included.
+	// Failures is the number of responses with status 500 to this request, including
+	// this one.
 	Failures int
-	// Refusals counts the attempts at replicas that did not run the request.
+	// Refusals is the number of attempts that certainly did not run the request.
 	Refusals int
 }
 
-// attempt sends a call to a replica and reads its whole answer.
+// attempt sends a call to a replica and reads the complete response. It updates the
+// endpoint's latency estimate and its count of consecutive failures.
 func (f *Forwarder) attempt(ctx context.Context, endpoint *routing.Endpoint, call *dispatch.Call) (*BufferedAnswer, error) {
 	began := time.Now()
 	answer, err := f.config.Dispatcher.Send(ctx, endpoint, call)
@@ -56,7 +58,7 @@
 	return &BufferedAnswer{Answer: answer, Body: body}, nil
 }
 
-// readBody reads a body to its end. The error for a body over maxAnswerBytes is an
+// readBody reads the complete body. A body larger than maxAnswerBytes yields an
 // *exchange.BrokenError.
 func readBody(answer *dispatch.Answer) ([]byte, error) {
 	size := initialBodyBytes
--- a/internal/callers/forward/attempts.go
+++ b/internal/callers/forward/attempts.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// attemptRecord is one attempt at a replica.
+// attemptRecord describes one attempt to run a request at a replica.
 type attemptRecord struct {
 	replica string
 	at      time.Time
-	// ran is set once the replica's answer shows that it ran the request, and
-	// notRun once it is certain that it did not.
+	// ran is set if the replica's response shows that it ran the request, notRun if
+	// the replica certainly did not run it.
 	ran, notRun bool
 }
 
-// attemptLog holds the attempts of one request, oldest first.
+// attemptLog lists the attempts of one request, oldest first.
 type attemptLog []*attemptRecord
 
 // recordSent adds an attempt that starts now.
@@ -19,7 +19,7 @@
 	*l = append(*l, &attemptRecord{replica: replica, at: time.Now()})
 }
 
-// recordEnd records how the newest attempt at a replica ended.
+// recordEnd records the outcome of the most recent attempt at a replica.
 func (l attemptLog) recordEnd(replica string, ran, notRun bool) {
 	for i := len(l) - 1; i >= 0; i-- {
 		if l[i].replica == replica {
@@ -29,9 +29,9 @@
 	}
 }
 
-// startedAt returns when the request began to run: with the first attempt that ran for
-// certain, else with the first that may have. False means that no replica can have
-// run it.
+// startedAt returns when the request started to run: the start of the first attempt that
+// certainly ran, or otherwise of the first one that may have run. It returns false if no
+// replica can have run the request.
 func (l attemptLog) startedAt() (time.Time, bool) {
 	var possible *attemptRecord
 	for _, attempt := range l {
--- a/internal/callers/forward/decide.go
+++ b/internal/callers/forward/decide.go
@@ -3,64 +3,67 @@
 import "time"
 
 const (
-	// hedgeObjectiveShare is the part of the objective, between 0 and 1, after which a
-	// repeatable request goes to a second replica as well.
+	// hedgeObjectiveShare is the fraction of the latency objective after which a
+	// repeatable request is also sent to a second replica.
 	hedgeObjectiveShare = 0.5
-	// maxRefusals bounds the attempts of one request at replicas that did not run it.
+	// maxRefusals is the maximum number of attempts of one request that certainly did
+	// not run.
 	maxRefusals = 12
-	// roomRetryDelay is the time before replicas that turned a request away are tried
-	// again, and roomRetryShare the part of the objective, between 0 and 1, up to which
-	// they are.
+	// roomRetryDelay is the delay before all replicas are tried again once each has been
+	// tried. roomRetryShare is the fraction of the latency objective after which a
+	// request is no longer retried in this way.
 	roomRetryDelay = 12 * time.Millisecond
 	roomRetryShare = 0.2
 )
 
-// hedgeDelay returns how long the first attempt is waited for before a second is sent
-// beside it.
+// hedgeDelay returns how long the first attempt may take before a second one is started
+// in parallel.
 func hedgeDelay(objective time.Duration) time.Duration {
 	return time.Duration(hedgeObjectiveShare * float64(objective))
 }
 
-// event is what a decision follows.
+// event is what triggers a decision.
 type event string
 
 const (
-	// eventAnswered is an attempt with a whole answer of status below 500.
+	// eventAnswered: an attempt returned a complete response with a status below 500.
 	eventAnswered event = "answered"
-	// eventErrorStatus is an attempt with a whole answer of status 500 or above.
+	// eventErrorStatus: an attempt returned a complete response with a status of 500 or
+	// above.
 	eventErrorStatus event = "error status"
-	// eventAttemptFailed is an attempt without a whole answer.
+	// eventAttemptFailed: an attempt ended without a complete response.
 	eventAttemptFailed event = "attempt failed"
-	// eventNoReplica is a pick that found no replica among those not tried.
+	// eventNoReplica: no eligible replica was found among those not yet tried.
 	eventNoReplica event = "no replica"
-	eventHedgeDue  event = "hedge due"
-	// eventContextEnded is a deadline that has passed or a caller that has left.
+	// eventHedgeDue: hedgeDelay has passed.
+	eventHedgeDue event = "hedge due"
+	// eventContextEnded: the deadline passed or the caller disconnected.
 	eventContextEnded event = "context ended"
 )
 
-// step is what to do next.
+// step is the action that a decision selects.
 type step string
 
 const (
 	// stepSend picks a replica and sends the request to it.
 	stepSend step = "send"
-	// stepAwait waits for the attempts in progress.
+	// stepAwait waits for the next event of the attempts in progress.
 	stepAwait step = "await"
 	// stepWaitForRoom waits for roomRetryDelay, then tries all replicas again.
 	stepWaitForRoom step = "wait for room"
-	// stepAnswer returns the newest whole answer.
+	// stepAnswer returns the most recent complete response to the caller.
 	stepAnswer step = "answer"
-	// stepRefuse ends a request that has not run.
+	// stepRefuse fails a request that certainly did not run.
 	stepRefuse step = "refuse"
-	// stepLose ends a request that may have run.
+	// stepLose fails a request that may have run.
 	stepLose step = "lose"
-	// stepExpire ends a request that may have run and has no time left.
+	// stepExpire fails a request that may have run and whose context has ended.
 	stepExpire step = "expire"
-	// stepBreakOff ends a stream of which the caller has a part.
+	// stepBreakOff aborts a stream whose response head the caller already has.
 	stepBreakOff step = "break off"
 )
 
-// reason is why a step was decided.
+// reason says why a step was selected. It is logged.
 type reason string
 
 const (
@@ -78,40 +81,44 @@
 	reasonContextEnded reason = "context ended"
 )
 
-// situation is what a decision about a request with one answer depends on.
+// situation is the input of a decision about a request with a buffered response.
 type situation struct {
 	event event
 	// repeatable is set if the request may run more than once.
 	repeatable bool
-	// attemptLimit is the route's bound on attempts.
+	// attemptLimit is the maximum number of attempts that the route allows.
 	attemptLimit int
-	// attempts is the number of attempts that run or may have run, and refusals
-	// that of attempts that certainly did not.
+	// attempts is the number of attempts that are running or may have run, refusals the
+	// number of attempts that certainly did not run.
 	attempts, refusals int
-	inProgress         int
-	// tried is the number of replicas that the last pick left out.
+	// inProgress is the number of attempts that have not ended.
+	inProgress int
+	// tried is the number of replicas that the last pick skipped as already tried.
 	tried int
-	// mayHaveRun is set once an attempt ended that may have run.
+	// mayHaveRun is set once an attempt that may have run has ended.
 	mayHaveRun bool
-	// quarantined is set if the last error refuses the request at every replica.
+	// quarantined is set if the last attempt failed because the request is quarantined,
+	// so that no other replica accepts it either.
 	quarantined bool
-	// hasAnswer is set if there is a whole answer, of whatever status.
+	// hasAnswer is set if there is a complete response, whatever its status.
 	hasAnswer    bool
 	contextEnded bool
-	// elapsed is the time since the request came.
-	elapsed   time.Duration
+	// elapsed is the time since the request arrived.
+	elapsed time.Duration
+	// objective is the latency objective of the route.
 	objective time.Duration
 }
 
-// decision is what to do next and why.
+// decision is the next step and the reason for it.
 type decision struct {
 	step step
-	// refusal is the general reason for the caller, with stepRefuse.
+	// refusal is the reason that the caller is given; set only with stepRefuse.
+	// newRefusal may replace it by a more specific one.
 	refusal string
 	reason  reason
 }
 
-// next decides what follows an event of a request with one answer: a retry, a hedge, a wait, or the end.
+// next selects the step that follows an event of a request with a buffered response.
 func (s situation) next() decision {
 	switch s.event {
 	case eventAnswered:
@@ -131,7 +138,7 @@
 	return s.giveUp(reasonContextEnded)
 }
 
-// afterFailure decides after an attempt that did not serve the request.
+// afterFailure selects the step after an attempt that failed or returned a server error.
 func (s situation) afterFailure() decision {
 	switch {
 	case s.inProgress > 0:
@@ -148,7 +155,7 @@
 	return decision{step: stepSend, reason: reasonRetry}
 }
 
-// hedge decides once the first attempt is slow.
+// hedge selects the step once hedgeDelay has passed.
 func (s situation) hedge() decision {
 	switch {
 	case !s.repeatable:
@@ -159,7 +166,7 @@
 	return decision{step: stepSend, reason: reasonHedge}
 }
 
-// withoutReplica decides after a pick that found none.
+// withoutReplica selects the step after a pick that found no eligible replica.
 func (s situation) withoutReplica() decision {
 	switch {
 	case s.inProgress > 0:
@@ -174,8 +181,8 @@
 	return decision{step: stepWaitForRoom, reason: reasonAllTried}
 }
 
-// giveUp ends the request: with the answer that there is, else as lost if it may have
-// run, else as refused.
+// giveUp ends the request: it returns the response if there is one, and otherwise reports
+// the request as lost if it may have run, or as refused if it did not.
 func (s situation) giveUp(why reason) decision {
 	switch {
 	case s.hasAnswer:
--- a/internal/callers/forward/decide_stream.go
+++ b/internal/callers/forward/decide_stream.go
@@ -1,32 +1,35 @@
 package forward
 
-// maxStreamRetries bounds how often one stream goes on at a further replica.
+// maxStreamRetries is the maximum number of times one stream is retried at another
+// replica.
 const maxStreamRetries = 6
 
-// streamSituation is what a decision about a stream depends on.
+// streamSituation is the input of a decision about a stream.
 type streamSituation struct {
 	// event is eventNoReplica or eventAttemptFailed.
 	event event
-	// resumable is set if the stream may go on at another replica.
+	// resumable is set if the stream may be resumed at another replica.
 	resumable bool
-	// attemptLimit is the route's bound on attempts before the first event.
+	// attemptLimit is the maximum number of attempts that the route allows before the
+	// first event has been forwarded.
 	attemptLimit int
-	// failedAttempts is the number of ended attempts that may have run, and refusals
-	// that of attempts that certainly did not.
+	// failedAttempts is the number of failed attempts that may have run, refusals the
+	// number of attempts that certainly did not run.
 	failedAttempts, refusals int
-	// tried is the number of replicas that the last pick left out.
+	// tried is the number of replicas that the last pick skipped as already tried.
 	tried int
-	// notRun is set if the newest attempt certainly did not run.
+	// notRun is set if the last attempt certainly did not run.
 	notRun bool
-	// quarantined is set if the newest error refuses the request at every replica.
+	// quarantined is set if the last attempt failed because the request is quarantined,
+	// so that no other replica accepts it either.
 	quarantined bool
-	// begun is set once the caller has the head of the answer, and hasEvents once it
-	// has an event.
+	// begun is set once the response head has been forwarded to the caller, hasEvents
+	// once an event has.
 	begun, hasEvents bool
 	contextEnded     bool
 }
 
-// next decides what follows: a further attempt, a wait, or the end.
+// next selects the step that follows an event of a stream.
 func (s streamSituation) next() decision {
 	if s.event == eventNoReplica {
 		return s.withoutReplica()
@@ -48,7 +51,7 @@
 	return decision{step: stepSend, reason: reasonRetry}
 }
 
-// withoutReplica decides after a pick that found none.
+// withoutReplica selects the step after a pick that found no eligible replica.
 func (s streamSituation) withoutReplica() decision {
 	if s.tried > 0 && s.refusals+s.failedAttempts < maxStreamRetries {
 		return decision{step: stepWaitForRoom, reason: reasonAllTried}
@@ -56,8 +59,8 @@
 	return s.giveUp(reasonNoneEligible)
 }
 
-// giveUp ends the stream: as broken off if the caller has a part of it, else as lost if
-// it may have run, else as refused.
+// giveUp ends the stream: as aborted if the caller has the response head, and otherwise as
+// lost if it may have run, or as refused if it did not.
 func (s streamSituation) giveUp(why reason) decision {
 	switch {
 	case s.begun:
--- a/internal/callers/forward/doc.go
+++ b/internal/callers/forward/doc.go
@@ -1,17 +1,17 @@
-// Package forward brings live requests to replicas and their answers back.
+// Package forward forwards live requests to replicas and returns the responses.
 //
-// For each request it picks a replica (package routing), sends it there
-// (package dispatch), and decides what follows each event: a retry, a second
-// attempt while the first is slow (a hedge), a wait for room, an answer, or a
-// refusal. The decision is a pure function, situation.next for requests with
-// one answer and streamSituation.next for streams; request and streamRequest
-// carry it out.
+// For each request it picks a replica (package routing), sends the request to
+// it (package dispatch), and selects the next step after each event: a retry,
+// a hedge (a second attempt while the first is slow), a wait for capacity, a
+// response, or a refusal. The selection is a pure function: situation.next for
+// requests with a buffered response and streamSituation.next for streams.
+// request and streamRequest execute the steps.
 //
-// It owns the requests in progress on this node and the turns of weighted
-// targets, nothing that outlives the process. It relies on the directory's
-// current view, which each pick reads anew.
+// The package keeps the requests in progress on this node and the state of the
+// weighted round robin among a route's targets, all in memory. Each pick reads
+// the directory's current view.
 //
 // Guarantees: a request that must not run twice is sent again only if no
-// earlier attempt can have run; a RefusedError says that no replica has run
-// the request; nothing outlasts the call's deadline.
+// earlier attempt can have run; a RefusedError means that no replica has run
+// the request; no request runs past the deadline of its call.
 package forward
--- a/internal/callers/forward/errors.go
+++ b/internal/callers/forward/errors.go
@@ -7,73 +7,69 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// RefusedError is a request that has not run and never will.
+// RefusedError reports a request that no replica has run or will run.
 type RefusedError struct {
 	Reason string
-	// RetryAfter is the time after which the caller should try again.
+	// RetryAfter is the delay after which the caller should retry.
 	RetryAfter time.Duration
 	Cause      error
 }
 
-// Error gives the reason.
 func (e *RefusedError) Error() string { return fmt.Sprintf("refused, %s: %v", e.Reason, e.Cause) }
 
-// Unwrap returns the cause.
 func (e *RefusedError) Unwrap() error { return e.Cause }
 
-// LostError is a request that may have run at a replica and has no answer.
+// LostError reports a request that may have run at a replica but has no response.
 type LostError struct {
-	// Expired is set if its deadline has passed or its caller has left.
+	// Expired is set if the deadline passed or the caller disconnected.
 	Expired bool
 	Cause   error
 }
 
-// Error gives the cause.
 func (e *LostError) Error() string { return fmt.Sprintf("no answer, may have run: %v", e.Cause) }
 
-// Unwrap returns the cause.
 func (e *LostError) Unwrap() error { return e.Cause }
 
-// Reasons of a RefusedError. Callers get them as the text of the answer.
+// Reasons of a RefusedError. They are the body of the response to the caller.
 const (
 	ReasonNoReplica = "no replica is available"
 	ReasonAllFull   = "every replica turned it away"
 	ReasonExpired   = "the time ran out before a replica took it"
 	ReasonEvacuated = "every replica is in an evacuated zone"
 	ReasonWarmingUp = "every replica that may serve it warms up"
-	// ReasonQuarantined refuses a request that replicas crash under, whatever its id.
+	// ReasonQuarantined refuses a request that has crashed several replicas, whatever id
+	// it is sent with.
 	ReasonQuarantined = "replicas end under this request"
-	// ReasonOutsideHome refuses a request bound to regions without a replica.
+	// ReasonOutsideHome refuses a request whose allowed regions have no replica.
 	ReasonOutsideHome = "no replica in the allowed regions"
 )
 
-// ErrNoHome means that no replica of a route is in a region in which the request may
-// be served.
+// ErrNoHome means that no replica of the route is in a region where the request may be
+// served.
 var ErrNoHome = merry.Sentinel("the services of the route have no replica in the allowed regions")
 
-// ErrSilent means that a stream was cut off because no event came for too long.
+// ErrSilent means that a resumable stream was interrupted: no event arrived for too long,
+// or the connection closed without HTTP framing that marks the end of the body.
 var ErrSilent = merry.Sentinel("stream has fallen silent")
 
-// ErrAnswerTooLong means that a replica's answer is over maxAnswerBytes.
+// ErrAnswerTooLong means that the body of a response is larger than maxAnswerBytes.
 var ErrAnswerTooLong = merry.Sentinel("answer is too long")
 
-// StreamStatusError is a replica's answer of a status that cannot continue a stream.
+// StreamStatusError reports a response whose status cannot continue a stream.
 type StreamStatusError struct{ Status int }
 
-// Error gives the status.
 func (e *StreamStatusError) Error() string {
 	return fmt.Sprintf("replica answered status %d", e.Status)
 }
 
-// BrokenStreamError is a stream of which the caller has the head, and not the end.
+// BrokenStreamError reports a stream that ended early, after the response head had been
+// forwarded to the caller.
 type BrokenStreamError struct {
-	// Events is the number of events that were passed on.
+	// Events is the number of events that were forwarded.
 	Events int
 	Cause  error
 }
 
-// Error gives the cause.
 func (e *BrokenStreamError) Error() string { return "stream broken off: " + e.Cause.Error() }
 
-// Unwrap returns the cause.
 func (e *BrokenStreamError) Unwrap() error { return e.Cause }
--- a/internal/callers/forward/evacuation_test.go
+++ b/internal/callers/forward/evacuation_test.go
@@ -9,7 +9,7 @@
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
-// evacuate has the zone of some backends evacuated; the others stand elsewhere.
+// evacuate moves the given replicas to a zone that is evacuated.
 func evacuate(forwarder *Forwarder, replicas ...string) {
 	table := forwarder.config.Directory
 	var listed []*directory.Replica
@@ -47,7 +47,7 @@
 	}
 }
 
-// The only other replica stands in the evacuated zone.
+// Guards against a hedge or retry that reaches the evacuated zone when no other replica is left.
 func TestHedgesAndRetriesStayOutOfAnEvacuatedZone(t *testing.T) {
 	for name, first := range map[string]handler{"hedge": hangs, "retry": aborts, "full": status(503)} {
 		there, evacuated := startBackend(t, first), startBackend(t, answers("ok"))
@@ -62,7 +62,7 @@
 	}
 }
 
-// A replica that turned a request away is no reason to say that all are evacuated.
+// Guards against reporting all replicas as evacuated when one of them rejected the request.
 func TestAFullReplicaBesideAnEvacuatedZoneIsToldAsFull(t *testing.T) {
 	forwarder := newForwarder(startBackend(t, status(503)), startBackend(t, answers("ok")))
 	evacuate(forwarder, "replica-1")
--- a/internal/callers/forward/forward_test.go
+++ b/internal/callers/forward/forward_test.go
@@ -21,7 +21,7 @@
 
 const headerID = "X-Id"
 
-// testHeaders is a codec of its own, so that these tests know no platform.
+// testHeaders is a minimal header codec that keeps the tests independent of package platform.
 type testHeaders struct{}
 
 func (testHeaders) Prepare(header http.Header, conditions dispatch.Conditions) {
@@ -32,7 +32,7 @@
 	return dispatch.Verdict{RequestID: header.Get(headerID), Signed: header.Get("X-Signed") != "", NotRun: status == http.StatusServiceUnavailable}
 }
 
-// backend is a replica of a test.
+// backend is a test replica. It counts the requests it runs.
 type backend struct {
 	address string
 	runs    atomic.Int64
@@ -84,7 +84,7 @@
 	io.WriteString(writer, "not signed")
 }
 
-// newForwarder returns a forwarder before backends of one service.
+// newForwarder returns a forwarder whose directory lists the backends as replicas of service s.
 func newForwarder(backends ...*backend) *Forwarder {
 	table := directory.NewTable("node", "zone", nil, klog.Background())
 	table.SetConfiguration(&directory.Configuration{Version: 1}, 1)
@@ -109,17 +109,16 @@
 	return &dispatch.Call{ID: "one", Method: http.MethodPost, Target: "/x", Host: "h", Header: http.Header{headerID: {"one"}}, Body: []byte("b"), Deadline: time.Now().Add(within)}
 }
 
-// TestOutcomes gives for each pair of replicas how a request ends, whichever
-// is asked first.
+// Each pair of replica behaviors must give the same outcome whichever replica is tried first.
 func TestOutcomes(t *testing.T) {
 	for _, test := range []struct {
 		name          string
 		kind          directory.RouteKind
 		first, second handler
 		body          string
-		// refused, lost: the kind of failure when there is no body.
+		// refused and lost are the expected kind of error if body is empty.
 		refused, lost bool
-		// most is how many replicas may have run it.
+		// most is the maximum number of times the request may be sent.
 		most int64
 	}{
 		{name: "safe, one replica breaks off", kind: directory.RouteSafe, first: aborts, second: answers("ok"), body: "ok", most: 2},
--- a/internal/callers/forward/forwarder.go
+++ b/internal/callers/forward/forwarder.go
@@ -12,39 +12,38 @@
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
-// Config is what a Forwarder needs.
+// Config configures a Forwarder.
 type Config struct {
-	// Zone is that of this node.
+	// Zone is the zone of this node.
 	Zone       string
 	Directory  *directory.Table
 	Dispatcher *dispatch.Dispatcher
 	Logger     klog.Logger
 	Metrics    *Metrics
-	// Prompt returns a hash that prompts with the same beginning share, 0
-	// for none. Nil means that no request has a prompt.
+	// Prompt returns a hash of the beginning of a request's prompt, or 0 if it has
+	// none. Requests with equal hashes prefer the same replica. Nil disables this.
 	Prompt func(header http.Header) uint64
-	// VersionField names the line of an event that gives a weight version.
+	// VersionField is the name of the event field that holds the weight version.
 	VersionField string
-	// Meter counts the metered requests that began to run; nil counts none.
+	// Meter counts the metered requests that started to run. May be nil.
 	Meter Meter
 }
 
-// Forwarder forwards live requests. It is safe for use by many goroutines.
+// Forwarder forwards live requests. It is safe for concurrent use.
 type Forwarder struct {
 	config Config
 	split  targetSplitter
-	// promptLines limits the log lines of requests that were served promptly.
+	// promptLines limits the rate of log lines for requests that were served within
+	// their objective at the first attempt.
 	promptLines *rate.Limiter
 }
 
 const (
-	// promptLinesPerSecond bounds the log lines of requests served promptly, and
-	// promptLinesBurst how many may come at once.
+	// promptLinesPerSecond and promptLinesBurst are the limits of promptLines.
 	promptLinesPerSecond = 30
 	promptLinesBurst     = 60
 )
 
-// New returns a forwarder.
 func New(config Config) *Forwarder {
 	if config.Meter == nil {
 		config.Meter = noMeter{}
@@ -52,8 +51,8 @@
 	return &Forwarder{config: config, promptLines: rate.NewLimiter(promptLinesPerSecond, promptLinesBurst)}
 }
 
-// Do forwards a request and returns the whole answer, a *RefusedError or a
-// *LostError. The context ends when the caller leaves.
+// Do forwards a request and returns the complete response. The error is a *RefusedError
+// or a *LostError. The context must end when the caller disconnects.
 func (f *Forwarder) Do(ctx context.Context, route *directory.Route, call *dispatch.Call) (*BufferedAnswer, error) {
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	defer cancel()
@@ -70,7 +69,7 @@
 	return answer, err
 }
 
-// sleep waits and returns whether the context is still open.
+// sleep waits for a duration. It returns false if the context ends first.
 func sleep(ctx context.Context, span time.Duration) bool {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
--- a/internal/callers/forward/homes_test.go
+++ b/internal/callers/forward/homes_test.go
@@ -11,7 +11,8 @@
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
-// oneEach returns a forwarder before a replica in the north and one in the south.
+// oneEach returns a forwarder with a replica in region north and one in region south. A third
+// replica, at the northern backend, is in a zone without a region.
 func oneEach(t *testing.T, north, south handler, tenants ...tenancy.Declared) (forwarder *Forwarder, northern, southern *backend) {
 	t.Helper()
 	northern, southern = startBackend(t, north), startBackend(t, south)
@@ -34,7 +35,7 @@
 	return made
 }
 
-// nullSink takes a stream.
+// nullSink discards a stream.
 type nullSink struct{}
 
 func (nullSink) Begin(*dispatch.Answer) {}
@@ -81,8 +82,7 @@
 	}
 }
 
-// What a replica runs when the homes change goes on there, and what is sent from then
-// on obeys.
+// Guards against a retry that ignores a change of the allowed regions during the first attempt.
 func TestAChangeOfHomesBindsTheNextSend(t *testing.T) {
 	began, goOn := make(chan struct{}), make(chan struct{})
 	forwarder, northern, southern := oneEach(t, answers("from the north"), func(writer http.ResponseWriter, _ *http.Request) {
--- a/internal/callers/forward/meter.go
+++ b/internal/callers/forward/meter.go
@@ -2,15 +2,14 @@
 
 import "time"
 
-// Meter counts requests that began to run.
+// Meter counts requests that started to run.
 type Meter interface {
-	// Began counts a request of a tenant, empty for none, that began to run at a
-	// time.
+	// Began counts a request that started to run at a time. The tenant is empty if no
+	// tenants are declared.
 	Began(tenant string, at time.Time)
 }
 
-// noMeter is the Meter where usage is not reported.
+// noMeter is a Meter that counts nothing.
 type noMeter struct{}
 
-// Began implements Meter.
 func (noMeter) Began(string, time.Time) {}
--- a/internal/callers/forward/metrics.go
+++ b/internal/callers/forward/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics count how live requests and streams end.
+// Metrics counts live requests and streams by outcome.
 type Metrics struct {
 	requests     *prometheus.CounterVec
 	latency      prometheus.Histogram
@@ -15,10 +15,10 @@
 	withoutHome  prometheus.Counter
 }
 
-// latencyBuckets are the bounds of the latency histogram, in seconds.
+// latencyBuckets are the bucket bounds of the latency histogram, in seconds.
 var latencyBuckets = []float64{0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 1, 2.5, 5}
 
-// NewMetrics registers the metrics of forwarding.
+// NewMetrics creates and registers the metrics of a Forwarder.
 func NewMetrics(registry prometheus.Registerer) *Metrics {
 	metrics := &Metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "pathtally_forwarded_requests_total", Help: "Live requests by how they ended."}, []string{"outcome"}),
@@ -37,7 +37,7 @@
 	m.latency.Observe(took.Seconds())
 }
 
-// outcomeOf names how a request ended.
+// outcomeOf returns the outcome label for the error of a request.
 func outcomeOf(err error) string {
 	var refused *RefusedError
 	var lost *LostError
--- a/internal/callers/forward/pick.go
+++ b/internal/callers/forward/pick.go
@@ -9,10 +9,10 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// pick returns a replica for the next attempt, among those not tried before. The
-// route's targets are tried in order, beginning with the one at an index. Filters,
-// scorers and the order of replicas are those of package routing; its errors are
-// returned.
+// pick selects a replica for the next attempt, skipping those already tried. It tries the
+// targets of the route in order, starting at index firstTarget. Package routing filters
+// and scores the replicas of a target; if no target has an eligible replica, the error is
+// the one that it returned for the last target.
 func (f *Forwarder) pick(route *directory.Route, firstTarget int, tried []string, call *dispatch.Call) (*routing.Endpoint, error) {
 	view := f.config.Directory.View()
 	query := &routing.Query{
@@ -37,8 +37,8 @@
 	return nil, failure
 }
 
-// answerObjective returns the time within which the route wants the whole answer, 0
-// for streams: their objective is about the first event.
+// answerObjective returns the route's latency objective for a complete response. It
+// returns 0 for streams, whose objective applies to the first event.
 func answerObjective(route *directory.Route) time.Duration {
 	if route.Kind == directory.RouteStream {
 		return 0
@@ -46,8 +46,8 @@
 	return route.Objective
 }
 
-// checkHomes refuses a call whose route has no replica in the regions where it may be
-// served, whatever the state of its replicas elsewhere.
+// checkHomes refuses a call if the route has no replica in the regions where the call may
+// be served.
 func (f *Forwarder) checkHomes(route *directory.Route, call *dispatch.Call) error {
 	view := f.config.Directory.View()
 	if view.HasReplica(route, view.Configuration.HomesOf(route, call.Tenant)) {
--- a/internal/callers/forward/quarantine_test.go
+++ b/internal/callers/forward/quarantine_test.go
@@ -14,7 +14,7 @@
 
 const quarantineLeft = 7 * time.Minute
 
-// countingGuard lets a number of runs through and holds the request after.
+// countingGuard admits a number of attempts and reports the request as quarantined afterwards.
 type countingGuard struct {
 	admits atomic.Int64
 	broken atomic.Int64
@@ -39,8 +39,7 @@
 	return forwarder, guard
 }
 
-// A request that is held is refused at once, with the time until it is not: no other
-// replica and no further try would do.
+// Guards against retrying a quarantined request at other replicas.
 func TestARequestInQuarantineIsRefusedAtOnce(t *testing.T) {
 	for _, kind := range []directory.RouteKind{directory.RouteSafe, directory.RouteUnsafe} {
 		one, two := startBackend(t, answers("ok")), startBackend(t, answers("ok"))
@@ -56,7 +55,7 @@
 	}
 }
 
-// An attempt that has ended its replica may have run: what follows is no refusal.
+// Guards against refusing, as not run, a request whose first attempt crashed its replica.
 func TestARequestHeldAfterItsFirstAttemptIsLost(t *testing.T) {
 	one, two := startBackend(t, aborts), startBackend(t, aborts)
 	forwarder, guard := newGuardedForwarder(1, one, two)
@@ -67,7 +66,7 @@
 	}
 }
 
-// The second attempt of a slow request is held; the first one goes on.
+// Guards against a quarantined hedge that cancels the first attempt.
 func TestAHedgeThatIsHeldLeavesTheFirstAttempt(t *testing.T) {
 	slow := func(writer http.ResponseWriter, request *http.Request) {
 		time.Sleep(100 * time.Millisecond)
@@ -83,7 +82,7 @@
 	}
 }
 
-// A caller that leaves, or whose time is over, tells nothing of the replica.
+// Guards against counting an attempt that this node canceled as broken by its replica.
 func TestAbandonedRunsAreNoBreaks(t *testing.T) {
 	one := startBackend(t, hangs)
 	forwarder, guard := newGuardedForwarder(1<<20, one)
--- a/internal/callers/forward/refusal.go
+++ b/internal/callers/forward/refusal.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// defaultRetryAfter is the Retry-After of refusals that a free slot ends.
+	// defaultRetryAfter is the Retry-After of refusals that end once a slot is free.
 	defaultRetryAfter = 120 * time.Millisecond
-	// evacuatedRetryAfter and outsideHomeRetryAfter cover the time in which every node
-	// learns of the end of an evacuation, or of a new replica or configuration.
+	// evacuatedRetryAfter and outsideHomeRetryAfter allow for the time until every node
+	// has learned of the end of an evacuation, or of a new replica or configuration.
 	evacuatedRetryAfter   = time.Second
 	outsideHomeRetryAfter = 2 * time.Second
 )
 
-// refusalReasons are the texts for callers where one filter refused all replicas. The
-// filters that are missing here leave the general reason.
+// refusalReasons maps the filter that excluded the last replicas to the reason for the
+// caller. For other filters the caller gets the general reason.
 var refusalReasons = map[routing.Reason]string{
 	routing.ReasonEvacuated:   ReasonEvacuated,
 	routing.ReasonOutsideHome: ReasonOutsideHome,
 	routing.ReasonSlowStart:   ReasonWarmingUp,
 }
 
-// newRefusal returns the refusal of a request that has not run: its reason and its
-// Retry-After. The cause is the last error. A quarantine goes first; then excludedAll,
-// the error of a pick that left no replica out as tried, nil if there was none; then the
-// general reason.
+// newRefusal returns the error for a request that has not run. The reason is
+// ReasonQuarantined if the cause, the last error, is a quarantine; otherwise the one that
+// follows from excludedAll, the error of a pick that failed although no replica was skipped
+// as already tried (may be nil); otherwise the general reason.
 func newRefusal(general string, cause, excludedAll error) *RefusedError {
 	var quarantined *dispatch.QuarantinedError
 	if errors.As(cause, &quarantined) {
@@ -45,8 +45,8 @@
 	return refused
 }
 
-// retryAfter returns the Retry-After of a reason but ReasonQuarantined, whose time is
-// that of the quarantine.
+// retryAfter returns the Retry-After for a reason. It does not cover ReasonQuarantined,
+// for which it is the rest of the quarantine.
 func retryAfter(reason string) time.Duration {
 	switch reason {
 	case ReasonEvacuated:
@@ -57,15 +57,15 @@
 	return defaultRetryAfter
 }
 
-// isQuarantined returns whether the guard refused the request, so that no replica will
-// do.
+// isQuarantined reports whether the guard refused the request, in which case no other
+// replica may get it either.
 func isQuarantined(err error) bool {
 	var quarantined *dispatch.QuarantinedError
 	return errors.As(err, &quarantined)
 }
 
-// filterReason returns the reason of the filter that left no replica, empty if the
-// error is of another kind.
+// filterReason returns the reason of the filter that excluded the last replicas, or "" if
+// the error is not a *routing.NoneLeftError.
 func filterReason(err error) routing.Reason {
 	var nobody *routing.NoneLeftError
 	if errors.As(err, &nobody) {
--- a/internal/callers/forward/report.go
+++ b/internal/callers/forward/report.go
@@ -6,8 +6,8 @@
 	"github.com/pathtally/pathtally/internal/callers/dispatch"
 )
 
-// report counts and logs how a request ended. Each one that was not served promptly
-// gets a log line, the others as many as promptLines allows.
+// report counts and logs the outcome of a request. Requests that failed, were retried or
+// exceeded their objective are always logged, the others as far as promptLines allows.
 func (r *request) report(answer *BufferedAnswer, err error) {
 	took := time.Since(r.started)
 	config := r.forwarder.config
@@ -27,7 +27,7 @@
 	}
 }
 
-// report counts how a stream ended, and logs one that is not whole.
+// report counts the outcome of a stream and logs it if the stream failed.
 func (r *streamRequest) report(err error) {
 	took := time.Since(r.started)
 	r.forwarder.config.Metrics.observe(outcomeOf(err), took)
@@ -37,7 +37,7 @@
 	}
 }
 
-// logDecision logs a decision about a call at verbosity 1.
+// logDecision logs a decision at verbosity 1.
 func (f *Forwarder) logDecision(call *dispatch.Call, event event, decided decision) {
 	if logger := f.config.Logger.V(1); logger.Enabled() {
 		logger.Info("request decision", "request", call.ID, "event", event, "step", decided.step, "reason", decided.reason)
--- a/internal/callers/forward/request.go
+++ b/internal/callers/forward/request.go
@@ -9,18 +9,18 @@
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
-// defaultObjective is the objective of a route that names none.
+// defaultObjective is the latency objective of a route that declares none.
 const defaultObjective = time.Second
 
-// result is how one attempt ended.
+// result is the outcome of one attempt.
 type result struct {
 	replica string
 	answer  *BufferedAnswer
 	err     error
 }
 
-// request is one live request in progress. It belongs to one goroutine; attempts
-// report through the channel.
+// request is a live request in progress. It is used by one goroutine; attempts run in
+// goroutines of their own and send their outcome to results.
 type request struct {
 	forwarder *Forwarder
 	route     *directory.Route
@@ -29,30 +29,30 @@
 	repeatable bool
 	objective  time.Duration
 	started    time.Time
-	// firstTarget is the index of the route's target that is tried first.
+	// firstTarget is the index of the target of the route that is tried first.
 	firstTarget int
 
 	results chan result
-	// tried are the replicas that are left out at the next pick.
+	// tried lists the replicas that the next pick skips.
 	tried []string
-	// attempts are all that were sent, those that did not run included.
+	// attempts lists all attempts, including those that did not run.
 	attempts attemptLog
-	// mayHaveRunCount is the number of attempts that run or may have run, and
-	// refusals that of attempts that certainly did not.
+	// mayHaveRunCount is the number of attempts that are running or may have run,
+	// refusals the number of attempts that certainly did not run.
 	mayHaveRunCount int
 	refusals        int
 	// inProgress is the number of attempts that have not ended.
 	inProgress int
-	// mayHaveRun is set once an attempt ended that may have run.
+	// mayHaveRun is set once an attempt that may have run has ended.
 	mayHaveRun bool
-	// lastErr is the error of the newest attempt that failed, or of the first
-	// pick if nothing was sent.
+	// lastErr is the error of the last failed attempt, or of the first pick if no
+	// attempt failed before it.
 	lastErr error
-	// excludedAll is the error of the last pick if it found no replica though none
-	// was left out as tried; nil if the pick found one or left some out.
+	// excludedAll is the error of a pick that found no replica although none was
+	// skipped as already tried. A later pick that finds a replica resets it.
 	excludedAll error
-	// answer is the newest whole answer, and failures the number of those with
-	// status 500.
+	// answer is the most recent complete response, failures the number of responses
+	// with status 500.
 	answer   *BufferedAnswer
 	failures int
 }
@@ -68,8 +68,8 @@
 	}
 }
 
-// run carries out decisions until one ends the request. The error is a *RefusedError
-// or a *LostError.
+// run executes steps until one ends the request. The error is a *RefusedError or a
+// *LostError.
 func (r *request) run(ctx context.Context) (*BufferedAnswer, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -96,7 +96,7 @@
 	}
 }
 
-// decide returns what follows an event.
+// decide selects the step that follows an event.
 func (r *request) decide(ctx context.Context, event event) decision {
 	decided := situation{
 		event: event, repeatable: r.repeatable, attemptLimit: r.route.Attempts, attempts: r.mayHaveRunCount, refusals: r.refusals,
@@ -107,7 +107,7 @@
 	return decided
 }
 
-// send starts an attempt at a replica that is not tried yet, if there is one.
+// send starts an attempt at a replica that has not been tried yet, if there is one.
 func (r *request) send(ctx context.Context) decision {
 	endpoint, err := r.forwarder.pick(r.route, r.firstTarget, r.tried, r.call)
 	if err != nil {
@@ -146,7 +146,8 @@
 	}
 }
 
-// waitForRoom lets replicas that turned the request away have it again after a delay.
+// waitForRoom waits for roomRetryDelay, then sends the request again, with all replicas
+// eligible.
 func (r *request) waitForRoom(ctx context.Context) decision {
 	if !sleep(ctx, roomRetryDelay) {
 		return r.decide(ctx, eventContextEnded)
@@ -155,7 +156,7 @@
 	return r.send(ctx)
 }
 
-// recordEnd records how an attempt ended and returns the event.
+// recordEnd records the outcome of an attempt and returns the matching event.
 func (r *request) recordEnd(ended result) event {
 	if ended.err != nil {
 		r.recordError(ended)
--- a/internal/callers/forward/split.go
+++ b/internal/callers/forward/split.go
@@ -6,15 +6,15 @@
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
-// targetSplitter shares the requests of routes among their targets by smooth weighted
-// round robin. It is safe for use by many goroutines.
+// targetSplitter distributes the requests of each route among its targets by smooth
+// weighted round robin. It is safe for concurrent use.
 type targetSplitter struct {
 	mutex sync.Mutex
-	// credits are kept by route and service.
+	// credits holds the current weight of each target, by route and service.
 	credits map[string]map[string]int
 }
 
-// next returns the index of the target that a request tries first.
+// next returns the index of the target that the next request tries first.
 func (s *targetSplitter) next(route *directory.Route) int {
 	if len(route.Targets) == 1 {
 		return 0
@@ -40,7 +40,8 @@
 	return best
 }
 
-// creditsOf returns the credits of a route's targets. The mutex must be held.
+// creditsOf returns the current weights of a route's targets by service. The caller must
+// hold the mutex.
 func (s *targetSplitter) creditsOf(route string) map[string]int {
 	if s.credits == nil {
 		s.credits = map[string]map[string]int{}
--- a/internal/callers/forward/stream.go
+++ b/internal/callers/forward/stream.go
@@ -8,42 +8,43 @@
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
-// StreamSink takes a stream on its way to the caller.
+// StreamSink receives a stream for the caller.
 type StreamSink interface {
-	// Begin takes the head of the answer, once.
+	// Begin receives the response head. It is called at most once, before Event.
 	Begin(answer *dispatch.Answer)
-	// Event takes one whole event.
+	// Event receives one complete event, or the whole body of a response that is not a
+	// stream.
 	Event(raw string) error
 }
 
-// streamRequest is one stream in progress. It belongs to one goroutine.
+// streamRequest is a stream in progress. It is used by one goroutine.
 type streamRequest struct {
 	forwarder *Forwarder
 	route     *directory.Route
 	call      *dispatch.Call
 	sink      StreamSink
 	started   time.Time
-	// firstTarget is the index of the route's target that is tried first.
+	// firstTarget is the index of the target of the route that is tried first.
 	firstTarget int
-	// begun is set once the head has gone to the caller.
+	// begun is set once the response head has been forwarded.
 	begun bool
-	// events is the number of events passed on, lastEvent the id of the last of them,
-	// and version the weight version at it.
+	// events is the number of forwarded events, lastEvent the id of the last one, and
+	// version the weight version that generated it.
 	events    int
 	lastEvent int
 	version   int64
-	// tried are the replicas that are left out at the next pick.
+	// tried lists the replicas that the next pick skips.
 	tried []string
-	// failedAttempts is the number of ended attempts that may have run, and refusals
-	// that of attempts that certainly did not.
+	// failedAttempts is the number of failed attempts that may have run, refusals the
+	// number of attempts that certainly did not run.
 	failedAttempts int
 	refusals       int
 }
 
-// Stream forwards a request whose answer is a series of events, and passes on whole
-// events as they come. A stream of a resumable route goes on at another replica if it
-// breaks off or falls silent. The error is a *RefusedError, a *LostError, or, once the
-// caller has the head, a *BrokenStreamError.
+// Stream forwards a request whose response is an event stream, and forwards complete
+// events as they arrive. A stream of a resumable route is resumed at another replica if
+// it breaks or is idle for too long. The error is a *RefusedError, a *LostError, or, once
+// the response head has been forwarded, a *BrokenStreamError.
 func (f *Forwarder) Stream(ctx context.Context, route *directory.Route, call *dispatch.Call, sink StreamSink) error {
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	defer cancel()
@@ -58,7 +59,7 @@
 	return err
 }
 
-// run carries out decisions until the stream is whole or one ends it.
+// run executes steps until the stream is complete or a step ends it.
 func (r *streamRequest) run(ctx context.Context) error {
 	event, err := r.send(ctx)
 	for err != nil {
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// decide returns what follows an event with an error.
+// decide selects the step that follows an event and its error.
 func (r *streamRequest) decide(ctx context.Context, event event, err error) decision {
 	decided := streamSituation{
 		event: event, resumable: r.route.Resumable, attemptLimit: r.route.Attempts, failedAttempts: r.failedAttempts,
@@ -86,8 +87,8 @@
 	return decided
 }
 
-// send makes an attempt at a replica that is not tried yet, if there is one. The event
-// belongs to the error.
+// send makes an attempt at a replica that has not been tried yet, if there is one. The
+// returned event says what the error came from; ignore it if the error is nil.
 func (r *streamRequest) send(ctx context.Context) (event, error) {
 	endpoint, err := r.forwarder.pick(r.route, r.firstTarget, r.tried, r.call)
 	if err != nil {
@@ -111,7 +112,8 @@
 	}
 }
 
-// waitForRoom lets replicas tried before have the stream again after a delay.
+// waitForRoom waits for roomRetryDelay, then sends the request again, with all replicas
+// eligible.
 func (r *streamRequest) waitForRoom(ctx context.Context) (event, error) {
 	r.tried = nil
 	if !sleep(ctx, roomRetryDelay) {
@@ -120,7 +122,7 @@
 	return r.send(ctx)
 }
 
-// failure returns the error of a stream that a decision ended.
+// failure returns the error of a stream that was ended by a decision.
 func (r *streamRequest) failure(ended decision, event event, err error) error {
 	switch ended.step {
 	case stepBreakOff:
--- a/internal/callers/forward/stream_attempt.go
+++ b/internal/callers/forward/stream_attempt.go
@@ -14,19 +14,20 @@
 )
 
 const (
-	// silenceObjectives is how many times the objective a resumable stream may be
-	// silent before it goes on elsewhere, and minSilence the least such time.
+	// silenceObjectives is the idle timeout of a resumable stream as a multiple of the
+	// route's latency objective, minSilence the shortest such timeout.
 	silenceObjectives = 2
 	minSilence        = 700 * time.Millisecond
 )
 
-// silenceLimit returns how long a resumable stream may be silent.
+// silenceLimit returns the time without an event after which a resumable stream is
+// resumed at another replica.
 func silenceLimit(objective time.Duration) time.Duration {
 	return max(minSilence, silenceObjectives*objective)
 }
 
-// attempt streams from one replica until the end. A resumable stream is cut off with
-// ErrSilent after silenceLimit without an event.
+// attempt forwards the stream of one replica until it ends. A resumable stream is canceled
+// with ErrSilent after silenceLimit without an event.
 func (r *streamRequest) attempt(ctx context.Context, endpoint *routing.Endpoint) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -59,9 +60,9 @@
 	return r.passEvents(answer, resumed, func() { silence.Reset(limit) })
 }
 
-// acceptsStatus returns whether an answer of a status goes to the caller. One that
-// cannot continue a begun stream does not, nor a server error where a further attempt
-// is allowed.
+// acceptsStatus reports whether a response with a status is forwarded to the caller. Once
+// the response head has been forwarded, only status 200 can continue the stream; before,
+// a server error is not forwarded if another attempt is allowed.
 func (r *streamRequest) acceptsStatus(status int) bool {
 	if status == http.StatusOK {
 		return true
@@ -70,7 +71,7 @@
 	return !r.begun && (status < http.StatusInternalServerError || !mayRepeat)
 }
 
-// passBody passes on an answer that is no stream.
+// passBody forwards the body of a response that is not a stream.
 func (r *streamRequest) passBody(answer *dispatch.Answer) error {
 	body, err := readBody(answer)
 	if err != nil {
@@ -79,8 +80,9 @@
 	return r.sink.Event(string(body))
 }
 
-// passEvents passes events on to the end of a replica's stream, and calls received at
-// each.
+// passEvents forwards events until the replica's stream ends, and calls received for each
+// event. If the stream is resumed at a replica with another weight version, the first event
+// gets a line with that version.
 func (r *streamRequest) passEvents(answer *dispatch.Answer, resumed bool, received func()) error {
 	events := eventstream.NewReader(answer, r.forwarder.config.VersionField, r.lastEvent)
 	announceVersion := resumed && answer.Verdict.Version > 0 && answer.Verdict.Version != r.version
@@ -105,9 +107,9 @@
 	}
 }
 
-// checkEnd returns whether a replica's stream is whole that ended after a whole event.
-// One without framing may have been cut off: where it is resumable, a further replica
-// shows whether more events follow.
+// checkEnd returns an error if a replica's stream that ended after a complete event may be
+// truncated. Without HTTP framing, truncation cannot be detected; a resumable stream is
+// then resumed at another replica to see whether more events follow.
 func (r *streamRequest) checkEnd(answer *dispatch.Answer) error {
 	if !answer.Framed && r.route.Resumable {
 		return ErrSilent
@@ -116,8 +118,8 @@
 	return nil
 }
 
-// passEvent passes one event on. Where the weight version is to be announced and the
-// event has none, a line with it is put before the event.
+// passEvent forwards one event. If announceVersion is set and the event has no weight
+// version, a line with the version is added before it.
 func (r *streamRequest) passEvent(event eventstream.Event, announceVersion bool) error {
 	raw := event.Raw
 	if event.Version > 0 {
@@ -136,7 +138,7 @@
 	return nil
 }
 
-// versionLine returns the line of an event that gives a weight version.
+// versionLine returns an event line that holds a weight version.
 func versionLine(field string, version int64) string {
 	return field + ": " + strconv.FormatInt(version, 10) + "\n"
 }
--- a/internal/callers/forward/stream_test.go
+++ b/internal/callers/forward/stream_test.go
@@ -8,7 +8,7 @@
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
-// A replica that has had the request for the whole time may have run it.
+// Guards against refusing, as not run, a stream whose deadline passes during its attempt.
 func TestAStreamWhoseTimeRunsOutAtAReplicaIsNoRefusal(t *testing.T) {
 	for _, resumable := range []bool{false, true} {
 		hanging := startBackend(t, hangs)
--- a/internal/callers/quarantine/admit.go
+++ b/internal/callers/quarantine/admit.go
@@ -21,8 +21,8 @@
 	return &dispatch.QuarantinedError{Fingerprint: request.String(), Left: left}
 }
 
-// awaitExamination waits while the examination of a broken run may put the request in
-// quarantine. Only requests that are one end short of it wait.
+// awaitExamination waits while the check of a broken run may still quarantine the request.
+// Only requests that are one crash short of the quarantine wait.
 func (s *Service) awaitExamination(ctx context.Context, request Fingerprint) {
 	for {
 		s.mutex.Lock()
--- a/internal/callers/quarantine/endcheck.go
+++ b/internal/callers/quarantine/endcheck.go
@@ -9,8 +9,8 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// probeTimeout bounds the new connection by which the end of a replica is found: where
-// the process has ended, it is refused within a round trip.
+// probeTimeout is the timeout of the connection that checks a replica. If the replica has
+// crashed, the connection is refused within a round trip.
 const probeTimeout = 300 * time.Millisecond
 
 // Prober checks whether a process listens at a replica's address.
@@ -18,8 +18,8 @@
 	Probe(ctx context.Context, address string) exchange.Liveness
 }
 
-// endCheck checks whether replicas have ended, with one new connection for all the runs
-// that an end has cut off. It is safe for use by many goroutines.
+// endCheck checks whether replicas have crashed. All runs that one crash broke share one
+// probe. It is safe for concurrent use.
 type endCheck struct {
 	prober Prober
 
@@ -38,8 +38,8 @@
 	return &endCheck{prober: prober, probes: map[string]*probe{}}
 }
 
-// check returns whether a replica lives whose run has just broken. It waits for a probe
-// that is under way, and takes the result of one that found the end a short time ago.
+// check returns the liveness of a replica after one of its runs broke. It waits for a probe
+// in progress, and reuses the result of a probe that found a crash within minEndInterval.
 func (c *endCheck) check(ctx context.Context, endpoint *routing.Endpoint) exchange.Liveness {
 	c.mutex.Lock()
 	current := c.probes[endpoint.Name]
@@ -64,7 +64,7 @@
 	return started.found
 }
 
-// dropProbe has the next broken run of a replica checked anew.
+// dropProbe makes the next check of a replica start a new probe.
 func (c *endCheck) dropProbe(replica string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/callers/quarantine/examine.go
+++ b/internal/callers/quarantine/examine.go
@@ -6,7 +6,7 @@
 	"github.com/pathtally/pathtally/internal/callers/dispatch"
 )
 
-// ObserveBroken implements dispatch.Guard. The run is examined beside the request.
+// ObserveBroken implements dispatch.Guard. It checks the replica in the background.
 func (s *Service) ObserveBroken(run dispatch.Run) {
 	request := fingerprintOf(run.Call)
 	s.mutex.Lock()
@@ -24,8 +24,8 @@
 	}()
 }
 
-// examine checks whether the replica of a broken run has ended, and counts that against
-// the request.
+// examine checks whether the replica of a broken run has crashed, and counts the crash
+// against the request.
 func (s *Service) examine(request Fingerprint, run dispatch.Run) {
 	replica := s.endCheck.check(s.ctx, run.Endpoint)
 	s.metrics.broken.WithLabelValues(string(replica)).Inc()
@@ -45,7 +45,7 @@
 	}
 }
 
-// addEnds adds ends of replicas under a request and returns the number known.
+// addEnds adds crashes of replicas to a request and returns the number now known.
 func (s *Service) addEnds(request Fingerprint, ends []end, now time.Time) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/callers/quarantine/hold.go
+++ b/internal/callers/quarantine/hold.go
@@ -2,7 +2,8 @@
 
 import "github.com/pathtally/pathtally/internal/callers/dispatch"
 
-// quarantine holds a request, reports that to all nodes and has it written to the store.
+// quarantine puts a request in quarantine, reports its crashes to all nodes and schedules the
+// write to the store.
 func (s *Service) quarantine(request Fingerprint) {
 	if !s.hold(request) {
 		return
@@ -11,7 +12,8 @@
 	s.recorder.setIntent(request, intent{at: s.config.Clock()})
 }
 
-// hold puts a request in quarantine at this node, and returns whether it was not in it.
+// hold puts a request in quarantine at this node only. It returns false if the request
+// already was in quarantine.
 func (s *Service) hold(request Fingerprint) bool {
 	now := s.config.Clock()
 	if !s.table.Hold(request, now.Add(s.config.Span), now) {
@@ -44,7 +46,7 @@
 	}
 }
 
-// isSuspectOrHeld returns whether there are ends under a request, or it is in quarantine.
+// isSuspectOrHeld reports whether a request has crashes or is in quarantine.
 func (s *Service) isSuspectOrHeld(request Fingerprint) bool {
 	if s.table.TimeLeft(request, s.config.Clock()) > 0 {
 		return true
@@ -54,7 +56,7 @@
 	return len(s.ledger.Ends(request)) > 0
 }
 
-// forgive drops the ends under a request that was served, and lifts its quarantine.
+// forgive drops the crashes of a request that succeeded and takes it out of quarantine.
 func (s *Service) forgive(request Fingerprint) (wasSuspect, wasHeld bool) {
 	s.mutex.Lock()
 	wasSuspect = s.ledger.RecordServed(request, s.config.Clock())
--- a/internal/callers/quarantine/ledger.go
+++ b/internal/callers/quarantine/ledger.go
@@ -6,45 +6,46 @@
 )
 
 const (
-	// suspectLifetime is how long after its last end a request is remembered: callers and
-	// queues try again for minutes.
+	// suspectLifetime is how long a suspect is kept after its last crash. Callers and
+	// queues may retry for minutes.
 	suspectLifetime = 10 * time.Minute
-	// maxSuspects bounds the requests remembered, some 200 bytes each. The loss of a rack
-	// of replicas cuts off some hundreds.
+	// maxSuspects is the maximum number of suspects, of about 200 bytes each. The loss of
+	// a rack of replicas may create hundreds of them at once.
 	maxSuspects = 4096
 )
 
-// end is the end of a replica under a request.
+// end is the crash of a replica that ran a request.
 type end struct {
 	replica string
 	at      time.Time
 }
 
-// suspect is a request under which replicas have ended.
+// suspect is the state of a request that may crash replicas.
 type suspect struct {
-	// ends are at most endsToQuarantine, in the order in which they became known.
+	// ends holds at most endsToQuarantine crashes, in the order in which they became
+	// known.
 	ends []end
-	// served is when it was last known to be served, zero for never. Ends from before do
-	// not count, in whatever order they become known.
+	// served is when the request last succeeded, zero for never. Crashes before that
+	// time do not count, even if they become known later.
 	served time.Time
-	// last is when it was last seen to end a replica or to be served.
+	// last is the time of the most recent crash or success.
 	last time.Time
 }
 
-// Ledger counts the ends of replicas under requests. It does no input or output and reads
-// no clock. It is not safe for use by many goroutines.
+// Ledger counts the crashes of replicas by request. It does no I/O and reads no clock. It is
+// not safe for concurrent use.
 //
-// Invariants: a request has as many ends as replicas are known to have ended under it since
-// it was served, but no more than endsToQuarantine; taking the same end again, in any
-// order, changes nothing; there are no more than mostSuspects requests.
+// Invariants: the crashes of a request are those known since its last success, but no more
+// than endsToQuarantine; adding the same crash again, in any order, changes nothing; there
+// are at most maxSuspects requests.
 type Ledger struct {
 	suspects map[Fingerprint]*suspect
 }
 
-// NewLedger returns a ledger without requests.
+// NewLedger returns an empty Ledger.
 func NewLedger() *Ledger { return &Ledger{suspects: map[Fingerprint]*suspect{}} }
 
-// Add adds the end of a replica under a request and returns how many are known.
+// Add adds the crash of a replica to a request and returns the number of crashes now known.
 func (l *Ledger) Add(request Fingerprint, replica string, at, now time.Time) int {
 	l.Prune(now)
 	known := l.suspect(request, at)
@@ -54,8 +55,8 @@
 	return len(known.ends)
 }
 
-// suspect returns the entry of a request that was seen at a time, a new one if there is
-// none.
+// suspect returns the entry of a request, creating it if necessary, and records that the
+// request was seen at a time.
 func (l *Ledger) suspect(request Fingerprint, at time.Time) *suspect {
 	known := l.suspects[request]
 	if known == nil {
@@ -71,7 +72,8 @@
 	return known
 }
 
-// has returns whether an end is known: one of the same replica within minEndInterval.
+// has reports whether a crash is known already: two crashes of one replica less than
+// minEndInterval apart are the same crash.
 func (s *suspect) has(replica string, at time.Time) bool {
 	for _, known := range s.ends {
 		if known.replica == replica && at.Sub(known.at).Abs() < minEndInterval {
@@ -81,7 +83,7 @@
 	return false
 }
 
-// Ends returns the ends known under a request.
+// Ends returns the known crashes of a request.
 func (l *Ledger) Ends(request Fingerprint) []end {
 	if known := l.suspects[request]; known != nil {
 		return known.ends
@@ -89,9 +91,8 @@
 	return nil
 }
 
-// RecordServed records that a request was served, and returns whether there were ends
-// under it. An unknown request is remembered too, since reports of earlier ends may still
-// come.
+// RecordServed records that a request succeeded, and reports whether it had crashes. It also
+// creates an entry for an unknown request, since reports of earlier crashes may still arrive.
 func (l *Ledger) RecordServed(request Fingerprint, now time.Time) bool {
 	known := l.suspect(request, now)
 	had := len(known.ends) > 0
@@ -99,15 +100,15 @@
 	return had
 }
 
-// Len returns the number of requests remembered.
+// Len returns the number of suspects.
 func (l *Ledger) Len() int { return len(l.suspects) }
 
-// Prune drops the requests that were not seen for suspectLifetime.
+// Prune drops suspects without a crash or success for suspectLifetime.
 func (l *Ledger) Prune(now time.Time) {
 	maps.DeleteFunc(l.suspects, func(_ Fingerprint, known *suspect) bool { return now.Sub(known.last) > suspectLifetime })
 }
 
-// dropOldest drops the request that was not seen for the longest time.
+// dropOldest drops the suspect whose last crash or success is the longest ago.
 func (l *Ledger) dropOldest() {
 	var oldest Fingerprint
 	var last time.Time
--- a/internal/callers/quarantine/ledger_test.go
+++ b/internal/callers/quarantine/ledger_test.go
@@ -12,12 +12,12 @@
 
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// numbered returns a fingerprint for each number.
+// numbered returns a distinct fingerprint for each number.
 func numbered(number int) Fingerprint {
 	return Fingerprint{byte(number), byte(number >> 8), byte(number >> 16)}
 }
 
-// Reports arrive in any order and more than once: the count is that of the different ends.
+// Guards against counting a crash twice when reports are duplicated or reordered.
 func TestLedgerCountsEachEndOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ledger := NewLedger()
@@ -25,7 +25,7 @@
 		for range rapid.IntRange(1, 12).Draw(t, "reports") {
 			replica := fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "replica"))
 			life := rapid.IntRange(0, 2).Draw(t, "life")
-			// Two nodes see the same end some tenths of a second apart.
+			// Nodes may observe the same crash up to 900 ms apart.
 			seen := rapid.IntRange(0, 900).Draw(t, "seenMs")
 			at := start.Add(time.Duration(life)*2*minEndInterval + time.Duration(seen)*time.Millisecond)
 			different[fmt.Sprint(replica, ".", life)] = true
@@ -61,9 +61,7 @@
 	}
 }
 
-// Reports of two nodes overtake each other: the word that a request was served arrives
-// before that of an end which came before it. Keepers then held the end against a good
-// request for ten minutes, and nobody who served it knew.
+// Guards against counting a crash that is reported after, but happened before, a success.
 func TestAnEndFromBeforeAWholeAnswerDoesNotCount(t *testing.T) {
 	nodes := startNodes(t, 1)
 	service := nodes.nodes["node-0"]
--- a/internal/callers/quarantine/metrics.go
+++ b/internal/callers/quarantine/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/pathtally/pathtally/internal/clock"
 )
 
-// metrics count broken runs, quarantines and refused attempts.
+// metrics counts broken runs, quarantines and refused attempts.
 type metrics struct {
 	broken  *prometheus.CounterVec
 	held    prometheus.Counter
--- a/internal/callers/quarantine/policy.go
+++ b/internal/callers/quarantine/policy.go
@@ -9,55 +9,56 @@
 )
 
 const (
-	// DefaultSpan is how long a request stays in quarantine if the settings name no time:
-	// callers that try again give up within minutes.
+	// DefaultSpan is how long a request stays in quarantine unless the settings say
+	// otherwise. Callers that retry usually give up sooner.
 	DefaultSpan = 10 * time.Minute
-	// endsToQuarantine is the number of ends of replicas under one request that put it in
-	// quarantine. A good request may share replicas with a bad one and meet two.
+	// endsToQuarantine is the number of crashes that quarantines a request. A harmless
+	// request that shares replicas with a crashing one may be hit by two crashes.
 	endsToQuarantine = 3
-	// earlyBreakLimit is the time from the sending within which a break counts although
-	// the run had made a part of an answer: a request that crashes its replica does so
-	// soon.
+	// earlyBreakLimit is the time since the start of an attempt within which a crash
+	// counts even if a resumable run had made progress: a request that crashes its
+	// replica does so soon after it starts to run.
 	earlyBreakLimit = time.Second
-	// minEndInterval is the least time between two ends of one replica, which has to
-	// start in between. Breaks closer together have one end as their cause.
+	// minEndInterval is the shortest time between two crashes of one replica, which has
+	// to restart in between. Runs that break closer together were broken by one crash.
 	minEndInterval = 2 * time.Second
-	// keeperCount is the number of nodes that count the ends under a request besides
-	// those that saw one: two may be lost at the same time.
+	// keeperCount is the number of nodes that aggregate the crashes of a request. Two of
+	// them may fail at the same time.
 	keeperCount = 3
 )
 
-// countsAsEnd returns whether a broken run counts against its request: its replica has
-// ended, and the run made no progress that the next one goes on from, or broke early.
+// countsAsEnd reports whether a broken run counts against its request. It does if the replica
+// has crashed, unless the run is resumable, had made progress and lasted for at least
+// earlyBreakLimit.
 func countsAsEnd(run *dispatch.Run, replica exchange.Liveness) bool {
 	hadProgress := run.Call.Resumable && run.Received && run.Lasted >= earlyBreakLimit
 	return replica == exchange.Ended && !hadProgress
 }
 
-// clearsRequest returns whether an answer of a status shows that the request crashes no
-// replica. A failure may come from a replica that did not begin to run it.
+// clearsRequest reports whether a response with a status shows that the request does not
+// crash replicas. An error response may come from a replica that did not start to run it.
 func clearsRequest(status int) bool {
 	return status >= http.StatusOK && status < http.StatusMultipleChoices
 }
 
-// reaction is what a node does once it knows of a further end.
+// reaction is what a node does after a broken run or a report of crashes.
 type reaction string
 
 const (
 	// ignoreEnd does nothing.
 	ignoreEnd reaction = "ignore"
-	// reportToKeepers sends the known ends to the keepers of the request.
+	// reportToKeepers sends the known crashes to the keepers of the request.
 	reportToKeepers reaction = "report to keepers"
-	// startQuarantine holds the request, reports it to all nodes and writes it to the
-	// store.
+	// startQuarantine quarantines the request, reports its crashes to all nodes and
+	// writes it to the store.
 	startQuarantine reaction = "start quarantine"
-	// joinQuarantine holds the request. A keeper also writes it to the store, in case
-	// the node that started the quarantine ends before it has.
+	// joinQuarantine quarantines the request at this node. A keeper also writes it to
+	// the store, in case the node that started the quarantine fails before it does.
 	joinQuarantine reaction = "join quarantine"
 )
 
-// onBrokenRun returns the reaction to a run that broke at this node. Known is the number
-// of ends under the request, with that one if it counts.
+// onBrokenRun returns the reaction to a run that broke at this node. known is the number of
+// crashes of the request, including this one if it counts.
 func onBrokenRun(counts bool, known int) reaction {
 	switch {
 	case known >= endsToQuarantine:
@@ -68,8 +69,9 @@
 	return ignoreEnd
 }
 
-// onReportedEnds returns the reaction to another node's report of ends. Known is the number
-// of ends with those reported. A node that reports enough has reported them to all nodes.
+// onReportedEnds returns the reaction to crashes that another node reported. known is the
+// number of crashes of the request, including the reported ones. A node that reports enough
+// of them for a quarantine has sent that report to all nodes.
 func onReportedEnds(reported, known int) reaction {
 	switch {
 	case reported >= endsToQuarantine:
--- a/internal/callers/quarantine/record.go
+++ b/internal/callers/quarantine/record.go
@@ -11,18 +11,18 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Kind is the kind of the object that lists the requests in quarantine, and ObjectName its
-// name.
+// Kind and ObjectName are the kind and name of the stored object that lists the requests in
+// quarantine.
 const (
 	Kind       = "quarantines"
 	ObjectName = "requests"
 )
 
-// maxRecorded bounds the requests in the object, which all nodes watch, to about 70 KB. The
-// newest stay.
+// maxRecorded is the maximum number of requests in the object; the newest are kept. It limits
+// the object, which all nodes watch, to about 70 KB.
 const maxRecorded = 1000
 
-// record is what the store holds.
+// record is the stored object.
 type record struct {
 	Requests []recordEntry `json:"requests"`
 }
@@ -30,30 +30,30 @@
 // recordEntry is one request in quarantine.
 type recordEntry struct {
 	Fingerprint string `json:"fingerprint"`
-	// At is when the quarantine began, in milliseconds since the start of 1970 by the
-	// writer's time of day.
+	// At is the start of the quarantine in Unix milliseconds, by the clock of the node
+	// that wrote the entry.
 	At int64 `json:"at"`
 }
 
-// errBadFingerprint means that a text or message has no valid fingerprint.
+// errBadFingerprint means that a record entry or message has no valid fingerprint.
 var errBadFingerprint = merry.Sentinel("not a fingerprint of 32 hexadecimal digits")
 
-// RecordError is a record that cannot be read, or not in part, or not written.
+// RecordError reports a record that cannot be encoded, or that cannot be decoded in whole or
+// in part.
 type RecordError struct {
-	// Found is the first fingerprint that cannot be read, if the rest can.
+	// Found is the first invalid fingerprint. It is set if the other entries were
+	// decoded.
 	Found string
 	Cause error
 }
 
-// Error gives what was found and the cause.
 func (e *RecordError) Error() string {
 	return fmt.Sprintf("record of quarantined requests, at %q: %v", e.Found, e.Cause)
 }
 
-// Unwrap returns the cause.
 func (e *RecordError) Unwrap() error { return e.Cause }
 
-// parseFingerprint reads a fingerprint's digits.
+// parseFingerprint parses a fingerprint in hexadecimal.
 func parseFingerprint(text string) (Fingerprint, error) {
 	digits, err := hex.DecodeString(text)
 	if err != nil || len(digits) != fingerprintBytes {
@@ -62,8 +62,9 @@
 	return Fingerprint(digits), nil
 }
 
-// decodeRecord reads a record: when each quarantine began. Entries that cannot be read
-// are left out, and the first of them is the error; the others hold.
+// decodeRecord decodes a record and returns the start time of each quarantine. It skips
+// entries with an invalid fingerprint and returns the others along with a *RecordError for
+// the first invalid one.
 func decodeRecord(spec []byte) (map[Fingerprint]time.Time, error) {
 	var read record
 	if err := json.Unmarshal(spec, &read); err != nil {
@@ -84,7 +85,7 @@
 	return began, finding
 }
 
-// encodeRecord writes a record, the newest quarantines first and no more than fit.
+// encodeRecord encodes a record of the maxRecorded newest quarantines, newest first.
 func encodeRecord(began map[Fingerprint]time.Time) ([]byte, error) {
 	written := record{Requests: make([]recordEntry, 0, len(began))}
 	for request, at := range began {
--- a/internal/callers/quarantine/record_test.go
+++ b/internal/callers/quarantine/record_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// The object may come from another writer.
+// Guards against losing the valid entries of a record along with an invalid one.
 func TestUnreadableEntriesOfTheRecordAreLeftOut(t *testing.T) {
 	read, err := decodeRecord([]byte(`{"requests":[{"fingerprint":"xyz","at":1},{"fingerprint":"` + numbered(7).String() + `","at":5}]}`))
 	var unreadable *RecordError
--- a/internal/callers/quarantine/recorder.go
+++ b/internal/callers/quarantine/recorder.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// writeRetryDelay is the time before a failed write is made again. Meanwhile, only
-	// nodes that start lack the quarantine.
+	// writeRetryDelay is the delay before a failed write is retried. Until it succeeds,
+	// nodes that start do not learn of the quarantine.
 	writeRetryDelay = 500 * time.Millisecond
-	// writeTimeout bounds one try: a read and a write.
+	// writeTimeout is the timeout of one read and write of the record.
 	writeTimeout = 3 * time.Second
 )
 
-// intent is a change of the store's record about one request.
+// intent is a pending change to the stored record for one request.
 type intent struct {
-	// lift takes the request out; else it is put in.
+	// lift removes the request from the record; otherwise it is added.
 	lift bool
-	// at is when the quarantine began.
+	// at is the start of the quarantine.
 	at time.Time
 }
 
-// recorder writes changes to the store's record until the store takes them. It is safe
-// for use by many goroutines.
+// recorder writes pending changes to the stored record and retries until they succeed. It is
+// safe for concurrent use.
 type recorder struct {
 	store  objectstore.Store
 	clock  clock.Clock
@@ -46,7 +46,8 @@
 	return &recorder{store: store, clock: counting, span: span, logger: logger, wake: make(chan struct{}, 1), intents: map[Fingerprint]intent{}}
 }
 
-// setIntent has a request's entry written. A later intent replaces an earlier one.
+// setIntent schedules a change for a request. It replaces a pending change for the same
+// request.
 func (r *recorder) setIntent(request Fingerprint, wanted intent) {
 	r.mutex.Lock()
 	r.intents[request] = wanted
@@ -57,7 +58,7 @@
 	}
 }
 
-// Run writes intents until the context ends.
+// Run writes pending changes until the context ends.
 func (r *recorder) Run(ctx context.Context) {
 	for {
 		select {
@@ -76,15 +77,15 @@
 	}
 }
 
-// isBehind returns whether there is an intent that is not in the store yet.
+// isBehind reports whether any change is pending.
 func (r *recorder) isBehind() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return len(r.intents) > 0
 }
 
-// write makes one try to write all intents. It replaces the record only at the revision
-// that it read, so that no other node's change is lost.
+// write tries once to write all pending changes. It replaces the record only if its revision
+// is still the one that was read, so that changes by other nodes are not lost.
 func (r *recorder) write(ctx context.Context) error {
 	r.mutex.Lock()
 	wanted := maps.Clone(r.intents)
@@ -111,8 +112,8 @@
 	return nil
 }
 
-// apply returns the record with the intents and without quarantines that are over, and
-// whether an intent changed it.
+// apply returns the record with the pending changes applied and expired quarantines removed.
+// changed is set if a pending change had an effect.
 func (r *recorder) apply(began map[Fingerprint]time.Time, wanted map[Fingerprint]intent) (next map[Fingerprint]time.Time, changed bool) {
 	next = map[Fingerprint]time.Time{}
 	for request, at := range began {
@@ -134,7 +135,7 @@
 	return next, changed
 }
 
-// put writes the record unless it was changed since it was read.
+// put writes the record unless it has changed since it was read.
 func (r *recorder) put(ctx context.Context, current objectstore.Object, isNew bool, next map[Fingerprint]time.Time) error {
 	spec, err := encodeRecord(next)
 	if err != nil {
@@ -148,7 +149,7 @@
 	return err
 }
 
-// dropWritten drops the intents that have been written, unless they were replaced since.
+// dropWritten drops the changes that have been written, unless they were replaced meanwhile.
 func (r *recorder) dropWritten(written map[Fingerprint]intent) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/callers/quarantine/recorder_test.go
+++ b/internal/callers/quarantine/recorder_test.go
@@ -13,7 +13,7 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// recorded reads the record as it stands in a store.
+// recorded returns the decoded record of a store, nil if there is none.
 func recorded(t *testing.T, store *metastore.Store) map[Fingerprint]time.Time {
 	t.Helper()
 	objects := store.Objects(Kind)
@@ -61,7 +61,7 @@
 	eventually(t, "the lifted one is out of it", func() bool { return len(recorded(t, store)) == 39 })
 }
 
-// The store is away, refuses, or loses answers: the write is made again until it stands.
+// Guards against losing a write when the store rejects it or its response is lost.
 func TestRecordIsWrittenOnceTheStoreIsBack(t *testing.T) {
 	for _, fault := range []struct {
 		name string
--- a/internal/callers/quarantine/reports.go
+++ b/internal/callers/quarantine/reports.go
@@ -8,13 +8,14 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// keepers returns the nodes that count the ends under a request for all.
+// keepers returns the nodes that aggregate the crashes of a request: the keeperCount nodes
+// that rank highest for it by rendezvous hashing.
 func (s *Service) keepers(request Fingerprint) []string {
 	ranked := rendezvous.RankNames(request.String(), s.config.Nodes())
 	return ranked[:min(len(ranked), keeperCount)]
 }
 
-// reportEnds sends nodes all ends known under a request.
+// reportEnds sends all known crashes of a request to nodes.
 func (s *Service) reportEnds(request Fingerprint, nodes []string) {
 	now := s.config.Clock()
 	s.mutex.Lock()
@@ -28,12 +29,12 @@
 	s.broadcast(message, nodes)
 }
 
-// reportServed sends nodes that a request was served.
+// reportServed tells nodes that a request succeeded.
 func (s *Service) reportServed(request Fingerprint, nodes []string) {
 	s.broadcast(&wire.CrashReport{Fingerprint: request[:], Served: true}, nodes)
 }
 
-// broadcast sends a message to nodes other than this one.
+// broadcast sends a message to nodes, except this one.
 func (s *Service) broadcast(message *wire.CrashReport, nodes []string) {
 	var addresses []string
 	for _, node := range nodes {
@@ -44,7 +45,7 @@
 	s.config.Peers.Broadcast(addresses, message)
 }
 
-// ReceiveReport takes another node's report.
+// ReceiveReport handles a report from another node.
 func (s *Service) ReceiveReport(message *wire.CrashReport) {
 	if len(message.Fingerprint) != fingerprintBytes {
 		s.config.Logger.Info("crash report ignored", "reason", errBadFingerprint.Error(), "bytes", len(message.Fingerprint))
@@ -72,7 +73,7 @@
 	}
 }
 
-// isKeeper returns whether this node counts the ends under a request for all.
+// isKeeper reports whether this node is one of the keepers of a request.
 func (s *Service) isKeeper(request Fingerprint) bool {
 	return slices.Contains(s.keepers(request), s.config.Node)
 }
--- a/internal/callers/quarantine/service.go
+++ b/internal/callers/quarantine/service.go
@@ -15,49 +15,51 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// Config is what a Service needs.
+// Config configures a Service.
 type Config struct {
 	// Node is the name of this node.
 	Node string
-	// Span is how long a request stays in quarantine; DefaultSpan if it is not positive.
+	// Span is how long a request stays in quarantine. If it is not positive, DefaultSpan
+	// is used.
 	Span     time.Duration
 	Prober   Prober
 	Store    objectstore.Store
 	Peers    environment.Peers
 	Logger   klog.Logger
 	Registry prometheus.Registerer
-	// Clock counts suspensions of the machine.
+	// Clock must also advance while the machine is suspended.
 	Clock clock.Clock
-	// Nodes lists all nodes, this one included, and Address where another one listens.
-	Nodes   func() []string
+	// Nodes returns the names of all nodes, including this one.
+	Nodes func() []string
+	// Address returns the address on which another node listens.
 	Address func(node string) (address string, known bool)
 }
 
-// Service is one node's part of the quarantine. It is safe for use by many goroutines.
+// Service implements the quarantine on one node. It is safe for concurrent use.
 type Service struct {
 	config   Config
 	metrics  *metrics
 	endCheck *endCheck
 	table    *Table
 	recorder *recorder
-	// ctx ends the examinations.
+	// ctx bounds the checks of replicas.
 	ctx context.Context
 
-	// suspects is the number of requests in the ledger. While it is 0, requests pass
-	// without the lock and without a fingerprint.
+	// suspects is the number of requests in the ledger. While it is 0 and the table is
+	// empty, requests pass without the mutex and without computing a fingerprint.
 	suspects atomic.Int64
 	mutex    sync.Mutex
 	ledger   *Ledger
-	// examining counts the broken runs of each request that are being examined, and
-	// examinationEnded is closed and replaced whenever one of them has been.
+	// examining is the number of broken runs of each request whose replica is being
+	// checked. examinationEnded is closed and replaced whenever such a check has ended.
 	examining        map[Fingerprint]int
 	examinationEnded chan struct{}
 }
 
 var _ dispatch.Guard = (*Service)(nil)
 
-// NewService returns a service that writes nothing to the store before Run. The context
-// ends the examinations of broken runs.
+// NewService returns a Service. It does not write to the store before Run is called. The
+// context bounds the checks of replicas.
 func NewService(ctx context.Context, config Config) *Service {
 	if config.Span <= 0 {
 		config.Span = DefaultSpan
@@ -70,8 +72,8 @@
 	return service
 }
 
-// pruneInterval is the time between the prunings of the ledger. While it has any request,
-// each call costs a fingerprint.
+// pruneInterval is the interval at which the ledger is pruned. While the ledger is not empty,
+// each call costs the computation of a fingerprint.
 const pruneInterval = time.Minute
 
 // Run writes quarantines to the store and prunes the ledger until the context ends.
@@ -84,7 +86,7 @@
 	duties.Wait()
 }
 
-// prune drops the requests that were not seen for suspectLifetime.
+// prune drops suspects without a crash or success for suspectLifetime.
 func (s *Service) prune() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/callers/quarantine/service_test.go
+++ b/internal/callers/quarantine/service_test.go
@@ -22,16 +22,16 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// testNodes are services that talk to each other through a network of the test's.
+// testNodes is a set of services connected by an in-memory network.
 type testNodes struct {
 	store *metastore.Store
 	mutex sync.Mutex
 	nodes map[string]*Service
-	// cut are nodes that nobody reaches.
+	// cut holds the nodes that no message reaches.
 	cut map[string]bool
-	// found is what probes of replicas bring.
+	// found is the result of every probe.
 	found exchange.Liveness
-	// probed is called with each probe, nil for none.
+	// probed is called on each probe. May be nil.
 	probed func()
 }
 
@@ -44,7 +44,7 @@
 	return made
 }
 
-// start starts a node, or starts it anew without what it knew.
+// start starts a node. A node of the same name is replaced by one with empty state.
 func (n *testNodes) start(t *testing.T, node string) *Service {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -96,20 +96,20 @@
 	}
 }
 
-// Call implements environment.Peers; nobody calls here.
+// Call implements environment.Peers. It is not used.
 func (n *testNodes) Call(string, wire.Message, time.Duration, func(wire.Message, error)) {}
 
-// testCall is a request with a body, under an id of its own.
+// testCall returns a call with an id and a body.
 func testCall(id, body string) *dispatch.Call {
 	return &dispatch.Call{ID: id, Method: "POST", Target: "/pay", Host: "bank.example", Body: []byte(body)}
 }
 
-// brokenRun is a run of a call that has just broken at a replica.
+// brokenRun returns an attempt at a replica whose connection broke.
 func brokenRun(call *dispatch.Call, replica string) dispatch.Run {
 	return dispatch.Run{Call: call, Endpoint: &routing.Endpoint{Name: replica, Address: replica}}
 }
 
-// settledBreak has a node examine a broken run to the end.
+// settledBreak reports a broken run to a node and waits until the node has checked it.
 func settledBreak(t *testing.T, service *Service, run dispatch.Run) {
 	t.Helper()
 	service.ObserveBroken(run)
@@ -125,8 +125,7 @@
 	return errors.As(service.Admit(context.Background(), testCall("asks", body)), &quarantined) && quarantined.Left > 0
 }
 
-// Three tries of one request, each at another node and under another id, end one replica
-// each: no node has seen more than one end itself.
+// Guards against counting crashes per node only: retries reach other nodes under other ids.
 func TestEndsAtDifferentNodesAreCountedTogether(t *testing.T) {
 	nodes := startNodes(t, 12)
 	for try, name := range nodes.names()[:endsToQuarantine] {
@@ -141,7 +140,7 @@
 	eventually(t, "the store has it", func() bool { return len(recorded(t, nodes.store)) == 1 })
 }
 
-// Two of the three keepers are lost: the third counts.
+// Guards against losing crashes when two of the three aggregating nodes are unreachable.
 func TestOneKeeperIsEnough(t *testing.T) {
 	nodes := startNodes(t, 9)
 	keepers := nodes.nodes["node-0"].keepers(fingerprintOf(testCall("", "bad")))
@@ -160,7 +159,7 @@
 	eventually(t, "a node that has seen nothing refuses the request", func() bool { return isHeld(nodes.nodes[others[endsToQuarantine]], "bad") })
 }
 
-// A node that nobody reaches still protects replicas from what it sees itself.
+// Guards against a node that needs its peers or the store to quarantine a request.
 func TestANodeThatIsCutOffCountsForItself(t *testing.T) {
 	nodes := startNodes(t, 5)
 	nodes.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Refused })
@@ -176,7 +175,7 @@
 	}
 }
 
-// A node that heard nothing, or was started anew, learns of it from the store.
+// Guards against admitting a quarantined request on a node that was restarted.
 func TestTheStoreTellsNodesThatStart(t *testing.T) {
 	nodes := startNodes(t, 3)
 	for try := range endsToQuarantine {
@@ -188,7 +187,7 @@
 	if !isHeld(started, "bad") {
 		t.Error("the node lets the request through")
 	}
-	// An operator takes it out.
+	// An operator removes the request from the record.
 	empty := objectstore.Object{Name: ObjectName, Spec: json.RawMessage(`{"requests":[]}`)}
 	started.Apply([]objectstore.Change{{Object: empty}}, false)
 	if isHeld(started, "bad") {
@@ -196,7 +195,7 @@
 	}
 }
 
-// Resets of connections and truncated answers are no ends of replicas.
+// Guards against counting connection resets and truncated responses of live replicas.
 func TestBreaksAtLivingReplicasDoNotCount(t *testing.T) {
 	for _, found := range []exchange.Liveness{exchange.Alive, exchange.Unknown} {
 		nodes := startNodes(t, 1)
@@ -210,7 +209,7 @@
 	}
 }
 
-// One replica ends and cuts off many runs of the same popular request.
+// Guards against quarantining a popular request because one crash broke many of its runs.
 func TestOneEndCountsOnceHoweverManyRunsItCuts(t *testing.T) {
 	nodes := startNodes(t, 4)
 	for try := range 20 {
@@ -224,7 +223,7 @@
 	}
 }
 
-// A good request shares replicas with one that ends them, and is served in between.
+// Guards against quarantining a harmless request that shares replicas with a crashing one.
 func TestAWholeAnswerClearsARequest(t *testing.T) {
 	nodes := startNodes(t, 6)
 	for round := range 4 {
@@ -251,7 +250,7 @@
 	}
 }
 
-// A run that was under way when the request was put in quarantine ends well.
+// Guards against keeping the quarantine after a run that started before it has succeeded.
 func TestAWholeAnswerLiftsAQuarantineEverywhere(t *testing.T) {
 	nodes := startNodes(t, 5)
 	for try := range endsToQuarantine {
@@ -272,8 +271,7 @@
 	eventually(t, "the store has it no more", func() bool { return len(recorded(t, nodes.store)) == 0 })
 }
 
-// Items and streams run for seconds and go on elsewhere: what cuts them off is mostly the
-// end that another request has brought about.
+// Guards against counting crashes caused by other requests against long resumable runs.
 func TestRunsThatCameFarDoNotCount(t *testing.T) {
 	nodes := startNodes(t, 1)
 	for try := range 2 * endsToQuarantine {
@@ -286,8 +284,7 @@
 	}
 }
 
-// An item is sent again within milliseconds of its break: the run that follows the third
-// end waits until that has been found out.
+// Guards against admitting a retry while the crash that quarantines its request is checked.
 func TestTheNextRunWaitsForWhatIsBeingFoundOut(t *testing.T) {
 	nodes := startNodes(t, 1)
 	service := nodes.nodes["node-0"]
@@ -331,7 +328,7 @@
 	}
 }
 
-// Ends of long ago no longer cost ordinary requests anything.
+// Guards against computing fingerprints for all requests long after the last crash.
 func TestAServiceForgetsEndsOfLongAgo(t *testing.T) {
 	now := start
 	service := NewService(t.Context(), Config{
--- a/internal/callers/quarantine/sink.go
+++ b/internal/callers/quarantine/sink.go
@@ -6,7 +6,7 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// Replace takes a whole listing of the kind from package watchcache.
+// Replace applies a complete list of the objects of Kind. Package watchcache calls it.
 func (s *Service) Replace(objects []objectstore.Object, _ bool) {
 	for _, object := range objects {
 		if object.Name == ObjectName {
@@ -17,7 +17,7 @@
 	s.table.ApplyStored(nil, s.config.Clock())
 }
 
-// Apply takes changes of the kind from package watchcache.
+// Apply applies changes to objects of Kind. Package watchcache calls it.
 func (s *Service) Apply(changes []objectstore.Change, _ bool) {
 	for _, change := range changes {
 		switch {
@@ -30,8 +30,9 @@
 	}
 }
 
-// applyRecord takes the store's record. The age of a quarantine goes by the time of day;
-// with a wrong clock the rest is shorter or longer, but never longer than the span.
+// applyRecord applies the stored record to the table. The age of a quarantine is computed from
+// wall-clock time, so a wrong clock shortens or extends the rest of it, but never beyond
+// Config.Span.
 func (s *Service) applyRecord(object objectstore.Object) {
 	began, err := decodeRecord(object.Spec)
 	if err != nil {
--- a/internal/callers/quarantine/table.go
+++ b/internal/callers/quarantine/table.go
@@ -9,31 +9,32 @@
 
 // held is a request in quarantine.
 type held struct {
-	// until is when the quarantine ends, by this node's steady clock.
+	// until is the end of the quarantine, by this node's steady clock.
 	until time.Time
-	// stored is set once the store has listed it, so that its absence from a later
-	// listing means that it was lifted.
+	// stored is set once the stored record has listed the request. Its absence from a
+	// later record then means that the quarantine was lifted.
 	stored bool
 }
 
-// Table is a node's copy of the requests in quarantine. Readers take no lock; each change
-// publishes another map.
+// Table holds the requests in quarantine that a node knows of. Reads take no lock; each
+// update publishes a new map.
 type Table struct {
 	mutex   sync.Mutex
 	current atomic.Pointer[map[Fingerprint]held]
 }
 
-// NewTable returns an empty table.
+// NewTable returns an empty Table.
 func NewTable() *Table {
 	table := &Table{}
 	table.current.Store(&map[Fingerprint]held{})
 	return table
 }
 
-// IsEmpty returns whether the table holds no request.
+// IsEmpty reports whether the table holds no request. Expired quarantines count until the next
+// update removes them.
 func (t *Table) IsEmpty() bool { return len(*t.current.Load()) == 0 }
 
-// Len returns the number of requests in quarantine at a time.
+// Len returns the number of requests in quarantine at time now.
 func (t *Table) Len(now time.Time) int {
 	count := 0
 	for _, entry := range *t.current.Load() {
@@ -44,7 +45,8 @@
 	return count
 }
 
-// TimeLeft returns the time until the quarantine of a request ends, 0 if there is none.
+// TimeLeft returns the time until the quarantine of a request ends, or 0 if it is not in
+// quarantine.
 func (t *Table) TimeLeft(request Fingerprint, now time.Time) time.Duration {
 	entry, found := (*t.current.Load())[request]
 	if !found {
@@ -53,7 +55,8 @@
 	return max(0, entry.until.Sub(now))
 }
 
-// Hold puts a request in quarantine until a time, and returns whether it was not in it.
+// Hold puts a request in quarantine until a time. It returns false and changes nothing if the
+// request already is in quarantine.
 func (t *Table) Hold(request Fingerprint, until, now time.Time) bool {
 	isNew := false
 	t.change(now, func(next map[Fingerprint]held) {
@@ -65,10 +68,10 @@
 	return isNew
 }
 
-// Lift ends the quarantine of a request, and returns whether it was in it.
+// Lift takes a request out of quarantine and reports whether it was in it.
 func (t *Table) Lift(request Fingerprint, now time.Time) bool {
 	if _, held := (*t.current.Load())[request]; !held {
-		// The usual case, at each whole answer, copies nothing.
+		// Avoid copying the map in the common case.
 		return false
 	}
 	lifted := false
@@ -79,9 +82,9 @@
 	return lifted
 }
 
-// ApplyStored takes the requests that the store lists, with the end of each quarantine. A
-// request that the store listed before and does not list now is lifted; one that this node
-// has from its peers alone stays.
+// ApplyStored applies the stored record: the requests that it lists, with the end of each
+// quarantine. A request that an earlier record listed and this one does not is removed. A
+// request that no record has listed yet, known from this node or its peers, stays.
 func (t *Table) ApplyStored(listed map[Fingerprint]time.Time, now time.Time) {
 	t.change(now, func(next map[Fingerprint]held) {
 		maps.DeleteFunc(next, func(request Fingerprint, entry held) bool {
@@ -99,7 +102,7 @@
 	})
 }
 
-// change publishes a changed map without the quarantines that are over.
+// change publishes a copy of the map with apply applied and expired quarantines removed.
 func (t *Table) change(now time.Time, apply func(next map[Fingerprint]held)) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/callers/quarantine/table_test.go
+++ b/internal/callers/quarantine/table_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// A node hears of a quarantine from its peers before the store lists it.
+// Guards against lifting a quarantine that peers reported before the store lists it.
 func TestListingWithoutARequestLiftsOnlyWhatWasListed(t *testing.T) {
 	table := NewTable()
 	table.Hold(numbered(1), start.Add(time.Minute), start)
