--- a/internal/callers/forward/meter.go
+++ b/internal/callers/forward/meter.go
@@ -4,12 +4,12 @@
 
 // Meter counts requests that started to run.
 type Meter interface {
-	// Began counts a request that started to run at a time. The tenant is empty if no
+	// CountRequest counts a request that started to run at a time. The tenant is empty if no
 	// tenants are declared.
-	Began(tenant string, at time.Time)
+	CountRequest(tenant string, at time.Time)
 }
 
 // noMeter is a Meter that counts nothing.
 type noMeter struct{}
 
-func (noMeter) Began(string, time.Time) {}
+func (noMeter) CountRequest(string, time.Time) {}
--- a/internal/callers/forward/refusal.go
+++ b/internal/callers/forward/refusal.go
@@ -20,9 +20,9 @@
 // refusalReasons maps the filter that excluded the last replicas to the reason for the
 // caller. For other filters the caller gets the general reason.
 var refusalReasons = map[routing.Reason]string{
-	routing.ReasonEvacuated:   ReasonEvacuated,
-	routing.ReasonOutsideHome: ReasonOutsideHome,
-	routing.ReasonSlowStart:   ReasonWarmingUp,
+	routing.ReasonEvacuated:      ReasonEvacuated,
+	routing.ReasonOutsideRegions: ReasonOutsideHome,
+	routing.ReasonSlowStart:      ReasonWarmingUp,
 }
 
 // newRefusal returns the error for a request that has not run. The reason is
@@ -67,7 +67,7 @@
 // filterReason returns the reason of the filter that excluded the last replicas, or "" if
 // the error is not a *routing.NoneLeftError.
 func filterReason(err error) routing.Reason {
-	var nobody *routing.NoneLeftError
+	var nobody *routing.NoEligibleEndpointError
 	if errors.As(err, &nobody) {
 		return nobody.Reason
 	}
--- a/internal/duties/lease/lease_test.go
+++ b/internal/duties/lease/lease_test.go
@@ -16,21 +16,21 @@
 	return NewLease(node, node, testTerm, store, clock.Steady)
 }
 
-// acquireNow acquires without a wait or fails the test.
+// acquireNow acquires the lease, which must need no wait, and returns the token.
 func acquireNow(t *testing.T, held *Lease) uint64 {
 	t.Helper()
 	pause, err := held.Acquire(context.Background())
 	if pause != 0 || err != nil {
 		t.Fatalf("%s: wait %s, %v", held.state.node, pause, err)
 	}
-	token, valid := held.Valid()
+	token, valid := held.ValidToken()
 	if !valid {
 		t.Fatalf("%s: the lease is not valid once acquired", held.state.node)
 	}
 	return token
 }
 
-// awaitLease acquires after the waits that that takes, or fails the test.
+// awaitLease acquires the lease after the necessary waits.
 func awaitLease(t *testing.T, successor *Lease) {
 	t.Helper()
 	for {
@@ -45,8 +45,8 @@
 	}
 }
 
-// A renewal that wrote the same object made no revision, so that a successor
-// that had seen the first write took over while orders were still given.
+// A renewal that doesn't change the stored object makes no new revision, and a successor
+// would take over while the holder still sends calls.
 func TestEachRenewalRaisesTheToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		held := newLease("one", metastore.New())
@@ -57,6 +57,8 @@
 	})
 }
 
+// A successor that waits from an earlier write than the last one would call at the same time
+// as the holder.
 func TestSuccessorWaitsForTheLastWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := metastore.New()
@@ -72,29 +74,30 @@
 		if waited := time.Since(renewed); waited < SendWindow+testTerm {
 			t.Errorf("the successor gave orders %s after the holder's last write", waited)
 		}
-		if _, valid := former.Valid(); valid {
+		if _, valid := former.ValidToken(); valid {
 			t.Error("the former holder may still give orders")
 		}
 		if _, err := former.Acquire(context.Background()); err == nil {
-			if _, valid := former.Valid(); valid {
+			if _, valid := former.ValidToken(); valid {
 				t.Error("the former holder took the lease back at once")
 			}
 		}
 	})
 }
 
+// A holder that was paused for the send window would call after another node took over.
 func TestFormerHolderThatWakesGivesNoOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		held := newLease("one", metastore.New())
 		acquireNow(t, held)
 		time.Sleep(SendWindow)
-		if _, valid := held.Valid(); valid {
+		if _, valid := held.ValidToken(); valid {
 			t.Error("the lease is valid after its time")
 		}
 	})
 }
 
-// A write that is done late must not be taken for one made now.
+// A write that is applied late must not be taken for a later renewal.
 func TestUnansweredWriteIsReadBeforeTheNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := metastore.New()
@@ -109,7 +112,7 @@
 		if _, err := held.Acquire(context.Background()); err == nil {
 			t.Fatal("a write without an answer succeeded")
 		}
-		if _, valid := held.Valid(); valid {
+		if _, valid := held.ValidToken(); valid {
 			t.Error("orders are allowed on a write without an answer")
 		}
 		store.ApplyLate()
@@ -118,8 +121,8 @@
 	})
 }
 
-// A planned stop hands the lease over without a wait, but not to whoever held it
-// a moment before.
+// A graceful shutdown lets the successor take over without a wait, unless the holder's own
+// predecessor may have sent calls within the takeover gap.
 func TestReleasedLeaseIsTakenAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := metastore.New()
@@ -134,7 +137,7 @@
 		if err := former.release(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		if _, valid := former.Valid(); valid {
+		if _, valid := former.ValidToken(); valid {
 			t.Error("the lease is valid once released")
 		}
 		if pause, err := former.Acquire(context.Background()); err == nil {
@@ -147,8 +150,8 @@
 	})
 }
 
-// A write that replaces a revision learnt after the wait was over would put this
-// node beside the one that wrote it.
+// A write that replaces a revision observed after the decision to write would take the lease
+// from a new holder without a wait.
 func TestWriteFailsOnWhatIsLearntAfterTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := metastore.New()
@@ -162,25 +165,26 @@
 		if err := held.write(context.Background(), next.replaces, false); err == nil {
 			t.Error("the lease was taken from its holder")
 		}
-		if _, valid := held.Valid(); valid {
+		if _, valid := held.ValidToken(); valid {
 			t.Error("both nodes hold the lease")
 		}
 	})
 }
 
-// What a holder keeps in memory is whole only since no other node has held the lease.
+// The in-memory state of a holder is complete only from the time since which no other node
+// has held the lease.
 func TestAHolderKnowsSinceWhenItIsAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := metastore.New()
 		one, two := newLease("one", store), newLease("two", store)
 		acquireNow(t, one)
-		began, _ := one.Held()
+		began, _ := one.HeldSince()
 		time.Sleep(2 * SendWindow)
-		if _, valid := one.Held(); valid {
+		if _, valid := one.HeldSince(); valid {
 			t.Error("the lease is held beyond its window")
 		}
 		acquireNow(t, one)
-		if since, valid := one.Held(); !valid || !since.Equal(began) {
+		if since, valid := one.HeldSince(); !valid || !since.Equal(began) {
 			t.Errorf("held since %s, %v; nobody else has held it since %s", since, valid, began)
 		}
 		two.Observe(one.LastObserved())
@@ -192,14 +196,14 @@
 		time.Sleep(SendWindow + testTerm + takeoverMargin)
 		again := time.Now()
 		acquireNow(t, one)
-		if since, valid := one.Held(); !valid || since.Before(again) {
+		if since, valid := one.HeldSince(); !valid || since.Before(again) {
 			t.Errorf("held since %s, %v; another has held it meanwhile", since, valid)
 		}
 	})
 }
 
-// A holder's machine is suspended for longer than its window: when it wakes, another node
-// may hold the lease. The steady clock has not moved meanwhile.
+// The monotonic clock stops while the machine is suspended. A holder that used it would call
+// after another node took over.
 func TestALeaseRunsOutWhileTheMachineIsSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		suspended := time.Duration(0)
@@ -208,10 +212,10 @@
 		held := NewLease("one", "one", testTerm, store, counting)
 		acquireNow(t, held)
 		suspended = SendWindow
-		if _, valid := held.Valid(); valid || held.Remaining() != 0 {
+		if _, valid := held.ValidToken(); valid || held.Remaining() != 0 {
 			t.Error("the lease is valid after the suspension")
 		}
-		// The write of a renewal was sent before a further one, and answered after it.
+		// The machine is suspended again between the write of a renewal and its result.
 		store.SetDelay(func(metastore.Call) metastore.Delay {
 			suspended += SendWindow
 			return metastore.Delay{}
@@ -219,14 +223,14 @@
 		if _, err := held.Acquire(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if _, valid := held.Valid(); valid {
+		if _, valid := held.ValidToken(); valid {
 			t.Error("a renewal counts from its answer and not from its sending")
 		}
 	})
 }
 
-// The lease was overwritten by another writer, with bytes that could not be read. Every
-// node failed to read it from then on, and nobody gave orders or reported usage any more.
+// A stored lease that can't be decoded must be replaced. Otherwise no node could ever perform
+// the duties again.
 func TestALeaseThatCannotBeReadEndsNoDuty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := metastore.New()
--- a/internal/duties/weightorders/coordinator_test.go
+++ b/internal/duties/weightorders/coordinator_test.go
@@ -19,21 +19,21 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// orderedReplicas are replicas that carry every order out at once.
+// orderedReplicas is a fake client of replicas that execute every order immediately.
 type orderedReplicas struct {
 	mutex    sync.Mutex
 	versions map[string]int64
-	orders   []Order
+	orders   []LoadOrder
 	last     time.Time
 }
 
-func (r *orderedReplicas) Report(_ context.Context, target Target) (Report, error) {
+func (r *orderedReplicas) WeightStatus(_ context.Context, target Target) (WeightStatus, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return Report{Sequence: int64(len(r.orders)), Versions: map[string]int64{"m": r.versions[target.ID]}}, nil
+	return WeightStatus{Sequence: int64(len(r.orders)), Versions: map[string]int64{"m": r.versions[target.ID]}}, nil
 }
 
-func (r *orderedReplicas) Order(_ context.Context, target Target, order Order) (bool, error) {
+func (r *orderedReplicas) OrderLoad(_ context.Context, target Target, order LoadOrder) (bool, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.orders, r.last = append(r.orders, order), time.Now()
@@ -41,14 +41,14 @@
 	return false, nil
 }
 
-// newest is the order given last, and when.
-func (r *orderedReplicas) newest() (Order, time.Time) {
+// newest returns the last order and its time.
+func (r *orderedReplicas) newest() (LoadOrder, time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.orders[len(r.orders)-1], r.last
 }
 
-// fleet is a set of coordinators before the same replicas.
+// fleet is a set of coordinators of the same replicas.
 type fleet struct {
 	store        *metastore.Store
 	table        *directory.Table
@@ -65,18 +65,18 @@
 	return f
 }
 
-// start runs a process of each node.
+// start runs a new process of each of some nodes.
 func (f *fleet) start(ctx context.Context, nonce string, nodes ...string) {
 	ctx, f.stop = context.WithCancel(ctx)
 	var coordinators []*Coordinator
 	for _, node := range nodes {
-		var keeper *lease.Keeper
-		keeper = lease.NewKeeper(lease.Config{
-			Node: node, Lease: lease.NewLease(node, nonce, lease.DefaultTerm, f.store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
-			Nodes: func() []string { return nodes }, Silence: func(string) time.Duration { return time.Hour }, Announce: func([]string) { f.announce(keeper) },
+		var keeper *lease.Elector
+		keeper = lease.NewElector(lease.Config{
+			Node: node, Lease: lease.NewLease(node, nonce, lease.DefaultTakeoverGap, f.store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
+			Nodes: func() []string { return nodes }, SinceHeartbeat: func(string) time.Duration { return time.Hour }, Announce: func([]string) { f.announce(keeper) },
 		})
 		made := NewCoordinator(Config{
-			Keeper: keeper, Directory: f.table, Replicas: f.replicas, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
+			Elector: keeper, Directory: f.table, Replicas: f.replicas, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
 			RunningItems: func(string) int { return 0 }, Tolerance: func(string) int64 { return 0 }, Demand: func() Demand { return Demand{} }, OnChange: f.list,
 			Announce: func() { f.announce(keeper) },
 		})
@@ -90,7 +90,7 @@
 	}
 }
 
-// list writes a replica's entry anew once it has another version.
+// list updates a replica's entry in the directory when its version has changed.
 func (f *fleet) list(change wire.ReplicaVersion) {
 	if !change.Loading {
 		f.table.ApplyReplicas([]directory.ReplicaChange{{Name: change.Replica, Replica: &directory.Replica{
@@ -99,21 +99,20 @@
 	}
 }
 
-// announce is a heartbeat of one node to all.
-func (f *fleet) announce(from *lease.Keeper) {
+// announce sends a node's observation of the lease to all other nodes.
+func (f *fleet) announce(from *lease.Elector) {
 	seen := from.LastObserved()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, other := range f.coordinators {
-		if other.config.Keeper != from {
-			go other.config.Keeper.Observe(seen)
+		if other.config.Elector != from {
+			go other.config.Elector.Observe(seen)
 		}
 	}
 }
 
-// inc-8541: all nodes lost power. Whoever is first in rank found the lease held
-// by another and waited for its time, and the holder, back within a second, did
-// not know that it need not.
+// When all nodes restart, the previous holder must learn that it is the holder and resume
+// without the wait of a successor.
 func TestHolderThatWasStartedAnewGoesOnAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
@@ -121,8 +120,7 @@
 		for number := range 12 {
 			nodes = append(nodes, fmt.Sprintf("node-%d", number))
 		}
-		// Those first in rank are away one after the other, so that the lease
-		// comes to one far back.
+		// Each round stops the holder, so that the lease moves to a node with a low rank.
 		current := slices.Clone(nodes)
 		version := int64(2)
 		for range 8 {
@@ -132,7 +130,7 @@
 			f.stop()
 			time.Sleep(time.Second)
 			holder, _ := f.replicas.newest()
-			current = slices.DeleteFunc(slices.Clone(current), func(node string) bool { return node == holder.Owner })
+			current = slices.DeleteFunc(slices.Clone(current), func(node string) bool { return node == holder.Holder })
 			version++
 		}
 		before, _ := f.replicas.newest()
@@ -141,15 +139,16 @@
 		began := time.Now()
 		time.Sleep(20 * time.Second)
 		after, last := f.replicas.newest()
-		if after.Version != version || after.Owner != before.Owner || last.Sub(began) > 3*time.Second {
-			t.Errorf("version %d was ordered by %s after %s, the holder was %s", after.Version, after.Owner, last.Sub(began), before.Owner)
+		if after.Version != version || after.Holder != before.Holder || last.Sub(began) > 3*time.Second {
+			t.Errorf("version %d was ordered by %s after %s, the holder was %s", after.Version, after.Holder, last.Sub(began), before.Holder)
 		}
 		f.stop()
 		time.Sleep(time.Minute)
 	})
 }
 
-// A holder that does not come back is waited for as long as its lease may hold.
+// A successor that takes over before the holder's lease has expired would send orders at the
+// same time.
 func TestSuccessorWaitsForAHolderThatStaysAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
@@ -160,7 +159,7 @@
 		f.stop()
 		var left []string
 		for _, node := range []string{"one", "two", "three"} {
-			if node != before.Owner {
+			if node != before.Holder {
 				left = append(left, node)
 			}
 		}
@@ -169,10 +168,10 @@
 		began := time.Now()
 		time.Sleep(20 * time.Second)
 		after, last := f.replicas.newest()
-		if after.Owner == before.Owner || after.Version != 3 || after.Token <= before.Token {
+		if after.Holder == before.Holder || after.Version != 3 || after.Token <= before.Token {
 			t.Errorf("the last order is %+v after %+v", after, before)
 		}
-		if last.Sub(began) < lease.SendWindow+lease.DefaultTerm {
+		if last.Sub(began) < lease.SendWindow+lease.DefaultTakeoverGap {
 			t.Errorf("a successor gave orders %s after its start", last.Sub(began))
 		}
 		f.stop()
--- a/internal/instance/messages.go
+++ b/internal/instance/messages.go
@@ -11,13 +11,13 @@
 func (p *parts) handle(ctx context.Context, message wire.Message, reply func(wire.Message)) {
 	switch message := message.(type) {
 	case *wire.NodeBeat:
-		reply(p.peers.AnswerGreeting(message))
+		reply(p.peers.HandleJoin(message))
 		return
 	case *wire.WatchPoll:
-		reply(p.source.Answer(ctx, message))
+		reply(p.source.HandlePoll(ctx, message))
 		return
 	case *wire.StoreCall:
-		reply(p.store.Answer(ctx, message))
+		reply(p.store.HandleCall(ctx, message))
 		return
 	case *wire.CrashReport:
 		p.quarantine.ReceiveReport(message)
@@ -41,11 +41,11 @@
 // fillHeartbeat adds this node's state to its heartbeat.
 func (p *parts) fillHeartbeat(heartbeat *wire.NodeBeat) {
 	p.jobs.FillHeartbeat(heartbeat)
-	heartbeat.Versions = p.weights.Versions()
+	heartbeat.Versions = p.weights.AnnouncedVersions()
 	if p.usage != nil {
 		p.usage.FillHeartbeat(heartbeat)
 	}
-	heartbeat.Lease = p.keeper.Tenure()
+	heartbeat.Lease = p.keeper.TenureToken()
 	last := p.keeper.LastObserved()
 	heartbeat.LeaseHolder, heartbeat.LeaseSeen, heartbeat.LeaseReleased = last.Holder, last.Revision, last.Released
 }
--- a/internal/instance/slowstart.go
+++ b/internal/instance/slowstart.go
@@ -38,7 +38,7 @@
 	self      jobstore.Owner
 	peers     *peering.Table
 	transport *transport.Transport
-	keeper    *lease.Keeper
+	keeper    *lease.Elector
 	client    *slowstart.Client
 	allotter  *slowstart.Allotter
 	// failures counts the nodes that were asked in vain: the next question goes to the
@@ -48,18 +48,18 @@
 
 // allotterLease is the duty lease as the allotter sees it.
 type allotterLease struct {
-	*lease.Keeper
+	*lease.Elector
 	*lease.Lease
 }
 
 func (p *parts) newSlowStart() *slowStart {
 	made := &slowStart{self: p.self, peers: p.peers, transport: p.transport, keeper: p.keeper}
 	made.client = slowstart.NewClient(slowstart.ClientConfig{
-		Ask: made.ask, Clock: p.clock, Allotted: p.jobs.WakeScheduler, Logger: p.logger, Registry: p.registry,
+		RequestPermits: made.ask, Clock: p.clock, Allotted: p.jobs.WakeScheduler, Logger: p.logger, Registry: p.registry,
 	})
 	made.allotter = slowstart.NewAllotter(slowstart.AllotterConfig{
 		Limits: slowstart.Limits{Overage: p.settings.WarmUpOverage, Slack: p.settings.WarmUpSlack},
-		Lease:  allotterLease{Keeper: p.keeper, Lease: p.lease}, Clock: p.clock, Logger: p.logger, Registry: p.registry,
+		Lease:  allotterLease{Elector: p.keeper, Lease: p.lease}, Clock: p.clock, Logger: p.logger, Registry: p.registry,
 		Rate: func(replica string) float64 { return p.directory.View().WarmUpRate(replica) },
 	})
 	return made
@@ -67,7 +67,7 @@
 
 // answer answers another node's question.
 func (s *slowStart) answer(question *wire.PermitAsk) *wire.PermitGrant {
-	return &wire.PermitGrant{Granted: s.allotter.Allot(question.Wanted), SpanMs: uint32(slowstart.Span.Milliseconds())}
+	return &wire.PermitGrant{Granted: s.allotter.Allot(question.Wanted), SpanMs: uint32(slowstart.PermitLifetime.Milliseconds())}
 }
 
 // ask asks whoever allots: this node itself where it holds the lease.
@@ -113,7 +113,7 @@
 // duty lease unless it gave it up, then those that would follow it.
 func (s *slowStart) allotters() []string {
 	last := s.keeper.LastObserved()
-	named := s.keeper.Informed(allotterFollowers)
+	named := s.keeper.HolderAndSuccessors(allotterFollowers)
 	if last.Holder == "" {
 		return named
 	}
