--- a/internal/callers/dispatch/call.go
+++ b/internal/callers/dispatch/call.go
@@ -20,14 +20,14 @@
 	Body   []byte
 	// Deadline is the time by which this node must have the response.
 	Deadline time.Time
-	// AfterEvent is the id of the event after which a stream is resumed, 0 to start from
+	// LastEventID is the id of the event after which a stream is resumed, 0 to start from
 	// the beginning.
-	AfterEvent int
+	LastEventID int
 	// Version is the weight version that the replica must have, 0 for any.
 	Version int64
-	// Once is set if the request must not run twice. It is then sent only over a
+	// AtMostOnce is set if the request must not run twice. It is then sent only over a
 	// connection that the replica is unlikely to close at the same time.
-	Once bool
+	AtMostOnce bool
 	// Resumable is set if another attempt can continue after the events of this one.
 	Resumable bool
 	// Tenant is the caller's tenant, empty if no tenants are declared.
@@ -37,10 +37,10 @@
 	Metered bool
 	// Purpose labels the connection metrics; empty means exchange.PurposeLive.
 	Purpose exchange.Purpose
-	// Rank is the scheduling priority at the replica's engine: 1 is the most urgent, 0
+	// EnginePriority is the scheduling priority at the replica's engine: 1 is the most urgent, 0
 	// means the replica's default.
-	Rank int
+	EnginePriority int
 }
 
-// RankOf converts a route's priority, of which 0 is the most urgent, to a Rank.
-func RankOf(priority int) int { return 1 + max(0, priority) }
+// EnginePriorityOf converts a route's priority, of which 0 is the most urgent, to a Rank.
+func EnginePriorityOf(priority int) int { return 1 + max(0, priority) }
--- a/internal/callers/dispatch/dispatcher.go
+++ b/internal/callers/dispatch/dispatcher.go
@@ -11,14 +11,14 @@
 // Dispatcher sends calls to replicas. It is safe for concurrent use.
 type Dispatcher struct {
 	pool    *exchange.Pool
-	headers Headers
+	headers HeaderCodec
 	metrics *Metrics
 	// guard may be nil.
 	guard Guard
 }
 
 // New returns a Dispatcher that uses a pool of connections. Metrics may be nil.
-func New(pool *exchange.Pool, headers Headers, metrics *Metrics) *Dispatcher {
+func New(pool *exchange.Pool, headers HeaderCodec, metrics *Metrics) *Dispatcher {
 	return &Dispatcher{pool: pool, headers: headers, metrics: metrics}
 }
 
@@ -29,7 +29,7 @@
 // caller must Close or Discard it. The error is a *QuarantinedError, a *WithheldError, a
 // *NotRunError, an *exchange.NotSentError or an *exchange.BrokenError; MayHaveRun reports
 // whether the replica may have run the request.
-func (d *Dispatcher) Send(ctx context.Context, endpoint *routing.Endpoint, call *Call) (*Answer, error) {
+func (d *Dispatcher) Send(ctx context.Context, endpoint *routing.Endpoint, call *Call) (*Response, error) {
 	if d.guard != nil {
 		if err := d.guard.Admit(ctx, call); err != nil {
 			return nil, err
@@ -40,9 +40,9 @@
 		return nil, withheld
 	}
 	request := d.newRequest(endpoint, call)
-	run := &Run{Call: call, Endpoint: endpoint, guard: d.guard, sent: time.Now()}
+	run := &Attempt{Call: call, Endpoint: endpoint, guard: d.guard, sent: time.Now()}
 	endpoint.State.InFlight.Add(1)
-	response, err := d.pool.Send(ctx, endpoint.Address, request, call.Once)
+	response, err := d.pool.Send(ctx, endpoint.Address, request, call.AtMostOnce)
 	if err != nil {
 		endpoint.State.InFlight.Add(-1)
 		if ctx.Err() == nil {
@@ -51,7 +51,7 @@
 		}
 		return nil, err
 	}
-	answer := &Answer{Response: response, Verdict: d.headers.Judge(response.Status, response.Header), Endpoint: endpoint}
+	answer := &Response{Response: response, Metadata: d.headers.Decode(response.Status, response.Header), Endpoint: endpoint}
 	if err := answer.check(call); err != nil {
 		return nil, err
 	}
@@ -74,9 +74,9 @@
 // newRequest returns the HTTP request that sends a call to a replica.
 func (d *Dispatcher) newRequest(endpoint *routing.Endpoint, call *Call) *exchange.Request {
 	header := call.Header.Clone()
-	d.headers.Prepare(header, Conditions{
-		Replica: endpoint.InstanceName(), Remaining: time.Until(call.Deadline), AfterEvent: call.AfterEvent, Version: call.Version,
-		Rank: call.Rank, Tenant: call.Tenant,
+	d.headers.Encode(header, RequestMetadata{
+		Replica: endpoint.InstanceName(), Remaining: time.Until(call.Deadline), LastEventID: call.LastEventID, Version: call.Version,
+		EnginePriority: call.EnginePriority, Tenant: call.Tenant,
 	})
 	return &exchange.Request{
 		Method: call.Method, Target: call.Target, Host: call.Host, Header: header, Body: call.Body, Purpose: call.Purpose,
--- a/internal/callers/dispatch/errors.go
+++ b/internal/callers/dispatch/errors.go
@@ -11,8 +11,8 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// ErrForeignAnswer means that a response carries the id of another request.
-var ErrForeignAnswer = merry.Sentinel("answer belongs to another request")
+// ErrResponseMismatch means that a response carries the id of another request.
+var ErrResponseMismatch = merry.Sentinel("answer belongs to another request")
 
 // ErrUnsigned means that a response with status 2xx is not signed by a replica.
 var ErrUnsigned = merry.Sentinel("success without a signature")
@@ -21,8 +21,8 @@
 type NotRunError struct {
 	Replica string
 	Status  int
-	// OtherReplica is set if another replica now has the address.
-	OtherReplica bool
+	// AddressReassigned is set if another replica now has the address.
+	AddressReassigned bool
 }
 
 func (e *NotRunError) Error() string {
@@ -46,12 +46,12 @@
 type QuarantinedError struct {
 	// Fingerprint identifies the request independently of its id.
 	Fingerprint string
-	// Left is the time until the quarantine ends.
-	Left time.Duration
+	// Remaining is the time until the quarantine ends.
+	Remaining time.Duration
 }
 
 func (e *QuarantinedError) Error() string {
-	return fmt.Sprintf("request %s is not sent for %v: replicas end under it", e.Fingerprint, e.Left.Round(time.Second))
+	return fmt.Sprintf("request %s is not sent for %v: replicas end under it", e.Fingerprint, e.Remaining.Round(time.Second))
 }
 
 // MayHaveRun reports whether a replica may have run the request of an attempt that failed
--- a/internal/callers/dispatch/errors_test.go
+++ b/internal/callers/dispatch/errors_test.go
@@ -15,13 +15,13 @@
 		err        error
 		mayHaveRun bool
 	}{
-		{&QuarantinedError{Left: time.Second}, false},
+		{&QuarantinedError{Remaining: time.Second}, false},
 		{&WithheldError{Reason: routing.ReasonSlowStart}, false},
 		{&NotRunError{Status: 503}, false},
 		{&exchange.NotSentError{Cause: net.ErrClosed}, false},
 		{fmt.Errorf("wrapped: %w", &exchange.NotSentError{Cause: net.ErrClosed}), false},
 		{&exchange.BrokenError{Cause: net.ErrClosed}, true},
-		{&exchange.BrokenError{Cause: ErrForeignAnswer}, true},
+		{&exchange.BrokenError{Cause: ErrResponseMismatch}, true},
 		{net.ErrClosed, true},
 	} {
 		if got := MayHaveRun(test.err); got != test.mayHaveRun {
--- a/internal/callers/dispatch/guard.go
+++ b/internal/callers/dispatch/guard.go
@@ -10,8 +10,8 @@
 	Admit(ctx context.Context, call *Call) error
 	// ObserveBroken is called for an attempt whose connection broke before the response
 	// was complete.
-	ObserveBroken(run Run)
-	// ObserveServed is called for a call whose complete response, of whatever status, has
+	ObserveBroken(run Attempt)
+	// ObserveResponse is called for a call whose complete response, of whatever status, has
 	// been read.
-	ObserveServed(call *Call, status int)
+	ObserveResponse(call *Call, status int)
 }
--- a/internal/callers/exchange/bounds.go
+++ b/internal/callers/exchange/bounds.go
@@ -4,8 +4,8 @@
 // called.
 const defaultMaxIdle = 32
 
-// Bound limits the connections of a pool to one address.
-type Bound struct {
+// ConnectionLimits limits the connections of a pool to one address.
+type ConnectionLimits struct {
 	// Open is the maximum number of connections, including idle ones.
 	Open int
 	// Idle is the maximum number of idle connections.
@@ -45,9 +45,9 @@
 	}
 }
 
-// SetBounds sets the limits of each address. It closes idle connections that exceed them, and
+// SetLimits sets the limits of each address. It closes idle connections that exceed them, and
 // all idle connections to addresses that are not listed.
-func (p *Pool) SetBounds(bounds map[string]Bound) {
+func (p *Pool) SetLimits(bounds map[string]ConnectionLimits) {
 	p.mutex.Lock()
 	p.bounds = bounds
 	var dropped []*connection
--- a/internal/callers/exchange/connection.go
+++ b/internal/callers/exchange/connection.go
@@ -34,7 +34,7 @@
 // readable, either the peer sent unsolicited data or it closed the connection.
 func (c *connection) checkIdle() error {
 	if c.reader.Buffered() > 0 {
-		return ErrSurplus
+		return ErrUnsolicitedData
 	}
 	if !c.idleUntil.IsZero() && time.Now().After(c.idleUntil) {
 		return ErrClosedByPeer
@@ -53,7 +53,7 @@
 		count, readErr := syscall.Read(int(descriptor), one[:])
 		switch {
 		case count > 0:
-			problem = ErrSurplus
+			problem = ErrUnsolicitedData
 		case count == 0 && readErr == nil:
 			problem = ErrClosedByPeer
 		case readErr != syscall.EAGAIN && readErr != syscall.EINTR:
--- a/internal/callers/exchange/errors.go
+++ b/internal/callers/exchange/errors.go
@@ -7,8 +7,8 @@
 )
 
 var (
-	// ErrSurplus means that data arrived on an idle connection.
-	ErrSurplus = merry.Sentinel("surplus bytes on a connection")
+	// ErrUnsolicitedData means that data arrived on an idle connection.
+	ErrUnsolicitedData = merry.Sentinel("surplus bytes on a connection")
 	// ErrTooManyConnections means that the limit on connections to an address is
 	// reached.
 	ErrTooManyConnections = merry.Sentinel("too many connections to the address")
--- a/internal/callers/exchange/pool.go
+++ b/internal/callers/exchange/pool.go
@@ -15,9 +15,9 @@
 type Counts struct {
 	Dialed atomic.Int64
 	Reused atomic.Int64
-	// Unsound counts idle connections that were closed by the peer or had unsolicited
+	// Stale counts idle connections that were closed by the peer or had unsolicited
 	// data.
-	Unsound atomic.Int64
+	Stale atomic.Int64
 	// Open is the current number of connections, including idle ones.
 	Open atomic.Int64
 }
@@ -29,7 +29,7 @@
 	idle  map[string][]*connection
 	// open is the number of connections to each address, including idle ones.
 	open   map[string]int
-	bounds map[string]Bound
+	bounds map[string]ConnectionLimits
 	Counts Counts
 	// Metrics may be nil. It must not be changed after the first request.
 	Metrics *Metrics
@@ -103,7 +103,7 @@
 			p.Counts.Reused.Add(1)
 			return conn, unfit
 		}
-		p.Counts.Unsound.Add(1)
+		p.Counts.Stale.Add(1)
 		p.discard(conn)
 	}
 }
--- a/internal/callers/exchange/pool_test.go
+++ b/internal/callers/exchange/pool_test.go
@@ -266,7 +266,7 @@
 	}
 	address := script(t, answer, answer, answer)
 	pool := NewPool(nil)
-	pool.SetBounds(map[string]Bound{address: {Open: 2, Idle: 1}})
+	pool.SetLimits(map[string]ConnectionLimits{address: {Open: 2, Idle: 1}})
 	type ended struct {
 		body string
 		err  error
@@ -295,7 +295,7 @@
 	for pool.Counts.Open.Load() != 1 {
 		time.Sleep(time.Millisecond)
 	}
-	pool.SetBounds(map[string]Bound{})
+	pool.SetLimits(map[string]ConnectionLimits{})
 	if open := pool.Counts.Open.Load(); open != 0 {
 		t.Errorf("%d connections rest for an address that is gone", open)
 	}
--- a/internal/callers/exchange/probe.go
+++ b/internal/callers/exchange/probe.go
@@ -13,8 +13,8 @@
 const (
 	// Alive: a connection was accepted.
 	Alive Liveness = "alive"
-	// Ended: the connection was refused, so no process listens at the address.
-	Ended Liveness = "ended"
+	// Dead: the connection was refused, so no process listens at the address.
+	Dead Liveness = "ended"
 	// Unknown: opening the connection failed in another way, or the limit on connections
 	// is reached.
 	Unknown Liveness = "unknown"
@@ -31,7 +31,7 @@
 	if err != nil {
 		p.release(address)
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			return Ended
+			return Dead
 		}
 		return Unknown
 	}
--- a/internal/callers/exchange/probe_test.go
+++ b/internal/callers/exchange/probe_test.go
@@ -24,7 +24,7 @@
 	if found := pool.Probe(t.Context(), alive); found != Alive {
 		t.Errorf("a peer that listens is %s", found)
 	}
-	if found := pool.Probe(t.Context(), ended); found != Ended {
+	if found := pool.Probe(t.Context(), ended); found != Dead {
 		t.Errorf("a peer that has ended is %s", found)
 	}
 	cancelled, cancel := context.WithCancel(t.Context())
--- a/internal/callers/forward/answer.go
+++ b/internal/callers/forward/answer.go
@@ -22,20 +22,20 @@
 	maxPreallocatedBytes = 1 << 20
 )
 
-// BufferedAnswer is a replica's response with its complete body.
-type BufferedAnswer struct {
-	Answer *dispatch.Answer
-	Body   []byte
+// BufferedResponse is a replica's response with its complete body.
+type BufferedResponse struct {
+	Response *dispatch.Response
+	Body     []byte
 	// Failures is the number of responses with status 500 to this request, including
 	// this one.
 	Failures int
-	// Refusals is the number of attempts that certainly did not run the request.
-	Refusals int
+	// Rejections is the number of attempts that certainly did not run the request.
+	Rejections int
 }
 
 // attempt sends a call to a replica and reads the complete response. It updates the
 // endpoint's latency estimate and its count of consecutive failures.
-func (f *Forwarder) attempt(ctx context.Context, endpoint *routing.Endpoint, call *dispatch.Call) (*BufferedAnswer, error) {
+func (f *Forwarder) attempt(ctx context.Context, endpoint *routing.Endpoint, call *dispatch.Call) (*BufferedResponse, error) {
 	began := time.Now()
 	answer, err := f.config.Dispatcher.Send(ctx, endpoint, call)
 	if err != nil {
@@ -55,12 +55,12 @@
 	answer.Close()
 	endpoint.State.Latency.Observe(time.Since(began))
 	endpoint.State.Failures.Store(0)
-	return &BufferedAnswer{Answer: answer, Body: body}, nil
+	return &BufferedResponse{Response: answer, Body: body}, nil
 }
 
 // readBody reads the complete body. A body larger than maxAnswerBytes yields an
 // *exchange.BrokenError.
-func readBody(answer *dispatch.Answer) ([]byte, error) {
+func readBody(answer *dispatch.Response) ([]byte, error) {
 	size := initialBodyBytes
 	if answer.Length >= 0 && answer.Length < maxPreallocatedBytes {
 		size = int(answer.Length) + 1
@@ -79,7 +79,7 @@
 			return nil, err
 		}
 		if len(body) > maxAnswerBytes {
-			return nil, &exchange.BrokenError{Address: answer.Endpoint.Address, Cause: ErrAnswerTooLong}
+			return nil, &exchange.BrokenError{Address: answer.Endpoint.Address, Cause: ErrResponseTooLarge}
 		}
 	}
 }
--- a/internal/callers/forward/errors.go
+++ b/internal/callers/forward/errors.go
@@ -40,20 +40,20 @@
 	// ReasonQuarantined refuses a request that has crashed several replicas, whatever id
 	// it is sent with.
 	ReasonQuarantined = "replicas end under this request"
-	// ReasonOutsideHome refuses a request whose allowed regions have no replica.
-	ReasonOutsideHome = "no replica in the allowed regions"
+	// ReasonOutsideRegions refuses a request whose allowed regions have no replica.
+	ReasonOutsideRegions = "no replica in the allowed regions"
 )
 
-// ErrNoHome means that no replica of the route is in a region where the request may be
+// ErrNoReplicaInAllowedRegions means that no replica of the route is in a region where the request may be
 // served.
-var ErrNoHome = merry.Sentinel("the services of the route have no replica in the allowed regions")
+var ErrNoReplicaInAllowedRegions = merry.Sentinel("the services of the route have no replica in the allowed regions")
 
-// ErrSilent means that a resumable stream was interrupted: no event arrived for too long,
+// ErrStreamInterrupted means that a resumable stream was interrupted: no event arrived for too long,
 // or the connection closed without HTTP framing that marks the end of the body.
-var ErrSilent = merry.Sentinel("stream has fallen silent")
+var ErrStreamInterrupted = merry.Sentinel("stream has fallen silent")
 
-// ErrAnswerTooLong means that the body of a response is larger than maxAnswerBytes.
-var ErrAnswerTooLong = merry.Sentinel("answer is too long")
+// ErrResponseTooLarge means that the body of a response is larger than maxAnswerBytes.
+var ErrResponseTooLarge = merry.Sentinel("answer is too long")
 
 // StreamStatusError reports a response whose status cannot continue a stream.
 type StreamStatusError struct{ Status int }
--- a/internal/callers/forward/forward_test.go
+++ b/internal/callers/forward/forward_test.go
@@ -24,12 +24,12 @@
 // testHeaders is a minimal header codec that keeps the tests independent of package platform.
 type testHeaders struct{}
 
-func (testHeaders) Prepare(header http.Header, conditions dispatch.Conditions) {
+func (testHeaders) Encode(header http.Header, conditions dispatch.RequestMetadata) {
 	header.Set("X-Remaining", fmt.Sprint(conditions.Remaining.Milliseconds()))
 }
 
-func (testHeaders) Judge(status int, header http.Header) dispatch.Verdict {
-	return dispatch.Verdict{RequestID: header.Get(headerID), Signed: header.Get("X-Signed") != "", NotRun: status == http.StatusServiceUnavailable}
+func (testHeaders) Decode(status int, header http.Header) dispatch.ResponseMetadata {
+	return dispatch.ResponseMetadata{RequestID: header.Get(headerID), Signed: header.Get("X-Signed") != "", NotRun: status == http.StatusServiceUnavailable}
 }
 
 // backend is a test replica. It counts the requests it runs.
@@ -204,7 +204,7 @@
 func TestFailuresAreCounted(t *testing.T) {
 	one := startBackend(t, status(500))
 	whole, err := newForwarder(one).Do(context.Background(), route(directory.RouteSafe), call(20*time.Second))
-	if err != nil || whole.Answer.Status != 500 {
+	if err != nil || whole.Response.Status != 500 {
 		t.Fatalf("ended with %v", err)
 	}
 	if whole.Failures == 0 || int64(whole.Failures) != one.runs.Load() {
--- a/internal/callers/forward/forwarder.go
+++ b/internal/callers/forward/forwarder.go
@@ -20,9 +20,9 @@
 	Dispatcher *dispatch.Dispatcher
 	Logger     klog.Logger
 	Metrics    *Metrics
-	// Prompt returns a hash of the beginning of a request's prompt, or 0 if it has
+	// PromptHash returns a hash of the beginning of a request's prompt, or 0 if it has
 	// none. Requests with equal hashes prefer the same replica. Nil disables this.
-	Prompt func(header http.Header) uint64
+	PromptHash func(header http.Header) uint64
 	// VersionField is the name of the event field that holds the weight version.
 	VersionField string
 	// Meter counts the metered requests that started to run. May be nil.
@@ -53,11 +53,11 @@
 
 // Do forwards a request and returns the complete response. The error is a *RefusedError
 // or a *LostError. The context must end when the caller disconnects.
-func (f *Forwarder) Do(ctx context.Context, route *directory.Route, call *dispatch.Call) (*BufferedAnswer, error) {
+func (f *Forwarder) Do(ctx context.Context, route *directory.Route, call *dispatch.Call) (*BufferedResponse, error) {
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	defer cancel()
 	request := f.newRequest(route, call)
-	var answer *BufferedAnswer
+	var answer *BufferedResponse
 	err := f.checkHomes(route, call)
 	if err == nil {
 		answer, err = request.run(ctx)
--- a/internal/callers/forward/homes_test.go
+++ b/internal/callers/forward/homes_test.go
@@ -38,8 +38,8 @@
 // nullSink discards a stream.
 type nullSink struct{}
 
-func (nullSink) Begin(*dispatch.Answer) {}
-func (nullSink) Event(string) error     { return nil }
+func (nullSink) Begin(*dispatch.Response) {}
+func (nullSink) Event(string) error       { return nil }
 
 func TestRetriesAndHedgesStayAtHome(t *testing.T) {
 	for name, outcome := range map[string]handler{"fails": status(http.StatusInternalServerError), "is full": status(http.StatusServiceUnavailable), "breaks off": aborts} {
@@ -69,7 +69,7 @@
 		streamErr := forwarder.Stream(t.Context(), asked, made, nullSink{})
 		for _, err := range []error{err, streamErr} {
 			var refused *RefusedError
-			if !errors.As(err, &refused) || refused.Reason != ReasonOutsideHome || refused.RetryAfter != outsideHomeRetryAfter {
+			if !errors.As(err, &refused) || refused.Reason != ReasonOutsideRegions || refused.RetryAfter != outsideHomeRetryAfter {
 				t.Errorf("%s: %v", name, err)
 			}
 		}
@@ -91,7 +91,7 @@
 		writer.WriteHeader(http.StatusInternalServerError)
 	})
 	before, after := bound(directory.RouteSafe, "south"), bound(directory.RouteSafe, "north")
-	done := make(chan *BufferedAnswer)
+	done := make(chan *BufferedResponse)
 	go func() {
 		whole, err := forwarder.Do(t.Context(), before, call(10*time.Second))
 		if err != nil {
--- a/internal/callers/forward/pick.go
+++ b/internal/callers/forward/pick.go
@@ -19,8 +19,8 @@
 		Zone: f.config.Zone, Tried: tried, Random: rand.Uint64(), Objective: answerObjective(route),
 		AllowedRegions: view.Configuration.AllowedRegions(route, call.Tenant),
 	}
-	if route.Sticky && f.config.Prompt != nil {
-		query.PrefixHash = f.config.Prompt(call.Header)
+	if route.Sticky && f.config.PromptHash != nil {
+		query.PrefixHash = f.config.PromptHash(call.Header)
 	}
 	var failure error = routing.ErrNoEngineDeclared
 	for i := range route.Targets {
@@ -54,5 +54,5 @@
 		return nil
 	}
 	f.config.Metrics.withoutHome.Inc()
-	return newRefusal(ReasonOutsideHome, ErrNoHome, nil)
+	return newRefusal(ReasonOutsideRegions, ErrNoReplicaInAllowedRegions, nil)
 }
--- a/internal/callers/forward/quarantine_test.go
+++ b/internal/callers/forward/quarantine_test.go
@@ -25,12 +25,12 @@
 	if g.admits.Add(-1) >= 0 {
 		return nil
 	}
-	return &dispatch.QuarantinedError{Fingerprint: "f", Left: quarantineLeft}
+	return &dispatch.QuarantinedError{Fingerprint: "f", Remaining: quarantineLeft}
 }
 
-func (g *countingGuard) ObserveBroken(dispatch.Run) { g.broken.Add(1) }
+func (g *countingGuard) ObserveBroken(dispatch.Attempt) { g.broken.Add(1) }
 
-func (g *countingGuard) ObserveServed(*dispatch.Call, int) { g.served.Add(1) }
+func (g *countingGuard) ObserveResponse(*dispatch.Call, int) { g.served.Add(1) }
 
 func newGuardedForwarder(admits int64, backends ...*backend) (*Forwarder, *countingGuard) {
 	forwarder, guard := newForwarder(backends...), &countingGuard{}
--- a/internal/callers/forward/refusal.go
+++ b/internal/callers/forward/refusal.go
@@ -21,7 +21,7 @@
 // caller. For other filters the caller gets the general reason.
 var refusalReasons = map[routing.Reason]string{
 	routing.ReasonEvacuated:      ReasonEvacuated,
-	routing.ReasonOutsideRegions: ReasonOutsideHome,
+	routing.ReasonOutsideRegions: ReasonOutsideRegions,
 	routing.ReasonSlowStart:      ReasonWarmingUp,
 }
 
@@ -32,7 +32,7 @@
 func newRefusal(general string, cause, excludedAll error) *RefusedError {
 	var quarantined *dispatch.QuarantinedError
 	if errors.As(cause, &quarantined) {
-		return &RefusedError{Reason: ReasonQuarantined, RetryAfter: quarantined.Left, Cause: cause}
+		return &RefusedError{Reason: ReasonQuarantined, RetryAfter: quarantined.Remaining, Cause: cause}
 	}
 	refused := &RefusedError{Reason: general, Cause: cause}
 	if excludedAll != nil {
@@ -51,7 +51,7 @@
 	switch reason {
 	case ReasonEvacuated:
 		return evacuatedRetryAfter
-	case ReasonOutsideHome:
+	case ReasonOutsideRegions:
 		return outsideHomeRetryAfter
 	}
 	return defaultRetryAfter
--- a/internal/callers/forward/refusal_test.go
+++ b/internal/callers/forward/refusal_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestRefusalsByCause(t *testing.T) {
-	notRun, held := &dispatch.NotRunError{Replica: "r", Status: 503}, &dispatch.QuarantinedError{Fingerprint: "f", Left: quarantineLeft}
+	notRun, held := &dispatch.NotRunError{Replica: "r", Status: 503}, &dispatch.QuarantinedError{Fingerprint: "f", Remaining: quarantineLeft}
 	left := func(reason routing.Reason) error { return &routing.NoEligibleEndpointError{Reason: reason} }
 	for name, test := range map[string]struct {
 		general            string
@@ -24,10 +24,10 @@
 		"all full":                  {ReasonAllFull, notRun, nil, ReasonAllFull, 120 * time.Millisecond, notRun},
 		"no time left":              {ReasonExpired, context.DeadlineExceeded, nil, ReasonExpired, 120 * time.Millisecond, context.DeadlineExceeded},
 		"all evacuated":             {ReasonNoReplica, notRun, left(routing.ReasonEvacuated), ReasonEvacuated, time.Second, left(routing.ReasonEvacuated)},
-		"all outside the home":      {ReasonNoReplica, notRun, left(routing.ReasonOutsideRegions), ReasonOutsideHome, 2 * time.Second, left(routing.ReasonOutsideRegions)},
+		"all outside the home":      {ReasonNoReplica, notRun, left(routing.ReasonOutsideRegions), ReasonOutsideRegions, 2 * time.Second, left(routing.ReasonOutsideRegions)},
 		"all warming up":            {ReasonAllFull, notRun, left(routing.ReasonSlowStart), ReasonWarmingUp, 120 * time.Millisecond, left(routing.ReasonSlowStart)},
 		"all unavailable":           {ReasonNoReplica, notRun, left(routing.ReasonUnavailable), ReasonNoReplica, 120 * time.Millisecond, left(routing.ReasonUnavailable)},
-		"no replica in the regions": {ReasonOutsideHome, ErrNoHome, nil, ReasonOutsideHome, 2 * time.Second, ErrNoHome},
+		"no replica in the regions": {ReasonOutsideRegions, ErrNoReplicaInAllowedRegions, nil, ReasonOutsideRegions, 2 * time.Second, ErrNoReplicaInAllowedRegions},
 		"quarantined":               {ReasonAllFull, held, nil, ReasonQuarantined, quarantineLeft, held},
 		"quarantined and excluded":  {ReasonAllFull, held, left(routing.ReasonEvacuated), ReasonQuarantined, quarantineLeft, held},
 	} {
--- a/internal/callers/forward/report.go
+++ b/internal/callers/forward/report.go
@@ -8,7 +8,7 @@
 
 // report counts and logs the outcome of a request. Requests that failed, were retried or
 // exceeded their objective are always logged, the others as far as promptLines allows.
-func (r *request) report(answer *BufferedAnswer, err error) {
+func (r *request) report(answer *BufferedResponse, err error) {
 	took := time.Since(r.started)
 	config := r.forwarder.config
 	config.Metrics.observe(outcomeOf(err), took)
@@ -19,9 +19,9 @@
 	case err != nil:
 		config.Logger.Info("request not served", append(known, "error", err.Error())...)
 	case r.mayHaveRunCount > 1 || r.refusals > 0 || took > r.objective:
-		config.Logger.Info("request served late or after retries", append(known, "replica", answer.Answer.Endpoint.Name)...)
+		config.Logger.Info("request served late or after retries", append(known, "replica", answer.Response.Endpoint.Name)...)
 	case r.forwarder.promptLines.Allow():
-		config.Logger.Info("request served", append(known, "replica", answer.Answer.Endpoint.Name)...)
+		config.Logger.Info("request served", append(known, "replica", answer.Response.Endpoint.Name)...)
 	default:
 		config.Metrics.omittedLines.Inc()
 	}
--- a/internal/callers/forward/request.go
+++ b/internal/callers/forward/request.go
@@ -15,7 +15,7 @@
 // result is the outcome of one attempt.
 type result struct {
 	replica string
-	answer  *BufferedAnswer
+	answer  *BufferedResponse
 	err     error
 }
 
@@ -53,7 +53,7 @@
 	excludedAll error
 	// answer is the most recent complete response, failures the number of responses
 	// with status 500.
-	answer   *BufferedAnswer
+	answer   *BufferedResponse
 	failures int
 }
 
@@ -70,7 +70,7 @@
 
 // run executes steps until one ends the request. The error is a *RefusedError or a
 // *LostError.
-func (r *request) run(ctx context.Context) (*BufferedAnswer, error) {
+func (r *request) run(ctx context.Context) (*BufferedResponse, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	next := r.send(ctx)
@@ -123,7 +123,7 @@
 	r.mayHaveRunCount++
 	r.inProgress++
 	call := *r.call
-	call.Once = !r.repeatable
+	call.AtMostOnce = !r.repeatable
 	r.tried = append(r.tried, endpoint.Name)
 	r.attempts.recordSent(endpoint.Name)
 	go func() {
@@ -163,11 +163,11 @@
 		return eventAttemptFailed
 	}
 	r.attempts.recordEnd(ended.replica, true, false)
-	status := ended.answer.Answer.Status
+	status := ended.answer.Response.Status
 	if status == http.StatusInternalServerError {
 		r.failures++
 	}
-	ended.answer.Failures, ended.answer.Refusals = r.failures, r.refusals
+	ended.answer.Failures, ended.answer.Rejections = r.failures, r.refusals
 	r.answer, r.mayHaveRun = ended.answer, true
 	if status >= http.StatusInternalServerError {
 		return eventErrorStatus
--- a/internal/callers/forward/stream.go
+++ b/internal/callers/forward/stream.go
@@ -11,7 +11,7 @@
 // StreamSink receives a stream for the caller.
 type StreamSink interface {
 	// Begin receives the response head. It is called at most once, before Event.
-	Begin(answer *dispatch.Answer)
+	Begin(answer *dispatch.Response)
 	// Event receives one complete event, or the whole body of a response that is not a
 	// stream.
 	Event(raw string) error
@@ -49,7 +49,7 @@
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	defer cancel()
 	request := &streamRequest{
-		forwarder: f, route: route, call: call, sink: sink, started: time.Now(), firstTarget: f.split.next(route), lastEvent: call.AfterEvent,
+		forwarder: f, route: route, call: call, sink: sink, started: time.Now(), firstTarget: f.split.next(route), lastEvent: call.LastEventID,
 	}
 	err := f.checkHomes(route, call)
 	if err == nil {
--- a/internal/callers/forward/stream_attempt.go
+++ b/internal/callers/forward/stream_attempt.go
@@ -34,12 +34,12 @@
 	limit := silenceLimit(r.route.Objective)
 	silence := time.AfterFunc(limit, func() {
 		if r.route.Resumable {
-			cancel(ErrSilent)
+			cancel(ErrStreamInterrupted)
 		}
 	})
 	defer silence.Stop()
 	call := *r.call
-	call.AfterEvent, call.Once, call.Resumable = r.lastEvent, !r.route.Resumable, r.route.Resumable
+	call.LastEventID, call.AtMostOnce, call.Resumable = r.lastEvent, !r.route.Resumable, r.route.Resumable
 	answer, err := r.forwarder.config.Dispatcher.Send(ctx, endpoint, &call)
 	if err != nil {
 		return err
@@ -72,7 +72,7 @@
 }
 
 // passBody forwards the body of a response that is not a stream.
-func (r *streamRequest) passBody(answer *dispatch.Answer) error {
+func (r *streamRequest) passBody(answer *dispatch.Response) error {
 	body, err := readBody(answer)
 	if err != nil {
 		return err
@@ -83,11 +83,11 @@
 // passEvents forwards events until the replica's stream ends, and calls received for each
 // event. If the stream is resumed at a replica with another weight version, the first event
 // gets a line with that version.
-func (r *streamRequest) passEvents(answer *dispatch.Answer, resumed bool, received func()) error {
+func (r *streamRequest) passEvents(answer *dispatch.Response, resumed bool, received func()) error {
 	events := eventstream.NewReader(answer, r.forwarder.config.VersionField, r.lastEvent)
-	announceVersion := resumed && answer.Verdict.Version > 0 && answer.Verdict.Version != r.version
-	if answer.Verdict.Version > 0 {
-		r.version = answer.Verdict.Version
+	announceVersion := resumed && answer.Metadata.Version > 0 && answer.Metadata.Version != r.version
+	if answer.Metadata.Version > 0 {
+		r.version = answer.Metadata.Version
 	}
 	for {
 		event, err := events.Next()
@@ -110,9 +110,9 @@
 // checkEnd returns an error if a replica's stream that ended after a complete event may be
 // truncated. Without HTTP framing, truncation cannot be detected; a resumable stream is
 // then resumed at another replica to see whether more events follow.
-func (r *streamRequest) checkEnd(answer *dispatch.Answer) error {
+func (r *streamRequest) checkEnd(answer *dispatch.Response) error {
 	if !answer.Framed && r.route.Resumable {
-		return ErrSilent
+		return ErrStreamInterrupted
 	}
 	answer.Endpoint.State.Failures.Store(0)
 	return nil
--- a/internal/callers/ingress/answer.go
+++ b/internal/callers/ingress/answer.go
@@ -8,11 +8,11 @@
 )
 
 // writeAnswer writes a replica's answer unchanged.
-func (h *Handler) writeAnswer(writer http.ResponseWriter, answer *forward.BufferedAnswer) {
+func (h *Handler) writeAnswer(writer http.ResponseWriter, answer *forward.BufferedResponse) {
 	header := writer.Header()
-	copyAnswerHeaders(header, answer.Answer.Header)
+	copyAnswerHeaders(header, answer.Response.Header)
 	header.Set("Content-Length", strconv.Itoa(len(answer.Body)))
-	writer.WriteHeader(answer.Answer.Status)
+	writer.WriteHeader(answer.Response.Status)
 	writer.Write(answer.Body)
 }
 
--- a/internal/callers/ingress/handler.go
+++ b/internal/callers/ingress/handler.go
@@ -102,8 +102,8 @@
 	}
 	call := h.newCall(request, route, id, tenant, body, received)
 	if route.Kind == directory.RouteStream {
-		call.AfterEvent = h.config.Headers.AfterEvent(request.Header)
-		call.Rank = dispatch.RankOf(configuration.Tenants.PriorityOf(tenant, route.Priority))
+		call.LastEventID = h.config.Headers.AfterEvent(request.Header)
+		call.EnginePriority = dispatch.EnginePriorityOf(configuration.Tenants.PriorityOf(tenant, route.Priority))
 		h.forwardStream(writer, request, route, call)
 		return
 	}
--- a/internal/callers/ingress/stream.go
+++ b/internal/callers/ingress/stream.go
@@ -16,7 +16,7 @@
 var _ forward.StreamSink = streamSink{}
 
 // Begin implements forward.StreamSink.
-func (s streamSink) Begin(answer *dispatch.Answer) {
+func (s streamSink) Begin(answer *dispatch.Response) {
 	copyAnswerHeaders(s.writer.Header(), answer.Header)
 	s.writer.WriteHeader(answer.Status)
 	http.NewResponseController(s.writer).Flush()
--- a/internal/callers/quarantine/admit.go
+++ b/internal/callers/quarantine/admit.go
@@ -18,7 +18,7 @@
 		return nil
 	}
 	s.metrics.refused.Inc()
-	return &dispatch.QuarantinedError{Fingerprint: request.String(), Left: left}
+	return &dispatch.QuarantinedError{Fingerprint: request.String(), Remaining: left}
 }
 
 // awaitExamination waits while the check of a broken run may still quarantine the request.
@@ -26,7 +26,7 @@
 func (s *Service) awaitExamination(ctx context.Context, request Fingerprint) {
 	for {
 		s.mutex.Lock()
-		isOneEndShort := s.examining[request] > 0 && len(s.ledger.Ends(request)) >= endsToQuarantine-1
+		isOneEndShort := s.examining[request] > 0 && len(s.ledger.Crashes(request)) >= endsToQuarantine-1
 		ended := s.examinationEnded
 		s.mutex.Unlock()
 		if !isOneEndShort {
--- a/internal/callers/quarantine/endcheck.go
+++ b/internal/callers/quarantine/endcheck.go
@@ -56,7 +56,7 @@
 	defer cancel()
 	started.found = c.prober.Probe(ctx, endpoint.Address)
 	close(started.done)
-	if started.found == exchange.Ended {
+	if started.found == exchange.Dead {
 		time.AfterFunc(minEndInterval, func() { c.dropProbe(endpoint.Name) })
 	} else {
 		c.dropProbe(endpoint.Name)
--- a/internal/callers/quarantine/examine.go
+++ b/internal/callers/quarantine/examine.go
@@ -7,7 +7,7 @@
 )
 
 // ObserveBroken implements dispatch.Guard. It checks the replica in the background.
-func (s *Service) ObserveBroken(run dispatch.Run) {
+func (s *Service) ObserveBroken(run dispatch.Attempt) {
 	request := fingerprintOf(run.Call)
 	s.mutex.Lock()
 	s.examining[request]++
@@ -26,7 +26,7 @@
 
 // examine checks whether the replica of a broken run has crashed, and counts the crash
 // against the request.
-func (s *Service) examine(request Fingerprint, run dispatch.Run) {
+func (s *Service) examine(request Fingerprint, run dispatch.Attempt) {
 	replica := s.endCheck.check(s.ctx, run.Endpoint)
 	s.metrics.broken.WithLabelValues(string(replica)).Inc()
 	counts := countsAsEnd(&run, replica)
@@ -36,7 +36,7 @@
 		known = s.addEnds(request, []end{{replica: run.Endpoint.Name, at: now}}, now)
 	}
 	s.config.Logger.Info("run broke", "request", run.Call.ID, "fingerprint", request.String(), "replica", run.Endpoint.Name, "replicaIs", replica,
-		"counts", counts, "ends", known, "tookMs", run.Lasted.Milliseconds(), "received", run.Received)
+		"counts", counts, "ends", known, "tookMs", run.Duration.Milliseconds(), "received", run.BodyReceived)
 	switch onBrokenRun(counts, known) {
 	case startQuarantine:
 		s.quarantine(request)
@@ -49,7 +49,7 @@
 func (s *Service) addEnds(request Fingerprint, ends []end, now time.Time) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	known := len(s.ledger.Ends(request))
+	known := len(s.ledger.Crashes(request))
 	for _, next := range ends {
 		known = s.ledger.Add(request, next.replica, next.at, now)
 	}
--- a/internal/callers/quarantine/hold.go
+++ b/internal/callers/quarantine/hold.go
@@ -16,16 +16,16 @@
 // already was in quarantine.
 func (s *Service) hold(request Fingerprint) bool {
 	now := s.config.Clock()
-	if !s.table.Hold(request, now.Add(s.config.Span), now) {
+	if !s.table.Add(request, now.Add(s.config.Duration), now) {
 		return false
 	}
 	s.metrics.held.Inc()
-	s.config.Logger.Info("request quarantined: replicas end under it", "fingerprint", request.String(), "spanMs", s.config.Span.Milliseconds())
+	s.config.Logger.Info("request quarantined: replicas end under it", "fingerprint", request.String(), "spanMs", s.config.Duration.Milliseconds())
 	return true
 }
 
-// ObserveServed implements dispatch.Guard.
-func (s *Service) ObserveServed(call *dispatch.Call, status int) {
+// ObserveResponse implements dispatch.Guard.
+func (s *Service) ObserveResponse(call *dispatch.Call, status int) {
 	if s.suspects.Load() == 0 && s.table.IsEmpty() {
 		return
 	}
@@ -53,7 +53,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return len(s.ledger.Ends(request)) > 0
+	return len(s.ledger.Crashes(request)) > 0
 }
 
 // forgive drops the crashes of a request that succeeded and takes it out of quarantine.
@@ -62,7 +62,7 @@
 	wasSuspect = s.ledger.RecordServed(request, s.config.Clock())
 	s.suspects.Store(int64(s.ledger.Len()))
 	s.mutex.Unlock()
-	wasHeld = s.table.Lift(request, s.config.Clock())
+	wasHeld = s.table.Remove(request, s.config.Clock())
 	if wasHeld {
 		s.config.Logger.Info("quarantine lifted: the request was served", "fingerprint", request.String())
 	}
--- a/internal/callers/quarantine/ledger.go
+++ b/internal/callers/quarantine/ledger.go
@@ -32,21 +32,21 @@
 	last time.Time
 }
 
-// Ledger counts the crashes of replicas by request. It does no I/O and reads no clock. It is
+// CrashTracker counts the crashes of replicas by request. It does no I/O and reads no clock. It is
 // not safe for concurrent use.
 //
 // Invariants: the crashes of a request are those known since its last success, but no more
 // than endsToQuarantine; adding the same crash again, in any order, changes nothing; there
 // are at most maxSuspects requests.
-type Ledger struct {
+type CrashTracker struct {
 	suspects map[Fingerprint]*suspect
 }
 
-// NewLedger returns an empty Ledger.
-func NewLedger() *Ledger { return &Ledger{suspects: map[Fingerprint]*suspect{}} }
+// NewCrashTracker returns an empty Ledger.
+func NewCrashTracker() *CrashTracker { return &CrashTracker{suspects: map[Fingerprint]*suspect{}} }
 
 // Add adds the crash of a replica to a request and returns the number of crashes now known.
-func (l *Ledger) Add(request Fingerprint, replica string, at, now time.Time) int {
+func (l *CrashTracker) Add(request Fingerprint, replica string, at, now time.Time) int {
 	l.Prune(now)
 	known := l.suspect(request, at)
 	if at.After(known.served) && len(known.ends) < endsToQuarantine && !known.has(replica, at) {
@@ -57,7 +57,7 @@
 
 // suspect returns the entry of a request, creating it if necessary, and records that the
 // request was seen at a time.
-func (l *Ledger) suspect(request Fingerprint, at time.Time) *suspect {
+func (l *CrashTracker) suspect(request Fingerprint, at time.Time) *suspect {
 	known := l.suspects[request]
 	if known == nil {
 		if len(l.suspects) >= maxSuspects {
@@ -83,8 +83,8 @@
 	return false
 }
 
-// Ends returns the known crashes of a request.
-func (l *Ledger) Ends(request Fingerprint) []end {
+// Crashes returns the known crashes of a request.
+func (l *CrashTracker) Crashes(request Fingerprint) []end {
 	if known := l.suspects[request]; known != nil {
 		return known.ends
 	}
@@ -93,7 +93,7 @@
 
 // RecordServed records that a request succeeded, and reports whether it had crashes. It also
 // creates an entry for an unknown request, since reports of earlier crashes may still arrive.
-func (l *Ledger) RecordServed(request Fingerprint, now time.Time) bool {
+func (l *CrashTracker) RecordServed(request Fingerprint, now time.Time) bool {
 	known := l.suspect(request, now)
 	had := len(known.ends) > 0
 	known.ends, known.served = nil, now
@@ -101,15 +101,15 @@
 }
 
 // Len returns the number of suspects.
-func (l *Ledger) Len() int { return len(l.suspects) }
+func (l *CrashTracker) Len() int { return len(l.suspects) }
 
 // Prune drops suspects without a crash or success for suspectLifetime.
-func (l *Ledger) Prune(now time.Time) {
+func (l *CrashTracker) Prune(now time.Time) {
 	maps.DeleteFunc(l.suspects, func(_ Fingerprint, known *suspect) bool { return now.Sub(known.last) > suspectLifetime })
 }
 
 // dropOldest drops the suspect whose last crash or success is the longest ago.
-func (l *Ledger) dropOldest() {
+func (l *CrashTracker) dropOldest() {
 	var oldest Fingerprint
 	var last time.Time
 	for request, known := range l.suspects {
--- a/internal/callers/quarantine/ledger_test.go
+++ b/internal/callers/quarantine/ledger_test.go
@@ -20,7 +20,7 @@
 // Guards against counting a crash twice when reports are duplicated or reordered.
 func TestLedgerCountsEachEndOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ledger := NewLedger()
+		ledger := NewCrashTracker()
 		different := map[string]bool{}
 		for range rapid.IntRange(1, 12).Draw(t, "reports") {
 			replica := fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "replica"))
@@ -38,7 +38,7 @@
 }
 
 func TestLedgerForgets(t *testing.T) {
-	ledger := NewLedger()
+	ledger := NewCrashTracker()
 	ledger.Add(numbered(1), "one", start, start)
 	ledger.Add(numbered(1), "two", start, start)
 	later := start.Add(suspectLifetime + time.Second)
@@ -48,7 +48,7 @@
 }
 
 func TestLedgerIsBounded(t *testing.T) {
-	ledger := NewLedger()
+	ledger := NewCrashTracker()
 	for number := range maxSuspects + 100 {
 		at := start.Add(time.Duration(number) * time.Millisecond)
 		ledger.Add(numbered(number), "one", at, at)
@@ -56,7 +56,7 @@
 	if ledger.Len() != maxSuspects {
 		t.Errorf("%d requests are remembered, want %d", ledger.Len(), maxSuspects)
 	}
-	if len(ledger.Ends(numbered(0))) != 0 || len(ledger.Ends(numbered(maxSuspects+99))) != 1 {
+	if len(ledger.Crashes(numbered(0))) != 0 || len(ledger.Crashes(numbered(maxSuspects+99))) != 1 {
 		t.Error("the oldest request is kept, or the newest is not")
 	}
 }
--- a/internal/callers/quarantine/metrics.go
+++ b/internal/callers/quarantine/metrics.go
@@ -26,7 +26,7 @@
 			Name: "pathtally_broken_runs_total", Help: "Runs at replicas whose connection broke, by whether the replica was then alive, ended or unknown.",
 		}, []string{"replica"}),
 	}
-	for _, found := range []exchange.Liveness{exchange.Alive, exchange.Ended, exchange.Unknown} {
+	for _, found := range []exchange.Liveness{exchange.Alive, exchange.Dead, exchange.Unknown} {
 		made.broken.WithLabelValues(string(found))
 	}
 	registry.MustRegister(made.broken, made.held, made.refused, prometheus.NewGaugeFunc(prometheus.GaugeOpts{
--- a/internal/callers/quarantine/policy.go
+++ b/internal/callers/quarantine/policy.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// DefaultSpan is how long a request stays in quarantine unless the settings say
+	// DefaultDuration is how long a request stays in quarantine unless the settings say
 	// otherwise. Callers that retry usually give up sooner.
-	DefaultSpan = 10 * time.Minute
+	DefaultDuration = 10 * time.Minute
 	// endsToQuarantine is the number of crashes that quarantines a request. A harmless
 	// request that shares replicas with a crashing one may be hit by two crashes.
 	endsToQuarantine = 3
@@ -30,9 +30,9 @@
 // countsAsEnd reports whether a broken run counts against its request. It does if the replica
 // has crashed, unless the run is resumable, had made progress and lasted for at least
 // earlyBreakLimit.
-func countsAsEnd(run *dispatch.Run, replica exchange.Liveness) bool {
-	hadProgress := run.Call.Resumable && run.Received && run.Lasted >= earlyBreakLimit
-	return replica == exchange.Ended && !hadProgress
+func countsAsEnd(run *dispatch.Attempt, replica exchange.Liveness) bool {
+	hadProgress := run.Call.Resumable && run.BodyReceived && run.Duration >= earlyBreakLimit
+	return replica == exchange.Dead && !hadProgress
 }
 
 // clearsRequest reports whether a response with a status shows that the request does not
--- a/internal/callers/quarantine/policy_test.go
+++ b/internal/callers/quarantine/policy_test.go
@@ -17,15 +17,15 @@
 		lasted    time.Duration
 		counts    bool
 	}{
-		{"ended", exchange.Ended, false, false, 0, true},
+		{"ended", exchange.Dead, false, false, 0, true},
 		{"alive", exchange.Alive, false, false, 0, false},
 		{"unknown", exchange.Unknown, false, false, 0, false},
-		{"ended late, not resumable", exchange.Ended, false, true, time.Hour, true},
-		{"ended late, without progress", exchange.Ended, true, false, time.Hour, true},
-		{"ended late, with progress", exchange.Ended, true, true, time.Second, false},
-		{"ended soon, with progress", exchange.Ended, true, true, time.Second - 1, true},
+		{"ended late, not resumable", exchange.Dead, false, true, time.Hour, true},
+		{"ended late, without progress", exchange.Dead, true, false, time.Hour, true},
+		{"ended late, with progress", exchange.Dead, true, true, time.Second, false},
+		{"ended soon, with progress", exchange.Dead, true, true, time.Second - 1, true},
 	} {
-		run := &dispatch.Run{Call: &dispatch.Call{Resumable: test.resumable}, Received: test.received, Lasted: test.lasted}
+		run := &dispatch.Attempt{Call: &dispatch.Call{Resumable: test.resumable}, BodyReceived: test.received, Duration: test.lasted}
 		if got := countsAsEnd(run, test.replica); got != test.counts {
 			t.Errorf("%s: counts %v, want %v", test.name, got, test.counts)
 		}
--- a/internal/callers/quarantine/record.go
+++ b/internal/callers/quarantine/record.go
@@ -41,14 +41,14 @@
 // RecordError reports a record that cannot be encoded, or that cannot be decoded in whole or
 // in part.
 type RecordError struct {
-	// Found is the first invalid fingerprint. It is set if the other entries were
+	// InvalidFingerprint is the first invalid fingerprint. It is set if the other entries were
 	// decoded.
-	Found string
-	Cause error
+	InvalidFingerprint string
+	Cause              error
 }
 
 func (e *RecordError) Error() string {
-	return fmt.Sprintf("record of quarantined requests, at %q: %v", e.Found, e.Cause)
+	return fmt.Sprintf("record of quarantined requests, at %q: %v", e.InvalidFingerprint, e.Cause)
 }
 
 func (e *RecordError) Unwrap() error { return e.Cause }
@@ -76,7 +76,7 @@
 		request, err := parseFingerprint(entry.Fingerprint)
 		if err != nil {
 			if finding == nil {
-				finding = &RecordError{Found: entry.Fingerprint, Cause: err}
+				finding = &RecordError{InvalidFingerprint: entry.Fingerprint, Cause: err}
 			}
 			continue
 		}
--- a/internal/callers/quarantine/record_test.go
+++ b/internal/callers/quarantine/record_test.go
@@ -28,7 +28,7 @@
 func TestUnreadableEntriesOfTheRecordAreLeftOut(t *testing.T) {
 	read, err := decodeRecord([]byte(`{"requests":[{"fingerprint":"xyz","at":1},{"fingerprint":"` + numbered(7).String() + `","at":5}]}`))
 	var unreadable *RecordError
-	if !errors.As(err, &unreadable) || unreadable.Found != "xyz" || unreadable.Cause == nil {
+	if !errors.As(err, &unreadable) || unreadable.InvalidFingerprint != "xyz" || unreadable.Cause == nil {
 		t.Errorf("error is %v", err)
 	}
 	if len(read) != 1 || !read[numbered(7)].Equal(time.UnixMilli(5)) {
--- a/internal/callers/quarantine/reports.go
+++ b/internal/callers/quarantine/reports.go
@@ -19,7 +19,7 @@
 func (s *Service) reportEnds(request Fingerprint, nodes []string) {
 	now := s.config.Clock()
 	s.mutex.Lock()
-	known := slices.Clone(s.ledger.Ends(request))
+	known := slices.Clone(s.ledger.Crashes(request))
 	s.mutex.Unlock()
 	message := &wire.CrashReport{Fingerprint: request[:]}
 	for _, one := range known {
--- a/internal/callers/quarantine/service.go
+++ b/internal/callers/quarantine/service.go
@@ -19,9 +19,9 @@
 type Config struct {
 	// Node is the name of this node.
 	Node string
-	// Span is how long a request stays in quarantine. If it is not positive, DefaultSpan
+	// Duration is how long a request stays in quarantine. If it is not positive, DefaultSpan
 	// is used.
-	Span     time.Duration
+	Duration time.Duration
 	Prober   Prober
 	Store    objectstore.Store
 	Peers    environment.Peers
@@ -49,7 +49,7 @@
 	// empty, requests pass without the mutex and without computing a fingerprint.
 	suspects atomic.Int64
 	mutex    sync.Mutex
-	ledger   *Ledger
+	ledger   *CrashTracker
 	// examining is the number of broken runs of each request whose replica is being
 	// checked. examinationEnded is closed and replaced whenever such a check has ended.
 	examining        map[Fingerprint]int
@@ -61,12 +61,12 @@
 // NewService returns a Service. It does not write to the store before Run is called. The
 // context bounds the checks of replicas.
 func NewService(ctx context.Context, config Config) *Service {
-	if config.Span <= 0 {
-		config.Span = DefaultSpan
+	if config.Duration <= 0 {
+		config.Duration = DefaultDuration
 	}
 	service := &Service{
-		config: config, endCheck: newEndCheck(config.Prober), table: NewTable(), recorder: newRecorder(config.Store, config.Clock, config.Span, config.Logger),
-		ctx: ctx, ledger: NewLedger(), examining: map[Fingerprint]int{}, examinationEnded: make(chan struct{}),
+		config: config, endCheck: newEndCheck(config.Prober), table: NewTable(), recorder: newRecorder(config.Store, config.Clock, config.Duration, config.Logger),
+		ctx: ctx, ledger: NewCrashTracker(), examining: map[Fingerprint]int{}, examinationEnded: make(chan struct{}),
 	}
 	service.metrics = newMetrics(config.Registry, service.table, config.Clock)
 	return service
--- a/internal/callers/quarantine/service_test.go
+++ b/internal/callers/quarantine/service_test.go
@@ -37,7 +37,7 @@
 
 func startNodes(t *testing.T, count int) *testNodes {
 	t.Helper()
-	made := &testNodes{store: metastore.New(), nodes: map[string]*Service{}, cut: map[string]bool{}, found: exchange.Ended}
+	made := &testNodes{store: metastore.New(), nodes: map[string]*Service{}, cut: map[string]bool{}, found: exchange.Dead}
 	for number := range count {
 		made.start(t, fmt.Sprint("node-", number))
 	}
@@ -50,7 +50,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	service := NewService(ctx, Config{
-		Node: node, Span: time.Hour, Prober: n, Store: n.store, Peers: n, Logger: klog.Background(), Registry: prometheus.NewRegistry(), Clock: clock.Steady,
+		Node: node, Duration: time.Hour, Prober: n, Store: n.store, Peers: n, Logger: klog.Background(), Registry: prometheus.NewRegistry(), Clock: clock.Steady,
 		Nodes: n.names, Address: func(name string) (string, bool) { return name, true },
 	})
 	go service.Run(ctx)
@@ -105,12 +105,12 @@
 }
 
 // brokenRun returns an attempt at a replica whose connection broke.
-func brokenRun(call *dispatch.Call, replica string) dispatch.Run {
-	return dispatch.Run{Call: call, Endpoint: &routing.Endpoint{Name: replica, Address: replica}}
+func brokenRun(call *dispatch.Call, replica string) dispatch.Attempt {
+	return dispatch.Attempt{Call: call, Endpoint: &routing.Endpoint{Name: replica, Address: replica}}
 }
 
 // settledBreak reports a broken run to a node and waits until the node has checked it.
-func settledBreak(t *testing.T, service *Service, run dispatch.Run) {
+func settledBreak(t *testing.T, service *Service, run dispatch.Attempt) {
 	t.Helper()
 	service.ObserveBroken(run)
 	eventually(t, "the run has been examined", func() bool {
@@ -122,7 +122,7 @@
 
 func isHeld(service *Service, body string) bool {
 	var quarantined *dispatch.QuarantinedError
-	return errors.As(service.Admit(context.Background(), testCall("asks", body)), &quarantined) && quarantined.Left > 0
+	return errors.As(service.Admit(context.Background(), testCall("asks", body)), &quarantined) && quarantined.Remaining > 0
 }
 
 // Guards against counting crashes per node only: retries reach other nodes under other ids.
@@ -231,12 +231,12 @@
 			name := fmt.Sprint("node-", try)
 			settledBreak(t, nodes.nodes[name], brokenRun(testCall(fmt.Sprint(round, "-", try), "good"), fmt.Sprint("replica-", round, try)))
 		}
-		nodes.nodes["node-0"].ObserveServed(testCall("served", "good"), 200)
+		nodes.nodes["node-0"].ObserveResponse(testCall("served", "good"), 200)
 		eventually(t, "nobody remembers ends under it", func() bool {
 			for _, keeper := range nodes.nodes["node-0"].keepers(fingerprintOf(testCall("", "good"))) {
 				service := nodes.nodes[keeper]
 				service.mutex.Lock()
-				known := len(service.ledger.Ends(fingerprintOf(testCall("", "good"))))
+				known := len(service.ledger.Crashes(fingerprintOf(testCall("", "good"))))
 				service.mutex.Unlock()
 				if known > 0 {
 					return false
@@ -260,11 +260,11 @@
 		eventually(t, name+" holds the request", func() bool { return isHeld(service, "good") })
 	}
 	eventually(t, "the store has it", func() bool { return len(recorded(t, nodes.store)) == 1 })
-	nodes.nodes["node-3"].ObserveServed(testCall("late", "good"), 500)
+	nodes.nodes["node-3"].ObserveResponse(testCall("late", "good"), 500)
 	if !isHeld(nodes.nodes["node-3"], "good") {
 		t.Fatal("a failure lifts the quarantine")
 	}
-	nodes.nodes["node-3"].ObserveServed(testCall("late", "good"), 200)
+	nodes.nodes["node-3"].ObserveResponse(testCall("late", "good"), 200)
 	for name, service := range nodes.nodes {
 		eventually(t, name+" lets the request through", func() bool { return !isHeld(service, "good") })
 	}
@@ -276,7 +276,7 @@
 	nodes := startNodes(t, 1)
 	for try := range 2 * endsToQuarantine {
 		run := brokenRun(testCall(fmt.Sprint("try-", try), "long"), fmt.Sprint("replica-", try))
-		run.Call.Resumable, run.Received, run.Lasted = true, true, 2*earlyBreakLimit
+		run.Call.Resumable, run.BodyReceived, run.Duration = true, true, 2*earlyBreakLimit
 		settledBreak(t, nodes.nodes["node-0"], run)
 	}
 	if isHeld(nodes.nodes["node-0"], "long") {
@@ -332,7 +332,7 @@
 func TestAServiceForgetsEndsOfLongAgo(t *testing.T) {
 	now := start
 	service := NewService(t.Context(), Config{
-		Node: "one", Prober: &testNodes{found: exchange.Ended}, Store: metastore.New(), Peers: &testNodes{}, Logger: klog.Background(),
+		Node: "one", Prober: &testNodes{found: exchange.Dead}, Store: metastore.New(), Peers: &testNodes{}, Logger: klog.Background(),
 		Registry: prometheus.NewRegistry(), Clock: func() time.Time { return now }, Nodes: func() []string { return []string{"one"} },
 		Address: func(string) (string, bool) { return "", false },
 	})
--- a/internal/callers/quarantine/sink.go
+++ b/internal/callers/quarantine/sink.go
@@ -44,7 +44,7 @@
 	now := s.config.Clock()
 	listed := make(map[Fingerprint]time.Time, len(began))
 	for request, at := range began {
-		rest := min(s.config.Span, s.config.Span-now.Sub(at))
+		rest := min(s.config.Duration, s.config.Duration-now.Sub(at))
 		listed[request] = now.Add(rest)
 	}
 	s.table.ApplyStored(listed, now)
--- a/internal/callers/quarantine/table.go
+++ b/internal/callers/quarantine/table.go
@@ -55,9 +55,9 @@
 	return max(0, entry.until.Sub(now))
 }
 
-// Hold puts a request in quarantine until a time. It returns false and changes nothing if the
+// Add puts a request in quarantine until a time. It returns false and changes nothing if the
 // request already is in quarantine.
-func (t *Table) Hold(request Fingerprint, until, now time.Time) bool {
+func (t *Table) Add(request Fingerprint, until, now time.Time) bool {
 	isNew := false
 	t.change(now, func(next map[Fingerprint]held) {
 		if _, known := next[request]; !known {
@@ -68,8 +68,8 @@
 	return isNew
 }
 
-// Lift takes a request out of quarantine and reports whether it was in it.
-func (t *Table) Lift(request Fingerprint, now time.Time) bool {
+// Remove takes a request out of quarantine and reports whether it was in it.
+func (t *Table) Remove(request Fingerprint, now time.Time) bool {
 	if _, held := (*t.current.Load())[request]; !held {
 		// Avoid copying the map in the common case.
 		return false
--- a/internal/callers/quarantine/table_test.go
+++ b/internal/callers/quarantine/table_test.go
@@ -7,14 +7,14 @@
 
 func TestQuarantineEndsByItself(t *testing.T) {
 	table := NewTable()
-	table.Hold(numbered(1), start.Add(time.Minute), start)
+	table.Add(numbered(1), start.Add(time.Minute), start)
 	if left := table.TimeLeft(numbered(1), start.Add(20*time.Second)); left != 40*time.Second {
 		t.Errorf("%v are left of a minute after 20 s", left)
 	}
 	if left := table.TimeLeft(numbered(1), start.Add(time.Minute)); left != 0 {
 		t.Errorf("%v are left after the end", left)
 	}
-	table.Hold(numbered(2), start.Add(time.Hour), start.Add(time.Minute))
+	table.Add(numbered(2), start.Add(time.Hour), start.Add(time.Minute))
 	if table.Len(start.Add(time.Minute)) != 1 || len(*table.current.Load()) != 1 {
 		t.Error("a quarantine that is over is kept")
 	}
@@ -23,7 +23,7 @@
 // Guards against lifting a quarantine that peers reported before the store lists it.
 func TestListingWithoutARequestLiftsOnlyWhatWasListed(t *testing.T) {
 	table := NewTable()
-	table.Hold(numbered(1), start.Add(time.Minute), start)
+	table.Add(numbered(1), start.Add(time.Minute), start)
 	table.ApplyStored(map[Fingerprint]time.Time{numbered(2): start.Add(time.Minute)}, start)
 	if table.TimeLeft(numbered(1), start) == 0 {
 		t.Error("a request that the store does not list yet is let through")
--- a/internal/instance/adapter.go
+++ b/internal/instance/adapter.go
@@ -18,7 +18,7 @@
 	Kinds   Kinds
 	Decoder directory.Decoder
 	Headers interface {
-		dispatch.Headers
+		dispatch.HeaderCodec
 		ingress.Headers
 		// Prompt returns a number that prompts with the same beginning share.
 		Prompt(header http.Header) uint64
--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -61,7 +61,7 @@
 	dispatcher := dispatch.New(p.pool, p.adapter.Headers, dispatch.NewMetrics(p.registry))
 	p.forwarder = forward.New(forward.Config{
 		Zone: p.settings.Zone, Directory: p.directory, Dispatcher: dispatcher, Logger: p.logger, Metrics: forward.NewMetrics(p.registry),
-		Prompt: p.adapter.Headers.Prompt, VersionField: p.adapter.Jobs.VersionField(), Meter: usageMeter{parts: p},
+		PromptHash: p.adapter.Headers.Prompt, VersionField: p.adapter.Jobs.VersionField(), Meter: usageMeter{parts: p},
 	})
 	return dispatcher
 }
@@ -100,7 +100,7 @@
 // assembleQuarantine makes what keeps requests that end replicas from further ones.
 func (p *parts) assembleQuarantine(ctx context.Context) {
 	p.quarantine = quarantine.NewService(ctx, quarantine.Config{
-		Node: p.settings.Node, Span: p.settings.Quarantine.Std(), Prober: p.pool, Store: p.store, Peers: p.transport, Logger: p.logger,
+		Node: p.settings.Node, Duration: p.settings.Quarantine.Std(), Prober: p.pool, Store: p.store, Peers: p.transport, Logger: p.logger,
 		Registry: p.registry, Clock: p.clock, Nodes: p.peers.NodeNames, Address: p.lookup.address,
 	})
 }
--- a/internal/instance/connections.go
+++ b/internal/instance/connections.go
@@ -42,7 +42,7 @@
 		changed := b.directory.Changed()
 		// A starting node knows no replica yet: bounds would close what it opens.
 		if view := b.directory.View(); view.Configuration != nil && len(view.Replicas) > 0 {
-			b.pool.SetBounds(connectionBounds(view, len(b.peers.NodeNames())))
+			b.pool.SetLimits(connectionBounds(view, len(b.peers.NodeNames())))
 			objectstore.Sleep(ctx, minBoundsInterval)
 		}
 		select {
@@ -54,8 +54,8 @@
 }
 
 // connectionBounds shares what each replica accepts among the nodes.
-func connectionBounds(view *directory.View, nodes int) map[string]exchange.Bound {
-	bounds := make(map[string]exchange.Bound, len(view.Replicas))
+func connectionBounds(view *directory.View, nodes int) map[string]exchange.ConnectionLimits {
+	bounds := make(map[string]exchange.ConnectionLimits, len(view.Replicas))
 	for _, replica := range view.Replicas {
 		most := 0
 		if view.Configuration != nil {
@@ -63,12 +63,12 @@
 		}
 		if most <= 0 {
 			// The service names no bound.
-			bounds[replica.Address] = exchange.Bound{Open: unboundedConnections, Idle: maxResting}
+			bounds[replica.Address] = exchange.ConnectionLimits{Open: unboundedConnections, Idle: maxResting}
 			continue
 		}
 		share := int(connectionShare * float64(most) / float64(max(1, nodes)))
 		bound := min(most, max(share, connectionsPerSlot*max(1, replica.Slots)))
-		bounds[replica.Address] = exchange.Bound{Open: bound, Idle: min(bound, maxResting)}
+		bounds[replica.Address] = exchange.ConnectionLimits{Open: bound, Idle: min(bound, maxResting)}
 	}
 	return bounds
 }
--- a/internal/instance/connections_test.go
+++ b/internal/instance/connections_test.go
@@ -21,14 +21,14 @@
 	for _, test := range []struct {
 		name                 string
 		most, nodes, replica int
-		want                 exchange.Bound
+		want                 exchange.ConnectionLimits
 	}{
-		{"few nodes", 150, 9, 8, exchange.Bound{Open: 24, Idle: 24}},
-		{"many nodes", 490, 67, 6, exchange.Bound{Open: 18, Idle: 18}},
-		{"very many nodes", 100, 350, 6, exchange.Bound{Open: 18, Idle: 18}},
-		{"one node", 400, 1, 8, exchange.Bound{Open: 320, Idle: 32}},
-		{"fewer connections than slots", 4, 1, 8, exchange.Bound{Open: 4, Idle: 4}},
-		{"no bound", 0, 9, 8, exchange.Bound{Open: unboundedConnections, Idle: 32}},
+		{"few nodes", 150, 9, 8, exchange.ConnectionLimits{Open: 24, Idle: 24}},
+		{"many nodes", 490, 67, 6, exchange.ConnectionLimits{Open: 18, Idle: 18}},
+		{"very many nodes", 100, 350, 6, exchange.ConnectionLimits{Open: 18, Idle: 18}},
+		{"one node", 400, 1, 8, exchange.ConnectionLimits{Open: 320, Idle: 32}},
+		{"fewer connections than slots", 4, 1, 8, exchange.ConnectionLimits{Open: 4, Idle: 4}},
+		{"no bound", 0, 9, 8, exchange.ConnectionLimits{Open: unboundedConnections, Idle: 32}},
 	} {
 		view := &directory.View{
 			Configuration: &directory.Configuration{Services: map[string]directory.Service{"s": {Name: "s", MaxConnections: test.most}}},
@@ -77,7 +77,7 @@
 			t.Errorf("%d connections rest, want that to the replica listed", open)
 		}
 		cancel()
-		node.pool.SetBounds(map[string]exchange.Bound{})
+		node.pool.SetLimits(map[string]exchange.ConnectionLimits{})
 	})
 }
 
--- a/internal/jobs/batch/attempt.go
+++ b/internal/jobs/batch/attempt.go
@@ -83,7 +83,7 @@
 	work := running.item
 	call := &dispatch.Call{
 		ID: work.ID, Method: http.MethodPost, Target: work.Target, Host: host, Header: work.Header, Body: work.Body,
-		Deadline: time.Now().Add(runTimeout), AfterEvent: len(work.progress.events), Resumable: true, Rank: dispatch.RankOf(running.priority),
+		Deadline: time.Now().Add(runTimeout), LastEventID: len(work.progress.events), Resumable: true, EnginePriority: dispatch.EnginePriorityOf(running.priority),
 		Tenant: work.job.record.Tenant, Purpose: exchange.PurposeItem,
 	}
 	answer, err := s.config.Dispatcher.Send(ctx, running.endpoint, call)
@@ -95,7 +95,7 @@
 		answer.Discard()
 		return &ItemStatusError{Status: answer.Status}
 	}
-	version := answer.Verdict.Version
+	version := answer.Metadata.Version
 	s.learnVersion(running.endpoint.Name, work.job.submission.Model, version)
 	// A replica that has nothing to add to a text names no version: it is not to be
 	// taken for one with old weights, or the item runs on for ever.
@@ -109,7 +109,7 @@
 
 // receiveEvents reads the events of an answer to its end. The version is the answer's
 // until an event names another.
-func (s *scheduler) receiveEvents(running *attempt, answer *dispatch.Answer, version int64, singleVersion bool) error {
+func (s *scheduler) receiveEvents(running *attempt, answer *dispatch.Response, version int64, singleVersion bool) error {
 	work := running.item
 	events := eventstream.NewReader(answer, s.config.Codec.VersionField(), len(work.progress.events))
 	for {
--- a/internal/jobs/batch/harness_test.go
+++ b/internal/jobs/batch/harness_test.go
@@ -41,16 +41,16 @@
 // testHeaders is a codec of its own, so that these tests know no platform.
 type testHeaders struct{}
 
-func (testHeaders) Prepare(header http.Header, conditions dispatch.Conditions) {
+func (testHeaders) Encode(header http.Header, conditions dispatch.RequestMetadata) {
 	header.Set(headerReplica, conditions.Replica)
-	if conditions.AfterEvent > 0 {
-		header.Set(headerAfter, strconv.Itoa(conditions.AfterEvent))
+	if conditions.LastEventID > 0 {
+		header.Set(headerAfter, strconv.Itoa(conditions.LastEventID))
 	}
 }
 
-func (testHeaders) Judge(status int, header http.Header) dispatch.Verdict {
+func (testHeaders) Decode(status int, header http.Header) dispatch.ResponseMetadata {
 	version, _ := strconv.ParseInt(header.Get(headerVersion), 10, 64)
-	return dispatch.Verdict{RequestID: header.Get(headerID), Signed: true, NotRun: status == http.StatusServiceUnavailable, Version: version}
+	return dispatch.ResponseMetadata{RequestID: header.Get(headerID), Signed: true, NotRun: status == http.StatusServiceUnavailable, Version: version}
 }
 
 // testCodec reads submissions as JSON of the package's own types.
--- a/internal/jobs/batch/homes.go
+++ b/internal/jobs/batch/homes.go
@@ -154,7 +154,7 @@
 		route := view.Configuration.RouteByName(name)
 		if route != nil && !view.HasReplica(route, view.Configuration.AllowedRegions(route, from.tenant)) {
 			s.metrics.withoutHome.Inc()
-			return &jobstore.NotAcceptedError{Cause: forward.ErrNoHome}
+			return &jobstore.NotAcceptedError{Cause: forward.ErrNoReplicaInAllowedRegions}
 		}
 	}
 	return nil
--- a/internal/jobs/batch/homes_test.go
+++ b/internal/jobs/batch/homes_test.go
@@ -185,7 +185,7 @@
 	c := spread(t, []string{"atlantis"}, []string{"north", "south"}, []string{"south"}, engine)
 	err := c.handFrom(c.nodes[0], "job", 2)
 	var notTaken *jobstore.NotAcceptedError
-	if !errors.As(err, &notTaken) || !errors.Is(err, forward.ErrNoHome) {
+	if !errors.As(err, &notTaken) || !errors.Is(err, forward.ErrNoReplicaInAllowedRegions) {
 		t.Errorf("the job: %v", err)
 	}
 	for _, kind := range []string{jobstore.KindJobs, jobstore.KindPayloads} {
--- a/internal/jobs/batch/refusal.go
+++ b/internal/jobs/batch/refusal.go
@@ -36,7 +36,7 @@
 	switch {
 	case errors.Is(err, ErrOtherTenant):
 		return refusal{status: http.StatusConflict}
-	case errors.Is(err, forward.ErrNoHome):
+	case errors.Is(err, forward.ErrNoReplicaInAllowedRegions):
 		return refusal{status: http.StatusServiceUnavailable, retryAfter: withoutHomeRetryDelay}
 	case errors.As(err, &notTaken):
 		return refusal{status: http.StatusServiceUnavailable, retryAfter: retryDelay}
--- a/internal/jobs/batch/refusal_test.go
+++ b/internal/jobs/batch/refusal_test.go
@@ -18,7 +18,7 @@
 		want refusal
 	}{
 		{"submission of another tenant's job", refusalOfSubmission(ErrOtherTenant), refusal{http.StatusConflict, 0}},
-		{"submission without a home", refusalOfSubmission(&jobstore.NotAcceptedError{Cause: forward.ErrNoHome}), refusal{http.StatusServiceUnavailable, 2 * time.Second}},
+		{"submission without a home", refusalOfSubmission(&jobstore.NotAcceptedError{Cause: forward.ErrNoReplicaInAllowedRegions}), refusal{http.StatusServiceUnavailable, 2 * time.Second}},
 		{"submission not taken", refusalOfSubmission(&jobstore.NotAcceptedError{Cause: broken}), refusal{http.StatusServiceUnavailable, 200 * time.Millisecond}},
 		{"submission uncertain", refusalOfSubmission(&jobstore.AcceptanceUnknownError{Cause: broken}), refusal{http.StatusGatewayTimeout, 0}},
 		{"submission that failed otherwise", refusalOfSubmission(broken), refusal{http.StatusGatewayTimeout, 0}},
--- a/internal/jobs/batch/reward.go
+++ b/internal/jobs/batch/reward.go
@@ -54,8 +54,8 @@
 			whole, err := s.callScorer(work.job.ctx, route, call)
 			if err == nil {
 				failures += whole.Failures
-				if whole.Answer.Status >= http.StatusOK && whole.Answer.Status < http.StatusMultipleChoices {
-					return s.config.Codec.Signature(whole.Answer.Header), false, true
+				if whole.Response.Status >= http.StatusOK && whole.Response.Status < http.StatusMultipleChoices {
+					return s.config.Codec.Signature(whole.Response.Header), false, true
 				}
 				if failures >= attempts() {
 					return "", true, false
@@ -71,7 +71,7 @@
 }
 
 // callScorer makes one call of a scorer once the bound of its route has room.
-func (s *scorer) callScorer(ctx context.Context, route *directory.Route, call *dispatch.Call) (*forward.BufferedAnswer, error) {
+func (s *scorer) callScorer(ctx context.Context, route *directory.Route, call *dispatch.Call) (*forward.BufferedResponse, error) {
 	bound := s.rewardBound(route)
 	if err := bound.Enter(ctx); err != nil {
 		return nil, err
@@ -80,7 +80,7 @@
 	whole, err := s.config.Forwarder.Do(ctx, route, call)
 	var refused *forward.RefusedError
 	isCrowded := errors.As(err, &refused) && refused.Reason != forward.ReasonQuarantined
-	bound.Leave(isCrowded || (err == nil && whole.Refusals > 0))
+	bound.Leave(isCrowded || (err == nil && whole.Rejections > 0))
 	return whole, err
 }
 
--- a/internal/jobs/batch/runerror.go
+++ b/internal/jobs/batch/runerror.go
@@ -47,7 +47,7 @@
 	case errors.As(err, &withheld):
 		// It was not sent: another replica, or a later moment, will do.
 		work.retryAt = time.Now().Add(breakPause)
-	case errors.As(err, &notRun) && notRun.OtherReplica:
+	case errors.As(err, &notRun) && notRun.AddressReassigned:
 		state.BlockedUntil = time.Now().Add(otherBlock)
 	case errors.As(err, &notRun):
 		state.Block(fullBlock)
--- a/test/virtual_test.go
+++ b/test/virtual_test.go
@@ -81,7 +81,7 @@
 		go watchcache.NewInformer(day.store, kind, sink, logger).Run(ctx)
 	}
 	pool := exchange.NewPool(network.Dial)
-	t.Cleanup(func() { pool.SetBounds(map[string]exchange.Bound{}) })
+	t.Cleanup(func() { pool.SetLimits(map[string]exchange.ConnectionLimits{}) })
 	dispatcher := dispatch.New(pool, platform.Headers{}, nil)
 	registry := prometheus.NewRegistry()
 	peers := peering.NewTable(peering.Config{
