--- a/internal/callers/forward/meter.go
+++ b/internal/callers/forward/meter.go
@@ -2,15 +2,14 @@
 
 import "time"
 
-// Meter counts requests that began to run.
+// Meter counts requests that started to run.
 type Meter interface {
-	// CountRequest counts a request of a tenant, empty for none, that began to run at a
-	// time.
+	// CountRequest counts a request that started to run at a time. The tenant is empty if no
+	// tenants are declared.
 	CountRequest(tenant string, at time.Time)
 }
 
-// noMeter is the Meter where usage is not reported.
+// noMeter is a Meter that counts nothing.
 type noMeter struct{}
 
-// CountRequest implements Meter.
 func (noMeter) CountRequest(string, time.Time) {}
