--- a/internal/callers/dispatch/call.go
+++ b/internal/callers/dispatch/call.go
@@ -37,8 +37,8 @@
 	Metered bool
 	// Purpose labels the connection metrics; empty means exchange.PurposeLive.
 	Purpose exchange.Purpose
-	// EnginePriority is the scheduling priority at the replica's engine: 1 is the most urgent, 0
-	// means the replica's default.
+	// EnginePriority is the scheduling priority at the replica's engine: 1 is the most urgent,
+	// 0 means the replica's default.
 	EnginePriority int
 }
 
--- a/internal/callers/forward/attempts_test.go
+++ b/internal/callers/forward/attempts_test.go
@@ -2,41 +2,41 @@
 
 import "testing"
 
-func TestWhenARequestBegan(t *testing.T) {
-	type end struct {
+func TestAttemptLogStartedAt(t *testing.T) {
+	type outcome struct {
 		replica     string
 		ran, notRun bool
 	}
 	for _, test := range []struct {
-		name  string
-		sent  []string
-		ends  []end
-		began string
+		name     string
+		sent     []string
+		outcomes []outcome
+		started  string
 	}{
-		{"answered", []string{"a"}, []end{{"a", true, false}}, "a"},
-		{"turned away first", []string{"a", "b"}, []end{{"a", false, true}, {"b", true, false}}, "b"},
-		{"broken first", []string{"a", "b"}, []end{{"a", false, false}, {"b", true, false}}, "b"},
-		{"broken everywhere", []string{"a", "b"}, []end{{"a", false, false}, {"b", false, false}}, "a"},
-		{"not ended", []string{"a"}, nil, "a"},
-		{"turned away everywhere", []string{"a", "b"}, []end{{"a", false, true}, {"b", false, true}}, ""},
-		{"turned away, then taken there", []string{"a", "a"}, []end{{"a", true, false}}, "a"},
-		{"never sent", nil, nil, ""},
+		{"response", []string{"a"}, []outcome{{"a", true, false}}, "a"},
+		{"first rejected", []string{"a", "b"}, []outcome{{"a", false, true}, {"b", true, false}}, "b"},
+		{"first broken", []string{"a", "b"}, []outcome{{"a", false, false}, {"b", true, false}}, "b"},
+		{"all broken", []string{"a", "b"}, []outcome{{"a", false, false}, {"b", false, false}}, "a"},
+		{"in progress", []string{"a"}, nil, "a"},
+		{"all rejected", []string{"a", "b"}, []outcome{{"a", false, true}, {"b", false, true}}, ""},
+		{"rejected, then run by the same replica", []string{"a", "a"}, []outcome{{"a", true, false}}, "a"},
+		{"not sent", nil, nil, ""},
 	} {
 		var sent attemptLog
 		for _, replica := range test.sent {
 			sent.recordSent(replica)
 		}
-		for _, ended := range test.ends {
-			sent.recordEnd(ended.replica, ended.ran, ended.notRun)
+		for _, outcome := range test.outcomes {
+			sent.recordEnd(outcome.replica, outcome.ran, outcome.notRun)
 		}
-		at, began := sent.startedAt()
-		if began != (test.began != "") {
-			t.Errorf("%s: began %v", test.name, began)
+		at, started := sent.startedAt()
+		if started != (test.started != "") {
+			t.Errorf("%s: started %v", test.name, started)
 			continue
 		}
-		for _, one := range sent {
-			if one.at.Equal(at) && began && one.replica != test.began {
-				t.Errorf("%s: began at %s", test.name, one.replica)
+		for _, attempt := range sent {
+			if attempt.at.Equal(at) && started && attempt.replica != test.started {
+				t.Errorf("%s: started at replica %s", test.name, attempt.replica)
 			}
 		}
 	}
--- a/internal/callers/forward/decide.go
+++ b/internal/callers/forward/decide.go
@@ -3,31 +3,31 @@
 import "time"
 
 const (
-	// hedgeObjectiveShare is the fraction of the latency objective after which a
+	// hedgeObjectiveFraction is the fraction of the latency objective after which a
 	// repeatable request is also sent to a second replica.
-	hedgeObjectiveShare = 0.5
-	// maxRefusals is the maximum number of attempts of one request that certainly did
+	hedgeObjectiveFraction = 0.5
+	// maxRejections is the maximum number of attempts of one request that certainly did
 	// not run.
-	maxRefusals = 12
-	// roomRetryDelay is the delay before all replicas are tried again once each has been
-	// tried. roomRetryShare is the fraction of the latency objective after which a
+	maxRejections = 12
+	// capacityRetryDelay is the delay before all replicas are tried again once each has been
+	// tried. capacityRetryFraction is the fraction of the latency objective after which a
 	// request is no longer retried in this way.
-	roomRetryDelay = 12 * time.Millisecond
-	roomRetryShare = 0.2
+	capacityRetryDelay    = 12 * time.Millisecond
+	capacityRetryFraction = 0.2
 )
 
 // hedgeDelay returns how long the first attempt may take before a second one is started
 // in parallel.
 func hedgeDelay(objective time.Duration) time.Duration {
-	return time.Duration(hedgeObjectiveShare * float64(objective))
+	return time.Duration(hedgeObjectiveFraction * float64(objective))
 }
 
 // event is what triggers a decision.
 type event string
 
 const (
-	// eventAnswered: an attempt returned a complete response with a status below 500.
-	eventAnswered event = "answered"
+	// eventResponse: an attempt returned a complete response with a status below 500.
+	eventResponse event = "answered"
 	// eventErrorStatus: an attempt returned a complete response with a status of 500 or
 	// above.
 	eventErrorStatus event = "error status"
@@ -49,48 +49,48 @@
 	stepSend step = "send"
 	// stepAwait waits for the next event of the attempts in progress.
 	stepAwait step = "await"
-	// stepWaitForRoom waits for roomRetryDelay, then tries all replicas again.
-	stepWaitForRoom step = "wait for room"
-	// stepAnswer returns the most recent complete response to the caller.
-	stepAnswer step = "answer"
+	// stepWaitForCapacity waits for capacityRetryDelay, then tries all replicas again.
+	stepWaitForCapacity step = "wait for room"
+	// stepRespond returns the most recent complete response to the caller.
+	stepRespond step = "answer"
 	// stepRefuse fails a request that certainly did not run.
 	stepRefuse step = "refuse"
-	// stepLose fails a request that may have run.
-	stepLose step = "lose"
-	// stepExpire fails a request that may have run and whose context has ended.
-	stepExpire step = "expire"
-	// stepBreakOff aborts a stream whose response head the caller already has.
-	stepBreakOff step = "break off"
+	// stepFailLost fails a request that may have run.
+	stepFailLost step = "lose"
+	// stepFailExpired fails a request that may have run and whose context has ended.
+	stepFailExpired step = "expire"
+	// stepAbortStream aborts a stream whose response head the caller already has.
+	stepAbortStream step = "break off"
 )
 
 // reason says why a step was selected. It is logged.
 type reason string
 
 const (
-	reasonAnswered     reason = "answered"
-	reasonNotRepeated  reason = "may have run and must not run twice"
-	reasonInProgress   reason = "another attempt is in progress"
-	reasonQuarantined  reason = "replicas end under the request"
-	reasonAttempts     reason = "attempt limit reached"
-	reasonRefusals     reason = "refusal limit reached"
-	reasonRetry        reason = "further attempt allowed"
-	reasonHedge        reason = "first attempt is slow"
-	reasonNoneEligible reason = "no replica is eligible"
-	reasonAllTried     reason = "all replicas were tried"
-	reasonWaited       reason = "waited for room long enough"
-	reasonContextEnded reason = "context ended"
+	reasonResponse       reason = "answered"
+	reasonNotRepeatable  reason = "may have run and must not run twice"
+	reasonInProgress     reason = "another attempt is in progress"
+	reasonQuarantined    reason = "replicas end under the request"
+	reasonAttemptLimit   reason = "attempt limit reached"
+	reasonRejectionLimit reason = "refusal limit reached"
+	reasonRetry          reason = "further attempt allowed"
+	reasonHedge          reason = "first attempt is slow"
+	reasonNoReplica      reason = "no replica is eligible"
+	reasonAllTried       reason = "all replicas were tried"
+	reasonWaitLimit      reason = "waited for room long enough"
+	reasonContextEnded   reason = "context ended"
 )
 
-// situation is the input of a decision about a request with a buffered response.
-type situation struct {
+// requestState is the input of a decision about a request with a buffered response.
+type requestState struct {
 	event event
 	// repeatable is set if the request may run more than once.
 	repeatable bool
 	// attemptLimit is the maximum number of attempts that the route allows.
 	attemptLimit int
-	// attempts is the number of attempts that are running or may have run, refusals the
-	// number of attempts that certainly did not run.
-	attempts, refusals int
+	// attempts is the number of attempts that are running or may have run, rejections
+	// the number of attempts that certainly did not run.
+	attempts, rejections int
 	// inProgress is the number of attempts that have not ended.
 	inProgress int
 	// tried is the number of replicas that the last pick skipped as already tried.
@@ -100,8 +100,8 @@
 	// quarantined is set if the last attempt failed because the request is quarantined,
 	// so that no other replica accepts it either.
 	quarantined bool
-	// hasAnswer is set if there is a complete response, whatever its status.
-	hasAnswer    bool
+	// hasResponse is set if there is a complete response, whatever its status.
+	hasResponse  bool
 	contextEnded bool
 	// elapsed is the time since the request arrived.
 	elapsed time.Duration
@@ -119,78 +119,78 @@
 }
 
 // next selects the step that follows an event of a request with a buffered response.
-func (s situation) next() decision {
+func (s requestState) next() decision {
 	switch s.event {
-	case eventAnswered:
-		return decision{step: stepAnswer, reason: reasonAnswered}
+	case eventResponse:
+		return decision{step: stepRespond, reason: reasonResponse}
 	case eventErrorStatus:
 		if !s.repeatable {
-			return decision{step: stepAnswer, reason: reasonNotRepeated}
+			return decision{step: stepRespond, reason: reasonNotRepeatable}
 		}
 		return s.afterFailure()
 	case eventAttemptFailed:
 		return s.afterFailure()
 	case eventHedgeDue:
-		return s.hedge()
+		return s.afterHedgeDue()
 	case eventNoReplica:
-		return s.withoutReplica()
+		return s.afterNoReplica()
 	}
 	return s.giveUp(reasonContextEnded)
 }
 
 // afterFailure selects the step after an attempt that failed or returned a server error.
-func (s situation) afterFailure() decision {
+func (s requestState) afterFailure() decision {
 	switch {
 	case s.inProgress > 0:
 		return decision{step: stepAwait, reason: reasonInProgress}
 	case s.mayHaveRun && !s.repeatable:
-		return s.giveUp(reasonNotRepeated)
+		return s.giveUp(reasonNotRepeatable)
 	case s.quarantined:
 		return s.giveUp(reasonQuarantined)
 	case s.attempts >= s.attemptLimit:
-		return s.giveUp(reasonAttempts)
-	case s.refusals >= maxRefusals:
-		return s.giveUp(reasonRefusals)
+		return s.giveUp(reasonAttemptLimit)
+	case s.rejections >= maxRejections:
+		return s.giveUp(reasonRejectionLimit)
 	}
 	return decision{step: stepSend, reason: reasonRetry}
 }
 
-// hedge selects the step once hedgeDelay has passed.
-func (s situation) hedge() decision {
+// afterHedgeDue selects the step once hedgeDelay has passed.
+func (s requestState) afterHedgeDue() decision {
 	switch {
 	case !s.repeatable:
-		return decision{step: stepAwait, reason: reasonNotRepeated}
+		return decision{step: stepAwait, reason: reasonNotRepeatable}
 	case s.attempts >= s.attemptLimit:
-		return decision{step: stepAwait, reason: reasonAttempts}
+		return decision{step: stepAwait, reason: reasonAttemptLimit}
 	}
 	return decision{step: stepSend, reason: reasonHedge}
 }
 
-// withoutReplica selects the step after a pick that found no eligible replica.
-func (s situation) withoutReplica() decision {
+// afterNoReplica selects the step after a pick that found no eligible replica.
+func (s requestState) afterNoReplica() decision {
 	switch {
 	case s.inProgress > 0:
 		return decision{step: stepAwait, reason: reasonInProgress}
-	case s.attempts == 0 && s.refusals == 0:
-		return decision{step: stepRefuse, refusal: ReasonNoReplica, reason: reasonNoneEligible}
+	case s.attempts == 0 && s.rejections == 0:
+		return decision{step: stepRefuse, refusal: ReasonNoReplica, reason: reasonNoReplica}
 	case s.tried == 0:
-		return s.giveUp(reasonNoneEligible)
-	case s.elapsed > time.Duration(roomRetryShare*float64(s.objective)):
-		return s.giveUp(reasonWaited)
+		return s.giveUp(reasonNoReplica)
+	case s.elapsed > time.Duration(capacityRetryFraction*float64(s.objective)):
+		return s.giveUp(reasonWaitLimit)
 	}
-	return decision{step: stepWaitForRoom, reason: reasonAllTried}
+	return decision{step: stepWaitForCapacity, reason: reasonAllTried}
 }
 
 // giveUp ends the request: it returns the response if there is one, and otherwise reports
 // the request as lost if it may have run, or as refused if it did not.
-func (s situation) giveUp(why reason) decision {
+func (s requestState) giveUp(why reason) decision {
 	switch {
-	case s.hasAnswer:
-		return decision{step: stepAnswer, reason: why}
+	case s.hasResponse:
+		return decision{step: stepRespond, reason: why}
 	case s.contextEnded && (s.mayHaveRun || s.inProgress > 0):
-		return decision{step: stepExpire, reason: why}
+		return decision{step: stepFailExpired, reason: why}
 	case s.mayHaveRun:
-		return decision{step: stepLose, reason: why}
+		return decision{step: stepFailLost, reason: why}
 	case s.contextEnded:
 		return decision{step: stepRefuse, refusal: ReasonExpired, reason: why}
 	}
--- a/internal/callers/forward/doc.go
+++ b/internal/callers/forward/doc.go
@@ -3,8 +3,8 @@
 // For each request it picks a replica (package routing), sends the request to
 // it (package dispatch), and selects the next step after each event: a retry,
 // a hedge (a second attempt while the first is slow), a wait for capacity, a
-// response, or a refusal. The selection is a pure function: situation.next for
-// requests with a buffered response and streamSituation.next for streams.
+// response, or a refusal. The selection is a pure function: requestState.next
+// for requests with a buffered response and streamState.next for streams.
 // request and streamRequest execute the steps.
 //
 // The package keeps the requests in progress on this node and the state of the
@@ -13,5 +13,5 @@
 //
 // Guarantees: a request that must not run twice is sent again only if no
 // earlier attempt can have run; a RefusedError means that no replica has run
-// the request; no request runs past the deadline of its call.
+// the request; no attempt lasts past the deadline of its call.
 package forward
--- a/internal/callers/forward/errors.go
+++ b/internal/callers/forward/errors.go
@@ -15,7 +15,9 @@
 	Cause      error
 }
 
-func (e *RefusedError) Error() string { return fmt.Sprintf("refused, %s: %v", e.Reason, e.Cause) }
+func (e *RefusedError) Error() string {
+	return fmt.Sprintf("request refused: %s: %v", e.Reason, e.Cause)
+}
 
 func (e *RefusedError) Unwrap() error { return e.Cause }
 
@@ -26,7 +28,9 @@
 	Cause   error
 }
 
-func (e *LostError) Error() string { return fmt.Sprintf("no answer, may have run: %v", e.Cause) }
+func (e *LostError) Error() string {
+	return fmt.Sprintf("no response, request may have run: %v", e.Cause)
+}
 
 func (e *LostError) Unwrap() error { return e.Cause }
 
@@ -44,22 +48,22 @@
 	ReasonOutsideRegions = "no replica in the allowed regions"
 )
 
-// ErrNoReplicaInAllowedRegions means that no replica of the route is in a region where the request may be
-// served.
+// ErrNoReplicaInAllowedRegions means that no replica of the route is in a region where the
+// request may be served.
 var ErrNoReplicaInAllowedRegions = merry.Sentinel("the services of the route have no replica in the allowed regions")
 
-// ErrStreamInterrupted means that a resumable stream was interrupted: no event arrived for too long,
-// or the connection closed without HTTP framing that marks the end of the body.
-var ErrStreamInterrupted = merry.Sentinel("stream has fallen silent")
+// ErrStreamInterrupted means that a resumable stream was interrupted: no event arrived for too
+// long, or the connection closed without HTTP framing that marks the end of the body.
+var ErrStreamInterrupted = merry.Sentinel("stream idle or closed without framing")
 
-// ErrResponseTooLarge means that the body of a response is larger than maxAnswerBytes.
-var ErrResponseTooLarge = merry.Sentinel("answer is too long")
+// ErrResponseTooLarge means that the body of a response is larger than maxResponseBytes.
+var ErrResponseTooLarge = merry.Sentinel("response body too large")
 
 // StreamStatusError reports a response whose status cannot continue a stream.
 type StreamStatusError struct{ Status int }
 
 func (e *StreamStatusError) Error() string {
-	return fmt.Sprintf("replica answered status %d", e.Status)
+	return fmt.Sprintf("replica responded with status %d", e.Status)
 }
 
 // BrokenStreamError reports a stream that ended early, after the response head had been
@@ -70,6 +74,6 @@
 	Cause  error
 }
 
-func (e *BrokenStreamError) Error() string { return "stream broken off: " + e.Cause.Error() }
+func (e *BrokenStreamError) Error() string { return "stream ended early: " + e.Cause.Error() }
 
 func (e *BrokenStreamError) Unwrap() error { return e.Cause }
--- a/internal/callers/forward/forwarder.go
+++ b/internal/callers/forward/forwarder.go
@@ -31,24 +31,25 @@
 
 // Forwarder forwards live requests. It is safe for concurrent use.
 type Forwarder struct {
-	config Config
-	split  targetSplitter
-	// promptLines limits the rate of log lines for requests that were served within
+	config   Config
+	splitter targetSplitter
+	// successLogLimiter limits the rate of log lines for requests that were served within
 	// their objective at the first attempt.
-	promptLines *rate.Limiter
+	successLogLimiter *rate.Limiter
 }
 
 const (
-	// promptLinesPerSecond and promptLinesBurst are the limits of promptLines.
-	promptLinesPerSecond = 30
-	promptLinesBurst     = 60
+	// successLogsPerSecond and successLogBurst are the limits of successLogLimiter.
+	successLogsPerSecond = 30
+	successLogBurst      = 60
 )
 
+// New returns a Forwarder with the given configuration.
 func New(config Config) *Forwarder {
 	if config.Meter == nil {
 		config.Meter = noMeter{}
 	}
-	return &Forwarder{config: config, promptLines: rate.NewLimiter(promptLinesPerSecond, promptLinesBurst)}
+	return &Forwarder{config: config, successLogLimiter: rate.NewLimiter(successLogsPerSecond, successLogBurst)}
 }
 
 // Do forwards a request and returns the complete response. The error is a *RefusedError
@@ -57,21 +58,21 @@
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	defer cancel()
 	request := f.newRequest(route, call)
-	var answer *BufferedResponse
-	err := f.checkHomes(route, call)
+	var response *BufferedResponse
+	err := f.checkAllowedRegions(route, call)
 	if err == nil {
-		answer, err = request.run(ctx)
+		response, err = request.run(ctx)
 	}
-	request.report(answer, err)
-	if at, started := request.attempts.startedAt(); started && call.Metered {
-		f.config.Meter.CountRequest(call.Tenant, at)
+	request.report(response, err)
+	if start, started := request.attempts.startedAt(); started && call.Metered {
+		f.config.Meter.CountRequest(call.Tenant, start)
 	}
-	return answer, err
+	return response, err
 }
 
 // sleep waits for a duration. It returns false if the context ends first.
-func sleep(ctx context.Context, span time.Duration) bool {
-	timer := time.NewTimer(span)
+func sleep(ctx context.Context, delay time.Duration) bool {
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/callers/forward/metrics.go
+++ b/internal/callers/forward/metrics.go
@@ -9,10 +9,10 @@
 
 // Metrics counts live requests and streams by outcome.
 type Metrics struct {
-	requests     *prometheus.CounterVec
-	latency      prometheus.Histogram
-	omittedLines prometheus.Counter
-	withoutHome  prometheus.Counter
+	requests              *prometheus.CounterVec
+	latency               prometheus.Histogram
+	droppedLogLines       prometheus.Counter
+	outsideAllowedRegions prometheus.Counter
 }
 
 // latencyBuckets are the bucket bounds of the latency histogram, in seconds.
@@ -24,17 +24,17 @@
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "pathtally_forwarded_requests_total", Help: "Live requests by how they ended."}, []string{"outcome"}),
 		latency:  prometheus.NewHistogram(prometheus.HistogramOpts{Name: "pathtally_forward_seconds", Help: "Time from a whole live request to its whole answer.", Buckets: latencyBuckets}),
 	}
-	metrics.omittedLines = prometheus.NewCounter(prometheus.CounterOpts{Name: "pathtally_log_lines_left_out_total", Help: "Log lines of requests served at once that were left out."})
-	metrics.withoutHome = prometheus.NewCounter(prometheus.CounterOpts{
+	metrics.droppedLogLines = prometheus.NewCounter(prometheus.CounterOpts{Name: "pathtally_log_lines_left_out_total", Help: "Log lines of requests served at once that were left out."})
+	metrics.outsideAllowedRegions = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "pathtally_requests_without_home_total", Help: "Live requests refused because no replica is in the allowed regions.",
 	})
-	registry.MustRegister(metrics.requests, metrics.latency, metrics.omittedLines, metrics.withoutHome)
+	registry.MustRegister(metrics.requests, metrics.latency, metrics.droppedLogLines, metrics.outsideAllowedRegions)
 	return metrics
 }
 
-func (m *Metrics) observe(outcome string, took time.Duration) {
+func (m *Metrics) observe(outcome string, elapsed time.Duration) {
 	m.requests.WithLabelValues(outcome).Inc()
-	m.latency.Observe(took.Seconds())
+	m.latency.Observe(elapsed.Seconds())
 }
 
 // outcomeOf returns the outcome label for the error of a request.
--- a/internal/callers/forward/pick.go
+++ b/internal/callers/forward/pick.go
@@ -16,13 +16,13 @@
 func (f *Forwarder) pick(route *directory.Route, firstTarget int, tried []string, call *dispatch.Call) (*routing.Endpoint, error) {
 	view := f.config.Directory.View()
 	query := &routing.Query{
-		Zone: f.config.Zone, Tried: tried, Random: rand.Uint64(), Objective: answerObjective(route),
+		Zone: f.config.Zone, Tried: tried, Random: rand.Uint64(), Objective: responseObjective(route),
 		AllowedRegions: view.Configuration.AllowedRegions(route, call.Tenant),
 	}
 	if route.Sticky && f.config.PromptHash != nil {
 		query.PrefixHash = f.config.PromptHash(call.Header)
 	}
-	var failure error = routing.ErrNoEngineDeclared
+	var lastErr error = routing.ErrNoEngineDeclared
 	for i := range route.Targets {
 		plan := view.Plans[route.Targets[(firstTarget+i)%len(route.Targets)].Service]
 		if plan == nil {
@@ -32,27 +32,27 @@
 		if err == nil {
 			return endpoint, nil
 		}
-		failure = err
+		lastErr = err
 	}
-	return nil, failure
+	return nil, lastErr
 }
 
-// answerObjective returns the route's latency objective for a complete response. It
+// responseObjective returns the route's latency objective for a complete response. It
 // returns 0 for streams, whose objective applies to the first event.
-func answerObjective(route *directory.Route) time.Duration {
+func responseObjective(route *directory.Route) time.Duration {
 	if route.Kind == directory.RouteStream {
 		return 0
 	}
 	return route.Objective
 }
 
-// checkHomes refuses a call if the route has no replica in the regions where the call may
-// be served.
-func (f *Forwarder) checkHomes(route *directory.Route, call *dispatch.Call) error {
+// checkAllowedRegions refuses a call if the route has no replica in the regions where the call
+// may be served.
+func (f *Forwarder) checkAllowedRegions(route *directory.Route, call *dispatch.Call) error {
 	view := f.config.Directory.View()
 	if view.HasReplica(route, view.Configuration.AllowedRegions(route, call.Tenant)) {
 		return nil
 	}
-	f.config.Metrics.withoutHome.Inc()
+	f.config.Metrics.outsideAllowedRegions.Inc()
 	return newRefusal(ReasonOutsideRegions, ErrNoReplicaInAllowedRegions, nil)
 }
--- a/internal/callers/forward/refusal.go
+++ b/internal/callers/forward/refusal.go
@@ -11,10 +11,10 @@
 const (
 	// defaultRetryAfter is the Retry-After of refusals that end once a slot is free.
 	defaultRetryAfter = 120 * time.Millisecond
-	// evacuatedRetryAfter and outsideHomeRetryAfter allow for the time until every node
+	// evacuatedRetryAfter and outsideRegionsRetryAfter allow for the time until every node
 	// has learned of the end of an evacuation, or of a new replica or configuration.
-	evacuatedRetryAfter   = time.Second
-	outsideHomeRetryAfter = 2 * time.Second
+	evacuatedRetryAfter      = time.Second
+	outsideRegionsRetryAfter = 2 * time.Second
 )
 
 // refusalReasons maps the filter that excluded the last replicas to the reason for the
@@ -27,18 +27,18 @@
 
 // newRefusal returns the error for a request that has not run. The reason is
 // ReasonQuarantined if the cause, the last error, is a quarantine; otherwise the one that
-// follows from excludedAll, the error of a pick that failed although no replica was skipped
+// follows from filterErr, the error of a pick that failed although no replica was skipped
 // as already tried (may be nil); otherwise the general reason.
-func newRefusal(general string, cause, excludedAll error) *RefusedError {
+func newRefusal(general string, cause, filterErr error) *RefusedError {
 	var quarantined *dispatch.QuarantinedError
 	if errors.As(cause, &quarantined) {
 		return &RefusedError{Reason: ReasonQuarantined, RetryAfter: quarantined.Remaining, Cause: cause}
 	}
 	refused := &RefusedError{Reason: general, Cause: cause}
-	if excludedAll != nil {
-		refused.Cause = excludedAll
-		if specific, known := refusalReasons[filterReason(excludedAll)]; known {
-			refused.Reason = specific
+	if filterErr != nil {
+		refused.Cause = filterErr
+		if filterRefusal, mapped := refusalReasons[filterReason(filterErr)]; mapped {
+			refused.Reason = filterRefusal
 		}
 	}
 	refused.RetryAfter = retryAfter(refused.Reason)
@@ -52,7 +52,7 @@
 	case ReasonEvacuated:
 		return evacuatedRetryAfter
 	case ReasonOutsideRegions:
-		return outsideHomeRetryAfter
+		return outsideRegionsRetryAfter
 	}
 	return defaultRetryAfter
 }
@@ -65,11 +65,11 @@
 }
 
 // filterReason returns the reason of the filter that excluded the last replicas, or "" if
-// the error is not a *routing.NoneLeftError.
+// the error is not a *routing.NoEligibleEndpointError.
 func filterReason(err error) routing.Reason {
-	var nobody *routing.NoEligibleEndpointError
-	if errors.As(err, &nobody) {
-		return nobody.Reason
+	var noEligible *routing.NoEligibleEndpointError
+	if errors.As(err, &noEligible) {
+		return noEligible.Reason
 	}
 	return ""
 }
--- a/internal/callers/forward/request.go
+++ b/internal/callers/forward/request.go
@@ -12,11 +12,11 @@
 // defaultObjective is the latency objective of a route that declares none.
 const defaultObjective = time.Second
 
-// result is the outcome of one attempt.
-type result struct {
-	replica string
-	answer  *BufferedResponse
-	err     error
+// attemptResult is the outcome of one attempt.
+type attemptResult struct {
+	replica  string
+	response *BufferedResponse
+	err      error
 }
 
 // request is a live request in progress. It is used by one goroutine; attempts run in
@@ -32,15 +32,15 @@
 	// firstTarget is the index of the target of the route that is tried first.
 	firstTarget int
 
-	results chan result
+	results chan attemptResult
 	// tried lists the replicas that the next pick skips.
 	tried []string
 	// attempts lists all attempts, including those that did not run.
 	attempts attemptLog
 	// mayHaveRunCount is the number of attempts that are running or may have run,
-	// refusals the number of attempts that certainly did not run.
+	// rejections the number of attempts that certainly did not run.
 	mayHaveRunCount int
-	refusals        int
+	rejections      int
 	// inProgress is the number of attempts that have not ended.
 	inProgress int
 	// mayHaveRun is set once an attempt that may have run has ended.
@@ -48,12 +48,12 @@
 	// lastErr is the error of the last failed attempt, or of the first pick if no
 	// attempt failed before it.
 	lastErr error
-	// excludedAll is the error of a pick that found no replica although none was
+	// filterErr is the error of a pick that found no replica although none was
 	// skipped as already tried. A later pick that finds a replica resets it.
-	excludedAll error
-	// answer is the most recent complete response, failures the number of responses
+	filterErr error
+	// response is the most recent complete response, failures the number of responses
 	// with status 500.
-	answer   *BufferedResponse
+	response *BufferedResponse
 	failures int
 }
 
@@ -64,7 +64,7 @@
 	}
 	return &request{
 		forwarder: f, route: route, call: call, repeatable: route.Kind == directory.RouteSafe, objective: objective,
-		started: time.Now(), firstTarget: f.split.next(route), results: make(chan result, route.Attempts+maxRefusals),
+		started: time.Now(), firstTarget: f.splitter.next(route), results: make(chan attemptResult, route.Attempts+maxRejections),
 	}
 }
 
@@ -82,13 +82,13 @@
 			next = r.send(ctx)
 		case stepAwait:
 			next = r.await(ctx, hedge.C)
-		case stepWaitForRoom:
-			next = r.waitForRoom(ctx)
-		case stepAnswer:
-			return r.answer, nil
+		case stepWaitForCapacity:
+			next = r.waitForCapacity(ctx)
+		case stepRespond:
+			return r.response, nil
 		case stepRefuse:
-			return nil, newRefusal(next.refusal, r.lastErr, r.excludedAll)
-		case stepExpire:
+			return nil, newRefusal(next.refusal, r.lastErr, r.filterErr)
+		case stepFailExpired:
 			return nil, &LostError{Expired: true, Cause: ctx.Err()}
 		default:
 			return nil, &LostError{Cause: r.lastErr}
@@ -98,13 +98,13 @@
 
 // decide selects the step that follows an event.
 func (r *request) decide(ctx context.Context, event event) decision {
-	decided := situation{
-		event: event, repeatable: r.repeatable, attemptLimit: r.route.Attempts, attempts: r.mayHaveRunCount, refusals: r.refusals,
+	next := requestState{
+		event: event, repeatable: r.repeatable, attemptLimit: r.route.Attempts, attempts: r.mayHaveRunCount, rejections: r.rejections,
 		inProgress: r.inProgress, tried: len(r.tried), mayHaveRun: r.mayHaveRun, quarantined: isQuarantined(r.lastErr),
-		hasAnswer: r.answer != nil, contextEnded: ctx.Err() != nil, elapsed: time.Since(r.started), objective: r.objective,
+		hasResponse: r.response != nil, contextEnded: ctx.Err() != nil, elapsed: time.Since(r.started), objective: r.objective,
 	}.next()
-	r.forwarder.logDecision(r.call, event, decided)
-	return decided
+	r.forwarder.logDecision(r.call, event, next)
+	return next
 }
 
 // send starts an attempt at a replica that has not been tried yet, if there is one.
@@ -115,11 +115,11 @@
 			r.lastErr = err
 		}
 		if len(r.tried) == 0 {
-			r.excludedAll = err
+			r.filterErr = err
 		}
 		return r.decide(ctx, eventNoReplica)
 	}
-	r.excludedAll = nil
+	r.filterErr = nil
 	r.mayHaveRunCount++
 	r.inProgress++
 	call := *r.call
@@ -127,8 +127,8 @@
 	r.tried = append(r.tried, endpoint.Name)
 	r.attempts.recordSent(endpoint.Name)
 	go func() {
-		answer, err := r.forwarder.attempt(ctx, endpoint, &call)
-		r.results <- result{replica: endpoint.Name, answer: answer, err: err}
+		response, err := r.forwarder.attempt(ctx, endpoint, &call)
+		r.results <- attemptResult{replica: endpoint.Name, response: response, err: err}
 	}()
 	return decision{step: stepAwait, reason: reasonInProgress}
 }
@@ -140,49 +140,49 @@
 		return r.decide(ctx, eventContextEnded)
 	case <-hedge:
 		return r.decide(ctx, eventHedgeDue)
-	case ended := <-r.results:
+	case result := <-r.results:
 		r.inProgress--
-		return r.decide(ctx, r.recordEnd(ended))
+		return r.decide(ctx, r.recordResult(result))
 	}
 }
 
-// waitForRoom waits for roomRetryDelay, then sends the request again, with all replicas
+// waitForCapacity waits for capacityRetryDelay, then sends the request again, with all replicas
 // eligible.
-func (r *request) waitForRoom(ctx context.Context) decision {
-	if !sleep(ctx, roomRetryDelay) {
+func (r *request) waitForCapacity(ctx context.Context) decision {
+	if !sleep(ctx, capacityRetryDelay) {
 		return r.decide(ctx, eventContextEnded)
 	}
 	r.tried = nil
 	return r.send(ctx)
 }
 
-// recordEnd records the outcome of an attempt and returns the matching event.
-func (r *request) recordEnd(ended result) event {
-	if ended.err != nil {
-		r.recordError(ended)
+// recordResult records the outcome of an attempt and returns the matching event.
+func (r *request) recordResult(result attemptResult) event {
+	if result.err != nil {
+		r.recordError(result)
 		return eventAttemptFailed
 	}
-	r.attempts.recordEnd(ended.replica, true, false)
-	status := ended.answer.Response.Status
+	r.attempts.recordEnd(result.replica, true, false)
+	status := result.response.Response.Status
 	if status == http.StatusInternalServerError {
 		r.failures++
 	}
-	ended.answer.Failures, ended.answer.Rejections = r.failures, r.refusals
-	r.answer, r.mayHaveRun = ended.answer, true
+	result.response.Failures, result.response.Rejections = r.failures, r.rejections
+	r.response, r.mayHaveRun = result.response, true
 	if status >= http.StatusInternalServerError {
 		return eventErrorStatus
 	}
-	return eventAnswered
+	return eventResponse
 }
 
-func (r *request) recordError(ended result) {
-	r.lastErr = ended.err
-	if dispatch.MayHaveRun(ended.err) {
+func (r *request) recordError(result attemptResult) {
+	r.lastErr = result.err
+	if dispatch.MayHaveRun(result.err) {
 		r.mayHaveRun = true
 	} else {
 		r.mayHaveRunCount--
-		r.refusals++
-		r.attempts.recordEnd(ended.replica, false, true)
+		r.rejections++
+		r.attempts.recordEnd(result.replica, false, true)
 	}
-	r.forwarder.config.Logger.V(1).Info("attempt failed", "request", r.call.ID, "replica", ended.replica, "error", ended.err.Error())
+	r.forwarder.config.Logger.V(1).Info("attempt failed", "request", r.call.ID, "replica", result.replica, "error", result.err.Error())
 }
--- a/internal/callers/forward/answer.go
+++ b/internal/callers/forward/response.go
@@ -15,8 +15,8 @@
 	// initialBodyBytes is the initial buffer size for a body whose length is unknown
 	// or at least maxPreallocatedBytes.
 	initialBodyBytes = 4 << 10
-	// maxAnswerBytes is the maximum size of a buffered response body.
-	maxAnswerBytes = 64 << 20
+	// maxResponseBytes is the maximum size of a buffered response body.
+	maxResponseBytes = 64 << 20
 	// maxPreallocatedBytes is the Content-Length below which the buffer is allocated
 	// in one piece.
 	maxPreallocatedBytes = 1 << 20
@@ -36,50 +36,50 @@
 // attempt sends a call to a replica and reads the complete response. It updates the
 // endpoint's latency estimate and its count of consecutive failures.
 func (f *Forwarder) attempt(ctx context.Context, endpoint *routing.Endpoint, call *dispatch.Call) (*BufferedResponse, error) {
-	began := time.Now()
-	answer, err := f.config.Dispatcher.Send(ctx, endpoint, call)
+	start := time.Now()
+	response, err := f.config.Dispatcher.Send(ctx, endpoint, call)
 	if err != nil {
 		if ctx.Err() != nil {
-			endpoint.State.Latency.ObserveAtLeast(time.Since(began))
+			endpoint.State.Latency.ObserveAtLeast(time.Since(start))
 		}
 		return nil, err
 	}
-	body, err := readBody(answer)
+	body, err := readBody(response)
 	if err != nil {
 		if ctx.Err() == nil {
 			endpoint.State.Failures.Add(1)
 		}
-		answer.Discard()
+		response.Discard()
 		return nil, err
 	}
-	answer.Close()
-	endpoint.State.Latency.Observe(time.Since(began))
+	response.Close()
+	endpoint.State.Latency.Observe(time.Since(start))
 	endpoint.State.Failures.Store(0)
-	return &BufferedResponse{Response: answer, Body: body}, nil
+	return &BufferedResponse{Response: response, Body: body}, nil
 }
 
-// readBody reads the complete body. A body larger than maxAnswerBytes yields an
+// readBody reads the complete body. A body larger than maxResponseBytes yields an
 // *exchange.BrokenError.
-func readBody(answer *dispatch.Response) ([]byte, error) {
+func readBody(response *dispatch.Response) ([]byte, error) {
 	size := initialBodyBytes
-	if answer.Length >= 0 && answer.Length < maxPreallocatedBytes {
-		size = int(answer.Length) + 1
+	if response.Length >= 0 && response.Length < maxPreallocatedBytes {
+		size = int(response.Length) + 1
 	}
 	body := make([]byte, 0, size)
 	for {
 		if len(body) == cap(body) {
 			body = append(body, 0)[:len(body)]
 		}
-		count, err := answer.Read(body[len(body):cap(body)])
-		body = body[:len(body)+count]
+		n, err := response.Read(body[len(body):cap(body)])
+		body = body[:len(body)+n]
 		if errors.Is(err, io.EOF) {
 			return body, nil
 		}
 		if err != nil {
 			return nil, err
 		}
-		if len(body) > maxAnswerBytes {
-			return nil, &exchange.BrokenError{Address: answer.Endpoint.Address, Cause: ErrResponseTooLarge}
+		if len(body) > maxResponseBytes {
+			return nil, &exchange.BrokenError{Address: response.Endpoint.Address, Cause: ErrResponseTooLarge}
 		}
 	}
 }
--- a/internal/callers/forward/split.go
+++ b/internal/callers/forward/split.go
@@ -10,8 +10,9 @@
 // weighted round robin. It is safe for concurrent use.
 type targetSplitter struct {
 	mutex sync.Mutex
-	// credits holds the current weight of each target, by route and service.
-	credits map[string]map[string]int
+	// currentWeights holds the state of the algorithm for each target, by route and
+	// service.
+	currentWeights map[string]map[string]int
 }
 
 // next returns the index of the target that the next request tries first.
@@ -21,33 +22,33 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	credits := s.creditsOf(route.Name)
+	weights := s.currentWeightsOf(route.Name)
 	best, total := -1, 0
 	for i, target := range route.Targets {
 		if target.Weight <= 0 {
 			continue
 		}
 		total += target.Weight
-		credits[target.Service] += target.Weight
-		if best < 0 || credits[target.Service] > credits[route.Targets[best].Service] {
+		weights[target.Service] += target.Weight
+		if best < 0 || weights[target.Service] > weights[route.Targets[best].Service] {
 			best = i
 		}
 	}
 	if best < 0 {
 		return 0
 	}
-	credits[route.Targets[best].Service] -= total
+	weights[route.Targets[best].Service] -= total
 	return best
 }
 
-// creditsOf returns the current weights of a route's targets by service. The caller must
+// currentWeightsOf returns the current weights of a route's targets by service. The caller must
 // hold the mutex.
-func (s *targetSplitter) creditsOf(route string) map[string]int {
-	if s.credits == nil {
-		s.credits = map[string]map[string]int{}
+func (s *targetSplitter) currentWeightsOf(route string) map[string]int {
+	if s.currentWeights == nil {
+		s.currentWeights = map[string]map[string]int{}
 	}
-	if s.credits[route] == nil {
-		s.credits[route] = map[string]int{}
+	if s.currentWeights[route] == nil {
+		s.currentWeights[route] = map[string]int{}
 	}
-	return s.credits[route]
+	return s.currentWeights[route]
 }
--- a/internal/callers/forward/stream.go
+++ b/internal/callers/forward/stream.go
@@ -11,7 +11,7 @@
 // StreamSink receives a stream for the caller.
 type StreamSink interface {
 	// Begin receives the response head. It is called at most once, before Event.
-	Begin(answer *dispatch.Response)
+	Begin(response *dispatch.Response)
 	// Event receives one complete event, or the whole body of a response that is not a
 	// stream.
 	Event(raw string) error
@@ -26,19 +26,19 @@
 	started   time.Time
 	// firstTarget is the index of the target of the route that is tried first.
 	firstTarget int
-	// begun is set once the response head has been forwarded.
-	begun bool
-	// events is the number of forwarded events, lastEvent the id of the last one, and
+	// headForwarded is set once the response head has been forwarded.
+	headForwarded bool
+	// events is the number of forwarded events, lastEventID the id of the last one, and
 	// version the weight version that generated it.
-	events    int
-	lastEvent int
-	version   int64
+	events      int
+	lastEventID int
+	version     int64
 	// tried lists the replicas that the next pick skips.
 	tried []string
-	// failedAttempts is the number of failed attempts that may have run, refusals the
-	// number of attempts that certainly did not run.
+	// failedAttempts is the number of failed attempts that may have run, rejections
+	// the number of attempts that certainly did not run.
 	failedAttempts int
-	refusals       int
+	rejections     int
 }
 
 // Stream forwards a request whose response is an event stream, and forwards complete
@@ -49,9 +49,9 @@
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	defer cancel()
 	request := &streamRequest{
-		forwarder: f, route: route, call: call, sink: sink, started: time.Now(), firstTarget: f.split.next(route), lastEvent: call.LastEventID,
+		forwarder: f, route: route, call: call, sink: sink, started: time.Now(), firstTarget: f.splitter.next(route), lastEventID: call.LastEventID,
 	}
-	err := f.checkHomes(route, call)
+	err := f.checkAllowedRegions(route, call)
 	if err == nil {
 		err = request.run(ctx)
 	}
@@ -67,8 +67,8 @@
 		switch next.step {
 		case stepSend:
 			event, err = r.send(ctx)
-		case stepWaitForRoom:
-			event, err = r.waitForRoom(ctx)
+		case stepWaitForCapacity:
+			event, err = r.waitForCapacity(ctx)
 		default:
 			return r.failure(next, event, err)
 		}
@@ -78,13 +78,13 @@
 
 // decide selects the step that follows an event and its error.
 func (r *streamRequest) decide(ctx context.Context, event event, err error) decision {
-	decided := streamSituation{
+	next := streamState{
 		event: event, resumable: r.route.Resumable, attemptLimit: r.route.Attempts, failedAttempts: r.failedAttempts,
-		refusals: r.refusals, tried: len(r.tried), notRun: !dispatch.MayHaveRun(err), quarantined: isQuarantined(err),
-		begun: r.begun, hasEvents: r.events > 0, contextEnded: ctx.Err() != nil,
+		rejections: r.rejections, tried: len(r.tried), notRun: !dispatch.MayHaveRun(err), quarantined: isQuarantined(err),
+		headForwarded: r.headForwarded, hasEvents: r.events > 0, contextEnded: ctx.Err() != nil,
 	}.next()
-	r.forwarder.logDecision(r.call, event, decided)
-	return decided
+	r.forwarder.logDecision(r.call, event, next)
+	return next
 }
 
 // send makes an attempt at a replica that has not been tried yet, if there is one. The
@@ -108,33 +108,33 @@
 	case dispatch.MayHaveRun(err):
 		r.failedAttempts++
 	default:
-		r.refusals++
+		r.rejections++
 	}
 }
 
-// waitForRoom waits for roomRetryDelay, then sends the request again, with all replicas
+// waitForCapacity waits for capacityRetryDelay, then sends the request again, with all replicas
 // eligible.
-func (r *streamRequest) waitForRoom(ctx context.Context) (event, error) {
+func (r *streamRequest) waitForCapacity(ctx context.Context) (event, error) {
 	r.tried = nil
-	if !sleep(ctx, roomRetryDelay) {
+	if !sleep(ctx, capacityRetryDelay) {
 		return eventNoReplica, ctx.Err()
 	}
 	return r.send(ctx)
 }
 
 // failure returns the error of a stream that was ended by a decision.
-func (r *streamRequest) failure(ended decision, event event, err error) error {
-	switch ended.step {
-	case stepBreakOff:
+func (r *streamRequest) failure(last decision, event event, err error) error {
+	switch last.step {
+	case stepAbortStream:
 		return &BrokenStreamError{Events: r.events, Cause: err}
-	case stepExpire:
+	case stepFailExpired:
 		return &LostError{Expired: true, Cause: err}
-	case stepLose:
+	case stepFailLost:
 		return &LostError{Cause: err}
 	}
-	var excludedAll error
+	var filterErr error
 	if event == eventNoReplica && len(r.tried) == 0 {
-		excludedAll = err
+		filterErr = err
 	}
-	return newRefusal(ended.refusal, err, excludedAll)
+	return newRefusal(last.refusal, err, filterErr)
 }
--- a/internal/callers/forward/stream_test.go
+++ b/internal/callers/forward/stream_test.go
@@ -9,15 +9,15 @@
 )
 
 // Guards against refusing, as not run, a stream whose deadline passes during its attempt.
-func TestAStreamWhoseTimeRunsOutAtAReplicaIsNoRefusal(t *testing.T) {
+func TestStreamDeadlineIsNotRefusal(t *testing.T) {
 	for _, resumable := range []bool{false, true} {
-		hanging := startBackend(t, hangs)
-		slow := route(directory.RouteStream)
-		slow.Resumable = resumable
-		err := newForwarder(hanging).Stream(t.Context(), slow, call(100*time.Millisecond), nullSink{})
+		backend := startBackend(t, hang)
+		route := testRoute(directory.RouteStream)
+		route.Resumable = resumable
+		err := newForwarder(backend).Stream(t.Context(), route, testCall(100*time.Millisecond), nullSink{})
 		var lost *LostError
-		if !errors.As(err, &lost) || !lost.Expired || hanging.runs.Load() != 1 {
-			t.Errorf("resumable %v: ended with %v after %d runs, want an expired request", resumable, err, hanging.runs.Load())
+		if !errors.As(err, &lost) || !lost.Expired || backend.runs.Load() != 1 {
+			t.Errorf("resumable %v: error %v after %d runs, want an expired request after 1", resumable, err, backend.runs.Load())
 		}
 	}
 }
--- a/internal/callers/quarantine/ledger.go
+++ b/internal/callers/quarantine/ledger.go
@@ -32,8 +32,8 @@
 	last time.Time
 }
 
-// CrashTracker counts the crashes of replicas by request. It does no I/O and reads no clock. It is
-// not safe for concurrent use.
+// CrashTracker counts the crashes of replicas by request. It does no I/O and reads no clock. It
+// is not safe for concurrent use.
 //
 // Invariants: the crashes of a request are those known since its last success, but no more
 // than endsToQuarantine; adding the same crash again, in any order, changes nothing; there
