--- a/internal/callers/dispatch/run.go
+++ b/internal/callers/dispatch/attempt.go
@@ -19,21 +19,21 @@
 	BodyReceived bool
 
 	guard Guard
-	sent  time.Time
+	start time.Time
 }
 
 // reportError reports the attempt to the guard if err says that its connection broke.
-func (r *Attempt) reportError(err error) {
+func (a *Attempt) reportError(err error) {
 	var broken *exchange.BrokenError
-	if r.guard != nil && errors.As(err, &broken) {
-		r.Duration = time.Since(r.sent)
-		r.guard.ObserveBroken(*r)
+	if a.guard != nil && errors.As(err, &broken) {
+		a.Duration = time.Since(a.start)
+		a.guard.ObserveBroken(*a)
 	}
 }
 
-// reportServed reports a complete response to the guard.
-func (r *Attempt) reportServed(status int) {
-	if r.guard != nil {
-		r.guard.ObserveResponse(r.Call, status)
+// reportResponse reports a complete response to the guard.
+func (a *Attempt) reportResponse(status int) {
+	if a.guard != nil {
+		a.guard.ObserveResponse(a.Call, status)
 	}
 }
--- a/internal/callers/dispatch/call.go
+++ b/internal/callers/dispatch/call.go
@@ -42,5 +42,6 @@
 	EnginePriority int
 }
 
-// EnginePriorityOf converts a route's priority, of which 0 is the most urgent, to a Rank.
+// EnginePriorityOf converts a route's priority, of which 0 is the most urgent, to an
+// EnginePriority.
 func EnginePriorityOf(priority int) int { return 1 + max(0, priority) }
--- a/internal/callers/dispatch/dispatcher.go
+++ b/internal/callers/dispatch/dispatcher.go
@@ -35,33 +35,33 @@
 			return nil, err
 		}
 	}
-	if withheld := admit(endpoint); withheld != nil {
+	if withheld := checkAdmissible(endpoint); withheld != nil {
 		d.metrics.countWithheld(withheld.Reason)
 		return nil, withheld
 	}
 	request := d.newRequest(endpoint, call)
-	run := &Attempt{Call: call, Endpoint: endpoint, guard: d.guard, sent: time.Now()}
+	attempt := &Attempt{Call: call, Endpoint: endpoint, guard: d.guard, start: time.Now()}
 	endpoint.State.InFlight.Add(1)
-	response, err := d.pool.Send(ctx, endpoint.Address, request, call.AtMostOnce)
+	httpResponse, err := d.pool.Send(ctx, endpoint.Address, request, call.AtMostOnce)
 	if err != nil {
 		endpoint.State.InFlight.Add(-1)
 		if ctx.Err() == nil {
 			endpoint.State.Failures.Add(1)
-			run.reportError(err)
+			attempt.reportError(err)
 		}
 		return nil, err
 	}
-	answer := &Response{Response: response, Metadata: d.headers.Decode(response.Status, response.Header), Endpoint: endpoint}
-	if err := answer.check(call); err != nil {
+	response := &Response{Response: httpResponse, Metadata: d.headers.Decode(httpResponse.Status, httpResponse.Header), Endpoint: endpoint}
+	if err := response.check(call); err != nil {
 		return nil, err
 	}
-	answer.ctx, answer.run = ctx, run
-	return answer, nil
+	response.ctx, response.attempt = ctx, attempt
+	return response, nil
 }
 
-// admit returns an error if the replica must not get a request now. If the replica is
-// warming up, admit takes one of its slow-start permits.
-func admit(endpoint *routing.Endpoint) *WithheldError {
+// checkAdmissible returns an error if the replica must not get a request now. If the replica is
+// warming up, checkAdmissible takes one of its slow-start permits.
+func checkAdmissible(endpoint *routing.Endpoint) *WithheldError {
 	if endpoint.State.Evacuated() {
 		return &WithheldError{Replica: endpoint.Name, Reason: routing.ReasonEvacuated}
 	}
--- a/internal/callers/dispatch/dispatcher_test.go
+++ b/internal/callers/dispatch/dispatcher_test.go
@@ -13,9 +13,9 @@
 )
 
 // Guards against sending to a replica whose zone was evacuated after the replica was picked.
-func TestNothingIsSentToAnEvacuatedZone(t *testing.T) {
+func TestSendToEvacuatedZone(t *testing.T) {
 	pool := exchange.NewPool(func(context.Context, string) (net.Conn, error) {
-		t.Error("a connection was opened")
+		t.Error("connection opened to a replica in an evacuated zone")
 		return nil, net.ErrClosed
 	})
 	state := routing.NewEndpointState()
@@ -25,10 +25,10 @@
 	_, err := New(pool, nil, NewMetrics(registry)).Send(t.Context(), endpoint, &Call{})
 	var withheld *WithheldError
 	if !errors.As(err, &withheld) || MayHaveRun(err) {
-		t.Errorf("the send ended with %v", err)
+		t.Errorf("error %v, want WithheldError", err)
 	}
 	gathered, err := registry.Gather()
 	if err != nil || len(gathered) != 1 || gathered[0].GetMetric()[0].GetCounter().GetValue() != 1 {
-		t.Errorf("counted are %v, error %v", gathered, err)
+		t.Errorf("metrics %v, error %v, want one withheld request", gathered, err)
 	}
 }
--- a/internal/callers/dispatch/errors.go
+++ b/internal/callers/dispatch/errors.go
@@ -12,10 +12,10 @@
 )
 
 // ErrResponseMismatch means that a response carries the id of another request.
-var ErrResponseMismatch = merry.Sentinel("answer belongs to another request")
+var ErrResponseMismatch = merry.Sentinel("response belongs to another request")
 
 // ErrUnsigned means that a response with status 2xx is not signed by a replica.
-var ErrUnsigned = merry.Sentinel("success without a signature")
+var ErrUnsigned = merry.Sentinel("successful response has no signature")
 
 // NotRunError reports that a replica states that it did not run the request.
 type NotRunError struct {
@@ -38,7 +38,7 @@
 }
 
 func (e *WithheldError) Error() string {
-	return fmt.Sprintf("nothing sent to replica %s: it is %s", e.Replica, e.Reason)
+	return fmt.Sprintf("request not sent to replica %s: replica is %s", e.Replica, e.Reason)
 }
 
 // QuarantinedError reports that this node did not send a request, because the request has
@@ -51,7 +51,7 @@
 }
 
 func (e *QuarantinedError) Error() string {
-	return fmt.Sprintf("request %s is not sent for %v: replicas end under it", e.Fingerprint, e.Remaining.Round(time.Second))
+	return fmt.Sprintf("request %s quarantined for another %v: it crashed replicas", e.Fingerprint, e.Remaining.Round(time.Second))
 }
 
 // MayHaveRun reports whether a replica may have run the request of an attempt that failed
--- a/internal/callers/dispatch/errors_test.go
+++ b/internal/callers/dispatch/errors_test.go
@@ -10,7 +10,7 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-func TestWhichErrorsLeaveOpenWhetherARequestRan(t *testing.T) {
+func TestMayHaveRun(t *testing.T) {
 	for _, test := range []struct {
 		err        error
 		mayHaveRun bool
--- a/internal/callers/dispatch/guard.go
+++ b/internal/callers/dispatch/guard.go
@@ -10,7 +10,7 @@
 	Admit(ctx context.Context, call *Call) error
 	// ObserveBroken is called for an attempt whose connection broke before the response
 	// was complete.
-	ObserveBroken(run Attempt)
+	ObserveBroken(attempt Attempt)
 	// ObserveResponse is called for a call whose complete response, of whatever status, has
 	// been read.
 	ObserveResponse(call *Call, status int)
--- a/internal/callers/dispatch/headers.go
+++ b/internal/callers/dispatch/headers.go
@@ -11,7 +11,7 @@
 	Replica string
 	// Remaining is the time until the deadline of the call.
 	Remaining time.Duration
-	// LastEventID, Version, Rank and Tenant are those of the Call.
+	// LastEventID, Version, EnginePriority and Tenant are those of the Call.
 	LastEventID    int
 	Version        int64
 	EnginePriority int
@@ -35,7 +35,7 @@
 // HeaderCodec encodes and decodes the headers between nodes and replicas.
 type HeaderCodec interface {
 	// Encode adds the metadata of an attempt to the headers of its request.
-	Encode(header http.Header, conditions RequestMetadata)
+	Encode(header http.Header, metadata RequestMetadata)
 	// Decode decodes the status and headers of a response.
 	Decode(status int, header http.Header) ResponseMetadata
 }
--- a/internal/callers/dispatch/metrics.go
+++ b/internal/callers/dispatch/metrics.go
@@ -20,8 +20,8 @@
 	return metrics
 }
 
-// withheldNames maps reasons to values of the reason label.
-var withheldNames = map[routing.Reason]string{
+// withheldLabels maps reasons to values of the reason label.
+var withheldLabels = map[routing.Reason]string{
 	routing.ReasonEvacuated: "evacuated",
 	routing.ReasonSlowStart: "slow_start",
 }
@@ -29,6 +29,6 @@
 // countWithheld counts a withheld request. The receiver may be nil.
 func (m *Metrics) countWithheld(reason routing.Reason) {
 	if m != nil {
-		m.withheld.WithLabelValues(withheldNames[reason]).Inc()
+		m.withheld.WithLabelValues(withheldLabels[reason]).Inc()
 	}
 }
--- a/internal/callers/dispatch/answer.go
+++ b/internal/callers/dispatch/response.go
@@ -16,58 +16,58 @@
 	*exchange.Response
 	Metadata ResponseMetadata
 	Endpoint *routing.Endpoint
-	ended    bool
+	closed   bool
 	// ctx is the context of the attempt.
 	ctx context.Context
-	// run is the attempt whose outcome is reported to the guard. It is nil until the
+	// attempt is the attempt whose outcome is reported to the guard. It is nil until the
 	// response has passed check, and again once the outcome has been reported.
-	run *Attempt
+	attempt *Attempt
 }
 
 // Read reads from the body and reports the outcome of the attempt to the guard. It does not
 // report the end of a body without framing, which may be truncated, nor an error after the
 // context of the attempt has ended.
-func (a *Response) Read(buffer []byte) (int, error) {
-	count, err := a.Response.Read(buffer)
-	if a.run == nil {
-		return count, err
+func (r *Response) Read(buffer []byte) (int, error) {
+	n, err := r.Response.Read(buffer)
+	if r.attempt == nil {
+		return n, err
 	}
-	if count > 0 {
-		a.run.BodyReceived = true
+	if n > 0 {
+		r.attempt.BodyReceived = true
 	}
 	switch {
 	case errors.Is(err, io.EOF):
-		if a.Framed {
-			a.run.reportServed(a.Status)
+		if r.Framed {
+			r.attempt.reportResponse(r.Status)
 		}
-		a.run = nil
+		r.attempt = nil
 	case err != nil:
-		if a.ctx.Err() == nil {
-			a.run.reportError(err)
+		if r.ctx.Err() == nil {
+			r.attempt.reportError(err)
 		}
-		a.run = nil
+		r.attempt = nil
 	}
-	return count, err
+	return n, err
 }
 
 // Close closes the response. Its connection is kept for reuse if the body was read
 // completely.
-func (a *Response) Close() {
-	a.end()
-	a.Response.Close()
+func (r *Response) Close() {
+	r.release()
+	r.Response.Close()
 }
 
 // Discard closes the response and its connection.
-func (a *Response) Discard() {
-	a.end()
-	a.Response.Discard()
+func (r *Response) Discard() {
+	r.release()
+	r.Response.Discard()
 }
 
-// end decrements the endpoint's number of requests in flight, once.
-func (a *Response) end() {
-	if !a.ended {
-		a.ended = true
-		a.Endpoint.State.InFlight.Add(-1)
+// release decrements the endpoint's number of requests in flight, once.
+func (r *Response) release() {
+	if !r.closed {
+		r.closed = true
+		r.Endpoint.State.InFlight.Add(-1)
 	}
 }
 
@@ -75,20 +75,20 @@
 // response belongs to another request or is a success without a signature, and a
 // *NotRunError if the replica states that it did not run the request. After an error the
 // response is closed.
-func (a *Response) check(call *Call) error {
-	if a.Metadata.RequestID != call.ID {
-		a.Endpoint.State.Failures.Add(1)
-		a.Discard()
-		return &exchange.BrokenError{Address: a.Endpoint.Address, Cause: ErrResponseMismatch}
+func (r *Response) check(call *Call) error {
+	if r.Metadata.RequestID != call.ID {
+		r.Endpoint.State.Failures.Add(1)
+		r.Discard()
+		return &exchange.BrokenError{Address: r.Endpoint.Address, Cause: ErrResponseMismatch}
 	}
-	if a.Metadata.NotRun {
-		a.drain()
-		return &NotRunError{Replica: a.Endpoint.Name, Status: a.Status, AddressReassigned: a.Metadata.AddressReassigned}
+	if r.Metadata.NotRun {
+		r.drain()
+		return &NotRunError{Replica: r.Endpoint.Name, Status: r.Status, AddressReassigned: r.Metadata.AddressReassigned}
 	}
-	if a.Status >= http.StatusOK && a.Status < http.StatusMultipleChoices && !a.Metadata.Signed {
-		a.Endpoint.State.Failures.Add(1)
-		a.Discard()
-		return &exchange.BrokenError{Address: a.Endpoint.Address, Cause: ErrUnsigned}
+	if r.Status >= http.StatusOK && r.Status < http.StatusMultipleChoices && !r.Metadata.Signed {
+		r.Endpoint.State.Failures.Add(1)
+		r.Discard()
+		return &exchange.BrokenError{Address: r.Endpoint.Address, Cause: ErrUnsigned}
 	}
 	return nil
 }
@@ -97,14 +97,14 @@
 const maxDrainBytes = 2 << 10
 
 // drain reads a short body, so that its connection can be reused, and closes the response.
-func (a *Response) drain() {
+func (r *Response) drain() {
 	buffer := make([]byte, maxDrainBytes)
 	for read := 0; read < maxDrainBytes; {
-		count, err := a.Read(buffer)
-		read += count
+		n, err := r.Read(buffer)
+		read += n
 		if err != nil {
 			break
 		}
 	}
-	a.Close()
+	r.Close()
 }
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -200,7 +200,7 @@
 		t.Fatalf("request whose answer was lost: %+v, %v", answer, err)
 	}
 	d.eventually("the log names the cause", func() bool {
-		return d.nodes[0].find(`"request":"puzzle"`, "answer belongs to another request", `"route":"once"`) != nil
+		return d.nodes[0].find(`"request":"puzzle"`, "response belongs to another request", `"route":"once"`) != nil
 	})
 	answer, err = d.send(d.nodes[0], http.MethodPost, liveHost, "/nowhere/", "lost", nil, nil)
 	if err != nil || answer.status != http.StatusNotFound {
