--- a/internal/callers/dispatch/dispatcher.go
+++ b/internal/callers/dispatch/dispatcher.go
@@ -35,7 +35,7 @@
 			return nil, err
 		}
 	}
-	if withheld := checkAdmissible(endpoint); withheld != nil {
+	if withheld := admitToReplica(endpoint); withheld != nil {
 		d.metrics.countWithheld(withheld.Reason)
 		return nil, withheld
 	}
@@ -59,9 +59,9 @@
 	return response, nil
 }
 
-// checkAdmissible returns an error if the replica must not get a request now. If the replica is
-// warming up, checkAdmissible takes one of its slow-start permits.
-func checkAdmissible(endpoint *routing.Endpoint) *WithheldError {
+// admitToReplica returns an error if the replica must not get a request now. If the replica is
+// warming up, admitToReplica takes one of its slow-start permits.
+func admitToReplica(endpoint *routing.Endpoint) *WithheldError {
 	if endpoint.State.Evacuated() {
 		return &WithheldError{Replica: endpoint.Name, Reason: routing.ReasonEvacuated}
 	}
