--- a/internal/callers/quarantine/admit.go
+++ b/internal/callers/quarantine/admit.go
@@ -12,30 +12,30 @@
 		return nil
 	}
 	request := fingerprintOf(call)
-	s.awaitExamination(ctx, request)
-	left := s.table.TimeLeft(request, s.config.Clock())
-	if left <= 0 {
+	s.awaitCrashChecks(ctx, request)
+	remaining := s.table.Remaining(request, s.config.Clock())
+	if remaining <= 0 {
 		return nil
 	}
 	s.metrics.refused.Inc()
-	return &dispatch.QuarantinedError{Fingerprint: request.String(), Remaining: left}
+	return &dispatch.QuarantinedError{Fingerprint: request.String(), Remaining: remaining}
 }
 
-// awaitExamination waits while the check of a broken run may still quarantine the request.
+// awaitCrashChecks waits while the check of a broken run may still quarantine the request.
 // Only requests that are one crash short of the quarantine wait.
-func (s *Service) awaitExamination(ctx context.Context, request Fingerprint) {
+func (s *Service) awaitCrashChecks(ctx context.Context, request Fingerprint) {
 	for {
 		s.mutex.Lock()
-		isOneEndShort := s.examining[request] > 0 && len(s.ledger.Crashes(request)) >= endsToQuarantine-1
-		ended := s.examinationEnded
+		isOneCrashShort := s.pendingChecks[request] > 0 && len(s.tracker.Crashes(request)) >= crashesToQuarantine-1
+		checkEnded := s.checkEnded
 		s.mutex.Unlock()
-		if !isOneEndShort {
+		if !isOneCrashShort {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-ended:
+		case <-checkEnded:
 		}
 	}
 }
--- a/internal/callers/quarantine/crash_check.go
+++ b/internal/callers/quarantine/crash_check.go
@@ -7,52 +7,52 @@
 )
 
 // ObserveBroken implements dispatch.Guard. It checks the replica in the background.
-func (s *Service) ObserveBroken(run dispatch.Attempt) {
-	request := fingerprintOf(run.Call)
+func (s *Service) ObserveBroken(attempt dispatch.Attempt) {
+	request := fingerprintOf(attempt.Call)
 	s.mutex.Lock()
-	s.examining[request]++
+	s.pendingChecks[request]++
 	s.mutex.Unlock()
 	go func() {
-		s.examine(request, run)
+		s.checkCrash(request, attempt)
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
-		if s.examining[request]--; s.examining[request] == 0 {
-			delete(s.examining, request)
+		if s.pendingChecks[request]--; s.pendingChecks[request] == 0 {
+			delete(s.pendingChecks, request)
 		}
-		close(s.examinationEnded)
-		s.examinationEnded = make(chan struct{})
+		close(s.checkEnded)
+		s.checkEnded = make(chan struct{})
 	}()
 }
 
-// examine checks whether the replica of a broken run has crashed, and counts the crash
+// checkCrash checks whether the replica of a broken run has crashed, and counts the crash
 // against the request.
-func (s *Service) examine(request Fingerprint, run dispatch.Attempt) {
-	replica := s.endCheck.check(s.ctx, run.Endpoint)
-	s.metrics.broken.WithLabelValues(string(replica)).Inc()
-	counts := countsAsEnd(&run, replica)
-	known := 0
+func (s *Service) checkCrash(request Fingerprint, attempt dispatch.Attempt) {
+	liveness := s.crashDetector.check(s.ctx, attempt.Endpoint)
+	s.metrics.broken.WithLabelValues(string(liveness)).Inc()
+	counts := countsAsCrash(&attempt, liveness)
+	crashCount := 0
 	if counts {
 		now := s.config.Clock()
-		known = s.addEnds(request, []end{{replica: run.Endpoint.Name, at: now}}, now)
+		crashCount = s.addCrashes(request, []crash{{replica: attempt.Endpoint.Name, at: now}}, now)
 	}
-	s.config.Logger.Info("run broke", "request", run.Call.ID, "fingerprint", request.String(), "replica", run.Endpoint.Name, "replicaIs", replica,
-		"counts", counts, "ends", known, "tookMs", run.Duration.Milliseconds(), "received", run.BodyReceived)
-	switch onBrokenRun(counts, known) {
+	s.config.Logger.Info("run broken", "request", attempt.Call.ID, "fingerprint", request.String(), "replica", attempt.Endpoint.Name, "replicaIs", liveness,
+		"counts", counts, "ends", crashCount, "tookMs", attempt.Duration.Milliseconds(), "received", attempt.BodyReceived)
+	switch onBrokenRun(counts, crashCount) {
 	case startQuarantine:
-		s.quarantine(request)
-	case reportToKeepers:
-		s.reportEnds(request, s.keepers(request))
+		s.startQuarantine(request)
+	case reportToAggregators:
+		s.reportCrashes(request, s.aggregators(request))
 	}
 }
 
-// addEnds adds crashes of replicas to a request and returns the number now known.
-func (s *Service) addEnds(request Fingerprint, ends []end, now time.Time) int {
+// addCrashes adds crashes of replicas to a request and returns the number now known.
+func (s *Service) addCrashes(request Fingerprint, crashes []crash, now time.Time) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	known := len(s.ledger.Crashes(request))
-	for _, next := range ends {
-		known = s.ledger.Add(request, next.replica, next.at, now)
+	count := len(s.tracker.Crashes(request))
+	for _, crash := range crashes {
+		count = s.tracker.Add(request, crash.replica, crash.at, now)
 	}
-	s.suspects.Store(int64(s.ledger.Len()))
-	return known
+	s.suspects.Store(int64(s.tracker.Len()))
+	return count
 }
--- a/internal/callers/quarantine/crash_detector.go
+++ b/internal/callers/quarantine/crash_detector.go
@@ -18,9 +18,9 @@
 	Probe(ctx context.Context, address string) exchange.Liveness
 }
 
-// endCheck checks whether replicas have crashed. All runs that one crash broke share one
+// crashDetector checks whether replicas have crashed. All runs that one crash broke share one
 // probe. It is safe for concurrent use.
-type endCheck struct {
+type crashDetector struct {
 	prober Prober
 
 	mutex  sync.Mutex
@@ -30,23 +30,23 @@
 // probe is one check of a replica.
 type probe struct {
 	done chan struct{}
-	// found may be read once done is closed.
-	found exchange.Liveness
+	// liveness may be read once done is closed.
+	liveness exchange.Liveness
 }
 
-func newEndCheck(prober Prober) *endCheck {
-	return &endCheck{prober: prober, probes: map[string]*probe{}}
+func newCrashDetector(prober Prober) *crashDetector {
+	return &crashDetector{prober: prober, probes: map[string]*probe{}}
 }
 
 // check returns the liveness of a replica after one of its runs broke. It waits for a probe
-// in progress, and reuses the result of a probe that found a crash within minEndInterval.
-func (c *endCheck) check(ctx context.Context, endpoint *routing.Endpoint) exchange.Liveness {
+// in progress, and reuses the result of a probe that found a crash within minCrashInterval.
+func (c *crashDetector) check(ctx context.Context, endpoint *routing.Endpoint) exchange.Liveness {
 	c.mutex.Lock()
-	current := c.probes[endpoint.Name]
-	if current != nil {
+	running := c.probes[endpoint.Name]
+	if running != nil {
 		c.mutex.Unlock()
-		<-current.done
-		return current.found
+		<-running.done
+		return running.liveness
 	}
 	started := &probe{done: make(chan struct{})}
 	c.probes[endpoint.Name] = started
@@ -54,18 +54,18 @@
 
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	started.found = c.prober.Probe(ctx, endpoint.Address)
+	started.liveness = c.prober.Probe(ctx, endpoint.Address)
 	close(started.done)
-	if started.found == exchange.Dead {
-		time.AfterFunc(minEndInterval, func() { c.dropProbe(endpoint.Name) })
+	if started.liveness == exchange.Dead {
+		time.AfterFunc(minCrashInterval, func() { c.dropProbe(endpoint.Name) })
 	} else {
 		c.dropProbe(endpoint.Name)
 	}
-	return started.found
+	return started.liveness
 }
 
 // dropProbe makes the next check of a replica start a new probe.
-func (c *endCheck) dropProbe(replica string) {
+func (c *crashDetector) dropProbe(replica string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	delete(c.probes, replica)
--- a/internal/callers/quarantine/doc.go
+++ b/internal/callers/quarantine/doc.go
@@ -7,15 +7,16 @@
 // request is quarantined, and what a node does then.
 //
 // At each node a request is in one of three states: unknown; suspect, with fewer than
-// endsToQuarantine crashes in the Ledger; or quarantined, in the Table, for Config.Span. The
-// first crash makes a request suspect, and the last of endsToQuarantine quarantines it. A
-// successful response makes it unknown again, and so does the passing of time.
+// crashesToQuarantine crashes in the CrashTracker; or quarantined, in the Table, for
+// Config.Duration. The first crash makes a request suspect, and the last of crashesToQuarantine
+// quarantines it. A successful response makes it unknown again, and so does the passing of
+// time.
 //
-// A Service owns the node's Ledger, its Table and the pending writes to the record in the
+// A Service owns the node's CrashTracker, its Table and the pending writes to the record in the
 // store. It learns of requests quarantined before the node started from the store, and of
 // crashes that other nodes saw from its peers. Package dispatch calls Admit before each
 // attempt.
 //
-// Guarantee: while nodes reach each other, a request crashes at most endsToQuarantine
+// Guarantee: while nodes reach each other, a request crashes at most crashesToQuarantine
 // replicas. The design is in docs/design/request-quarantine.md.
 package quarantine
--- a/internal/callers/quarantine/metrics.go
+++ b/internal/callers/quarantine/metrics.go
@@ -9,14 +9,14 @@
 
 // metrics counts broken runs, quarantines and refused attempts.
 type metrics struct {
-	broken  *prometheus.CounterVec
-	held    prometheus.Counter
-	refused prometheus.Counter
+	broken      *prometheus.CounterVec
+	quarantined prometheus.Counter
+	refused     prometheus.Counter
 }
 
-func newMetrics(registry prometheus.Registerer, table *Table, counting clock.Clock) *metrics {
-	made := &metrics{
-		held: prometheus.NewCounter(prometheus.CounterOpts{
+func newMetrics(registry prometheus.Registerer, table *Table, now clock.Clock) *metrics {
+	m := &metrics{
+		quarantined: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "pathtally_quarantines_total", Help: "Requests put in quarantine, as this node learned itself or from its peers.",
 		}),
 		refused: prometheus.NewCounter(prometheus.CounterOpts{
@@ -26,11 +26,11 @@
 			Name: "pathtally_broken_runs_total", Help: "Runs at replicas whose connection broke, by whether the replica was then alive, ended or unknown.",
 		}, []string{"replica"}),
 	}
-	for _, found := range []exchange.Liveness{exchange.Alive, exchange.Dead, exchange.Unknown} {
-		made.broken.WithLabelValues(string(found))
+	for _, liveness := range []exchange.Liveness{exchange.Alive, exchange.Dead, exchange.Unknown} {
+		m.broken.WithLabelValues(string(liveness))
 	}
-	registry.MustRegister(made.broken, made.held, made.refused, prometheus.NewGaugeFunc(prometheus.GaugeOpts{
+	registry.MustRegister(m.broken, m.quarantined, m.refused, prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "pathtally_quarantined_requests", Help: "Requests that are in quarantine now.",
-	}, func() float64 { return float64(table.Len(counting())) }))
-	return made
+	}, func() float64 { return float64(table.Len(now())) }))
+	return m
 }
--- a/internal/callers/quarantine/policy.go
+++ b/internal/callers/quarantine/policy.go
@@ -12,27 +12,27 @@
 	// DefaultDuration is how long a request stays in quarantine unless the settings say
 	// otherwise. Callers that retry usually give up sooner.
 	DefaultDuration = 10 * time.Minute
-	// endsToQuarantine is the number of crashes that quarantines a request. A harmless
+	// crashesToQuarantine is the number of crashes that quarantines a request. A harmless
 	// request that shares replicas with a crashing one may be hit by two crashes.
-	endsToQuarantine = 3
-	// earlyBreakLimit is the time since the start of an attempt within which a crash
+	crashesToQuarantine = 3
+	// earlyCrashLimit is the time since the start of an attempt within which a crash
 	// counts even if a resumable run had made progress: a request that crashes its
 	// replica does so soon after it starts to run.
-	earlyBreakLimit = time.Second
-	// minEndInterval is the shortest time between two crashes of one replica, which has
+	earlyCrashLimit = time.Second
+	// minCrashInterval is the shortest time between two crashes of one replica, which has
 	// to restart in between. Runs that break closer together were broken by one crash.
-	minEndInterval = 2 * time.Second
-	// keeperCount is the number of nodes that aggregate the crashes of a request. Two of
+	minCrashInterval = 2 * time.Second
+	// aggregatorCount is the number of nodes that aggregate the crashes of a request. Two of
 	// them may fail at the same time.
-	keeperCount = 3
+	aggregatorCount = 3
 )
 
-// countsAsEnd reports whether a broken run counts against its request. It does if the replica
+// countsAsCrash reports whether a broken run counts against its request. It does if the replica
 // has crashed, unless the run is resumable, had made progress and lasted for at least
-// earlyBreakLimit.
-func countsAsEnd(run *dispatch.Attempt, replica exchange.Liveness) bool {
-	hadProgress := run.Call.Resumable && run.BodyReceived && run.Duration >= earlyBreakLimit
-	return replica == exchange.Dead && !hadProgress
+// earlyCrashLimit.
+func countsAsCrash(attempt *dispatch.Attempt, liveness exchange.Liveness) bool {
+	hadProgress := attempt.Call.Resumable && attempt.BodyReceived && attempt.Duration >= earlyCrashLimit
+	return liveness == exchange.Dead && !hadProgress
 }
 
 // clearsRequest reports whether a response with a status shows that the request does not
@@ -45,39 +45,39 @@
 type reaction string
 
 const (
-	// ignoreEnd does nothing.
-	ignoreEnd reaction = "ignore"
-	// reportToKeepers sends the known crashes to the keepers of the request.
-	reportToKeepers reaction = "report to keepers"
+	// ignore does nothing.
+	ignore reaction = "ignore"
+	// reportToAggregators sends the known crashes to the aggregators of the request.
+	reportToAggregators reaction = "report to aggregators"
 	// startQuarantine quarantines the request, reports its crashes to all nodes and
 	// writes it to the store.
 	startQuarantine reaction = "start quarantine"
-	// joinQuarantine quarantines the request at this node. A keeper also writes it to
+	// joinQuarantine quarantines the request at this node. An aggregator also writes it to
 	// the store, in case the node that started the quarantine fails before it does.
 	joinQuarantine reaction = "join quarantine"
 )
 
-// onBrokenRun returns the reaction to a run that broke at this node. known is the number of
-// crashes of the request, including this one if it counts.
-func onBrokenRun(counts bool, known int) reaction {
+// onBrokenRun returns the reaction to a run that broke at this node. crashCount is the number
+// of crashes of the request, including this one if it counts.
+func onBrokenRun(counts bool, crashCount int) reaction {
 	switch {
-	case known >= endsToQuarantine:
+	case crashCount >= crashesToQuarantine:
 		return startQuarantine
 	case counts:
-		return reportToKeepers
+		return reportToAggregators
 	}
-	return ignoreEnd
+	return ignore
 }
 
-// onReportedEnds returns the reaction to crashes that another node reported. known is the
-// number of crashes of the request, including the reported ones. A node that reports enough
+// onReportedCrashes returns the reaction to crashes that another node reported. crashCount is
+// the number of crashes of the request, including the reported ones. A node that reports enough
 // of them for a quarantine has sent that report to all nodes.
-func onReportedEnds(reported, known int) reaction {
+func onReportedCrashes(reportedCount, crashCount int) reaction {
 	switch {
-	case reported >= endsToQuarantine:
+	case reportedCount >= crashesToQuarantine:
 		return joinQuarantine
-	case known >= endsToQuarantine:
+	case crashCount >= crashesToQuarantine:
 		return startQuarantine
 	}
-	return ignoreEnd
+	return ignore
 }
--- a/internal/callers/quarantine/quarantine.go
+++ b/internal/callers/quarantine/quarantine.go
@@ -2,25 +2,25 @@
 
 import "github.com/pathtally/pathtally/internal/callers/dispatch"
 
-// quarantine puts a request in quarantine, reports its crashes to all nodes and schedules the
-// write to the store.
-func (s *Service) quarantine(request Fingerprint) {
-	if !s.hold(request) {
+// startQuarantine puts a request in quarantine, reports its crashes to all nodes and schedules
+// the write to the store.
+func (s *Service) startQuarantine(request Fingerprint) {
+	if !s.quarantineLocally(request) {
 		return
 	}
-	s.reportEnds(request, s.config.Nodes())
-	s.recorder.setIntent(request, intent{at: s.config.Clock()})
+	s.reportCrashes(request, s.config.Nodes())
+	s.recorder.setPending(request, pendingChange{start: s.config.Clock()})
 }
 
-// hold puts a request in quarantine at this node only. It returns false if the request
-// already was in quarantine.
-func (s *Service) hold(request Fingerprint) bool {
+// quarantineLocally puts a request in quarantine at this node only. It returns false if the
+// request already was in quarantine.
+func (s *Service) quarantineLocally(request Fingerprint) bool {
 	now := s.config.Clock()
 	if !s.table.Add(request, now.Add(s.config.Duration), now) {
 		return false
 	}
-	s.metrics.held.Inc()
-	s.config.Logger.Info("request quarantined: replicas end under it", "fingerprint", request.String(), "spanMs", s.config.Duration.Milliseconds())
+	s.metrics.quarantined.Inc()
+	s.config.Logger.Info("request quarantined because it crashed replicas", "fingerprint", request.String(), "spanMs", s.config.Duration.Milliseconds())
 	return true
 }
 
@@ -33,38 +33,38 @@
 		return
 	}
 	request := fingerprintOf(call)
-	if !s.isSuspectOrHeld(request) {
+	if !s.isSuspectOrQuarantined(request) {
 		return
 	}
-	wasSuspect, wasHeld := s.forgive(request)
+	wasSuspect, wasQuarantined := s.resetRequest(request)
 	switch {
-	case wasHeld:
-		s.recorder.setIntent(request, intent{lift: true})
-		s.reportServed(request, s.config.Nodes())
+	case wasQuarantined:
+		s.recorder.setPending(request, pendingChange{remove: true})
+		s.reportSuccess(request, s.config.Nodes())
 	case wasSuspect:
-		s.reportServed(request, s.keepers(request))
+		s.reportSuccess(request, s.aggregators(request))
 	}
 }
 
-// isSuspectOrHeld reports whether a request has crashes or is in quarantine.
-func (s *Service) isSuspectOrHeld(request Fingerprint) bool {
-	if s.table.TimeLeft(request, s.config.Clock()) > 0 {
+// isSuspectOrQuarantined reports whether a request has crashes or is in quarantine.
+func (s *Service) isSuspectOrQuarantined(request Fingerprint) bool {
+	if s.table.Remaining(request, s.config.Clock()) > 0 {
 		return true
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return len(s.ledger.Crashes(request)) > 0
+	return len(s.tracker.Crashes(request)) > 0
 }
 
-// forgive drops the crashes of a request that succeeded and takes it out of quarantine.
-func (s *Service) forgive(request Fingerprint) (wasSuspect, wasHeld bool) {
+// resetRequest drops the crashes of a request that succeeded and takes it out of quarantine.
+func (s *Service) resetRequest(request Fingerprint) (wasSuspect, wasQuarantined bool) {
 	s.mutex.Lock()
-	wasSuspect = s.ledger.RecordServed(request, s.config.Clock())
-	s.suspects.Store(int64(s.ledger.Len()))
+	wasSuspect = s.tracker.RecordSuccess(request, s.config.Clock())
+	s.suspects.Store(int64(s.tracker.Len()))
 	s.mutex.Unlock()
-	wasHeld = s.table.Remove(request, s.config.Clock())
-	if wasHeld {
-		s.config.Logger.Info("quarantine lifted: the request was served", "fingerprint", request.String())
+	wasQuarantined = s.table.Remove(request, s.config.Clock())
+	if wasQuarantined {
+		s.config.Logger.Info("quarantine lifted because the request succeeded", "fingerprint", request.String())
 	}
-	return wasSuspect, wasHeld
+	return wasSuspect, wasQuarantined
 }
--- a/internal/callers/quarantine/record.go
+++ b/internal/callers/quarantine/record.go
@@ -18,9 +18,9 @@
 	ObjectName = "requests"
 )
 
-// maxRecorded is the maximum number of requests in the object; the newest are kept. It limits
-// the object, which all nodes watch, to about 70 KB.
-const maxRecorded = 1000
+// maxRecordEntries is the maximum number of requests in the object; the newest are kept. It
+// limits the object, which all nodes watch, to about 70 KB.
+const maxRecordEntries = 1000
 
 // record is the stored object.
 type record struct {
@@ -35,8 +35,8 @@
 	At int64 `json:"at"`
 }
 
-// errBadFingerprint means that a record entry or message has no valid fingerprint.
-var errBadFingerprint = merry.Sentinel("not a fingerprint of 32 hexadecimal digits")
+// errInvalidFingerprint means that a record entry or message has no valid fingerprint.
+var errInvalidFingerprint = merry.Sentinel("fingerprint is not 32 hexadecimal digits")
 
 // RecordError reports a record that cannot be encoded, or that cannot be decoded in whole or
 // in part.
@@ -48,7 +48,7 @@
 }
 
 func (e *RecordError) Error() string {
-	return fmt.Sprintf("record of quarantined requests, at %q: %v", e.InvalidFingerprint, e.Cause)
+	return fmt.Sprintf("quarantine record, fingerprint %q: %v", e.InvalidFingerprint, e.Cause)
 }
 
 func (e *RecordError) Unwrap() error { return e.Cause }
@@ -57,7 +57,7 @@
 func parseFingerprint(text string) (Fingerprint, error) {
 	digits, err := hex.DecodeString(text)
 	if err != nil || len(digits) != fingerprintBytes {
-		return Fingerprint{}, errBadFingerprint
+		return Fingerprint{}, errInvalidFingerprint
 	}
 	return Fingerprint(digits), nil
 }
@@ -66,34 +66,34 @@
 // entries with an invalid fingerprint and returns the others along with a *RecordError for
 // the first invalid one.
 func decodeRecord(spec []byte) (map[Fingerprint]time.Time, error) {
-	var read record
-	if err := json.Unmarshal(spec, &read); err != nil {
+	var decoded record
+	if err := json.Unmarshal(spec, &decoded); err != nil {
 		return nil, &RecordError{Cause: err}
 	}
-	began := make(map[Fingerprint]time.Time, len(read.Requests))
-	var finding error
-	for _, entry := range read.Requests {
+	startTimes := make(map[Fingerprint]time.Time, len(decoded.Requests))
+	var firstErr error
+	for _, entry := range decoded.Requests {
 		request, err := parseFingerprint(entry.Fingerprint)
 		if err != nil {
-			if finding == nil {
-				finding = &RecordError{InvalidFingerprint: entry.Fingerprint, Cause: err}
+			if firstErr == nil {
+				firstErr = &RecordError{InvalidFingerprint: entry.Fingerprint, Cause: err}
 			}
 			continue
 		}
-		began[request] = time.UnixMilli(entry.At)
+		startTimes[request] = time.UnixMilli(entry.At)
 	}
-	return began, finding
+	return startTimes, firstErr
 }
 
-// encodeRecord encodes a record of the maxRecorded newest quarantines, newest first.
-func encodeRecord(began map[Fingerprint]time.Time) ([]byte, error) {
-	written := record{Requests: make([]recordEntry, 0, len(began))}
-	for request, at := range began {
-		written.Requests = append(written.Requests, recordEntry{Fingerprint: request.String(), At: at.UnixMilli()})
+// encodeRecord encodes a record of the maxRecordEntries newest quarantines, newest first.
+func encodeRecord(startTimes map[Fingerprint]time.Time) ([]byte, error) {
+	encoded := record{Requests: make([]recordEntry, 0, len(startTimes))}
+	for request, at := range startTimes {
+		encoded.Requests = append(encoded.Requests, recordEntry{Fingerprint: request.String(), At: at.UnixMilli()})
 	}
-	slices.SortFunc(written.Requests, func(a, b recordEntry) int {
+	slices.SortFunc(encoded.Requests, func(a, b recordEntry) int {
 		return cmp.Or(cmp.Compare(b.At, a.At), cmp.Compare(a.Fingerprint, b.Fingerprint))
 	})
-	written.Requests = written.Requests[:min(len(written.Requests), maxRecorded)]
-	return json.Marshal(written)
+	encoded.Requests = encoded.Requests[:min(len(encoded.Requests), maxRecordEntries)]
+	return json.Marshal(encoded)
 }
--- a/internal/callers/quarantine/record_test.go
+++ b/internal/callers/quarantine/record_test.go
@@ -7,35 +7,35 @@
 )
 
 func TestRecordRoundTrip(t *testing.T) {
-	began := map[Fingerprint]time.Time{}
-	for number := range maxRecorded + 5 {
-		began[numbered(number)] = start.Add(time.Duration(number) * time.Second)
+	startTimes := map[Fingerprint]time.Time{}
+	for number := range maxRecordEntries + 5 {
+		startTimes[testFingerprint(number)] = testStart.Add(time.Duration(number) * time.Second)
 	}
-	spec, err := encodeRecord(began)
+	spec, err := encodeRecord(startTimes)
 	if err != nil {
 		t.Fatal(err)
 	}
-	read, err := decodeRecord(spec)
-	if err != nil || len(read) != maxRecorded {
-		t.Fatalf("%d requests are read, error %v", len(read), err)
+	decoded, err := decodeRecord(spec)
+	if err != nil || len(decoded) != maxRecordEntries {
+		t.Fatalf("decoded %d requests, error %v", len(decoded), err)
 	}
-	if _, oldest := read[numbered(0)]; oldest || !read[numbered(maxRecorded+4)].Equal(began[numbered(maxRecorded+4)]) {
-		t.Error("not the newest requests are kept")
+	if _, oldest := decoded[testFingerprint(0)]; oldest || !decoded[testFingerprint(maxRecordEntries+4)].Equal(startTimes[testFingerprint(maxRecordEntries+4)]) {
+		t.Error("the newest requests are not the ones kept")
 	}
 }
 
 // Guards against losing the valid entries of a record along with an invalid one.
-func TestUnreadableEntriesOfTheRecordAreLeftOut(t *testing.T) {
-	read, err := decodeRecord([]byte(`{"requests":[{"fingerprint":"xyz","at":1},{"fingerprint":"` + numbered(7).String() + `","at":5}]}`))
-	var unreadable *RecordError
-	if !errors.As(err, &unreadable) || unreadable.InvalidFingerprint != "xyz" || unreadable.Cause == nil {
-		t.Errorf("error is %v", err)
+func TestDecodeRecordSkipsInvalidEntries(t *testing.T) {
+	decoded, err := decodeRecord([]byte(`{"requests":[{"fingerprint":"xyz","at":1},{"fingerprint":"` + testFingerprint(7).String() + `","at":5}]}`))
+	var recordErr *RecordError
+	if !errors.As(err, &recordErr) || recordErr.InvalidFingerprint != "xyz" || recordErr.Cause == nil {
+		t.Errorf("error %v, want RecordError with the invalid fingerprint", err)
 	}
-	if len(read) != 1 || !read[numbered(7)].Equal(time.UnixMilli(5)) {
-		t.Errorf("read are %v", read)
+	if len(decoded) != 1 || !decoded[testFingerprint(7)].Equal(time.UnixMilli(5)) {
+		t.Errorf("decoded %v, want only the valid entry", decoded)
 	}
-	if read, err := decodeRecord([]byte(`[1]`)); read != nil || !errors.As(err, &unreadable) {
-		t.Errorf("read are %v, error %v", read, err)
+	if decoded, err := decodeRecord([]byte(`[1]`)); decoded != nil || !errors.As(err, &recordErr) {
+		t.Errorf("decoded %v, error %v, want only a RecordError", decoded, err)
 	}
 }
 
@@ -45,13 +45,13 @@
 	f.Add([]byte(`{"requests":{}}`))
 	f.Add([]byte("\xff"))
 	f.Fuzz(func(t *testing.T, spec []byte) {
-		read, err := decodeRecord(spec)
-		var unreadable *RecordError
-		if err != nil && !errors.As(err, &unreadable) {
-			t.Fatalf("error %v has no type", err)
+		decoded, err := decodeRecord(spec)
+		var recordErr *RecordError
+		if err != nil && !errors.As(err, &recordErr) {
+			t.Fatalf("error %v is not a RecordError", err)
 		}
 		if err == nil {
-			if _, err := encodeRecord(read); err != nil {
+			if _, err := encodeRecord(decoded); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/callers/quarantine/recorder.go
+++ b/internal/callers/quarantine/recorder.go
@@ -21,36 +21,36 @@
 	writeTimeout = 3 * time.Second
 )
 
-// intent is a pending change to the stored record for one request.
-type intent struct {
-	// lift removes the request from the record; otherwise it is added.
-	lift bool
-	// at is the start of the quarantine.
-	at time.Time
+// pendingChange is a pending change to the stored record for one request.
+type pendingChange struct {
+	// remove removes the request from the record; otherwise it is added.
+	remove bool
+	// start is the start of the quarantine.
+	start time.Time
 }
 
 // recorder writes pending changes to the stored record and retries until they succeed. It is
 // safe for concurrent use.
 type recorder struct {
-	store  objectstore.Store
-	clock  clock.Clock
-	span   time.Duration
-	logger klog.Logger
-	wake   chan struct{}
+	store    objectstore.Store
+	clock    clock.Clock
+	duration time.Duration
+	logger   klog.Logger
+	wake     chan struct{}
 
 	mutex   sync.Mutex
-	intents map[Fingerprint]intent
+	pending map[Fingerprint]pendingChange
 }
 
-func newRecorder(store objectstore.Store, counting clock.Clock, span time.Duration, logger klog.Logger) *recorder {
-	return &recorder{store: store, clock: counting, span: span, logger: logger, wake: make(chan struct{}, 1), intents: map[Fingerprint]intent{}}
+func newRecorder(store objectstore.Store, now clock.Clock, duration time.Duration, logger klog.Logger) *recorder {
+	return &recorder{store: store, clock: now, duration: duration, logger: logger, wake: make(chan struct{}, 1), pending: map[Fingerprint]pendingChange{}}
 }
 
-// setIntent schedules a change for a request. It replaces a pending change for the same
+// setPending schedules a change for a request. It replaces a pending change for the same
 // request.
-func (r *recorder) setIntent(request Fingerprint, wanted intent) {
+func (r *recorder) setPending(request Fingerprint, change pendingChange) {
 	r.mutex.Lock()
-	r.intents[request] = wanted
+	r.pending[request] = change
 	r.mutex.Unlock()
 	select {
 	case r.wake <- struct{}{}:
@@ -66,9 +66,9 @@
 			return
 		case <-r.wake:
 		}
-		for r.isBehind() {
+		for r.hasPending() {
 			if err := r.write(ctx); err != nil {
-				r.logger.Info("quarantine not recorded yet", "error", err.Error(), "retryMs", writeRetryDelay.Milliseconds())
+				r.logger.Info("failed to write quarantine record, retrying", "error", err.Error(), "retryMs", writeRetryDelay.Milliseconds())
 				if !objectstore.SleepWithJitter(ctx, writeRetryDelay) {
 					return
 				}
@@ -77,18 +77,18 @@
 	}
 }
 
-// isBehind reports whether any change is pending.
-func (r *recorder) isBehind() bool {
+// hasPending reports whether any change is pending.
+func (r *recorder) hasPending() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return len(r.intents) > 0
+	return len(r.pending) > 0
 }
 
 // write tries once to write all pending changes. It replaces the record only if its revision
 // is still the one that was read, so that changes by other nodes are not lost.
 func (r *recorder) write(ctx context.Context) error {
 	r.mutex.Lock()
-	wanted := maps.Clone(r.intents)
+	pending := maps.Clone(r.pending)
 	r.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
@@ -97,38 +97,38 @@
 	if err != nil && !isNew {
 		return err
 	}
-	began := map[Fingerprint]time.Time{}
+	startTimes := map[Fingerprint]time.Time{}
 	if !isNew {
-		if began, err = decodeRecord(current.Spec); err != nil {
-			r.logger.Error(err, "record of quarantined requests is replaced, without what cannot be read")
+		if startTimes, err = decodeRecord(current.Spec); err != nil {
+			r.logger.Error(err, "replacing quarantine record without its invalid entries")
 		}
 	}
-	if next, changed := r.apply(began, wanted); changed {
+	if next, changed := r.apply(startTimes, pending); changed {
 		if err := r.put(ctx, current, isNew, next); err != nil {
 			return err
 		}
 	}
-	r.dropWritten(wanted)
+	r.dropWritten(pending)
 	return nil
 }
 
 // apply returns the record with the pending changes applied and expired quarantines removed.
 // changed is set if a pending change had an effect.
-func (r *recorder) apply(began map[Fingerprint]time.Time, wanted map[Fingerprint]intent) (next map[Fingerprint]time.Time, changed bool) {
+func (r *recorder) apply(startTimes map[Fingerprint]time.Time, pending map[Fingerprint]pendingChange) (next map[Fingerprint]time.Time, changed bool) {
 	next = map[Fingerprint]time.Time{}
-	for request, at := range began {
-		if r.clock.Since(at) < r.span {
-			next[request] = at
+	for request, start := range startTimes {
+		if r.clock.Since(start) < r.duration {
+			next[request] = start
 		}
 	}
-	for request, want := range wanted {
+	for request, change := range pending {
 		_, isListed := next[request]
 		switch {
-		case want.lift && isListed:
+		case change.remove && isListed:
 			delete(next, request)
 			changed = true
-		case !want.lift && !isListed && r.clock.Since(want.at) < r.span:
-			next[request] = want.at
+		case !change.remove && !isListed && r.clock.Since(change.start) < r.duration:
+			next[request] = change.start
 			changed = true
 		}
 	}
@@ -150,8 +150,8 @@
 }
 
 // dropWritten drops the changes that have been written, unless they were replaced meanwhile.
-func (r *recorder) dropWritten(written map[Fingerprint]intent) {
+func (r *recorder) dropWritten(written map[Fingerprint]pendingChange) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	maps.DeleteFunc(r.intents, func(request Fingerprint, wanted intent) bool { return written[request] == wanted })
+	maps.DeleteFunc(r.pending, func(request Fingerprint, change pendingChange) bool { return written[request] == change })
 }
--- a/internal/callers/quarantine/recorder_test.go
+++ b/internal/callers/quarantine/recorder_test.go
@@ -13,60 +13,60 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// recorded returns the decoded record of a store, nil if there is none.
-func recorded(t *testing.T, store *metastore.Store) map[Fingerprint]time.Time {
+// storedRecord returns the decoded record of a store, nil if there is none.
+func storedRecord(t *testing.T, store *metastore.Store) map[Fingerprint]time.Time {
 	t.Helper()
 	objects := store.Objects(Kind)
 	if len(objects) == 0 {
 		return nil
 	}
-	read, err := decodeRecord(objects[0].Spec)
+	decoded, err := decodeRecord(objects[0].Spec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return read
+	return decoded
 }
 
-func eventually(t *testing.T, what string, check func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if check() {
+	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("not so in the end: %s", what)
+	t.Fatalf("timed out waiting until %s", what)
 }
 
 func startRecorder(t *testing.T, store objectstore.Store) *recorder {
 	t.Helper()
-	started := newRecorder(store, clock.Steady, time.Hour, klog.Background())
+	recorder := newRecorder(store, clock.Steady, time.Hour, klog.Background())
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
-	go started.Run(ctx)
-	return started
+	go recorder.Run(ctx)
+	return recorder
 }
 
-func TestTwoNodesRecordTheirOwnWithoutLosingTheOthers(t *testing.T) {
+func TestRecorderConcurrentNodes(t *testing.T) {
 	store := metastore.New()
 	one, two := startRecorder(t, store), startRecorder(t, store)
 	for number := range 40 {
-		writer := one
+		recorder := one
 		if number%2 == 1 {
-			writer = two
+			recorder = two
 		}
-		writer.setIntent(numbered(number), intent{at: time.Now()})
+		recorder.setPending(testFingerprint(number), pendingChange{start: time.Now()})
 	}
-	eventually(t, "all requests are in the record", func() bool { return len(recorded(t, store)) == 40 })
-	one.setIntent(numbered(3), intent{lift: true})
-	eventually(t, "the lifted one is out of it", func() bool { return len(recorded(t, store)) == 39 })
+	eventually(t, "all requests are in the record", func() bool { return len(storedRecord(t, store)) == 40 })
+	one.setPending(testFingerprint(3), pendingChange{remove: true})
+	eventually(t, "the removed request is not in the record", func() bool { return len(storedRecord(t, store)) == 39 })
 }
 
 // Guards against losing a write when the store rejects it or its response is lost.
-func TestRecordIsWrittenOnceTheStoreIsBack(t *testing.T) {
+func TestRecorderRetriesWrites(t *testing.T) {
 	for _, fault := range []struct {
 		name string
 		kind metastore.Fault
-	}{{"refused", metastore.Refused}, {"done and not answered", metastore.Unanswered}} {
+	}{{"rejected", metastore.Refused}, {"response lost", metastore.Unanswered}} {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
 			store := metastore.New()
@@ -77,26 +77,26 @@
 				}
 				return metastore.Sound
 			})
-			writer := startRecorder(t, store)
-			writer.setIntent(numbered(1), intent{at: time.Now()})
-			eventually(t, "the request is in the record", func() bool { return len(recorded(t, store)) == 1 && !writer.isBehind() })
+			recorder := startRecorder(t, store)
+			recorder.setPending(testFingerprint(1), pendingChange{start: time.Now()})
+			eventually(t, "the request is in the record", func() bool { return len(storedRecord(t, store)) == 1 && !recorder.hasPending() })
 		})
 	}
 }
 
-func TestQuarantinesThatAreOverLeaveTheRecord(t *testing.T) {
+func TestRecorderDropsExpired(t *testing.T) {
 	store := metastore.New()
-	old, err := encodeRecord(map[Fingerprint]time.Time{numbered(1): time.Now().Add(-2 * time.Hour)})
+	old, err := encodeRecord(map[Fingerprint]time.Time{testFingerprint(1): time.Now().Add(-2 * time.Hour)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := store.Create(t.Context(), Kind, ObjectName, old); err != nil {
 		t.Fatal(err)
 	}
-	startRecorder(t, store).setIntent(numbered(2), intent{at: time.Now()})
-	eventually(t, "only the new one stands", func() bool {
-		current := recorded(t, store)
-		_, isOld := current[numbered(1)]
+	startRecorder(t, store).setPending(testFingerprint(2), pendingChange{start: time.Now()})
+	eventually(t, "only the new request is in the record", func() bool {
+		current := storedRecord(t, store)
+		_, isOld := current[testFingerprint(1)]
 		return len(current) == 1 && !isOld
 	})
 }
--- a/internal/callers/quarantine/service.go
+++ b/internal/callers/quarantine/service.go
@@ -19,8 +19,8 @@
 type Config struct {
 	// Node is the name of this node.
 	Node string
-	// Duration is how long a request stays in quarantine. If it is not positive, DefaultSpan
-	// is used.
+	// Duration is how long a request stays in quarantine. If it is not positive,
+	// DefaultDuration is used.
 	Duration time.Duration
 	Prober   Prober
 	Store    objectstore.Store
@@ -37,23 +37,23 @@
 
 // Service implements the quarantine on one node. It is safe for concurrent use.
 type Service struct {
-	config   Config
-	metrics  *metrics
-	endCheck *endCheck
-	table    *Table
-	recorder *recorder
+	config        Config
+	metrics       *metrics
+	crashDetector *crashDetector
+	table         *Table
+	recorder      *recorder
 	// ctx bounds the checks of replicas.
 	ctx context.Context
 
-	// suspects is the number of requests in the ledger. While it is 0 and the table is
+	// suspects is the number of requests in the crash tracker. While it is 0 and the table is
 	// empty, requests pass without the mutex and without computing a fingerprint.
 	suspects atomic.Int64
 	mutex    sync.Mutex
-	ledger   *CrashTracker
-	// examining is the number of broken runs of each request whose replica is being
-	// checked. examinationEnded is closed and replaced whenever such a check has ended.
-	examining        map[Fingerprint]int
-	examinationEnded chan struct{}
+	tracker  *CrashTracker
+	// pendingChecks is the number of broken runs of each request whose replica is being
+	// checked. checkEnded is closed and replaced whenever such a check has ended.
+	pendingChecks map[Fingerprint]int
+	checkEnded    chan struct{}
 }
 
 var _ dispatch.Guard = (*Service)(nil)
@@ -65,31 +65,31 @@
 		config.Duration = DefaultDuration
 	}
 	service := &Service{
-		config: config, endCheck: newEndCheck(config.Prober), table: NewTable(), recorder: newRecorder(config.Store, config.Clock, config.Duration, config.Logger),
-		ctx: ctx, ledger: NewCrashTracker(), examining: map[Fingerprint]int{}, examinationEnded: make(chan struct{}),
+		config: config, crashDetector: newCrashDetector(config.Prober), table: NewTable(), recorder: newRecorder(config.Store, config.Clock, config.Duration, config.Logger),
+		ctx: ctx, tracker: NewCrashTracker(), pendingChecks: map[Fingerprint]int{}, checkEnded: make(chan struct{}),
 	}
 	service.metrics = newMetrics(config.Registry, service.table, config.Clock)
 	return service
 }
 
-// pruneInterval is the interval at which the ledger is pruned. While the ledger is not empty,
-// each call costs the computation of a fingerprint.
+// pruneInterval is the interval at which the crash tracker is pruned. While the crash tracker
+// is not empty, each call costs the computation of a fingerprint.
 const pruneInterval = time.Minute
 
-// Run writes quarantines to the store and prunes the ledger until the context ends.
+// Run writes quarantines to the store and prunes the crash tracker until the context ends.
 func (s *Service) Run(ctx context.Context) {
-	var duties sync.WaitGroup
-	duties.Go(func() { s.recorder.Run(ctx) })
+	var background sync.WaitGroup
+	background.Go(func() { s.recorder.Run(ctx) })
 	for objectstore.Sleep(ctx, pruneInterval) {
 		s.prune()
 	}
-	duties.Wait()
+	background.Wait()
 }
 
 // prune drops suspects without a crash or success for suspectLifetime.
 func (s *Service) prune() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.ledger.Prune(s.config.Clock())
-	s.suspects.Store(int64(s.ledger.Len()))
+	s.tracker.Prune(s.config.Clock())
+	s.suspects.Store(int64(s.tracker.Len()))
 }
--- a/internal/callers/quarantine/service_test.go
+++ b/internal/callers/quarantine/service_test.go
@@ -27,21 +27,21 @@
 	store *metastore.Store
 	mutex sync.Mutex
 	nodes map[string]*Service
-	// cut holds the nodes that no message reaches.
-	cut map[string]bool
-	// found is the result of every probe.
-	found exchange.Liveness
-	// probed is called on each probe. May be nil.
-	probed func()
+	// unreachable holds the nodes that no message reaches.
+	unreachable map[string]bool
+	// liveness is the result of every probe.
+	liveness exchange.Liveness
+	// onProbe is called on each probe. May be nil.
+	onProbe func()
 }
 
 func startNodes(t *testing.T, count int) *testNodes {
 	t.Helper()
-	made := &testNodes{store: metastore.New(), nodes: map[string]*Service{}, cut: map[string]bool{}, found: exchange.Dead}
+	nodes := &testNodes{store: metastore.New(), nodes: map[string]*Service{}, unreachable: map[string]bool{}, liveness: exchange.Dead}
 	for number := range count {
-		made.start(t, fmt.Sprint("node-", number))
+		nodes.start(t, fmt.Sprint("node-", number))
 	}
-	return made
+	return nodes
 }
 
 // start starts a node. A node of the same name is replaced by one with empty state.
@@ -73,10 +73,10 @@
 
 // Probe implements Prober.
 func (n *testNodes) Probe(context.Context, string) exchange.Liveness {
-	if n.probed != nil {
-		n.probed()
+	if n.onProbe != nil {
+		n.onProbe()
 	}
-	return n.found
+	return n.liveness
 }
 
 // Send implements environment.Peers.
@@ -88,9 +88,9 @@
 func (n *testNodes) Broadcast(addresses []string, message wire.Message) {
 	for _, address := range addresses {
 		n.mutex.Lock()
-		receiver, isCut := n.nodes[address], n.cut[address]
+		receiver, isUnreachable := n.nodes[address], n.unreachable[address]
 		n.mutex.Unlock()
-		if receiver != nil && !isCut {
+		if receiver != nil && !isUnreachable {
 			go receiver.ReceiveReport(message.(*wire.CrashReport))
 		}
 	}
@@ -104,254 +104,254 @@
 	return &dispatch.Call{ID: id, Method: "POST", Target: "/pay", Host: "bank.example", Body: []byte(body)}
 }
 
-// brokenRun returns an attempt at a replica whose connection broke.
-func brokenRun(call *dispatch.Call, replica string) dispatch.Attempt {
+// brokenAttempt returns an attempt at a replica whose connection broke.
+func brokenAttempt(call *dispatch.Call, replica string) dispatch.Attempt {
 	return dispatch.Attempt{Call: call, Endpoint: &routing.Endpoint{Name: replica, Address: replica}}
 }
 
-// settledBreak reports a broken run to a node and waits until the node has checked it.
-func settledBreak(t *testing.T, service *Service, run dispatch.Attempt) {
+// observeBrokenAndWait reports a broken run to a node and waits until the node has checked it.
+func observeBrokenAndWait(t *testing.T, service *Service, run dispatch.Attempt) {
 	t.Helper()
 	service.ObserveBroken(run)
-	eventually(t, "the run has been examined", func() bool {
+	eventually(t, "the crash check has ended", func() bool {
 		service.mutex.Lock()
 		defer service.mutex.Unlock()
-		return len(service.examining) == 0
+		return len(service.pendingChecks) == 0
 	})
 }
 
-func isHeld(service *Service, body string) bool {
+func isQuarantined(service *Service, body string) bool {
 	var quarantined *dispatch.QuarantinedError
 	return errors.As(service.Admit(context.Background(), testCall("asks", body)), &quarantined) && quarantined.Remaining > 0
 }
 
 // Guards against counting crashes per node only: retries reach other nodes under other ids.
-func TestEndsAtDifferentNodesAreCountedTogether(t *testing.T) {
+func TestCrashesAreCountedAcrossNodes(t *testing.T) {
 	nodes := startNodes(t, 12)
-	for try, name := range nodes.names()[:endsToQuarantine] {
-		settledBreak(t, nodes.nodes[name], brokenRun(testCall(fmt.Sprint("try-", try), "bad"), fmt.Sprint("replica-", try)))
+	for attempt, name := range nodes.names()[:crashesToQuarantine] {
+		observeBrokenAndWait(t, nodes.nodes[name], brokenAttempt(testCall(fmt.Sprint("try-", attempt), "bad"), fmt.Sprint("replica-", attempt)))
 	}
 	for name, service := range nodes.nodes {
-		eventually(t, name+" refuses the request", func() bool { return isHeld(service, "bad") })
-		if isHeld(service, "another") {
+		eventually(t, name+" refuses the request", func() bool { return isQuarantined(service, "bad") })
+		if isQuarantined(service, "another") {
 			t.Errorf("%s refuses another request", name)
 		}
 	}
-	eventually(t, "the store has it", func() bool { return len(recorded(t, nodes.store)) == 1 })
+	eventually(t, "the record lists the request", func() bool { return len(storedRecord(t, nodes.store)) == 1 })
 }
 
 // Guards against losing crashes when two of the three aggregating nodes are unreachable.
-func TestOneKeeperIsEnough(t *testing.T) {
+func TestOneAggregatorSuffices(t *testing.T) {
 	nodes := startNodes(t, 9)
-	keepers := nodes.nodes["node-0"].keepers(fingerprintOf(testCall("", "bad")))
-	for _, lost := range keepers[:len(keepers)-1] {
-		nodes.cut[lost] = true
+	aggregators := nodes.nodes["node-0"].aggregators(fingerprintOf(testCall("", "bad")))
+	for _, lost := range aggregators[:len(aggregators)-1] {
+		nodes.unreachable[lost] = true
 	}
 	var others []string
 	for _, name := range nodes.names() {
-		if !slices.Contains(keepers, name) {
+		if !slices.Contains(aggregators, name) {
 			others = append(others, name)
 		}
 	}
-	for try, name := range others[:endsToQuarantine] {
-		settledBreak(t, nodes.nodes[name], brokenRun(testCall(fmt.Sprint("try-", try), "bad"), fmt.Sprint("replica-", try)))
+	for attempt, name := range others[:crashesToQuarantine] {
+		observeBrokenAndWait(t, nodes.nodes[name], brokenAttempt(testCall(fmt.Sprint("try-", attempt), "bad"), fmt.Sprint("replica-", attempt)))
 	}
-	eventually(t, "a node that has seen nothing refuses the request", func() bool { return isHeld(nodes.nodes[others[endsToQuarantine]], "bad") })
+	eventually(t, "a node that saw no crash refuses the request", func() bool { return isQuarantined(nodes.nodes[others[crashesToQuarantine]], "bad") })
 }
 
 // Guards against a node that needs its peers or the store to quarantine a request.
-func TestANodeThatIsCutOffCountsForItself(t *testing.T) {
+func TestIsolatedNodeQuarantines(t *testing.T) {
 	nodes := startNodes(t, 5)
 	nodes.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Refused })
 	for name := range nodes.nodes {
-		nodes.cut[name] = true
+		nodes.unreachable[name] = true
 	}
-	alone := nodes.nodes["node-0"]
-	for try := range endsToQuarantine {
-		settledBreak(t, alone, brokenRun(testCall(fmt.Sprint("try-", try), "bad"), fmt.Sprint("replica-", try)))
+	isolated := nodes.nodes["node-0"]
+	for attempt := range crashesToQuarantine {
+		observeBrokenAndWait(t, isolated, brokenAttempt(testCall(fmt.Sprint("try-", attempt), "bad"), fmt.Sprint("replica-", attempt)))
 	}
-	if !isHeld(alone, "bad") {
-		t.Error("the node lets the request through")
+	if !isQuarantined(isolated, "bad") {
+		t.Error("isolated node admits the request")
 	}
 }
 
 // Guards against admitting a quarantined request on a node that was restarted.
-func TestTheStoreTellsNodesThatStart(t *testing.T) {
+func TestRestartedNodeReadsRecord(t *testing.T) {
 	nodes := startNodes(t, 3)
-	for try := range endsToQuarantine {
-		settledBreak(t, nodes.nodes["node-0"], brokenRun(testCall(fmt.Sprint("try-", try), "bad"), fmt.Sprint("replica-", try)))
+	for attempt := range crashesToQuarantine {
+		observeBrokenAndWait(t, nodes.nodes["node-0"], brokenAttempt(testCall(fmt.Sprint("try-", attempt), "bad"), fmt.Sprint("replica-", attempt)))
 	}
-	eventually(t, "the store has it", func() bool { return len(recorded(t, nodes.store)) == 1 })
-	started := nodes.start(t, "node-1")
-	started.Replace(nodes.store.Objects(Kind), false)
-	if !isHeld(started, "bad") {
-		t.Error("the node lets the request through")
+	eventually(t, "the record lists the request", func() bool { return len(storedRecord(t, nodes.store)) == 1 })
+	restarted := nodes.start(t, "node-1")
+	restarted.Replace(nodes.store.Objects(Kind), false)
+	if !isQuarantined(restarted, "bad") {
+		t.Error("restarted node admits the request")
 	}
 	// An operator removes the request from the record.
 	empty := objectstore.Object{Name: ObjectName, Spec: json.RawMessage(`{"requests":[]}`)}
-	started.Apply([]objectstore.Change{{Object: empty}}, false)
-	if isHeld(started, "bad") {
-		t.Error("the node holds a request that was taken out of the record")
+	restarted.Apply([]objectstore.Change{{Object: empty}}, false)
+	if isQuarantined(restarted, "bad") {
+		t.Error("request removed from the record is still quarantined")
 	}
 }
 
 // Guards against counting connection resets and truncated responses of live replicas.
-func TestBreaksAtLivingReplicasDoNotCount(t *testing.T) {
-	for _, found := range []exchange.Liveness{exchange.Alive, exchange.Unknown} {
+func TestBrokenRunAtLiveReplicaIsIgnored(t *testing.T) {
+	for _, liveness := range []exchange.Liveness{exchange.Alive, exchange.Unknown} {
 		nodes := startNodes(t, 1)
-		nodes.found = found
-		for try := range 3 * endsToQuarantine {
-			settledBreak(t, nodes.nodes["node-0"], brokenRun(testCall(fmt.Sprint("try-", try), "good"), fmt.Sprint("replica-", try)))
+		nodes.liveness = liveness
+		for attempt := range 3 * crashesToQuarantine {
+			observeBrokenAndWait(t, nodes.nodes["node-0"], brokenAttempt(testCall(fmt.Sprint("try-", attempt), "good"), fmt.Sprint("replica-", attempt)))
 		}
-		if isHeld(nodes.nodes["node-0"], "good") {
-			t.Errorf("a request is held although the replicas were %s", found)
+		if isQuarantined(nodes.nodes["node-0"], "good") {
+			t.Errorf("request quarantined although the replicas were %s", liveness)
 		}
 	}
 }
 
 // Guards against quarantining a popular request because one crash broke many of its runs.
-func TestOneEndCountsOnceHoweverManyRunsItCuts(t *testing.T) {
+func TestCrashBreakingManyRunsCountsOnce(t *testing.T) {
 	nodes := startNodes(t, 4)
-	for try := range 20 {
-		settledBreak(t, nodes.nodes[fmt.Sprint("node-", try%4)], brokenRun(testCall(fmt.Sprint("try-", try), "popular"), "replica"))
+	for attempt := range 20 {
+		observeBrokenAndWait(t, nodes.nodes[fmt.Sprint("node-", attempt%4)], brokenAttempt(testCall(fmt.Sprint("try-", attempt), "popular"), "replica"))
 	}
 	time.Sleep(20 * time.Millisecond)
 	for name, service := range nodes.nodes {
-		if isHeld(service, "popular") {
-			t.Errorf("%s holds a request under which one replica has ended", name)
+		if isQuarantined(service, "popular") {
+			t.Errorf("%s quarantined a request that crashed one replica", name)
 		}
 	}
 }
 
 // Guards against quarantining a harmless request that shares replicas with a crashing one.
-func TestAWholeAnswerClearsARequest(t *testing.T) {
+func TestSuccessClearsCrashes(t *testing.T) {
 	nodes := startNodes(t, 6)
 	for round := range 4 {
-		for try := range endsToQuarantine - 1 {
-			name := fmt.Sprint("node-", try)
-			settledBreak(t, nodes.nodes[name], brokenRun(testCall(fmt.Sprint(round, "-", try), "good"), fmt.Sprint("replica-", round, try)))
+		for attempt := range crashesToQuarantine - 1 {
+			name := fmt.Sprint("node-", attempt)
+			observeBrokenAndWait(t, nodes.nodes[name], brokenAttempt(testCall(fmt.Sprint(round, "-", attempt), "good"), fmt.Sprint("replica-", round, attempt)))
 		}
 		nodes.nodes["node-0"].ObserveResponse(testCall("served", "good"), 200)
-		eventually(t, "nobody remembers ends under it", func() bool {
-			for _, keeper := range nodes.nodes["node-0"].keepers(fingerprintOf(testCall("", "good"))) {
-				service := nodes.nodes[keeper]
+		eventually(t, "no aggregator has crashes of the request", func() bool {
+			for _, aggregator := range nodes.nodes["node-0"].aggregators(fingerprintOf(testCall("", "good"))) {
+				service := nodes.nodes[aggregator]
 				service.mutex.Lock()
-				known := len(service.ledger.Crashes(fingerprintOf(testCall("", "good"))))
+				count := len(service.tracker.Crashes(fingerprintOf(testCall("", "good"))))
 				service.mutex.Unlock()
-				if known > 0 {
+				if count > 0 {
 					return false
 				}
 			}
 			return true
 		})
 	}
-	if isHeld(nodes.nodes["node-0"], "good") {
-		t.Error("a request that was served in between is held")
+	if isQuarantined(nodes.nodes["node-0"], "good") {
+		t.Error("request quarantined although it succeeded in between")
 	}
 }
 
 // Guards against keeping the quarantine after a run that started before it has succeeded.
-func TestAWholeAnswerLiftsAQuarantineEverywhere(t *testing.T) {
+func TestSuccessLiftsQuarantine(t *testing.T) {
 	nodes := startNodes(t, 5)
-	for try := range endsToQuarantine {
-		settledBreak(t, nodes.nodes["node-0"], brokenRun(testCall(fmt.Sprint("try-", try), "good"), fmt.Sprint("replica-", try)))
+	for attempt := range crashesToQuarantine {
+		observeBrokenAndWait(t, nodes.nodes["node-0"], brokenAttempt(testCall(fmt.Sprint("try-", attempt), "good"), fmt.Sprint("replica-", attempt)))
 	}
 	for name, service := range nodes.nodes {
-		eventually(t, name+" holds the request", func() bool { return isHeld(service, "good") })
+		eventually(t, name+" quarantines the request", func() bool { return isQuarantined(service, "good") })
 	}
-	eventually(t, "the store has it", func() bool { return len(recorded(t, nodes.store)) == 1 })
+	eventually(t, "the record lists the request", func() bool { return len(storedRecord(t, nodes.store)) == 1 })
 	nodes.nodes["node-3"].ObserveResponse(testCall("late", "good"), 500)
-	if !isHeld(nodes.nodes["node-3"], "good") {
-		t.Fatal("a failure lifts the quarantine")
+	if !isQuarantined(nodes.nodes["node-3"], "good") {
+		t.Fatal("an error response lifts the quarantine")
 	}
 	nodes.nodes["node-3"].ObserveResponse(testCall("late", "good"), 200)
 	for name, service := range nodes.nodes {
-		eventually(t, name+" lets the request through", func() bool { return !isHeld(service, "good") })
+		eventually(t, name+" admits the request", func() bool { return !isQuarantined(service, "good") })
 	}
-	eventually(t, "the store has it no more", func() bool { return len(recorded(t, nodes.store)) == 0 })
+	eventually(t, "the record does not list the request", func() bool { return len(storedRecord(t, nodes.store)) == 0 })
 }
 
 // Guards against counting crashes caused by other requests against long resumable runs.
-func TestRunsThatCameFarDoNotCount(t *testing.T) {
+func TestLateBreakOfResumableRunIsIgnored(t *testing.T) {
 	nodes := startNodes(t, 1)
-	for try := range 2 * endsToQuarantine {
-		run := brokenRun(testCall(fmt.Sprint("try-", try), "long"), fmt.Sprint("replica-", try))
-		run.Call.Resumable, run.BodyReceived, run.Duration = true, true, 2*earlyBreakLimit
-		settledBreak(t, nodes.nodes["node-0"], run)
+	for attempt := range 2 * crashesToQuarantine {
+		run := brokenAttempt(testCall(fmt.Sprint("try-", attempt), "long"), fmt.Sprint("replica-", attempt))
+		run.Call.Resumable, run.BodyReceived, run.Duration = true, true, 2*earlyCrashLimit
+		observeBrokenAndWait(t, nodes.nodes["node-0"], run)
 	}
-	if isHeld(nodes.nodes["node-0"], "long") {
-		t.Error("a request whose runs came far is held")
+	if isQuarantined(nodes.nodes["node-0"], "long") {
+		t.Error("request quarantined although its runs had made progress")
 	}
 }
 
 // Guards against admitting a retry while the crash that quarantines its request is checked.
-func TestTheNextRunWaitsForWhatIsBeingFoundOut(t *testing.T) {
+func TestAdmitWaitsForCrashCheck(t *testing.T) {
 	nodes := startNodes(t, 1)
 	service := nodes.nodes["node-0"]
-	for try := range endsToQuarantine - 1 {
-		settledBreak(t, service, brokenRun(testCall(fmt.Sprint("try-", try), "bad"), fmt.Sprint("replica-", try)))
+	for attempt := range crashesToQuarantine - 1 {
+		observeBrokenAndWait(t, service, brokenAttempt(testCall(fmt.Sprint("try-", attempt), "bad"), fmt.Sprint("replica-", attempt)))
 	}
-	slow := make(chan struct{})
-	nodes.probed = func() { <-slow }
-	service.ObserveBroken(brokenRun(testCall("third", "bad"), "replica-third"))
+	probeGate := make(chan struct{})
+	nodes.onProbe = func() { <-probeGate }
+	service.ObserveBroken(brokenAttempt(testCall("third", "bad"), "replica-third"))
 	admitted := make(chan error, 1)
 	go func() { admitted <- service.Admit(context.Background(), testCall("next", "bad")) }()
 	if err := service.Admit(context.Background(), testCall("other", "good")); err != nil {
-		t.Errorf("another request gets %v", err)
+		t.Errorf("another request is not admitted: %v", err)
 	}
-	close(slow)
+	close(probeGate)
 	var quarantined *dispatch.QuarantinedError
 	if err := <-admitted; !errors.As(err, &quarantined) {
-		t.Errorf("the next run is admitted, error %v", err)
+		t.Errorf("error %v, want QuarantinedError", err)
 	}
 }
 
-func TestFingerprintTellsRequestsApart(t *testing.T) {
+func TestFingerprintDistinguishesRequests(t *testing.T) {
 	base := testCall("one", "body")
 	same := testCall("two", "body")
 	if fingerprintOf(base) != fingerprintOf(same) {
-		t.Error("another id makes another request")
+		t.Error("fingerprint depends on the id")
 	}
 	for name, change := range map[string]func(call *dispatch.Call){
-		"tenant": func(call *dispatch.Call) { call.Tenant = "other" },
-		"host":   func(call *dispatch.Call) { call.Host = "other.example" },
-		"method": func(call *dispatch.Call) { call.Method = "PUT" },
-		"target": func(call *dispatch.Call) { call.Target = "/pay/other" },
-		"body":   func(call *dispatch.Call) { call.Body = []byte("other") },
-		"border": func(call *dispatch.Call) { call.Host, call.Method = "bank.exampleP", "OST" },
+		"tenant":   func(call *dispatch.Call) { call.Tenant = "other" },
+		"host":     func(call *dispatch.Call) { call.Host = "other.example" },
+		"method":   func(call *dispatch.Call) { call.Method = "PUT" },
+		"target":   func(call *dispatch.Call) { call.Target = "/pay/other" },
+		"body":     func(call *dispatch.Call) { call.Body = []byte("other") },
+		"boundary": func(call *dispatch.Call) { call.Host, call.Method = "bank.exampleP", "OST" },
 	} {
 		changed := testCall("one", "body")
 		change(changed)
 		if fingerprintOf(base) == fingerprintOf(changed) {
-			t.Errorf("another %s makes no other request", name)
+			t.Errorf("fingerprint does not depend on the %s", name)
 		}
 	}
 }
 
 // Guards against computing fingerprints for all requests long after the last crash.
-func TestAServiceForgetsEndsOfLongAgo(t *testing.T) {
-	now := start
+func TestServicePrunesSuspects(t *testing.T) {
+	now := testStart
 	service := NewService(t.Context(), Config{
-		Node: "one", Prober: &testNodes{found: exchange.Dead}, Store: metastore.New(), Peers: &testNodes{}, Logger: klog.Background(),
+		Node: "one", Prober: &testNodes{liveness: exchange.Dead}, Store: metastore.New(), Peers: &testNodes{}, Logger: klog.Background(),
 		Registry: prometheus.NewRegistry(), Clock: func() time.Time { return now }, Nodes: func() []string { return []string{"one"} },
 		Address: func(string) (string, bool) { return "", false },
 	})
-	settledBreak(t, service, brokenRun(testCall("try", "bad"), "replica"))
+	observeBrokenAndWait(t, service, brokenAttempt(testCall("try", "bad"), "replica"))
 	if service.suspects.Load() != 1 {
-		t.Fatal("the end is not remembered")
+		t.Fatal("the crash is not counted")
 	}
 	now = now.Add(suspectLifetime + time.Second)
 	service.prune()
 	if service.suspects.Load() != 0 {
-		t.Error("an end of long ago is still remembered")
+		t.Error("an expired suspect was not pruned")
 	}
 }
 
-func TestReportsOfAnotherLengthArePassedOver(t *testing.T) {
+func TestInvalidReportIsIgnored(t *testing.T) {
 	nodes := startNodes(t, 1)
 	ends := []wire.ReplicaEnd{{Replica: "a"}, {Replica: "b"}, {Replica: "c"}}
 	nodes.nodes["node-0"].ReceiveReport(&wire.CrashReport{Fingerprint: []byte{1}, Ends: ends})
 	if !nodes.nodes["node-0"].table.IsEmpty() {
-		t.Error("a report without a fingerprint holds something")
+		t.Error("a report without a valid fingerprint quarantined a request")
 	}
 }
--- a/internal/callers/quarantine/sink.go
+++ b/internal/callers/quarantine/sink.go
@@ -32,20 +32,20 @@
 
 // applyRecord applies the stored record to the table. The age of a quarantine is computed from
 // wall-clock time, so a wrong clock shortens or extends the rest of it, but never beyond
-// Config.Span.
+// Config.Duration.
 func (s *Service) applyRecord(object objectstore.Object) {
-	began, err := decodeRecord(object.Spec)
+	startTimes, err := decodeRecord(object.Spec)
 	if err != nil {
-		s.config.Logger.Error(err, "record of quarantined requests cannot be read, or not in part", "revision", object.Revision)
+		s.config.Logger.Error(err, "failed to decode quarantine record or some of its entries", "revision", object.Revision)
 	}
-	if began == nil {
+	if startTimes == nil {
 		return
 	}
 	now := s.config.Clock()
-	listed := make(map[Fingerprint]time.Time, len(began))
-	for request, at := range began {
-		rest := min(s.config.Duration, s.config.Duration-now.Sub(at))
-		listed[request] = now.Add(rest)
+	ends := make(map[Fingerprint]time.Time, len(startTimes))
+	for request, at := range startTimes {
+		remaining := min(s.config.Duration, s.config.Duration-now.Sub(at))
+		ends[request] = now.Add(remaining)
 	}
-	s.table.ApplyStored(listed, now)
+	s.table.ApplyStored(ends, now)
 }
--- a/internal/callers/quarantine/table.go
+++ b/internal/callers/quarantine/table.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// held is a request in quarantine.
-type held struct {
+// quarantineEntry is a request in quarantine.
+type quarantineEntry struct {
 	// until is the end of the quarantine, by this node's steady clock.
 	until time.Time
-	// stored is set once the stored record has listed the request. Its absence from a
+	// inStore is set once the stored record has listed the request. Its absence from a
 	// later record then means that the quarantine was lifted.
-	stored bool
+	inStore bool
 }
 
 // Table holds the requests in quarantine that a node knows of. Reads take no lock; each
 // update publishes a new map.
 type Table struct {
 	mutex   sync.Mutex
-	current atomic.Pointer[map[Fingerprint]held]
+	current atomic.Pointer[map[Fingerprint]quarantineEntry]
 }
 
 // NewTable returns an empty Table.
 func NewTable() *Table {
 	table := &Table{}
-	table.current.Store(&map[Fingerprint]held{})
+	table.current.Store(&map[Fingerprint]quarantineEntry{})
 	return table
 }
 
@@ -45,9 +45,9 @@
 	return count
 }
 
-// TimeLeft returns the time until the quarantine of a request ends, or 0 if it is not in
+// Remaining returns the time until the quarantine of a request ends, or 0 if it is not in
 // quarantine.
-func (t *Table) TimeLeft(request Fingerprint, now time.Time) time.Duration {
+func (t *Table) Remaining(request Fingerprint, now time.Time) time.Duration {
 	entry, found := (*t.current.Load())[request]
 	if !found {
 		return 0
@@ -59,9 +59,9 @@
 // request already is in quarantine.
 func (t *Table) Add(request Fingerprint, until, now time.Time) bool {
 	isNew := false
-	t.change(now, func(next map[Fingerprint]held) {
-		if _, known := next[request]; !known {
-			next[request] = held{until: until}
+	t.update(now, func(next map[Fingerprint]quarantineEntry) {
+		if _, found := next[request]; !found {
+			next[request] = quarantineEntry{until: until}
 			isNew = true
 		}
 	})
@@ -70,44 +70,44 @@
 
 // Remove takes a request out of quarantine and reports whether it was in it.
 func (t *Table) Remove(request Fingerprint, now time.Time) bool {
-	if _, held := (*t.current.Load())[request]; !held {
+	if _, found := (*t.current.Load())[request]; !found {
 		// Avoid copying the map in the common case.
 		return false
 	}
-	lifted := false
-	t.change(now, func(next map[Fingerprint]held) {
-		_, lifted = next[request]
+	removed := false
+	t.update(now, func(next map[Fingerprint]quarantineEntry) {
+		_, removed = next[request]
 		delete(next, request)
 	})
-	return lifted
+	return removed
 }
 
 // ApplyStored applies the stored record: the requests that it lists, with the end of each
 // quarantine. A request that an earlier record listed and this one does not is removed. A
 // request that no record has listed yet, known from this node or its peers, stays.
 func (t *Table) ApplyStored(listed map[Fingerprint]time.Time, now time.Time) {
-	t.change(now, func(next map[Fingerprint]held) {
-		maps.DeleteFunc(next, func(request Fingerprint, entry held) bool {
+	t.update(now, func(next map[Fingerprint]quarantineEntry) {
+		maps.DeleteFunc(next, func(request Fingerprint, entry quarantineEntry) bool {
 			_, isListed := listed[request]
-			return entry.stored && !isListed
+			return entry.inStore && !isListed
 		})
 		for request, until := range listed {
 			if known, found := next[request]; found {
 				until = known.until
 			}
 			if now.Before(until) {
-				next[request] = held{until: until, stored: true}
+				next[request] = quarantineEntry{until: until, inStore: true}
 			}
 		}
 	})
 }
 
-// change publishes a copy of the map with apply applied and expired quarantines removed.
-func (t *Table) change(now time.Time, apply func(next map[Fingerprint]held)) {
+// update publishes a copy of the map with apply applied and expired quarantines removed.
+func (t *Table) update(now time.Time, apply func(next map[Fingerprint]quarantineEntry)) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	next := maps.Clone(*t.current.Load())
-	maps.DeleteFunc(next, func(_ Fingerprint, entry held) bool { return !now.Before(entry.until) })
+	maps.DeleteFunc(next, func(_ Fingerprint, entry quarantineEntry) bool { return !now.Before(entry.until) })
 	apply(next)
 	t.current.Store(&next)
 }
--- a/internal/callers/quarantine/table_test.go
+++ b/internal/callers/quarantine/table_test.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-func TestQuarantineEndsByItself(t *testing.T) {
+func TestTableExpiry(t *testing.T) {
 	table := NewTable()
-	table.Add(numbered(1), start.Add(time.Minute), start)
-	if left := table.TimeLeft(numbered(1), start.Add(20*time.Second)); left != 40*time.Second {
-		t.Errorf("%v are left of a minute after 20 s", left)
+	table.Add(testFingerprint(1), testStart.Add(time.Minute), testStart)
+	if remaining := table.Remaining(testFingerprint(1), testStart.Add(20*time.Second)); remaining != 40*time.Second {
+		t.Errorf("%v remaining of 1m after 20s", remaining)
 	}
-	if left := table.TimeLeft(numbered(1), start.Add(time.Minute)); left != 0 {
-		t.Errorf("%v are left after the end", left)
+	if remaining := table.Remaining(testFingerprint(1), testStart.Add(time.Minute)); remaining != 0 {
+		t.Errorf("%v remaining after the end", remaining)
 	}
-	table.Add(numbered(2), start.Add(time.Hour), start.Add(time.Minute))
-	if table.Len(start.Add(time.Minute)) != 1 || len(*table.current.Load()) != 1 {
-		t.Error("a quarantine that is over is kept")
+	table.Add(testFingerprint(2), testStart.Add(time.Hour), testStart.Add(time.Minute))
+	if table.Len(testStart.Add(time.Minute)) != 1 || len(*table.current.Load()) != 1 {
+		t.Error("expired quarantine kept")
 	}
 }
 
 // Guards against lifting a quarantine that peers reported before the store lists it.
-func TestListingWithoutARequestLiftsOnlyWhatWasListed(t *testing.T) {
+func TestTableApplyStored(t *testing.T) {
 	table := NewTable()
-	table.Add(numbered(1), start.Add(time.Minute), start)
-	table.ApplyStored(map[Fingerprint]time.Time{numbered(2): start.Add(time.Minute)}, start)
-	if table.TimeLeft(numbered(1), start) == 0 {
-		t.Error("a request that the store does not list yet is let through")
+	table.Add(testFingerprint(1), testStart.Add(time.Minute), testStart)
+	table.ApplyStored(map[Fingerprint]time.Time{testFingerprint(2): testStart.Add(time.Minute)}, testStart)
+	if table.Remaining(testFingerprint(1), testStart) == 0 {
+		t.Error("request that the record does not list yet is admitted")
 	}
-	table.ApplyStored(map[Fingerprint]time.Time{numbered(1): start.Add(time.Hour)}, start)
-	if table.TimeLeft(numbered(2), start) != 0 {
-		t.Error("a request that was taken out of the record is still held")
+	table.ApplyStored(map[Fingerprint]time.Time{testFingerprint(1): testStart.Add(time.Hour)}, testStart)
+	if table.Remaining(testFingerprint(2), testStart) != 0 {
+		t.Error("request removed from the record is still quarantined")
 	}
-	if left := table.TimeLeft(numbered(1), start); left != time.Minute {
-		t.Errorf("the listing changed the end of a quarantine: %v are left", left)
+	if remaining := table.Remaining(testFingerprint(1), testStart); remaining != time.Minute {
+		t.Errorf("the record changed the end of a quarantine: %v remaining", remaining)
 	}
-	table.ApplyStored(nil, start)
+	table.ApplyStored(nil, testStart)
 	if !table.IsEmpty() {
-		t.Error("requests are held although the record is gone")
+		t.Error("requests quarantined although the record is gone")
 	}
 }
