--- a/internal/callers/exchange/connection.go
+++ b/internal/callers/exchange/connection.go
@@ -47,22 +47,22 @@
 	if err != nil {
 		return err
 	}
-	var problem error
+	var idleErr error
 	err = raw.Read(func(descriptor uintptr) bool {
-		var one [1]byte
-		count, readErr := syscall.Read(int(descriptor), one[:])
+		var buffer [1]byte
+		n, readErr := syscall.Read(int(descriptor), buffer[:])
 		switch {
-		case count > 0:
-			problem = ErrUnsolicitedData
-		case count == 0 && readErr == nil:
-			problem = ErrClosedByPeer
+		case n > 0:
+			idleErr = ErrUnsolicitedData
+		case n == 0 && readErr == nil:
+			idleErr = ErrClosedByPeer
 		case readErr != syscall.EAGAIN && readErr != syscall.EINTR:
-			problem = readErr
+			idleErr = readErr
 		}
 		return true
 	})
-	if problem != nil {
-		return problem
+	if idleErr != nil {
+		return idleErr
 	}
 	return err
 }
--- a/internal/callers/exchange/doc.go
+++ b/internal/callers/exchange/doc.go
@@ -5,7 +5,7 @@
 //
 // A Pool owns the connections. Each connection either carries one request or is idle.
 // takeIdle (pool.go) selects the idle connection for a request; Response.reusable
-// (response.go) and keep (idle.go) decide whether a connection is reused or closed. The user
+// (response.go) and putIdle (idle.go) decide whether a connection is reused or closed. The user
 // of the pool sets the limits on connections.
 //
 // Guarantees: a *NotSentError means that no byte of the request was sent; a response is read
--- a/internal/callers/exchange/errors.go
+++ b/internal/callers/exchange/errors.go
@@ -8,13 +8,13 @@
 
 var (
 	// ErrUnsolicitedData means that data arrived on an idle connection.
-	ErrUnsolicitedData = merry.Sentinel("surplus bytes on a connection")
+	ErrUnsolicitedData = merry.Sentinel("unsolicited data on idle connection")
 	// ErrTooManyConnections means that the limit on connections to an address is
 	// reached.
-	ErrTooManyConnections = merry.Sentinel("too many connections to the address")
+	ErrTooManyConnections = merry.Sentinel("connection limit reached")
 	// ErrClosedByPeer means that the peer has closed an idle connection, or may do so at
 	// any time.
-	ErrClosedByPeer = merry.Sentinel("connection closed by the peer")
+	ErrClosedByPeer = merry.Sentinel("idle connection closed by peer")
 )
 
 // NotSentError reports a request of which no byte was sent, so it has not run.
@@ -37,7 +37,7 @@
 }
 
 func (e *BrokenError) Error() string {
-	return fmt.Sprintf("no whole answer from %s: %v", e.Address, e.Cause)
+	return fmt.Sprintf("no complete response from %s: %v", e.Address, e.Cause)
 }
 
 func (e *BrokenError) Unwrap() error { return e.Cause }
--- a/internal/callers/exchange/idle.go
+++ b/internal/callers/exchange/idle.go
@@ -30,13 +30,14 @@
 	return conn
 }
 
-// keep makes a connection idle so that it can be reused. It closes the connection if the limit
-// on idle connections is reached. header is that of the last response, nil if there was none.
-func (p *Pool) keep(conn *connection, header http.Header) {
+// putIdle makes a connection idle so that it can be reused. It closes the connection if the
+// limit on idle connections is reached. header is that of the last response, nil if there was
+// none.
+func (p *Pool) putIdle(conn *connection, header http.Header) {
 	conn.idleSince = time.Now()
 	conn.idleUntil = conn.idleSince.Add(defaultIdleTime)
-	if seconds, named := keepAliveTime(header); named {
-		conn.idleUntil = conn.idleSince.Add(seconds - idleTimeMargin)
+	if timeout, found := keepAliveTimeout(header); found {
+		conn.idleUntil = conn.idleSince.Add(timeout - idleTimeMargin)
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -48,8 +49,8 @@
 	p.idle[conn.address] = append(idle, conn)
 }
 
-// keepAliveTime returns the timeout in the Keep-Alive header, if there is one.
-func keepAliveTime(header http.Header) (time.Duration, bool) {
+// keepAliveTimeout returns the timeout in the Keep-Alive header, if there is one.
+func keepAliveTimeout(header http.Header) (time.Duration, bool) {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(strings.TrimSpace(name), "timeout") {
@@ -57,7 +58,7 @@
 		}
 		seconds, err := strconv.Atoi(strings.TrimSpace(value))
 		if err != nil {
-			klog.Background().V(1).Info("Keep-Alive timeout is no number, using the default", "header", part, "usualMs", defaultIdleTime.Milliseconds())
+			klog.Background().V(1).Info("invalid Keep-Alive timeout, using the default", "header", part, "usualMs", defaultIdleTime.Milliseconds())
 			continue
 		}
 		return time.Duration(seconds) * time.Second, true
--- a/internal/callers/exchange/bounds.go
+++ b/internal/callers/exchange/limits.go
@@ -1,6 +1,6 @@
 package exchange
 
-// defaultMaxIdle is the maximum number of idle connections to an address until SetBounds is
+// defaultMaxIdle is the maximum number of idle connections to an address until SetLimits is
 // called.
 const defaultMaxIdle = 32
 
@@ -15,10 +15,10 @@
 // maxIdle returns the maximum number of idle connections to an address. The caller must hold
 // the mutex.
 func (p *Pool) maxIdle(address string) int {
-	if p.bounds == nil {
+	if p.limits == nil {
 		return defaultMaxIdle
 	}
-	return p.bounds[address].Idle
+	return p.limits[address].Idle
 }
 
 // reserve counts a new connection to an address, unless the limit is reached. It returns the
@@ -27,7 +27,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	others = p.open[address]
-	if bound, bounded := p.bounds[address]; bounded && others >= bound.Open {
+	if limit, limited := p.limits[address]; limited && others >= limit.Open {
 		return others, false
 	}
 	p.open[address]++
@@ -47,15 +47,15 @@
 
 // SetLimits sets the limits of each address. It closes idle connections that exceed them, and
 // all idle connections to addresses that are not listed.
-func (p *Pool) SetLimits(bounds map[string]ConnectionLimits) {
+func (p *Pool) SetLimits(limits map[string]ConnectionLimits) {
 	p.mutex.Lock()
-	p.bounds = bounds
-	var dropped []*connection
+	p.limits = limits
+	var excess []*connection
 	for address, idle := range p.idle {
 		// Keep the most recently used connections: the peer is least likely to have
 		// closed them.
-		if surplus := len(idle) - bounds[address].Idle; surplus > 0 {
-			dropped = append(dropped, idle[:surplus]...)
+		if surplus := len(idle) - limits[address].Idle; surplus > 0 {
+			excess = append(excess, idle[:surplus]...)
 			p.idle[address] = idle[surplus:]
 		}
 		if len(p.idle[address]) == 0 {
@@ -63,7 +63,7 @@
 		}
 	}
 	p.mutex.Unlock()
-	for _, conn := range dropped {
+	for _, conn := range excess {
 		p.discard(conn)
 	}
 }
--- a/internal/callers/exchange/metrics.go
+++ b/internal/callers/exchange/metrics.go
@@ -10,7 +10,7 @@
 
 // NewMetrics creates and registers the metrics of a Pool.
 func NewMetrics(registry prometheus.Registerer) *Metrics {
-	made := &Metrics{
+	metrics := &Metrics{
 		dialed: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "pathtally_replica_connections_opened_total", Help: "New connections to replicas, by what for and why no kept one served.",
 		}, []string{"purpose", "reason"}),
@@ -18,8 +18,8 @@
 			Name: "pathtally_replica_connections_reused_total", Help: "Requests to replicas on kept connections, by what for.",
 		}, []string{"purpose"}),
 	}
-	registry.MustRegister(made.dialed, made.reused)
-	return made
+	registry.MustRegister(metrics.dialed, metrics.reused)
+	return metrics
 }
 
 // Reasons for opening a connection instead of reusing one.
@@ -28,17 +28,17 @@
 	reasonNone = "none"
 	// reasonBusy: all connections were carrying requests.
 	reasonBusy = "busy"
-	// reasonUnfit: the idle connections were closed, had been idle for too long, or had
+	// reasonUnusable: the idle connections were closed, had been idle for too long, or had
 	// unsolicited data.
-	reasonUnfit = "unfit"
+	reasonUnusable = "unfit"
 )
 
 // reasonOf returns the reason for opening a connection, given the number of idle connections
 // that could not be reused and the number of other connections to the address.
-func reasonOf(unfit, others int) string {
+func reasonOf(unusable, others int) string {
 	switch {
-	case unfit > 0:
-		return reasonUnfit
+	case unusable > 0:
+		return reasonUnusable
 	case others > 0:
 		return reasonBusy
 	}
--- a/internal/callers/exchange/pool.go
+++ b/internal/callers/exchange/pool.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// maxYoungIdleTime is the maximum idle time of a connection that is reused for a request which
+// maxFreshIdleTime is the maximum idle time of a connection that is reused for a request which
 // must not run twice.
-const maxYoungIdleTime = 500 * time.Millisecond
+const maxFreshIdleTime = 500 * time.Millisecond
 
 // Counts holds the counters of a pool.
 type Counts struct {
@@ -29,7 +29,7 @@
 	idle  map[string][]*connection
 	// open is the number of connections to each address, including idle ones.
 	open   map[string]int
-	bounds map[string]ConnectionLimits
+	limits map[string]ConnectionLimits
 	Counts Counts
 	// Metrics may be nil. It must not be changed after the first request.
 	Metrics *Metrics
@@ -43,32 +43,32 @@
 	return &Pool{dial: dial, idle: map[string][]*connection{}, open: map[string]int{}}
 }
 
-// Send sends a request to an address and reads the head of the response. If young is set, it
-// uses only a new connection or one that has been idle for at most maxYoungIdleTime, which the
+// Send sends a request to an address and reads the head of the response. If fresh is set, it
+// uses only a new connection or one that has been idle for at most maxFreshIdleTime, which the
 // peer is unlikely to be closing. When the context ends, the connection is closed, also while
 // the body is read. The error is a *NotSentError or a *BrokenError.
-func (p *Pool) Send(ctx context.Context, address string, request *Request, young bool) (*Response, error) {
-	conn, err := p.acquire(ctx, address, request.Purpose, young)
+func (p *Pool) Send(ctx context.Context, address string, request *Request, fresh bool) (*Response, error) {
+	conn, err := p.acquire(ctx, address, request.Purpose, fresh)
 	if err != nil {
 		return nil, &NotSentError{Address: address, Cause: err}
 	}
-	stop := context.AfterFunc(ctx, func() { conn.Close() })
+	detach := context.AfterFunc(ctx, func() { conn.Close() })
 	response, err := conn.roundTrip(request)
 	if err != nil {
-		stop()
+		detach()
 		p.discard(conn)
 		if ctx.Err() != nil {
 			err = ctx.Err()
 		}
 		return nil, &BrokenError{Address: address, Cause: err}
 	}
-	response.pool, response.connection, response.stop, response.ctx = p, conn, stop, ctx
+	response.pool, response.connection, response.detach, response.ctx = p, conn, detach, ctx
 	return response, nil
 }
 
 // acquire returns a usable idle connection, or a new one.
-func (p *Pool) acquire(ctx context.Context, address string, purpose Purpose, young bool) (*connection, error) {
-	idle, unfit := p.takeIdle(address, young)
+func (p *Pool) acquire(ctx context.Context, address string, purpose Purpose, fresh bool) (*connection, error) {
+	idle, unusable := p.takeIdle(address, fresh)
 	if idle != nil {
 		p.Metrics.recordReused(purpose)
 		return idle, nil
@@ -83,25 +83,25 @@
 		return nil, err
 	}
 	p.Counts.Dialed.Add(1)
-	p.Metrics.recordDialed(purpose, reasonOf(unfit, others))
+	p.Metrics.recordDialed(purpose, reasonOf(unusable, others))
 	return newConnection(address, raw), nil
 }
 
 // takeIdle returns the most recently used idle connection that can be reused, or nil. It
 // closes the ones that cannot be reused and returns their number.
-func (p *Pool) takeIdle(address string, young bool) (idle *connection, unfit int) {
-	for ; ; unfit++ {
+func (p *Pool) takeIdle(address string, fresh bool) (idle *connection, unusable int) {
+	for ; ; unusable++ {
 		conn := p.popIdle(address)
 		if conn == nil {
-			return nil, unfit
+			return nil, unusable
 		}
-		if young && time.Since(conn.idleSince) > maxYoungIdleTime {
+		if fresh && time.Since(conn.idleSince) > maxFreshIdleTime {
 			p.discard(conn)
 			continue
 		}
 		if conn.checkIdle() == nil {
 			p.Counts.Reused.Add(1)
-			return conn, unfit
+			return conn, unusable
 		}
 		p.Counts.Stale.Add(1)
 		p.discard(conn)
--- a/internal/callers/exchange/probe.go
+++ b/internal/callers/exchange/probe.go
@@ -37,6 +37,6 @@
 	}
 	p.Counts.Dialed.Add(1)
 	p.Metrics.recordDialed(PurposeProbe, reasonOf(0, others))
-	p.keep(newConnection(address, raw), nil)
+	p.putIdle(newConnection(address, raw), nil)
 	return Alive
 }
--- a/internal/callers/exchange/probe_test.go
+++ b/internal/callers/exchange/probe_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-func TestProbeTellsAnEndedPeerFromALivingOne(t *testing.T) {
-	alive := script(t, func(connection net.Conn, requests *bufio.Reader) {
-		request, _, err := receive(requests)
+func TestProbe(t *testing.T) {
+	alive := startServer(t, func(connection net.Conn, requests *bufio.Reader) {
+		request, _, err := readRequest(requests)
 		if err == nil && request.Method == "POST" {
 			connection.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 		}
@@ -18,25 +18,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended := listener.Addr().String()
+	dead := listener.Addr().String()
 	listener.Close()
 	pool := NewPool(nil)
-	if found := pool.Probe(t.Context(), alive); found != Alive {
-		t.Errorf("a peer that listens is %s", found)
+	if liveness := pool.Probe(t.Context(), alive); liveness != Alive {
+		t.Errorf("listening peer is %s", liveness)
 	}
-	if found := pool.Probe(t.Context(), ended); found != Dead {
-		t.Errorf("a peer that has ended is %s", found)
+	if liveness := pool.Probe(t.Context(), dead); liveness != Dead {
+		t.Errorf("peer that refuses connections is %s", liveness)
 	}
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	if found := pool.Probe(cancelled, alive); found != Unknown {
-		t.Errorf("a peer without an answer is %s", found)
+	if liveness := pool.Probe(cancelled, alive); liveness != Unknown {
+		t.Errorf("peer of a canceled probe is %s", liveness)
 	}
 	// The next request reuses the connection of the first probe.
-	if body, err := exchangeOnce(pool, alive, post("x")); err != nil || body != "ok" || pool.Counts.Dialed.Load() != 1 {
-		t.Errorf("got %q, %v over %d connections", body, err, pool.Counts.Dialed.Load())
+	if body, err := roundTripBody(pool, alive, post("x")); err != nil || body != "ok" || pool.Counts.Dialed.Load() != 1 {
+		t.Errorf("got %q, error %v, over %d connections", body, err, pool.Counts.Dialed.Load())
 	}
 	if open := pool.Counts.Open.Load(); open < 0 || open > 1 {
-		t.Errorf("%d connections are counted as open", open)
+		t.Errorf("%d connections counted as open", open)
 	}
 }
--- a/internal/callers/exchange/response.go
+++ b/internal/callers/exchange/response.go
@@ -23,35 +23,35 @@
 	Framed bool
 
 	body io.ReadCloser
-	// peerCloses is set if the peer closes the connection after the response.
-	peerCloses bool
-	// whole is set once the complete body has been read.
-	whole      bool
+	// closeAfter is set if the peer closes the connection after the response.
+	closeAfter bool
+	// complete is set once the complete body has been read.
+	complete   bool
 	pool       *Pool
 	connection *connection
-	// stop detaches the connection from ctx. It returns false if the connection has
+	// detach detaches the connection from ctx. It returns false if the connection has
 	// already been closed because ctx ended.
-	stop func() bool
-	ctx  context.Context
-	// written receives the result of writing a request body concurrently. It is nil if the
+	detach func() bool
+	ctx    context.Context
+	// writeResult receives the result of writing a request body concurrently. It is nil if the
 	// body was written before the response was read.
-	written  chan error
-	finished bool
+	writeResult chan error
+	closed      bool
 }
 
 // roundTrip writes a request and reads the head of the response.
 func (c *connection) roundTrip(request *Request) (*Response, error) {
-	written, err := c.write(request)
+	writeResult, err := c.write(request)
 	if err != nil {
 		return nil, err
 	}
-	answer, err := readHead(c, request.Method)
+	response, err := readHead(c, request.Method)
 	if err != nil {
 		return nil, err
 	}
 	return &Response{
-		Status: answer.StatusCode, Header: answer.Header, Length: answer.ContentLength, body: answer.Body, peerCloses: answer.Close,
-		Framed: answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0, written: written,
+		Status: response.StatusCode, Header: response.Header, Length: response.ContentLength, body: response.Body, closeAfter: response.Close,
+		Framed: response.ContentLength >= 0 || len(response.TransferEncoding) > 0, writeResult: writeResult,
 	}, nil
 }
 
@@ -68,24 +68,24 @@
 	if err := c.writer.Flush(); err != nil {
 		return nil, err
 	}
-	written := make(chan error, 1)
+	writeResult := make(chan error, 1)
 	go func() {
 		_, err := c.Conn.Write(request.Body)
-		written <- err
+		writeResult <- err
 	}()
-	return written, nil
+	return writeResult, nil
 }
 
 // readHead reads the head of the response, skipping informational (1xx) responses other than
 // 101.
 func readHead(c *connection, method string) (*http.Response, error) {
 	for {
-		answer, err := http.ReadResponse(c.reader, &http.Request{Method: method})
+		response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
 		}
-		if answer.StatusCode >= http.StatusOK || answer.StatusCode == http.StatusSwitchingProtocols {
-			return answer, nil
+		if response.StatusCode >= http.StatusOK || response.StatusCode == http.StatusSwitchingProtocols {
+			return response, nil
 		}
 	}
 }
@@ -93,10 +93,10 @@
 // Read reads from the body. It returns io.EOF at the end of the body, and a *BrokenError if
 // the connection fails or a framed body is truncated.
 func (r *Response) Read(buffer []byte) (int, error) {
-	count, err := r.body.Read(buffer)
+	n, err := r.body.Read(buffer)
 	if errors.Is(err, io.EOF) {
-		r.whole = true
-		return count, io.EOF
+		r.complete = true
+		return n, io.EOF
 	}
 	if err != nil {
 		if r.ctx.Err() != nil {
@@ -104,44 +104,44 @@
 		}
 		err = &BrokenError{Address: r.connection.address, Cause: err}
 	}
-	return count, err
+	return n, err
 }
 
 // Close closes the response. Its connection becomes idle if it is reusable and is closed
 // otherwise.
 func (r *Response) Close() {
-	if r.finished {
+	if r.closed {
 		return
 	}
-	r.finished = true
-	cancelled := !r.stop()
+	r.closed = true
+	cancelled := !r.detach()
 	if cancelled || !r.reusable() {
 		r.pool.discard(r.connection)
 		return
 	}
-	r.pool.keep(r.connection, r.Header)
+	r.pool.putIdle(r.connection, r.Header)
 }
 
 // reusable reports whether the connection may carry another request: the request was written
 // and the framed response read completely, the peer keeps the connection open, and no
 // unsolicited data arrived on it.
 func (r *Response) reusable() bool {
-	return r.whole && r.Framed && !r.peerCloses && r.requestWritten() && r.connection.reader.Buffered() == 0
+	return r.complete && r.Framed && !r.closeAfter && r.requestWritten() && r.connection.reader.Buffered() == 0
 }
 
 // Discard closes the response and its connection.
 func (r *Response) Discard() {
-	r.whole = false
+	r.complete = false
 	r.Close()
 }
 
 // requestWritten reports whether the complete request has been written.
 func (r *Response) requestWritten() bool {
-	if r.written == nil {
+	if r.writeResult == nil {
 		return true
 	}
 	select {
-	case err := <-r.written:
+	case err := <-r.writeResult:
 		return err == nil
 	default:
 		return false
