--- a/internal/callers/quarantine/policy_test.go
+++ b/internal/callers/quarantine/policy_test.go
@@ -25,8 +25,8 @@
 		{"dead, late, progress", exchange.Dead, true, true, time.Second, false},
 		{"dead, early, progress", exchange.Dead, true, true, time.Second - 1, true},
 	} {
-		run := &dispatch.Attempt{Call: &dispatch.Call{Resumable: test.resumable}, BodyReceived: test.received, Duration: test.lasted}
-		if got := countsAsCrash(run, test.liveness); got != test.counts {
+		attempt := &dispatch.Attempt{Call: &dispatch.Call{Resumable: test.resumable}, BodyReceived: test.received, Duration: test.lasted}
+		if got := countsAsCrash(attempt, test.liveness); got != test.counts {
 			t.Errorf("%s: counts as crash: %v, want %v", test.name, got, test.counts)
 		}
 	}
--- a/internal/callers/quarantine/service_test.go
+++ b/internal/callers/quarantine/service_test.go
@@ -110,9 +110,9 @@
 }
 
 // observeBrokenAndWait reports a broken run to a node and waits until the node has checked it.
-func observeBrokenAndWait(t *testing.T, service *Service, run dispatch.Attempt) {
+func observeBrokenAndWait(t *testing.T, service *Service, attempt dispatch.Attempt) {
 	t.Helper()
-	service.ObserveBroken(run)
+	service.ObserveBroken(attempt)
 	eventually(t, "the crash check has ended", func() bool {
 		service.mutex.Lock()
 		defer service.mutex.Unlock()
@@ -275,9 +275,9 @@
 func TestLateBreakOfResumableRunIsIgnored(t *testing.T) {
 	nodes := startNodes(t, 1)
 	for attempt := range 2 * crashesToQuarantine {
-		run := brokenAttempt(testCall(fmt.Sprint("try-", attempt), "long"), fmt.Sprint("replica-", attempt))
-		run.Call.Resumable, run.BodyReceived, run.Duration = true, true, 2*earlyCrashLimit
-		observeBrokenAndWait(t, nodes.nodes["node-0"], run)
+		broken := brokenAttempt(testCall(fmt.Sprint("try-", attempt), "long"), fmt.Sprint("replica-", attempt))
+		broken.Call.Resumable, broken.BodyReceived, broken.Duration = true, true, 2*earlyCrashLimit
+		observeBrokenAndWait(t, nodes.nodes["node-0"], broken)
 	}
 	if isQuarantined(nodes.nodes["node-0"], "long") {
 		t.Error("request quarantined although its runs had made progress")
