--- a/internal/wire/attach.go
+++ b/internal/wire/attach.go
@@ -7,7 +7,8 @@
 	"github.com/pathtally/pathtally/internal/wire/schema"
 )
 
-// insert fills the struct of a message.
+// insert encodes a message into the Cap'n Proto struct body. It takes the error of the
+// struct's allocation, so that callers need not check it.
 func insert(typeID uint64, body capnp.Struct, err error, message any) error {
 	if err == nil {
 		err = pogs.Insert(typeID, body, message)
--- a/internal/wire/builds_test.go
+++ b/internal/wire/builds_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// writtenBuild has the frames of a build that is about to land written first:
+// newBuild makes the test write the frames of a new build to testdata/builds first:
 // go test ./internal/wire -run EarlierBuilds -wire.build NAME
-var writtenBuild = flag.String("wire.build", "", "name of the build whose frames are written to testdata/builds")
+var newBuild = flag.String("wire.build", "", "name of the build whose frames are written to testdata/builds")
 
-// crossingFrames are frames of the messages that nodes of different builds exchange, with
-// the fields that the oldest build promised to be understood has.
-func crossingFrames() []Frame {
+// goldenMessages returns one frame for each message that nodes of different builds exchange,
+// with the fields of the oldest supported build set.
+func goldenMessages() []Frame {
 	return []Frame{
 		{Message: &Hello{Protocol: ProtocolVersion, Node: "n", Address: "a:1", Incarnation: 7}},
 		{Message: &Failure{Code: 1, Detail: "unknown message"}},
@@ -45,22 +45,21 @@
 	}
 }
 
-// goldenFrame is a frame as a build wrote it.
+// goldenFrame is a frame as encoded by some build.
 type goldenFrame struct {
 	Message string
 	Frame   []byte
 }
 
-// Each file under testdata/builds holds crossingFrames as one landed build encodes them.
-// A field that changes its place or its meaning breaks a deployment in which builds run
-// side by side.
-func TestFramesOfEarlierBuildsAreUnderstood(t *testing.T) {
-	if *writtenBuild != "" {
-		writeFrames(t, "testdata/builds/"+*writtenBuild+".json")
+// A field that changes its position or meaning breaks deployments that run several builds.
+// Each file in testdata/builds holds goldenMessages as one released build encodes them.
+func TestDecodeFramesOfEarlierBuilds(t *testing.T) {
+	if *newBuild != "" {
+		writeFrames(t, "testdata/builds/"+*newBuild+".json")
 	}
 	files, err := filepath.Glob("testdata/builds/*.json")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no frames of earlier builds: %v", err)
+		t.Fatalf("no golden frames in testdata/builds: %v", err)
 	}
 	for _, file := range files {
 		content, err := os.ReadFile(file)
@@ -71,28 +70,28 @@
 		if err := json.Unmarshal(content, &golden); err != nil {
 			t.Fatal(err)
 		}
-		wanted := crossingFrames()
+		wanted := goldenMessages()
 		if len(golden) != len(wanted) {
 			t.Fatalf("%s has %d frames, want %d", file, len(golden), len(wanted))
 		}
-		for place, want := range wanted {
-			got, err := Decode(golden[place].Frame[lengthBytes:])
+		for i, want := range wanted {
+			got, err := Decode(golden[i].Frame[lengthBytes:])
 			if err != nil {
-				t.Errorf("%s: %s: %v", file, golden[place].Message, err)
+				t.Errorf("%s: %s: %v", file, golden[i].Message, err)
 				continue
 			}
 			if !reflect.DeepEqual(got, want) {
-				t.Errorf("%s: %s is read as %+v, want %+v", file, golden[place].Message, got.Message, want.Message)
+				t.Errorf("%s: %s decodes as %+v, want %+v", file, golden[i].Message, got.Message, want.Message)
 			}
 		}
 	}
 }
 
-// writeFrames writes crossingFrames as this build encodes them.
+// writeFrames writes goldenMessages as this build encodes them.
 func writeFrames(t *testing.T, file string) {
 	t.Helper()
 	var golden []goldenFrame
-	for _, frame := range crossingFrames() {
+	for _, frame := range goldenMessages() {
 		encoded, err := Encode(frame)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/wire/claims.go
+++ b/internal/wire/claims.go
@@ -1,6 +1,6 @@
 package wire
 
-// ClaimRequest asks a claim member to grant, look up, complete or withdraw.
+// ClaimRequest asks a quorum member to grant, look up, complete or withdraw a claim.
 type ClaimRequest struct {
 	Epoch       uint64
 	Key         string
@@ -11,7 +11,7 @@
 	Answer      []byte
 }
 
-// ClaimReply is a member's answer to a ClaimRequest.
+// ClaimReply is the reply to a ClaimRequest.
 type ClaimReply struct {
 	Status      uint8
 	Attempt     string
@@ -21,7 +21,7 @@
 	Epoch       uint64
 }
 
-// ClaimRecord is one key's claim as a member keeps it.
+// ClaimRecord is the claim on one key as a member stores it.
 type ClaimRecord struct {
 	Key         string
 	Attempt     string
@@ -30,12 +30,12 @@
 	Answer      []byte
 	Created     int64
 	Withdrawn   []string
-	// Rivals are further attempts that copies of the record hold; any of them
-	// may have had a majority, so the key is free only without them.
+	// Rivals are other attempts that copies of the record hold. Any of them may have
+	// reached a majority, so the key is free only if there are none.
 	Rivals []string
 }
 
-// RegisterRecord is one register as a member keeps it.
+// RegisterRecord is one register as a member stores it.
 type RegisterRecord struct {
 	Register       string
 	Promised       uint64
@@ -44,14 +44,14 @@
 	Created        int64
 }
 
-// ClaimSeal ends a member's service of views older than Epoch and asks for a
-// page of what it holds.
+// ClaimSeal makes a member stop serving views older than Epoch and asks for a page of its
+// records.
 type ClaimSeal struct {
 	Epoch uint64
 	After string
 }
 
-// ClaimSnapshot answers a ClaimSeal.
+// ClaimSnapshot is the reply to a ClaimSeal.
 type ClaimSnapshot struct {
 	Epoch     uint64
 	Records   []ClaimRecord
@@ -59,14 +59,14 @@
 	More      bool
 }
 
-// RegisterPrepare is the first phase of writing a register.
+// RegisterPrepare is the first phase of a register write.
 type RegisterPrepare struct {
 	Register string
 	Ballot   uint64
 	Epoch    uint64
 }
 
-// RegisterAccept is the second phase of writing a register.
+// RegisterAccept is the second phase of a register write.
 type RegisterAccept struct {
 	Register string
 	Ballot   uint64
@@ -74,7 +74,7 @@
 	Epoch    uint64
 }
 
-// RegisterReply answers both phases.
+// RegisterReply is the reply to RegisterPrepare and RegisterAccept.
 type RegisterReply struct {
 	Granted        bool
 	Promised       uint64
--- a/internal/wire/crash.go
+++ b/internal/wire/crash.go
@@ -1,19 +1,22 @@
 package wire
 
-// ReplicaEnd is the end of a replica under a request.
+// ReplicaEnd is a crash of a replica while it ran a request.
 type ReplicaEnd struct {
+	// Replica is the ID of the incarnation that crashed.
 	Replica string
-	// AgoMs is how long before the message it was, in milliseconds.
+	// AgoMs is the time from the crash to the sending of the message, in milliseconds. It
+	// is relative because the clocks of nodes are not synchronized.
 	AgoMs uint32
 }
 
-// CrashReport tells which replicas have ended under a request, or that the request was
-// served. It has no answer.
+// CrashReport reports the replicas that crashed while they ran a request, or that the request
+// was served. It has no reply.
 type CrashReport struct {
-	// Fingerprint is the request's, as in package quarantine.
+	// Fingerprint identifies the request, as computed by package quarantine.
 	Fingerprint []byte
-	// Ends are all that the sender knows of.
+	// Ends are all crashes known to the sender.
 	Ends []ReplicaEnd
-	// Served tells that a replica has answered the request whole.
+	// Served means that a replica has sent a complete response, so that earlier crashes no
+	// longer count against the request.
 	Served bool
 }
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,16 +1,17 @@
-// Package wire is the protocol between nodes: typed messages, their Cap'n Proto encoding
-// (schema/peer.capnp) and length-prefixed frames of bounded size. It holds no state and
-// knows nothing of connections, which are transport's.
+// Package wire defines the protocol between nodes: typed messages, their Cap'n Proto
+// encoding (schema/peer.capnp) and length-prefixed frames of bounded size. It holds no state
+// and manages no connections; package transport does.
 //
-// Messages cross builds, so they only gain fields: a field that is absent reads as zero, and
-// zero means what earlier builds did (docs/design/upgrades.md). The files of testdata/builds
-// hold frames written by earlier builds, and a test decodes them.
+// Nodes of different builds exchange messages, so fields are only ever added: an absent field
+// decodes as zero, and zero stands for the behavior of earlier builds
+// (docs/design/upgrades.md). A test decodes the frames of earlier builds in testdata/builds.
 //
-// The Go types are named as in the schema. Metrics name a message by its type (KindOf), so
-// the names of messages stay. Those of a node on a metadata store are in heartbeat.go,
-// jobs.go, watch.go, storecall.go, usage.go, permit.go and crash.go; membership.go,
-// documents.go, engine_load.go, claims.go and samples.go are the standalone stack's.
+// Go types have the names of the schema. Metrics use the type names as label values (KindOf),
+// so message types must not be renamed. Nodes on a metadata store use the messages in
+// heartbeat.go, jobs.go, watch.go, storecall.go, usage.go, permit.go and crash.go; the
+// standalone stack uses those in membership.go, documents.go, engine_load.go, claims.go and
+// samples.go.
 //
-// Decoding errors are *FrameError; a peer's refusal is a Failure, which transport returns as
-// *RemoteError.
+// Decoding errors are of type *FrameError. A peer refuses a request with a Failure, which
+// package transport returns as a *RemoteError.
 package wire
--- a/internal/wire/engine_load.go
+++ b/internal/wire/engine_load.go
@@ -1,14 +1,15 @@
 package wire
 
-// EngineLoad is one engine's state as a node sees it.
+// EngineLoad is the state of one engine as observed by a node.
 type EngineLoad struct {
 	Engine  string
 	Running uint32
 	Waiting uint32
+	// Version is the active weight version, Staged the staged one or 0.
 	Version int64
 	Staged  int64
 	Flags   uint8
 }
 
-// LoadReport is a batch of engine loads.
+// LoadReport carries the state of several engines.
 type LoadReport struct{ Loads []EngineLoad }
--- a/internal/wire/enums.go
+++ b/internal/wire/enums.go
@@ -1,9 +1,10 @@
 package wire
 
-// ProtocolVersion is the version in every Hello; nodes refuse another one.
+// ProtocolVersion is sent in every Hello; a node refuses peers with a different version.
 const ProtocolVersion = 1
 
-// MemberState orders what may be said of a member within one sequence.
+// States of a Member. Among records of the same incarnation and sequence, the greater state
+// wins.
 const (
 	MemberAlive uint8 = iota
 	MemberSuspect
@@ -11,7 +12,7 @@
 	MemberDead
 )
 
-// Flags of an EngineLoad.
+// Bits of EngineLoad.Flags.
 const (
 	EngineHealthy  uint8 = 1 << 0
 	EngineDraining uint8 = 1 << 1
@@ -32,7 +33,7 @@
 	ClaimWithdrawn
 )
 
-// Outcomes of a request. The zero value means that none is known yet.
+// Outcomes of a request. The zero value means that the outcome is not known yet.
 const (
 	OutcomePending uint8 = iota
 	OutcomeDone
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -2,10 +2,9 @@
 
 import "fmt"
 
-// FailureCode is the typed reason in a Failure.
+// FailureCode is the reason for a Failure.
 type FailureCode uint16
 
-// The codes of a Failure.
 const (
 	CodeUnsupported FailureCode = iota + 1
 	CodeProtocol
@@ -14,25 +13,25 @@
 	CodeStorage
 )
 
-// RemoteError is a Failure that a peer answered.
+// RemoteError is a Failure received from a peer.
 type RemoteError struct {
 	Code   FailureCode
 	Detail string
 }
 
-// Error gives code and detail.
+// Error implements error.
 func (e *RemoteError) Error() string {
 	return fmt.Sprintf("peer failed: code %d: %s", e.Code, e.Detail)
 }
 
-// FrameError is a frame that cannot be decoded or is too large.
+// FrameError reports a frame or listing that cannot be encoded or decoded, or is too large.
 type FrameError struct {
 	Detail string
 	Cause  error
 }
 
-// Error gives the detail and the cause.
+// Error implements error.
 func (e *FrameError) Error() string { return fmt.Sprintf("bad frame: %s: %v", e.Detail, e.Cause) }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error, or nil.
 func (e *FrameError) Unwrap() error { return e.Cause }
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -10,20 +10,21 @@
 	"github.com/pathtally/pathtally/internal/wire/schema"
 )
 
-// MaxFrameBytes bounds an encoded frame; a larger one is refused by both ends.
+// MaxFrameBytes is the maximum size of a frame's body. Encode and Read both enforce it.
 const MaxFrameBytes = 16 << 20
 
+// lengthBytes is the size of the big-endian length prefix.
 const lengthBytes = 4
 
-// Frame is one message on a connection.
+// Frame is one message on a connection with its envelope.
 type Frame struct {
 	Correlation uint64
 	Reply       bool
-	// Timeout bounds the wait for an answer, counted from the frame's arrival; 0 for no
-	// bound. It is a duration and no instant, since the clocks of nodes disagree.
+	// Timeout is how long the receiver has for its reply, counted from the frame's arrival;
+	// 0 means no timeout. It is relative because the clocks of nodes are not synchronized.
 	Timeout time.Duration
 	Message Message
-	// Bytes is the size of a frame that was read.
+	// Bytes is the encoded size of a received frame, length prefix included.
 	Bytes int
 }
 
@@ -48,14 +49,14 @@
 		return nil, &FrameError{Detail: "marshal", Cause: err}
 	}
 	if len(body) > MaxFrameBytes {
-		return nil, &FrameError{Detail: "frame over the size bound"}
+		return nil, &FrameError{Detail: "frame exceeds the size limit"}
 	}
 	framed := make([]byte, lengthBytes, lengthBytes+len(body))
 	binary.BigEndian.PutUint32(framed, uint32(len(body)))
 	return append(framed, body...), nil
 }
 
-// Decode reads a frame's body, without its length prefix.
+// Decode decodes a frame's body, which excludes the length prefix.
 func Decode(body []byte) (Frame, error) {
 	message, err := capnp.UnmarshalPacked(body)
 	if err != nil {
@@ -63,28 +64,28 @@
 	}
 	root, err := schema.ReadRootFrame(message)
 	if err != nil {
-		return Frame{}, &FrameError{Detail: "root", Cause: err}
+		return Frame{}, &FrameError{Detail: "read root", Cause: err}
 	}
-	content, err := payload(root)
+	content, err := decodeMessage(root)
 	if err != nil {
 		return Frame{}, err
 	}
 	return Frame{Correlation: root.Correlation(), Reply: root.Reply(), Timeout: time.Duration(root.Patience()), Message: content}, nil
 }
 
-// Read reads one frame from a connection.
+// Read reads and decodes one frame.
 func Read(reader io.Reader) (Frame, error) {
 	var prefix [lengthBytes]byte
 	if _, err := io.ReadFull(reader, prefix[:]); err != nil {
-		return Frame{}, &FrameError{Detail: "length", Cause: err}
+		return Frame{}, &FrameError{Detail: "read length prefix", Cause: err}
 	}
 	length := binary.BigEndian.Uint32(prefix[:])
 	if length > MaxFrameBytes {
-		return Frame{}, &FrameError{Detail: "frame over the size bound"}
+		return Frame{}, &FrameError{Detail: "frame exceeds the size limit"}
 	}
 	body := make([]byte, length)
 	if _, err := io.ReadFull(reader, body); err != nil {
-		return Frame{}, &FrameError{Detail: "body", Cause: err}
+		return Frame{}, &FrameError{Detail: "read body", Cause: err}
 	}
 	frame, err := Decode(body)
 	frame.Bytes = lengthBytes + len(body)
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -52,16 +52,16 @@
 	}
 }
 
-func TestReadRefusesOversizedFrame(t *testing.T) {
+func TestReadOversizedFrame(t *testing.T) {
 	_, err := Read(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff}))
 	var frameError *FrameError
 	if !errors.As(err, &frameError) {
-		t.Fatalf("got %v, want a FrameError", err)
+		t.Fatalf("Read of an oversized frame returned %v, want a *FrameError", err)
 	}
 }
 
-// FuzzDecode checks that no input makes the decoder panic, and that whatever
-// it accepts can be encoded again.
+// FuzzDecode checks that no input makes Decode panic and that every decoded frame can be
+// encoded again.
 func FuzzDecode(f *testing.F) {
 	for _, frame := range sampleFrames() {
 		encoded, err := Encode(frame)
@@ -76,7 +76,7 @@
 			return
 		}
 		if _, err := Encode(frame); err != nil {
-			t.Errorf("accepted a frame that cannot be encoded: %v", err)
+			t.Errorf("decoded frame cannot be encoded: %v", err)
 		}
 	})
 }
--- a/internal/wire/heartbeat.go
+++ b/internal/wire/heartbeat.go
@@ -1,15 +1,16 @@
 package wire
 
-// ReplicaUse is how much of a replica a node uses for rollouts.
+// ReplicaUse is a node's slot use at one replica.
 type ReplicaUse struct {
 	Replica string
+	// Running is the number of items that the sender runs at the replica.
 	Running uint32
-	// IntervalUs is the time between events of a run there as the sender has
-	// seen it lately, in microseconds, 0 if unknown.
+	// IntervalUs is the recent time between events of a run at the replica, in
+	// microseconds; 0 if unknown.
 	IntervalUs uint32
 }
 
-// ReplicaVersion is a weight version that a replica has or is brought to.
+// ReplicaVersion is the weight version that a replica has or, if Loading is set, is loading.
 type ReplicaVersion struct {
 	Replica string
 	Model   string
@@ -17,85 +18,91 @@
 	Loading bool
 }
 
-// PeerAddress is where a node listens for peers.
+// PeerAddress is the address at which a node accepts connections from peers.
 type PeerAddress struct {
 	Node    string
 	Address string
 	Zone    string
-	// Capacity is how many thousandths of a core the node has, 0 for unknown.
+	// Capacity is the node's CPU capacity in millicores; 0 if unknown.
 	Capacity uint32
-	// Incarnation is that of the node's process, 0 for unknown.
+	// Incarnation identifies the node's process; 0 if unknown.
 	Incarnation uint64
 }
 
-// NodeBeat is the heartbeat of a node on a metadata store, and the greeting between two such
-// nodes.
+// NodeBeat is the heartbeat of a node on a metadata store. Two such nodes also exchange it
+// when they connect.
 type NodeBeat struct {
 	Node        string
 	Address     string
 	Zone        string
 	Incarnation uint64
-	Jobs        []string
-	Uses        []ReplicaUse
-	Versions    []ReplicaVersion
-	Lease       uint64
-	Peers       []PeerAddress
-	Leaving     bool
-	Ended       []string
-	Tolerances  []ModelTolerance
-	// LeaseHolder held the duty lease at revision LeaseSeen, the newest that the
-	// sender has seen, and gave it up with it if LeaseReleased is set.
+	// Jobs are the open batch jobs that the sender owns.
+	Jobs     []string
+	Uses     []ReplicaUse
+	Versions []ReplicaVersion
+	// Lease is the revision of the duty lease if the sender holds it, else 0.
+	Lease uint64
+	Peers []PeerAddress
+	// Leaving is set if the sender stops soon and hands over its jobs.
+	Leaving bool
+	// Ended are batch jobs that callers have ended.
+	Ended      []string
+	Tolerances []ModelTolerance
+	// LeaseHolder is the holder of the duty lease at revision LeaseSeen, the newest
+	// revision known to the sender. If LeaseReleased is set, the holder released the
+	// lease with that revision.
 	LeaseHolder   string
 	LeaseSeen     uint64
 	LeaseReleased bool
-	// Capacity is how many thousandths of a core the sender has, 0 for unknown.
+	// Capacity is the sender's CPU capacity in millicores; 0 if unknown.
 	Capacity uint32
-	// UsageDone is the number of the newest window up to which all usage has been
-	// reported, as far as the sender knows; 0 for none.
+	// UsageDone is the number of the newest window up to which, as far as the sender
+	// knows, all usage has been reported; 0 for none.
 	UsageDone int64
-	// Lengths are those of items that batch jobs ended without and that may
-	// come back in a later one.
+	// Lengths are the lengths of items without a complete group when their batch job
+	// ended. A later job may contain them again.
 	Lengths []ItemLength
-	// Work tells of the batch jobs in Jobs how much there is to do.
+	// Work is the amount of work of each batch job in Jobs.
 	Work []JobWork
-	// PeersKnown tells that the sender has read the list of nodes, of which Peers
-	// holds those of the receiver's zone at least.
+	// PeersKnown means that the sender has read the list of nodes, and that Peers
+	// contains at least those in the receiver's zone.
 	PeersKnown bool
 }
 
-// JobWork is how much a batch job has to do.
+// JobWork describes the amount of work of a batch job.
 type JobWork struct {
 	Job   string
 	Model string
-	// ExpectedTokens is what all items of the job are expected to make, those
-	// that are listed included.
+	// ExpectedTokens is the number of tokens that all items of the job, including
+	// those with a listed result, are expected to generate.
 	ExpectedTokens uint64
-	// Tenant is whose job it is, empty where no tenants are declared.
+	// Tenant is the tenant of the job; empty if no tenants are declared.
 	Tenant string
-	// Epoch counts the job's owners, the sender included; 0 for unknown.
+	// Epoch is the number of owners that the job has had, including the sender; 0 if
+	// unknown.
 	Epoch uint32
-	// Open is how many of the job's items have no result yet.
+	// Open is the number of items that have no result yet.
 	Open uint32
-	// Routes are those whose requests the job holds, its own first and then its
-	// scorers'; empty for unknown.
+	// Routes are the routes of the job's requests: its own first, then those of its
+	// scorers. Empty if unknown.
 	Routes []string
-	// Entry is the region through which the job came, empty for unknown.
+	// Entry is the region in which the job was submitted; empty if unknown.
 	Entry string
-	// Items is how many items the job has, those that are listed included; 0 for
-	// unknown.
+	// Items is the number of items of the job, including those with a listed result;
+	// 0 if unknown.
 	Items uint32
 }
 
-// ItemLength is how many events the text of an item of a batch job has: at
-// least as many, or exactly where Whole is set.
+// ItemLength is the number of events in the text of a batch job's item: exact if Whole is
+// set, otherwise a lower bound.
 type ItemLength struct {
 	Item   string
 	Events uint32
 	Whole  bool
 }
 
-// ModelTolerance is how many versions behind the newest the weights may be by
-// the batch jobs of a model.
+// ModelTolerance is how many versions behind the newest the weights of a model may be for
+// its batch jobs.
 type ModelTolerance struct {
 	Model    string
 	Versions int64
--- a/internal/wire/kind.go
+++ b/internal/wire/kind.go
@@ -2,7 +2,7 @@
 
 import "reflect"
 
-// KindOf names the kind of a message, for metrics.
+// KindOf returns the name of a message's type, which metrics use as a label value.
 func KindOf(message Message) string {
 	kind := reflect.TypeOf(message)
 	if kind == nil {
--- a/internal/wire/listing.go
+++ b/internal/wire/listing.go
@@ -6,10 +6,10 @@
 	"github.com/pathtally/pathtally/internal/wire/schema"
 )
 
-// Listings hold thousands of objects, so they are encoded field by field: package pogs
-// maps the fields of each object by name.
+// Listings hold thousands of objects, so they are encoded field by field: package pogs would
+// look up the fields of each object by name.
 
-// EncodeListing returns a listing as a message of its own.
+// EncodeListing encodes a listing as a separate Cap'n Proto message without a frame.
 func EncodeListing(listing *Listing) ([]byte, error) {
 	message, segment, err := capnp.NewMessage(capnp.SingleSegment(nil))
 	if err != nil {
@@ -35,14 +35,13 @@
 	return encoded, nil
 }
 
-// DecodeListing reads a listing.
+// DecodeListing decodes a listing that EncodeListing has encoded.
 func DecodeListing(encoded []byte) (*Listing, error) {
 	message, err := capnp.UnmarshalPacked(encoded)
 	if err != nil {
 		return nil, &FrameError{Detail: "unmarshal listing", Cause: err}
 	}
-	// Each object is read once, so the message bounds what is read.
-	message.TraverseLimit = max(message.TraverseLimit, listingTraversal)
+	message.TraverseLimit = max(message.TraverseLimit, listingTraverseLimit)
 	root, err := schema.ReadRootListing(message)
 	if err != nil {
 		return nil, &FrameError{Detail: "root of listing", Cause: err}
@@ -60,9 +59,9 @@
 	return listing, nil
 }
 
-// listingTraversal bounds the bytes that reading a listing may go through: half a million
-// replicas of some hundred bytes.
-const listingTraversal = 512 << 20
+// listingTraverseLimit is the Cap'n Proto traversal limit, in bytes, for decoding a listing.
+// The library's default is too small for the largest listings.
+const listingTraverseLimit = 512 << 20
 
 func (o *ObjectChange) encode(to schema.ObjectChange) error {
 	to.SetGone(o.Gone)
--- a/internal/wire/loadcodec.go
+++ b/internal/wire/loadcodec.go
@@ -4,9 +4,8 @@
 	"github.com/pathtally/pathtally/internal/wire/schema"
 )
 
-// Load reports are most of the messages in a large zone, so they are encoded
-// and decoded field by field; package pogs, which serves the other messages,
-// takes about ten times as long.
+// In a large zone most messages are load reports, so they are encoded and decoded field by
+// field, which is much faster than package pogs.
 
 func encodeLoadReport(root schema.Frame, report *LoadReport) error {
 	body, err := root.NewLoadReport()
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -4,13 +4,13 @@
 	"github.com/pathtally/pathtally/internal/wire/schema"
 )
 
-// Message is any payload of a Frame.
+// Message is the payload of a Frame.
 type Message interface {
-	// attach writes the message into a frame.
+	// attach encodes the message into the frame.
 	attach(root schema.Frame) error
 }
 
-// Hello opens a connection.
+// Hello is the first message on a connection.
 type Hello struct {
 	Protocol    uint16
 	Node        string
@@ -18,11 +18,11 @@
 	Incarnation uint64
 }
 
-// Failure is the typed refusal of a request.
+// Failure is the reply to a request that is refused or fails. Code is a FailureCode.
 type Failure struct {
 	Code   uint16
 	Detail string
 }
 
-// Done is an empty success.
+// Done is the reply to a request that succeeds without a result.
 type Done struct{}
--- a/internal/wire/permit.go
+++ b/internal/wire/permit.go
@@ -6,17 +6,17 @@
 	Count   uint32
 }
 
-// PermitAsk asks for permits to send requests to replicas that warm up.
+// PermitAsk asks for permits to send requests to replicas that are warming up.
 type PermitAsk struct {
 	Node        string
 	Incarnation uint64
 	Wanted      []ReplicaCount
 }
 
-// PermitGrant answers a PermitAsk.
+// PermitGrant is the reply to a PermitAsk.
 type PermitGrant struct {
 	Granted []ReplicaCount
-	// SpanMs is how long the permits may be used, counted from the sending of the
-	// PermitAsk, in milliseconds.
+	// SpanMs is how long the permits are valid, in milliseconds, counted from the sending
+	// of the PermitAsk.
 	SpanMs uint32
 }
--- a/internal/wire/registry.go
+++ b/internal/wire/registry.go
@@ -6,5 +6,5 @@
 	"github.com/pathtally/pathtally/internal/wire/schema"
 )
 
-// Package pogs finds struct layouts by type id in the default registry.
+// Package pogs looks up struct layouts by type ID in the default registry.
 func init() { schema.RegisterSchema(schemas.DefaultRegistry) }
--- a/internal/wire/samples.go
+++ b/internal/wire/samples.go
@@ -4,7 +4,7 @@
 	"cmp"
 )
 
-// SamplePut stores one finished sample.
+// SamplePut asks for one finished sample to be stored. Token is the scheduler's fencing token.
 type SamplePut struct {
 	Trainer string
 	Step    uint64
@@ -14,13 +14,13 @@
 	Token   uint64
 }
 
-// SampleList asks for all samples of a step that a store holds.
+// SampleList asks for the references of all stored samples of a step.
 type SampleList struct {
 	Trainer string
 	Step    uint64
 }
 
-// SampleReference names one stored sample of a step.
+// SampleReference identifies one stored sample of a step.
 type SampleReference struct {
 	Slot   uint32
 	Digest uint64
@@ -38,12 +38,12 @@
 	References []SampleReference
 }
 
-// Sample is one stored sample; Data is empty in answers to SampleList.
+// Sample is one stored sample. Data is empty in replies to SampleList.
 type Sample struct {
 	Slot   uint32
 	Digest uint64
 	Data   []byte
 }
 
-// Samples answers SampleList and SampleGet.
+// Samples is the reply to SampleList and SampleGet.
 type Samples struct{ Samples []Sample }
--- a/internal/wire/schema/doc.go
+++ b/internal/wire/schema/doc.go
@@ -1,3 +1,3 @@
-// Package schema holds the code that is generated from the schema of the peer
-// messages, peer.capnp. Package wire alone uses it.
+// Package schema is generated from peer.capnp, the Cap'n Proto schema of the messages between
+// nodes. Only package wire uses it.
 package schema
--- a/internal/wire/storecall.go
+++ b/internal/wire/storecall.go
@@ -1,9 +1,8 @@
 package wire
 
-// StoreVerb is what a StoreCall asks of the metadata store.
+// StoreVerb is the operation of a StoreCall.
 type StoreVerb uint8
 
-// The verbs.
 const (
 	StoreList StoreVerb = iota
 	StoreGet
@@ -12,40 +11,44 @@
 	StoreReplaceStatus
 )
 
-// StoreCall asks a node to call the metadata store for the sender.
+// StoreCall asks a node to make a call to the metadata store on behalf of the sender.
 type StoreCall struct {
 	Verb uint8
 	Kind string
-	// Name is that of the object, or the one after which a listing goes on.
+	// Name is the name of the object or, for StoreList, that after which the page starts.
 	Name string
-	// Revision is the condition of a write, 0 for none.
-	Revision   uint64
-	Content    []byte
+	// Revision is the revision that a write requires the object to have; 0 for an
+	// unconditional write.
+	Revision uint64
+	// Content is the spec or the status to write.
+	Content []byte
+	// MayBeStale permits a read that is not linearizable.
 	MayBeStale bool
 }
 
-// StoreOutcome is what became of a StoreCall.
+// StoreOutcome is the outcome of a StoreCall.
 type StoreOutcome uint8
 
-// The outcomes.
 const (
-	// StoreDone calls were answered.
+	// StoreDone means that the call succeeded.
 	StoreDone StoreOutcome = iota
 	StoreNotFound
-	// StoreConflict means that a condition did not hold; nothing was done.
+	// StoreConflict means that the condition of a write did not hold. The write has no
+	// effect.
 	StoreConflict
-	// StoreRefused calls did nothing.
+	// StoreRefused means that the store refused the call. It has no effect.
 	StoreRefused
-	// StoreUnanswered calls may have been done, or may be done later.
+	// StoreUnanswered means that no response arrived. The call may have taken effect or
+	// may still do so.
 	StoreUnanswered
 )
 
-// StoreReply answers a StoreCall.
+// StoreReply is the reply to a StoreCall. Outcome is a StoreOutcome.
 type StoreReply struct {
 	Outcome uint8
-	// Status is the HTTP status of a refusal, 0 for none.
+	// Status is the HTTP status of a refused call; 0 for none.
 	Status int32
-	// More and At are those of a listing.
+	// More means that the listing has further pages. At is the revision of the listing.
 	More    bool
 	At      uint64
 	Objects []ObjectChange
--- a/internal/wire/usage.go
+++ b/internal/wire/usage.go
@@ -1,32 +1,31 @@
 package wire
 
-// UsagePush tells the node that reports usage what the sender has counted. The
-// counts of a window are those since the sender's start, so that a push that is
-// repeated or overtaken by another does no harm.
+// UsagePush sends the sender's usage counts to the node that reports usage. Counts are
+// cumulative since the start of the sender's process, so duplicate or reordered pushes are
+// harmless.
 type UsagePush struct {
 	Node        string
 	Incarnation uint64
-	// UnixMs is what the sender takes for the time, in milliseconds since the
-	// start of 1970.
+	// UnixMs is the sender's clock, in Unix milliseconds.
 	UnixMs  int64
 	Windows []UsageWindow
 }
 
-// UsageWindow is what one process has counted in one window.
+// UsageWindow holds the counts of one process in one window.
 type UsageWindow struct {
-	// Number counts the windows since the start of 1970.
+	// Number is the number of windows since the Unix epoch.
 	Number int64
 	Counts []TenantCount
 }
 
-// TenantCount is how many requests of a tenant began to run.
+// TenantCount is the number of a tenant's requests that started to run.
 type TenantCount struct {
 	Tenant string
 	Count  uint64
 }
 
-// UsageTaken answers a UsagePush.
+// UsageTaken is the reply to a UsagePush.
 type UsageTaken struct {
-	// UnixMs is what the receiver takes for the time.
+	// UnixMs is the receiver's clock, in Unix milliseconds.
 	UnixMs int64
 }
--- a/internal/wire/watch.go
+++ b/internal/wire/watch.go
@@ -1,25 +1,27 @@
 package wire
 
-// KindRevision is the revision of a node's copies of one kind.
+// KindRevision is the revision up to which a node has the objects of one kind.
 type KindRevision struct {
 	Kind     string
 	Revision uint64
 }
 
-// WatchPoll asks a node that reads the metadata store for what has changed.
+// WatchPoll asks a node for the changes of the metadata store since the given revisions.
 type WatchPoll struct {
-	Kinds  []KindRevision
+	Kinds []KindRevision
+	// WaitMs is how long the receiver may delay its reply until there are changes.
 	WaitMs uint32
-	// Direct asks for a node that the store itself answers.
+	// Direct means that only a reader, a node that itself reads the store, may reply that
+	// it is current.
 	Direct bool
-	// Relay is set if the receiver may follow another node itself, as the sender ranks
-	// it, and so need not read the store.
+	// Relay means that the sender regards the receiver as a follower of another node, so
+	// that the receiver need not read the store.
 	Relay bool
-	// Compressed is set if the sender can read compressed listings.
+	// Compressed means that the sender can read compressed listings.
 	Compressed bool
 }
 
-// ObjectChange is one object that was made, changed or removed.
+// ObjectChange is one object that was created, changed or, if Gone is set, removed.
 type ObjectChange struct {
 	Name     string
 	Gone     bool
@@ -29,49 +31,49 @@
 	Status   []byte
 }
 
-// KindNews holds the changes of one kind since a revision, or all its objects if Whole is
-// set.
+// KindNews holds the changes of one kind since the polled revision, or all its objects if
+// Whole is set.
 type KindNews struct {
-	Kind        string
-	Revision    uint64
-	Whole       bool
+	Kind     string
+	Revision uint64
+	Whole    bool
+	// AfterOutage means that objects may have vanished because of an outage of the store.
 	AfterOutage bool
 	Changes     []ObjectChange
-	// Compressed holds the changes where they are many, in their place (package
-	// objectwire).
+	// Compressed replaces Changes in large updates. It holds a compressed Listing
+	// (package objectwire).
 	Compressed []byte
 }
 
-// Listing is all objects of a kind, as compressed listings hold it.
+// Listing is the content of a compressed listing (package objectwire).
 type Listing struct {
 	Objects []ObjectChange
 }
 
-// ReaderState is what a polled node reports of its own copies of the metadata store.
+// ReaderState is the state of a polled node's connection to the metadata store.
 type ReaderState uint8
 
-// The states of a polled node.
 const (
-	// ReaderCurrent means that the store answers the node.
+	// ReaderCurrent means that the node receives responses from the store.
 	ReaderCurrent ReaderState = iota
-	// ReaderUnsure means that the store does not answer the node.
+	// ReaderUnsure means that the node receives no responses from the store.
 	ReaderUnsure
-	// ReaderLeaving means that the node stops soon.
+	// ReaderLeaving means that the node is shutting down.
 	ReaderLeaving
-	// ReaderStarting means that the node has begun to read and has not read
-	// everything yet.
+	// ReaderStarting means that the node has not completed its first listing yet.
 	ReaderStarting
 )
 
-// WatchNews answers a WatchPoll.
+// WatchNews is the reply to a WatchPoll.
 type WatchNews struct {
 	// Standing is a ReaderState.
 	Standing uint8
-	Kinds    []KindNews
-	// Through is the address of the node through which the sender is current,
-	// empty where the store answers the sender itself.
+	// Kinds are the kinds with changes.
+	Kinds []KindNews
+	// Through is the address of the reader that the sender follows, directly or through
+	// others; empty if the sender itself is a reader.
 	Through string
-	// AgeMs is how old the copies may be, in milliseconds: the time since a node
-	// that reads the store said that they are current. 0 if the sender is one.
+	// AgeMs is the time since a reader last confirmed that the objects are current, in
+	// milliseconds; 0 if the sender itself is a reader.
 	AgeMs uint32
 }
