--- a/internal/timeline/bound.go
+++ b/internal/timeline/bound.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// minPacedEvents is how many events a run must have for its pace to count.
-const minPacedEvents = 10
+// minPaceEvents is the least number of events from which the pace of a run is computed.
+const minPaceEvents = 10
 
-// paceRank is the part of the runs that are faster than the pace taken for the
-// fastest, so that single lucky runs do not count.
-const paceRank = 0.02
+// paceQuantile is the quantile of all paces that is taken as the fastest, so that single
+// outliers have no effect.
+const paceQuantile = 0.02
 
-// fastestPace returns the time between events of the fastest runs, in seconds, or 0
-// where no run has events enough.
+// fastestPace returns the time between events of the fastest runs, in seconds, or 0 if no
+// run has enough events.
 func fastestPace(finished []record) float64 {
 	var paces []float64
 	for _, run := range finished {
-		if run.Events >= minPacedEvents {
+		if run.Events >= minPaceEvents {
 			paces = append(paces, seconds(run.TookMs-run.FirstMs)/float64(run.Events-1))
 		}
 	}
@@ -25,23 +25,22 @@
 		return 0
 	}
 	slices.Sort(paces)
-	return paces[int(paceRank*float64(len(paces)))]
+	return paces[int(paceQuantile*float64(len(paces)))]
 }
 
-// bound returns the shortest time, in seconds, in which as many groups as desired
-// could have been whole, had every item run at once, alone and at the fastest
-// pace: that of the group at that place when groups are sorted by their longest
-// item, or of the longest inherited group if that takes longer, since the trainer
-// waits for inherited groups in any case. It assumes that slots are free, so no
-// order of work can reach it where they are scarce. It returns 0 where too few
-// groups are known.
+// bound returns a lower bound, in seconds, of the time until the desired number of groups is
+// complete. It assumes that all items start immediately and run at the fastest pace. With
+// groups sorted by their longest item, the bound is the time of the group at position
+// Desired, or of the longest inherited group if greater, because the trainer waits for all
+// inherited groups. The bound ignores the number of slots, so it is out of reach if slots are
+// scarce. It is 0 if fewer than Desired groups are known.
 func (s *Step) bound(pace float64, inherited map[string]bool) float64 {
 	longest := map[string]int{}
-	waited := 0
+	longestInherited := 0
 	for _, run := range s.finished {
 		longest[run.Group] = max(longest[run.Group], run.length())
 		if inherited[run.Group] && (s.end == 0 || run.at <= s.end) {
-			waited = max(waited, run.length())
+			longestInherited = max(longestInherited, run.length())
 		}
 	}
 	lengths := make([]int, 0, len(longest))
@@ -52,5 +51,5 @@
 	if s.Desired <= 0 || len(lengths) < s.Desired {
 		return 0
 	}
-	return math.Max(float64(lengths[s.Desired-1]), float64(waited)) * pace
+	return math.Max(float64(lengths[s.Desired-1]), float64(longestInherited)) * pace
 }
--- a/internal/timeline/doc.go
+++ b/internal/timeline/doc.go
@@ -1,10 +1,8 @@
-// Package timeline reads the JSON log lines of nodes and reconstructs how the
-// time of each trainer's step went: when it was accepted, listed and ended, which
-// item it waited for at the end and why, and the shortest time that it could have
-// taken with all lengths known beforehand.
+// Package timeline reconstructs the timeline of each trainer's step from the JSON log lines
+// of nodes: when the step was accepted, listed and ended, which item it waited for at the end
+// and why, and a lower bound of its duration given the lengths of all items.
 //
-// It owns no state and changes nothing. It relies on the messages and keys that
-// packages batch, directory and weightorders log: a test checks that each message
-// it reads is still in their code. Lines that it does not know are skipped, so a
-// log may hold anything else.
+// The package depends on the messages and keys that packages batch, directory and
+// weightorders log; a test checks that each message still occurs in the code. All other
+// lines are skipped.
 package timeline
--- a/internal/timeline/evaluate.go
+++ b/internal/timeline/evaluate.go
@@ -6,23 +6,24 @@
 	"strings"
 )
 
-// evaluate fills in a step; seen are the groups of its model's earlier steps.
+// evaluate computes the fields of a step from its records. seen are the groups of the earlier
+// steps of its model; evaluate adds those of this step.
 func (r *reader) evaluate(step *Step, pace float64, seen map[string]bool) {
 	if step.end > 0 {
 		step.Ended = step.end - step.Accepted
 	}
 	step.fillListed()
 	step.fillRuns()
-	step.fillWhole()
+	step.fillDesiredWhole()
 	r.fillVersion(step)
 	step.Bound = step.bound(pace, seen)
-	step.Last = step.holdup(pace)
-	for _, run := range slices.Concat(step.finished, step.early) {
+	step.Last = step.straggler(pace)
+	for _, run := range slices.Concat(step.finished, step.endedEarly) {
 		seen[run.Group] = true
 	}
 }
 
-// fillListed fills in by when which part of the items was listed.
+// fillListed sets the times at which 50, 90, 95 and 100 % of the items were listed.
 func (s *Step) fillListed() {
 	count := 0
 	for _, list := range s.listed {
@@ -39,19 +40,19 @@
 	}
 }
 
-// fillRuns fills in when runs began and how many there were.
+// fillRuns sets the times of the first run and the first event, and counts moves and reruns.
 func (s *Step) fillRuns() {
 	firstRun, firstEvent := math.Inf(1), math.Inf(1)
 	runs := map[string]int{}
-	for _, run := range slices.Concat(s.finished, s.early) {
+	for _, run := range slices.Concat(s.finished, s.endedEarly) {
 		runs[run.Request]++
-		firstRun = math.Min(firstRun, run.began())
+		firstRun = math.Min(firstRun, run.start())
 		if run.Events > 0 {
-			firstEvent = math.Min(firstEvent, run.began()+seconds(run.FirstMs))
+			firstEvent = math.Min(firstEvent, run.start()+seconds(run.FirstMs))
 		}
 	}
-	for _, run := range s.early {
-		if strings.HasPrefix(run.Error, moved) {
+	for _, run := range s.endedEarly {
+		if strings.HasPrefix(run.Error, errorMoved) {
 			s.Moves++
 		}
 	}
@@ -68,8 +69,8 @@
 	}
 }
 
-// fillWhole fills in when as many groups as desired were whole.
-func (s *Step) fillWhole() {
+// fillDesiredWhole sets the time at which the desired number of groups was complete.
+func (s *Step) fillDesiredWhole() {
 	last, sizes := map[string]float64{}, map[string]int{}
 	for _, run := range s.finished {
 		last[run.Group] = max(last[run.Group], run.at)
@@ -79,19 +80,20 @@
 	for _, count := range sizes {
 		size = max(size, count)
 	}
-	var whole []float64
+	var completed []float64
 	for group, at := range last {
 		if sizes[group] >= size {
-			whole = append(whole, at)
+			completed = append(completed, at)
 		}
 	}
-	slices.Sort(whole)
-	if s.Desired > 0 && len(whole) >= s.Desired {
-		s.DesiredWhole = whole[s.Desired-1] - s.Accepted
+	slices.Sort(completed)
+	if s.Desired > 0 && len(completed) >= s.Desired {
+		s.DesiredWhole = completed[s.Desired-1] - s.Accepted
 	}
 }
 
-// fillVersion fills in when the version after the step was named and loaded.
+// fillVersion sets the times at which the weight version that follows the step was named and
+// loaded.
 func (r *reader) fillVersion(step *Step) {
 	if step.end == 0 {
 		return
--- a/internal/timeline/holdup.go
+++ b/internal/timeline/holdup.go
@@ -1,9 +1,9 @@
 package timeline
 
-// Cause is why a step waited for an item.
+// Cause is a reason why a step waited for an item.
 type Cause string
 
-// The causes. Length is the item's own: its events at the fastest pace.
+// The causes. CauseLength is the time that the item's events take at the fastest pace.
 const (
 	CauseTakeover Cause = "takeover"
 	CauseWaiting  Cause = "waiting"
@@ -15,36 +15,37 @@
 	CauseListing  Cause = "listing"
 )
 
-// Part is the share of a cause in the time of a step, in seconds.
+// Part is the part of a step's time that a cause accounts for.
 type Part struct {
 	Cause   Cause   `json:"cause"`
 	Seconds float64 `json:"seconds"`
 }
 
-// Holdup is the item that finished last before a step's end and where its time
-// went.
+// Holdup is the item that finished last before a step's end, with the time from the step's
+// acceptance to its end split by cause.
 type Holdup struct {
 	Item    string `json:"item"`
 	Group   string `json:"group"`
 	Replica string `json:"replica"`
 	Events  int    `json:"events"`
 	Parts   []Part `json:"parts"`
-	// Cause is the largest part besides the length, or the length where that is
-	// larger than all others taken together.
+	// Cause is the cause of the largest part other than the length, or CauseLength if that
+	// part is at least as large as all others together.
 	Cause Cause `json:"cause"`
 }
 
-// Errors of runs that end early, as package batch logs them.
+// Errors that package batch logs for runs that end early.
 const (
-	// oldWeights is the error of a run at a replica with too old weights.
-	oldWeights = "weights are older than allowed"
-	// moved begins the error of a run that goes on at another replica; the reason
-	// follows.
-	moved = "run was moved"
+	// errorOldWeights is the error of a run at a replica whose weights are too old.
+	errorOldWeights = "weights are older than allowed"
+	// errorMoved is the prefix, followed by the reason, of the error of a run that continues
+	// at another replica.
+	errorMoved = "run was moved"
 )
 
-// holdup finds the item that a step waited for at its end.
-func (s *Step) holdup(pace float64) *Holdup {
+// straggler returns the item that finished last before the end of the step, or nil if none
+// has finished.
+func (s *Step) straggler(pace float64) *Holdup {
 	var last *record
 	for i := range s.finished {
 		if s.end > 0 && s.finished[i].at > s.end {
@@ -57,29 +58,29 @@
 	if last == nil {
 		return nil
 	}
-	found := &Holdup{Item: last.Request, Group: last.Group, Replica: last.Replica, Events: last.length()}
-	found.Parts = s.parts(*last, pace)
-	found.Cause = largest(found.Parts)
-	return found
+	result := &Holdup{Item: last.Request, Group: last.Group, Replica: last.Replica, Events: last.length()}
+	result.Parts = s.parts(*last, pace)
+	result.Cause = largestCause(result.Parts)
+	return result
 }
 
-// parts splits the time from the acceptance to the end by cause.
+// parts splits the time from the step's acceptance to its end by cause, given its straggler.
 func (s *Step) parts(last record, pace float64) []Part {
 	runs := s.runsOf(last)
 	start, takeover := s.Accepted, 0.0
-	if len(s.owners) > 1 && runs[0].began() >= s.owners[len(s.owners)-1] {
+	if len(s.owners) > 1 && runs[0].start() >= s.owners[len(s.owners)-1] {
 		start = s.owners[len(s.owners)-1]
 		takeover = start - s.Accepted
 	}
 	running, weights, between := 0.0, 0.0, 0.0
 	for i, run := range runs {
-		if run.Error == oldWeights {
+		if run.Error == errorOldWeights {
 			weights += seconds(run.TookMs)
 		} else {
 			running += seconds(run.TookMs)
 		}
 		if i > 0 {
-			between += max(0, run.began()-runs[i-1].ended())
+			between += max(0, run.start()-runs[i-1].end())
 		}
 	}
 	length := float64(last.length()-runs[0].FromEvent) * pace
@@ -88,25 +89,25 @@
 		listing = s.end - last.at
 	}
 	return []Part{
-		{CauseTakeover, takeover}, {CauseWaiting, max(0, runs[0].began()-start)}, {CauseLength, length}, {CausePace, max(0, running-length)},
+		{CauseTakeover, takeover}, {CauseWaiting, max(0, runs[0].start()-start)}, {CauseLength, length}, {CausePace, max(0, running-length)},
 		{CauseMoves, between}, {CauseWeights, weights}, {CauseReward, seconds(last.RewardMs)}, {CauseListing, listing},
 	}
 }
 
-// runsOf returns the runs of an item under the owner that finished it, in order.
+// runsOf returns, in order, the runs of the straggler under the owner that finished it.
 func (s *Step) runsOf(last record) []record {
-	taken := s.owners[len(s.owners)-1]
+	lastTakeover := s.owners[len(s.owners)-1]
 	var runs []record
-	for _, run := range s.early {
-		if run.Request == last.Request && run.at <= last.at && (run.at >= taken || last.at < taken) {
+	for _, run := range s.endedEarly {
+		if run.Request == last.Request && run.at <= last.at && (run.at >= lastTakeover || last.at < lastTakeover) {
 			runs = append(runs, run)
 		}
 	}
 	return append(runs, last)
 }
 
-// largest returns the cause that explains most of a step's time.
-func largest(parts []Part) Cause {
+// largestCause returns the value of Holdup.Cause for the given parts.
+func largestCause(parts []Part) Cause {
 	length, others := 0.0, 0.0
 	best := Part{Cause: CauseLength}
 	for _, part := range parts {
--- a/internal/timeline/messages_test.go
+++ b/internal/timeline/messages_test.go
@@ -8,22 +8,21 @@
 	"testing"
 )
 
-// TestMessagesThatAreReadAreLogged finds a message that was reworded in the code
-// that logs it and not here.
-func TestMessagesThatAreReadAreLogged(t *testing.T) {
-	code := productCode(t)
+// A message that is reworded only in the code that logs it is no longer recognized here.
+func TestMessagesAreLogged(t *testing.T) {
+	code := sourceCode(t)
 	for _, message := range []string{
-		messageStarted, messageTakenOver, messageEnded, messageLate, messageListed, messageFinished, messageEarly, messageNamed, messageLoaded,
-		oldWeights, moved,
+		messageStarted, messageTakenOver, messageEnded, messageLate, messageListed, messageFinished, messageRunEnded, messageNamed, messageLoaded,
+		errorOldWeights, errorMoved,
 	} {
 		if !strings.Contains(code, `"`+message+`"`) {
-			t.Errorf("no package logs %q", message)
+			t.Errorf("message %q is not logged by any package", message)
 		}
 	}
 }
 
-// productCode returns the text of all packages but this one, without tests.
-func productCode(t *testing.T) string {
+// sourceCode returns the source of all other packages, without tests.
+func sourceCode(t *testing.T) string {
 	t.Helper()
 	var code strings.Builder
 	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
--- a/internal/timeline/record.go
+++ b/internal/timeline/record.go
@@ -9,8 +9,7 @@
 	"time"
 )
 
-// The messages that are read, as packages batch, directory and weightorders log
-// them.
+// Log messages of packages batch, directory and weightorders that are read.
 const (
 	messageStarted   = "batch job started"
 	messageTakenOver = "batch job taken over"
@@ -18,15 +17,16 @@
 	messageLate      = "batch job was late"
 	messageListed    = "results listed"
 	messageFinished  = "item finished"
-	messageEarly     = "run ended early"
+	messageRunEnded  = "run ended early"
 	messageNamed     = "weight version named"
 	messageLoaded    = "replica brought to version"
 )
 
-// record holds the fields read of one log line. Fields ending in Ms are in
+// record holds the fields that are read from one log line. Fields that end in Ms are in
 // milliseconds.
 type record struct {
-	// at is when it was written, in seconds from the first line read.
+	// at is when the line was written, in seconds: the number in front of the line, or the
+	// time since the first line.
 	at float64
 
 	Time    time.Time `json:"time"`
@@ -53,17 +53,16 @@
 	Events    int     `json:"events"`
 }
 
-// maxLineBytes bounds one line of a log.
+// maxLineBytes is the maximum length of a log line.
 const maxLineBytes = 1 << 20
 
-// readRecords reads the log lines in a stream and skips lines of other forms. A
-// number in front of a line is its time in seconds; without one the time in the
-// line counts.
+// readRecords reads the JSON log lines of a stream and skips all other lines. A number in
+// front of a line is its time in seconds; otherwise the "time" field is used.
 func readRecords(source io.Reader) ([]record, error) {
 	lines := bufio.NewScanner(source)
 	lines.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLineBytes)
 	var records []record
-	var begun time.Time
+	var origin time.Time
 	for lines.Scan() {
 		start := bytes.IndexByte(lines.Bytes(), '{')
 		if start < 0 {
@@ -73,10 +72,10 @@
 		if json.Unmarshal(lines.Bytes()[start:], &read) != nil || read.Message == "" {
 			continue
 		}
-		if begun.IsZero() {
-			begun = read.Time
+		if origin.IsZero() {
+			origin = read.Time
 		}
-		read.at = read.Time.Sub(begun).Seconds()
+		read.at = read.Time.Sub(origin).Seconds()
 		if fields := bytes.Fields(lines.Bytes()[:start]); len(fields) > 0 {
 			if seconds, err := strconv.ParseFloat(string(fields[0]), 64); err == nil {
 				read.at = seconds
@@ -87,13 +86,13 @@
 	return records, lines.Err()
 }
 
-// began is when the run that a line tells of began, in seconds.
-func (r record) began() float64 { return r.ended() - seconds(r.TookMs) }
+// start returns when the run of the record started, in seconds.
+func (r record) start() float64 { return r.end() - seconds(r.TookMs) }
 
-// ended is when the run ended, in seconds.
-func (r record) ended() float64 { return r.at - seconds(r.RewardMs) }
+// end returns when the run of the record ended, in seconds.
+func (r record) end() float64 { return r.at - seconds(r.RewardMs) }
 
-// length is how many events the item's text had after the run.
+// length returns the number of events in the item's text after the run.
 func (r record) length() int { return r.FromEvent + r.Events }
 
 func seconds(milliseconds float64) float64 { return milliseconds / 1000 }
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -8,10 +8,10 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrNoSteps means that a log has no line about the start of a batch job.
+// ErrNoSteps means that the log contains no start of a batch job.
 var ErrNoSteps = merry.Sentinel("the log tells of no batch job")
 
-// Timeline is what the logs of a deployment say about its steps.
+// Timeline holds the steps found in the logs of a deployment.
 type Timeline struct {
 	Steps []*Step `json:"steps"`
 	// FastestPace is the time between events of the fastest runs, in seconds.
@@ -25,8 +25,8 @@
 	loaded []record
 }
 
-// Read reads the log lines of all nodes from a stream. Its error is ErrNoSteps, or
-// that of the stream.
+// Read reads the log lines of all nodes from a stream, in any order. It returns ErrNoSteps or
+// the error of the stream.
 func Read(source io.Reader) (*Timeline, error) {
 	records, err := readRecords(source)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return collected.timeline(), nil
 }
 
-// add adds one record; records come in the order of time.
+// add adds one record. Records must be added in the order of time.
 func (r *reader) add(read record) {
 	switch read.Message {
 	case messageStarted:
@@ -80,14 +80,14 @@
 		if step := r.steps[read.Job]; step != nil {
 			step.finished = append(step.finished, read)
 		}
-	case messageEarly:
+	case messageRunEnded:
 		if step := r.steps[read.Job]; step != nil {
-			step.early = append(step.early, read)
+			step.endedEarly = append(step.endedEarly, read)
 		}
 	}
 }
 
-// start records that a node runs a job from now on.
+// start records that a node starts to run a job.
 func (r *reader) start(read record) {
 	step := r.steps[read.Request]
 	if step == nil {
@@ -99,27 +99,27 @@
 	step.owners = append(step.owners, read.at)
 }
 
-// timeline evaluates all steps, in the order of their acceptance.
+// timeline evaluates all steps and returns them in the order of acceptance.
 func (r *reader) timeline() *Timeline {
-	made := &Timeline{}
+	result := &Timeline{}
 	var finished []record
 	for _, step := range r.steps {
-		made.Steps = append(made.Steps, step)
+		result.Steps = append(result.Steps, step)
 		finished = append(finished, step.finished...)
 	}
-	slices.SortFunc(made.Steps, func(a, b *Step) int {
+	slices.SortFunc(result.Steps, func(a, b *Step) int {
 		if a.Accepted != b.Accepted {
 			return int(math.Copysign(1, a.Accepted-b.Accepted))
 		}
 		return a.Number - b.Number
 	})
-	made.FastestPace = fastestPace(finished)
+	result.FastestPace = fastestPace(finished)
 	seen := map[string]map[string]bool{}
-	for _, step := range made.Steps {
+	for _, step := range result.Steps {
 		if seen[step.Model] == nil {
 			seen[step.Model] = map[string]bool{}
 		}
-		r.evaluate(step, made.FastestPace, seen[step.Model])
+		r.evaluate(step, result.FastestPace, seen[step.Model])
 	}
-	return made
+	return result
 }
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-// line writes a log line with its time in front.
+// line returns a log line with its time in front.
 func line(at float64, message, fields string) string {
 	return fmt.Sprintf("%9.4f edge-1 {\"time\":\"2026-01-05T22:12:00Z\",\"level\":\"INFO\",\"msg\":%q,%s}\n", at, message, fields)
 }
 
-// day is a log of one step of two groups, of which the trainer waits for one:
-// g1 is whole at 1.1 s, g2 at 3.2 s.
-func day() string {
+// stepLog returns the log of one step with two groups, of which one is desired: g1 is
+// complete after 1.1 s, g2 after 3.2 s.
+func stepLog() string {
 	finished := func(at float64, item, group string, events, took, reward int) string {
 		return line(at, messageFinished, fmt.Sprintf(
 			`"request":%q,"job":"job","group":%q,"replica":"r1","events":%d,"fromEvent":0,"firstMs":50,"tookMs":%d,"rewardMs":%d`, item, group, events, took, reward))
@@ -24,22 +24,22 @@
 		finished(10.6, "a", "g1", 11, 550, 50) +
 		finished(11.1, "b", "g1", 21, 1050, 50) +
 		line(11.2, messageListed, `"request":"job","results":2`) +
-		line(11.5, messageEarly, `"request":"c","job":"job","group":"g2","replica":"r2","events":10,"fromEvent":0,"firstMs":50,"tookMs":1000,"error":"run was moved: faster replica"`) +
+		line(11.5, messageRunEnded, `"request":"c","job":"job","group":"g2","replica":"r2","events":10,"fromEvent":0,"firstMs":50,"tookMs":1000,"error":"run was moved: faster replica"`) +
 		line(13.2, messageFinished, `"request":"c","job":"job","group":"g2","replica":"r1","events":30,"fromEvent":10,"firstMs":50,"tookMs":1500,"rewardMs":100`) +
 		line(13.3, messageListed, `"request":"job","results":1`) +
 		line(13.5, messageLate, `"request":"job","reason":"a run stalled"`) +
 		line(13.5, messageEnded, `"request":"job"`) +
 		line(14, messageNamed, `"model":"m","version":5`) +
 		line(15, messageLoaded, `"model":"m","version":5,"tookMs":900`) +
-		line(16, messageLoaded, `"model":"m","version":5,"tookMs":900`) + "worth 0.9 = whole day\n"
+		line(16, messageLoaded, `"model":"m","version":5,"tookMs":900`) + "not a log line\n"
 }
 
 func near(got, want float64) bool { return math.Abs(got-want) < 1e-6 }
 
-func TestStepsAreReadFromTheLog(t *testing.T) {
-	read, err := Read(strings.NewReader(day()))
+func TestReadStep(t *testing.T) {
+	read, err := Read(strings.NewReader(stepLog()))
 	if err != nil || len(read.Steps) != 1 {
-		t.Fatalf("%d steps: %v", len(read.Steps), err)
+		t.Fatalf("read %d steps, error %v, want one step", len(read.Steps), err)
 	}
 	step := read.Steps[0]
 	if step.Number != 3 || step.Model != "m" || step.Items != 3 || step.Moves != 1 || step.RunAgain != 1 || step.Takeovers != 0 || step.Late != "a run stalled" {
@@ -61,14 +61,14 @@
 	}
 }
 
-func TestItemThatHeldTheStepUpIsNamedWithItsParts(t *testing.T) {
-	read, err := Read(strings.NewReader(day()))
+func TestReadStraggler(t *testing.T) {
+	read, err := Read(strings.NewReader(stepLog()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	last := read.Steps[0].Last
 	if last == nil || last.Item != "c" || last.Events != 40 {
-		t.Fatalf("held up by %+v", last)
+		t.Fatalf("straggler %+v, want item c with 40 events", last)
 	}
 	total := 0.0
 	parts := map[Cause]float64{}
@@ -82,14 +82,14 @@
 		}
 	}
 	if !near(total, 3.5) {
-		t.Errorf("the parts are %.4f s of 3.5", total)
+		t.Errorf("the parts add up to %.4f s, want 3.5", total)
 	}
 	if last.Cause != CauseLength {
-		t.Errorf("cause %s", last.Cause)
+		t.Errorf("cause %s, want length", last.Cause)
 	}
 }
 
-func TestLargestPartIsTheCauseWhereTheLengthDoesNotExplainMost(t *testing.T) {
+func TestLargestCause(t *testing.T) {
 	for _, test := range []struct {
 		parts []Part
 		want  Cause
@@ -99,26 +99,26 @@
 		{[]Part{{CauseLength, 1}, {CauseTakeover, 4}}, CauseTakeover},
 		{nil, CauseLength},
 	} {
-		if got := largest(test.parts); got != test.want {
+		if got := largestCause(test.parts); got != test.want {
 			t.Errorf("%v: %s, want %s", test.parts, got, test.want)
 		}
 	}
 }
 
-func TestCarriedGroupsBindAsWell(t *testing.T) {
+func TestBoundIncludesInheritedGroups(t *testing.T) {
 	step := &Step{Desired: 1, finished: []record{
-		{Group: "short", Events: 10, at: 1}, {Group: "carried", Events: 100, at: 2},
+		{Group: "short", Events: 10, at: 1}, {Group: "inherited", Events: 100, at: 2},
 	}}
 	if got := step.bound(0.1, map[string]bool{}); !near(got, 1) {
-		t.Errorf("without carried groups: %.2f", got)
+		t.Errorf("bound %.2f without inherited groups, want 1", got)
 	}
-	if got := step.bound(0.1, map[string]bool{"carried": true}); !near(got, 10) {
-		t.Errorf("with a carried group: %.2f", got)
+	if got := step.bound(0.1, map[string]bool{"inherited": true}); !near(got, 10) {
+		t.Errorf("bound %.2f with an inherited group, want 10", got)
 	}
 }
 
-func TestALogWithoutStepsIsAnError(t *testing.T) {
+func TestReadLogWithoutSteps(t *testing.T) {
 	if _, err := Read(strings.NewReader("no log\n{\"msg\":\"node started\"}\n")); !errors.Is(err, ErrNoSteps) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want ErrNoSteps", err)
 	}
 }
