--- a/internal/bench/chart.go
+++ b/internal/bench/chart.go
@@ -15,15 +15,15 @@
 	chartHeight = 10 * vg.Centimeter
 )
 
-// colours are those of stepSeries.
-var colours = []color.Color{
+// colors are the line colors of stepSeries, by index.
+var colors = []color.Color{
 	color.RGBA{R: 200, A: 255},
 	color.RGBA{B: 200, A: 255},
 	color.RGBA{G: 140, A: 255},
 	color.RGBA{R: 160, G: 90, A: 255},
 }
 
-// series is one line of the chart: a time of each step, in seconds.
+// series is one line of the chart. time returns its value for a step, in seconds.
 type series struct {
 	name string
 	time func(*timeline.Step) float64
@@ -37,26 +37,25 @@
 	{"bound", func(step *timeline.Step) float64 { return step.Bound }},
 }
 
-// plotSteps draws when each step was listed, ended and could have ended, into a
-// file whose ending gives the format.
+// plotSteps plots stepSeries into a file. The file extension selects the format.
 func plotSteps(read *timeline.Timeline, path string) error {
 	chart := plot.New()
 	chart.Title.Text = "steps"
 	chart.X.Label.Text, chart.Y.Label.Text = "accepted, s", "seconds since the acceptance"
 	chart.Y.Min = 0
-	for number, drawn := range stepSeries {
-		line, dots, err := plotter.NewLinePoints(drawn.points(read.Steps))
+	for i, plotted := range stepSeries {
+		line, dots, err := plotter.NewLinePoints(plotted.points(read.Steps))
 		if err != nil {
 			return err
 		}
-		line.Color, dots.Color = colours[number], colours[number]
+		line.Color, dots.Color = colors[i], colors[i]
 		chart.Add(line, dots)
-		chart.Legend.Add(drawn.name, line)
+		chart.Legend.Add(plotted.name, line)
 	}
 	return chart.Save(chartWidth, chartHeight, path)
 }
 
-// points are the steps whose time is known.
+// points returns one point for each step whose time is known.
 func (s series) points(steps []*timeline.Step) plotter.XYs {
 	points := plotter.XYs{}
 	for _, step := range steps {
--- a/internal/bench/doc.go
+++ b/internal/bench/doc.go
@@ -1,8 +1,7 @@
-// Package bench is the command line of pathtally-bench: "sim" searches for
-// broken promises of the standalone stack under random faults on a virtual
-// clock (internal/standalone/sim), and "timeline" shows from the log lines of
-// nodes where the time of each trainer's step went (package timeline).
+// Package bench implements the command line of pathtally-bench: "sim" tests the invariants
+// of the standalone stack under random faults on a virtual clock (internal/standalone/sim),
+// and "timeline" computes from the log lines of nodes how the time of each trainer's step
+// was spent (package timeline).
 //
-// The package owns no state. A run that finds a broken promise ends with a
-// *FailedError.
+// A run that violates an invariant ends with a *FailedError.
 package bench
--- a/internal/bench/errors.go
+++ b/internal/bench/errors.go
@@ -1,13 +1,13 @@
 package bench
 
-// FailedError means that a run ended but found something broken.
+// FailedError reports a run that completed and found a violated invariant.
 type FailedError struct{ What string }
 
-// Error says what was found.
+// Error implements error.
 func (e *FailedError) Error() string { return e.What }
 
-// UsageError is a command line that cannot be taken.
+// UsageError reports an invalid command line.
 type UsageError struct{ What string }
 
-// Error says what is wrong.
+// Error implements error.
 func (e *UsageError) Error() string { return e.What }
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -10,7 +10,7 @@
 	"github.com/pathtally/pathtally/internal/standalone/process"
 )
 
-// Exit codes of the program.
+// Exit codes of pathtally-bench.
 const (
 	exitDone = iota
 	exitFailed
@@ -27,7 +27,7 @@
 Each has -h. Exit codes: 0 done, 1 failed or a promise was broken, 2 usage.
 `
 
-// invocation is one call of a subcommand.
+// invocation holds the arguments and output streams of a subcommand.
 type invocation struct {
 	flags  *flag.FlagSet
 	args   []string
@@ -35,13 +35,13 @@
 	stderr io.Writer
 }
 
-// subcommands are the commands by name.
+// subcommands maps names to subcommands.
 var subcommands = map[string]func(call *invocation) error{
 	"sim":      runSim,
 	"timeline": runTimeline,
 }
 
-// Run executes a command line and returns the exit code of the program.
+// Run runs a command line and returns the exit code.
 func Run(args []string, stdout, stderr io.Writer) int {
 	if len(args) == 0 || subcommands[args[0]] == nil {
 		fmt.Fprint(stderr, usageText)
--- a/internal/bench/simtotals.go
+++ b/internal/bench/simtotals.go
@@ -9,10 +9,10 @@
 	"github.com/pathtally/pathtally/internal/standalone/sim"
 )
 
-// progressPeriod is the time between two lines of progress.
-const progressPeriod = 5 * time.Second
+// progressInterval is the time between two progress lines.
+const progressInterval = 5 * time.Second
 
-// simTotals sums the results of many seeds.
+// simTotals sums up the results of many seeds. It is safe for concurrent use until report.
 type simTotals struct {
 	mutex    sync.Mutex
 	done     int
@@ -21,12 +21,12 @@
 	requests int
 	answered int
 	steps    int
-	// broken counts the seeds that broke a promise, by promise.
-	broken map[string]int
+	// violations counts, by invariant, the seeds that violated it.
+	violations map[string]int
 }
 
 func newSimTotals() *simTotals {
-	return &simTotals{faults: map[string]int{}, broken: map[string]int{}}
+	return &simTotals{faults: map[string]int{}, violations: map[string]int{}}
 }
 
 func (t *simTotals) add(result sim.Result) {
@@ -45,14 +45,14 @@
 	seen := map[string]bool{}
 	for _, found := range result.Violations {
 		if !seen[found.Promise] {
-			t.broken[found.Promise]++
+			t.violations[found.Promise]++
 		}
 		seen[found.Promise] = true
 	}
 }
 
 func (t *simTotals) progress(call *invocation, seeds uint64, stop <-chan struct{}) {
-	ticker := time.NewTicker(progressPeriod)
+	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -74,7 +74,7 @@
 		total += t.faults[kind]
 	}
 	fmt.Fprintf(call.stdout, "  %6d  faults in all\n", total)
-	for promise, count := range t.broken {
+	for promise, count := range t.violations {
 		fmt.Fprintf(call.stdout, "BROKEN in %d seeds: %s\n", count, promise)
 	}
 	slices.SortFunc(t.failed, func(a, b sim.Result) int { return int(a.Seed) - int(b.Seed) })
--- a/internal/bench/simulate.go
+++ b/internal/bench/simulate.go
@@ -8,7 +8,7 @@
 	"github.com/pathtally/pathtally/internal/standalone/sim"
 )
 
-// simulation is a search through successive seeds.
+// simulation runs the simulator with consecutive seeds.
 type simulation struct {
 	call    *invocation
 	from    uint64
@@ -18,26 +18,26 @@
 	totals  *simTotals
 }
 
-// runSim runs random faults from many seeds, several at a time.
+// runSim runs the simulator with many seeds in parallel.
 func runSim(call *invocation) error {
-	run := &simulation{call: call, totals: newSimTotals()}
-	call.flags.Uint64Var(&run.seeds, "seeds", 1000, "how many seeds")
-	call.flags.Uint64Var(&run.from, "from", 1, "the first seed")
-	call.flags.BoolVar(&run.trace, "trace", false, "print the trace of each run; for one seed")
-	call.flags.IntVar(&run.workers, "workers", runtime.NumCPU(), "runs at the same time")
+	simulated := &simulation{call: call, totals: newSimTotals()}
+	call.flags.Uint64Var(&simulated.seeds, "seeds", 1000, "how many seeds")
+	call.flags.Uint64Var(&simulated.from, "from", 1, "the first seed")
+	call.flags.BoolVar(&simulated.trace, "trace", false, "print the trace of each run; for one seed")
+	call.flags.IntVar(&simulated.workers, "workers", runtime.NumCPU(), "runs at the same time")
 	if err := call.flags.Parse(call.args); err != nil {
 		return err
 	}
-	run.search()
-	run.totals.report(call)
-	if failed := len(run.totals.failed); failed > 0 {
-		return &FailedError{What: fmt.Sprintf("%d of %d seeds broke a promise", failed, run.seeds)}
+	simulated.runSeeds()
+	simulated.totals.report(call)
+	if failed := len(simulated.totals.failed); failed > 0 {
+		return &FailedError{What: fmt.Sprintf("%d of %d seeds broke a promise", failed, simulated.seeds)}
 	}
 	return nil
 }
 
-// search runs all seeds and returns when the last has ended.
-func (s *simulation) search() {
+// runSeeds runs all seeds and returns when the last one has ended.
+func (s *simulation) runSeeds() {
 	next := make(chan uint64)
 	var running sync.WaitGroup
 	for range s.workers {
--- a/internal/bench/timeline.go
+++ b/internal/bench/timeline.go
@@ -11,10 +11,10 @@
 	"github.com/pathtally/pathtally/internal/timeline"
 )
 
-// minPartSeconds is the least part of a step's time that is printed.
+// minPartSeconds is the shortest part of a step's time that is printed, in seconds.
 const minPartSeconds = 0.05
 
-// runTimeline prints the steps found in the log files.
+// runTimeline prints the timeline of each step found in the log files.
 func runTimeline(call *invocation) error {
 	asJSON := call.flags.Bool("json", false, "write JSON instead of a table")
 	chart := call.flags.String("plot", "", "draw the steps into this file, SVG or PNG by its ending")
@@ -55,15 +55,15 @@
 	return timeline.Read(io.MultiReader(sources...))
 }
 
-// writeTimeline prints a line for each step with what it waited for, and then the
-// median over all steps.
+// writeTimeline prints a table with one row for each step, and then the median ratio of all
+// steps.
 func writeTimeline(out io.Writer, read *timeline.Timeline) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "step\taccepted\tevent\t50%\t90%\t95%\t100%\tdesired\tended\tnamed\tloaded\tall loaded\ttakeovers\tmoves\tagain\tbound\tratio\twaited for\tlate\t")
 	for _, step := range read.Steps {
 		fmt.Fprintf(table, "%d\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%d\t%d\t%.2f\t%.2f\t%s\t%s\t\n",
 			step.Number, step.Accepted, step.FirstEvent, step.Listed50, step.Listed90, step.Listed95, step.Listed100, step.DesiredWhole, step.Ended,
-			step.VersionNamed, step.FirstLoaded, step.AllLoaded, step.Takeovers, step.Moves, step.RunAgain, step.Bound, step.Ratio(), describe(step.Last), step.Late)
+			step.VersionNamed, step.FirstLoaded, step.AllLoaded, step.Takeovers, step.Moves, step.RunAgain, step.Bound, step.Ratio(), describeStraggler(step.Last), step.Late)
 	}
 	if err := table.Flush(); err != nil {
 		return err
@@ -77,7 +77,7 @@
 	return err
 }
 
-// ratiosOf returns the ratios of all steps that have one, in rising order.
+// ratiosOf returns the known ratios of all steps in ascending order.
 func ratiosOf(read *timeline.Timeline) []float64 {
 	var ratios []float64
 	for _, step := range read.Steps {
@@ -89,8 +89,8 @@
 	return ratios
 }
 
-// describe names the item that a step waited for and where its time went.
-func describe(last *timeline.Holdup) string {
+// describeStraggler formats the item that a step waited for, with the main parts of the time.
+func describeStraggler(last *timeline.Holdup) string {
 	if last == nil {
 		return "-"
 	}
