--- a/internal/command/apply.go
+++ b/internal/command/apply.go
@@ -7,7 +7,7 @@
 )
 
 func runApply(call *invocation) error {
-	folder := registerFolder(call.flags)
+	folder := registerFolderFlags(call.flags)
 	wait := call.flags.Bool("wait", false, "wait until the generation is in force and its engines can serve, at every node")
 	nodeAddress := call.flags.String("node-address", "", "HTTP address of any node, needed with -wait")
 	declared, err := folder.load(call)
--- a/internal/command/await.go
+++ b/internal/command/await.go
@@ -10,36 +10,35 @@
 )
 
 const (
-	// waitLimit bounds how long apply waits for engines that serve.
-	waitLimit        = 30 * time.Second
+	// waitTimeout is how long apply -wait waits at most.
+	waitTimeout      = 30 * time.Second
 	waitPollInterval = 100 * time.Millisecond
 )
 
-// awaitServing returns when a generation is in force at every node and each
-// node sees the declared engines serve on the declared weights.
+// awaitServing waits until a generation is in force at every node and every node reports the
+// declared engines as serving the declared weights. Statuses that cannot be read are retried.
 func awaitServing(call *invocation, address string, generation uint64, set *v1.Set) error {
-	var failure error = &NotInForceError{Generation: generation, Behind: []string{address}}
-	for limit := time.Now().Add(waitLimit); time.Now().Before(limit); time.Sleep(waitPollInterval) {
+	var lastErr error = &NotInForceError{Generation: generation, Behind: []string{address}}
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(waitPollInterval) {
 		statuses, err := clusterStatus(address)
 		if err != nil {
 			continue
 		}
 		if behind := nodesBehind(statuses, generation); len(behind) > 0 {
-			failure = &NotInForceError{Generation: generation, Behind: behind}
+			lastErr = &NotInForceError{Generation: generation, Behind: behind}
 			continue
 		}
 		if waiting := enginesWaiting(statuses, set); len(waiting) > 0 {
-			failure = &NotServingError{Generation: generation, Engines: waiting}
+			lastErr = &NotServingError{Generation: generation, Engines: waiting}
 			continue
 		}
 		fmt.Fprintf(call.stdout, "in force on %d nodes\n", len(statuses))
 		return nil
 	}
-	return failure
+	return lastErr
 }
 
-// nodesBehind lists the nodes that have an older generation in force, or are
-// not ready.
+// nodesBehind returns the nodes that are not ready or have an older generation in force.
 func nodesBehind(statuses []process.Status, generation uint64) []string {
 	var behind []string
 	for _, found := range statuses {
@@ -50,8 +49,8 @@
 	return behind
 }
 
-// enginesWaiting lists the engines that a node does not see serve on the
-// weights that are to be active. Cordoned engines are not waited for.
+// enginesWaiting returns the engines that some node does not report as serving their active
+// weight version, each with that node. Cordoned engines are ignored.
 func enginesWaiting(statuses []process.Status, set *v1.Set) []string {
 	declared := map[string]*v1.Engine{}
 	for _, engine := range v1.All[*v1.Engine](set) {
@@ -73,7 +72,7 @@
 	return waiting
 }
 
-// activeVersion is the weight version that an engine is to run, 0 for any.
+// activeVersion returns the weight version that an engine should run; 0 if none is declared.
 func activeVersion(set *v1.Set, engine *v1.Engine) int64 {
 	active := int64(0)
 	for _, declared := range v1.All[*v1.WeightVersion](set) {
--- a/internal/command/clusterstatus.go
+++ b/internal/command/clusterstatus.go
@@ -11,10 +11,10 @@
 	"github.com/pathtally/pathtally/internal/standalone/process"
 )
 
-// statusTimeout bounds one question to a node.
+// statusTimeout is the timeout of a status request to one node.
 const statusTimeout = 2 * time.Second
 
-// nodeStatus asks one node for its status.
+// nodeStatus requests the status of one node. Its error is a *StatusError.
 func nodeStatus(address string) (process.Status, error) {
 	var status process.Status
 	code, body, err := fasthttp.GetTimeout(nil, "http://"+address+"/status", statusTimeout)
@@ -30,7 +30,8 @@
 	return status, nil
 }
 
-// clusterStatus asks one node, and then every node that it knows as alive.
+// clusterStatus returns the status of a node and of every other node that it reports as
+// alive, ordered by name.
 func clusterStatus(address string) ([]process.Status, error) {
 	first, err := nodeStatus(address)
 	if err != nil {
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -20,7 +20,7 @@
 func TestHelp(t *testing.T) {
 	code, stdout, _ := run("-h")
 	if code != ExitDone {
-		t.Errorf("exit code %d", code)
+		t.Errorf("-h: exit code %d", code)
 	}
 	goldie.New(t).Assert(t, "help", []byte(stdout))
 	for _, listed := range subcommands() {
@@ -32,7 +32,7 @@
 }
 
 func TestExitCodes(t *testing.T) {
-	cases := []struct {
+	tests := []struct {
 		args []string
 		code ExitCode
 	}{
@@ -53,17 +53,17 @@
 		{[]string{"status", "-node-address", "127.0.0.1:1"}, ExitFailed},
 		{[]string{"get", "Engine", "-platform", "127.0.0.1:1"}, ExitFailed},
 	}
-	for _, test := range cases {
+	for _, test := range tests {
 		t.Run(fmt.Sprint(test.args), func(t *testing.T) {
 			if code, _, stderr := run(test.args...); code != test.code {
-				t.Errorf("exit code %d, expected %d: %s", code, test.code, stderr)
+				t.Errorf("exit code %d, want %d: %s", code, test.code, stderr)
 			}
 		})
 	}
 	if code := exitCode(merry.Wrap(configwriter.ErrOutcomeUnknown)); code != ExitUnknown {
-		t.Errorf("an unknown outcome gives %d", code)
+		t.Errorf("exit code %d for ErrOutcomeUnknown, want ExitUnknown", code)
 	}
 	if code := exitCode(&configwriter.ConflictError{}); code != ExitConflict {
-		t.Errorf("a conflict gives %d", code)
+		t.Errorf("exit code %d for a ConflictError, want ExitConflict", code)
 	}
 }
--- a/internal/command/diff.go
+++ b/internal/command/diff.go
@@ -8,7 +8,7 @@
 )
 
 func runDiff(call *invocation) error {
-	folder := registerFolder(call.flags)
+	folder := registerFolderFlags(call.flags)
 	declared, err := folder.load(call)
 	if err != nil {
 		return err
--- a/internal/command/doc.go
+++ b/internal/command/doc.go
@@ -1,14 +1,12 @@
-// Package command is the command line of pathtally: "node", which runs a node,
-// and the operator's commands, each with its own flags, usage, example and exit
-// code.
+// Package command implements the command line of pathtally: the subcommand "node", which runs
+// a node, and the operator's subcommands.
 //
-// "node" serves both kinds of node. Settings that name objectStore start one on
-// the users' platform (package instance, which logs to standard output and has
-// its settings file followed); all others start one of the standalone stack
-// (internal/standalone/process). The operator's commands (validate, diff, apply,
-// get, status, drain) are for the standalone stack: they write through its object
-// API and ask its nodes for their status.
+// "node" runs either kind of node. If the settings contain objectStore or idle, it runs a node
+// on the users' platform (package instance), which logs to standard output and reloads its
+// settings file when it changes. Otherwise it runs a node of the standalone stack
+// (internal/standalone/process). The operator's subcommands (validate, diff, apply, get,
+// status, drain) support the standalone stack only: they write through its object API and
+// query the status of its nodes.
 //
-// The package owns no state. Every command returns a typed error, which Run
-// prints and turns into the exit code.
+// Every subcommand returns a typed error, which Run prints and converts to an exit code.
 package command
--- a/internal/command/drain.go
+++ b/internal/command/drain.go
@@ -10,7 +10,7 @@
 	"github.com/pathtally/pathtally/internal/standalone/process"
 )
 
-// runDrain begins the planned stop of a node, or cordons an engine.
+// runDrain starts the graceful shutdown of a node, or cordons an engine.
 func runDrain(call *invocation) error {
 	address := call.flags.String("node-address", defaultNode, "HTTP address of any node")
 	platform := call.flags.String("platform", defaultPlatform, "address of the object API")
--- a/internal/command/exit.go
+++ b/internal/command/exit.go
@@ -6,10 +6,10 @@
 	"github.com/pathtally/pathtally/internal/standalone/configwriter"
 )
 
-// ExitCode is how a command ended.
+// ExitCode is the exit code of a subcommand.
 type ExitCode int
 
-// The exit codes, the same for every command.
+// The exit codes, which are the same for every subcommand.
 const (
 	ExitDone ExitCode = iota
 	ExitFailed
@@ -18,7 +18,7 @@
 	ExitUnknown
 )
 
-// exitCode maps an error to the exit code of the command.
+// exitCode returns the exit code for the error of a subcommand.
 func exitCode(err error) ExitCode {
 	var usage *UsageError
 	var conflict *configwriter.ConflictError
--- a/internal/command/folder.go
+++ b/internal/command/folder.go
@@ -7,17 +7,17 @@
 	"github.com/pathtally/pathtally/internal/standalone/configwriter"
 )
 
-// defaultPlatform is where the object API of the stand-ins listens.
+// defaultPlatform is the address of the object API that pathtally-standin serves.
 const defaultPlatform = "127.0.0.1:7000"
 
-// folderFlags are the flags of the commands that read a folder.
+// folderFlags are the flags of the subcommands that read a folder.
 type folderFlags struct {
 	folder   *string
 	platform *string
 	prune    *bool
 }
 
-func registerFolder(flags *flag.FlagSet) folderFlags {
+func registerFolderFlags(flags *flag.FlagSet) folderFlags {
 	return folderFlags{
 		folder:   flags.String("f", "", "folder of YAML objects"),
 		platform: flags.String("platform", defaultPlatform, "address of the object API"),
@@ -25,6 +25,8 @@
 	}
 }
 
+// load parses the command line and loads the objects of the folder, which -f or the only
+// argument names.
 func (f folderFlags) load(call *invocation) (*v1.Set, error) {
 	words, err := call.parse()
 	if err != nil {
@@ -39,7 +41,8 @@
 	return v1.LoadFolder(*f.folder)
 }
 
-// change replaces everything with the folder's objects, or merges them.
+// change returns a change that merges the declared objects into the configuration or, with
+// -prune, replaces the configuration by them.
 func (f folderFlags) change(declared *v1.Set) configwriter.Change {
 	return func(current *v1.Set) (*v1.Set, error) {
 		if *f.prune {
--- a/internal/command/get.go
+++ b/internal/command/get.go
@@ -14,17 +14,17 @@
 	"github.com/pathtally/pathtally/internal/standalone/configwriter"
 )
 
-// Output forms of get and status.
+// Output formats of get and status.
 const (
-	formTable = "table"
-	formYAML  = "yaml"
-	formJSON  = "json"
+	formatTable = "table"
+	formatYAML  = "yaml"
+	formatJSON  = "json"
 )
 
 func runGet(call *invocation) error {
 	platform := call.flags.String("platform", defaultPlatform, "address of the object API")
 	selector := call.flags.String("l", "", "label selector")
-	form := call.flags.String("o", formTable, "yaml, json or table")
+	format := call.flags.String("o", formatTable, "yaml, json or table")
 	words, err := call.parse()
 	if err != nil {
 		return usageError(err)
@@ -32,7 +32,7 @@
 	if len(words) == 0 || len(words) > 2 {
 		return &UsageError{Message: "expected KIND [NAME]"}
 	}
-	kind, err := kindOf(words[0])
+	kind, err := parseKind(words[0])
 	if err != nil {
 		return err
 	}
@@ -59,11 +59,11 @@
 	if len(words) == 2 && len(found) == 0 {
 		return &NotFoundError{Key: v1.Key{Kind: kind, Name: words[1]}}
 	}
-	return printObjects(call.stdout, *form, found)
+	return printObjects(call.stdout, *format, found)
 }
 
-// kindOf accepts a kind in any case, singular or plural.
-func kindOf(word string) (v1.Kind, error) {
+// parseKind parses the name of a kind, in any case, singular or plural.
+func parseKind(word string) (v1.Kind, error) {
 	for _, kind := range v1.Kinds {
 		name := strings.ToLower(string(kind))
 		if lower := strings.ToLower(word); lower == name || lower == name+"s" {
@@ -73,15 +73,15 @@
 	return "", &UsageError{Message: fmt.Sprintf("no kind %q; the kinds are %v", word, v1.Kinds)}
 }
 
-func printObjects(writer io.Writer, form string, objects []v1.Object) error {
-	switch form {
-	case formJSON:
+func printObjects(writer io.Writer, format string, objects []v1.Object) error {
+	switch format {
+	case formatJSON:
 		data, err := json.MarshalIndent(objects, "", "  ")
 		if err != nil {
 			return err
 		}
 		fmt.Fprintln(writer, string(data))
-	case formYAML:
+	case formatYAML:
 		for i, object := range objects {
 			data, err := yaml.Marshal(object)
 			if err != nil {
@@ -92,7 +92,7 @@
 			}
 			fmt.Fprint(writer, string(data))
 		}
-	case formTable:
+	case formatTable:
 		table := tabwriter.NewWriter(writer, 0, 4, 2, ' ', 0)
 		fmt.Fprintln(table, "KIND\tNAME\tLABELS")
 		for _, object := range objects {
@@ -101,7 +101,7 @@
 		}
 		return table.Flush()
 	default:
-		return &UsageError{Message: fmt.Sprintf("-o %q: expected yaml, json or table", form)}
+		return &UsageError{Message: fmt.Sprintf("-o %q: expected yaml, json or table", format)}
 	}
 	return nil
 }
--- a/internal/command/instance.go
+++ b/internal/command/instance.go
@@ -9,7 +9,7 @@
 	"github.com/pathtally/pathtally/platform"
 )
 
-// runInstance runs a node on a metadata store until a signal.
+// runInstance runs a node on the users' platform until it is stopped by a signal.
 func runInstance(call *invocation, loaded, given settings.Settings, path string, level slog.Level) error {
 	flush := logging.Setup(call.stdout, level)
 	defer flush()
--- a/internal/command/invocation.go
+++ b/internal/command/invocation.go
@@ -6,7 +6,7 @@
 	"io"
 )
 
-// invocation is one call of a subcommand.
+// invocation holds the arguments and output streams of a subcommand.
 type invocation struct {
 	flags  *flag.FlagSet
 	args   []string
@@ -14,7 +14,8 @@
 	stderr io.Writer
 }
 
-// parse reads the flags, which may stand before or after the other words.
+// parse parses the flags and returns the other arguments. Flags may come before, between or
+// after them.
 func (i *invocation) parse() ([]string, error) {
 	var words []string
 	rest := i.args
@@ -31,7 +32,8 @@
 	}
 }
 
-// usageError turns a flag error into one that ends with the usage code.
+// usageError converts an error of flag parsing to a *UsageError. It returns flag.ErrHelp
+// unchanged.
 func usageError(err error) error {
 	if err == nil || errors.Is(err, flag.ErrHelp) {
 		return err
--- a/internal/command/node.go
+++ b/internal/command/node.go
@@ -8,8 +8,8 @@
 	"github.com/pathtally/pathtally/internal/standalone/process"
 )
 
-// runNode runs a node until a signal: SIGTERM and SIGINT begin the planned
-// stop, a second one ends it at once.
+// runNode runs a node until it is stopped: SIGTERM or SIGINT starts the graceful shutdown, a
+// second signal exits immediately.
 func runNode(call *invocation) error {
 	var given settings.Settings
 	given.Register(call.flags)
--- a/internal/command/run.go
+++ b/internal/command/run.go
@@ -9,7 +9,7 @@
 
 const exitCodes = "Exit codes: 0 done, 1 failed, 2 usage, 3 conflict with another writer, 4 outcome unknown."
 
-// Run executes a command line.
+// Run runs a command line and returns its exit code.
 func Run(args []string, stdout, stderr io.Writer) ExitCode {
 	if len(args) == 0 {
 		usage(stderr)
--- a/internal/command/settingsfile.go
+++ b/internal/command/settingsfile.go
@@ -12,15 +12,16 @@
 	"github.com/pathtally/pathtally/internal/settings"
 )
 
-// settingsPollInterval is how often the settings file is checked for a change
-// that comes without a signal.
+// settingsPollInterval is how often the settings file is checked for changes that are not
+// announced by SIGHUP.
 const settingsPollInterval = 5 * time.Second
 
-// followSettings reloads the settings file at SIGHUP and when it has changed.
-func followSettings(running *instance.Instance, given settings.Settings, path string) {
+// followSettings reloads the settings file on SIGHUP and when it has changed, until the node
+// has drained. flags override the file.
+func followSettings(running *instance.Instance, flags settings.Settings, path string) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
-	last := versionOf(path)
+	loaded := versionOf(path)
 	poll := time.NewTicker(settingsPollInterval)
 	defer poll.Stop()
 	for {
@@ -29,25 +30,25 @@
 			return
 		case <-signals:
 		case <-poll.C:
-			if versionOf(path) == last {
+			if versionOf(path) == loaded {
 				continue
 			}
 		}
-		last = versionOf(path)
-		changed, err := settings.Load(path, given)
+		loaded = versionOf(path)
+		changed, err := settings.Load(path, flags)
 		if err != nil {
-			klog.Background().Error(err, "settings not reloaded, the former ones hold", "file", path)
+			klog.Background().Error(err, "settings reload failed; keeping current settings", "file", path)
 			continue
 		}
 		running.Reload(changed)
 	}
 }
 
-// fileVersion tells two contents of a file apart; its zero value is a file that
-// cannot be read.
+// fileVersion distinguishes versions of a file by modification time and size. The zero value
+// stands for a file that cannot be read.
 type fileVersion struct {
-	changed time.Time
-	size    int64
+	modified time.Time
+	size     int64
 }
 
 func versionOf(path string) fileVersion {
@@ -55,5 +56,5 @@
 	if err != nil {
 		return fileVersion{}
 	}
-	return fileVersion{changed: info.ModTime(), size: info.Size()}
+	return fileVersion{modified: info.ModTime(), size: info.Size()}
 }
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -10,12 +10,12 @@
 	"github.com/pathtally/pathtally/internal/standalone/process"
 )
 
-// defaultNode is where the first node of the examples serves HTTP.
+// defaultNode is the HTTP address of the first node in the examples.
 const defaultNode = "127.0.0.1:8001"
 
 func runStatus(call *invocation) error {
 	address := call.flags.String("node-address", defaultNode, "HTTP address of any node")
-	form := call.flags.String("o", formTable, "json or table")
+	format := call.flags.String("o", formatTable, "json or table")
 	if _, err := call.parse(); err != nil {
 		return usageError(err)
 	}
@@ -23,7 +23,7 @@
 	if err != nil {
 		return err
 	}
-	if *form == formJSON {
+	if *format == formatJSON {
 		return printStatusJSON(call.stdout, statuses)
 	}
 	return printStatusTables(call.stdout, statuses)
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// printStatusTables prints all nodes, and the engines as the first node sees them.
+// printStatusTables prints all nodes, and the engines as reported by the first node.
 func printStatusTables(writer io.Writer, statuses []process.Status) error {
 	table := tabwriter.NewWriter(writer, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "NODE\tZONE\tREADY\tSTOPPING\tGENERATION\tIN FLIGHT\tLEASES")
--- a/internal/command/stop.go
+++ b/internal/command/stop.go
@@ -12,8 +12,8 @@
 	Drained() <-chan struct{}
 }
 
-// waitForStop begins the planned stop at the first signal and returns when it
-// has ended, or at the second signal.
+// waitForStop starts the graceful shutdown of a node at the first signal. It returns when the
+// node has drained, or at the second signal.
 func waitForStop(running stoppable) {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
--- a/internal/command/subcommands.go
+++ b/internal/command/subcommands.go
@@ -1,6 +1,6 @@
 package command
 
-// subcommand is one entry of the command line.
+// subcommand is one subcommand of pathtally.
 type subcommand struct {
 	name     string
 	synopsis string
--- a/internal/command/usageerror.go
+++ b/internal/command/usageerror.go
@@ -1,7 +1,7 @@
 package command
 
-// UsageError is a command line that cannot be understood.
+// UsageError reports an invalid command line.
 type UsageError struct{ Message string }
 
-// Error gives the message.
+// Error implements error.
 func (e *UsageError) Error() string { return e.Message }
--- a/internal/command/validate.go
+++ b/internal/command/validate.go
@@ -3,7 +3,7 @@
 import "fmt"
 
 func runValidate(call *invocation) error {
-	folder := registerFolder(call.flags)
+	folder := registerFolderFlags(call.flags)
 	set, err := folder.load(call)
 	if err != nil {
 		return err
--- a/internal/command/version.go
+++ b/internal/command/version.go
@@ -5,7 +5,7 @@
 	"runtime"
 )
 
-// Version is the release of this program.
+// Version is the release version of pathtally.
 const Version = "0.1.0"
 
 func runVersion(call *invocation) error {
