--- a/cmd/pathtally-bench/main.go
+++ b/cmd/pathtally-bench/main.go
@@ -1,6 +1,6 @@
-// Command pathtally-bench searches for broken promises under simulated faults,
-// and shows from log lines where the time of each trainer's step went. Run it
-// without arguments for the subcommands.
+// Command pathtally-bench tests the invariants of the standalone stack under simulated
+// faults, and computes from log lines how the time of each trainer's step was spent. Run it
+// without arguments to list the subcommands.
 package main
 
 import (
--- a/cmd/pathtally-dev/main.go
+++ b/cmd/pathtally-dev/main.go
@@ -1,7 +1,6 @@
-// Command pathtally-dev runs a whole deployment of the standalone stack in one
-// process for a short time, with live traffic and training, and prints what
-// callers, trainers and engines have seen. It exits 1 when a promise of the
-// service was broken.
+// Command pathtally-dev runs a complete deployment of the standalone stack in one process for
+// a short time, with live requests and training, and prints the observations of callers,
+// trainers and engines. It exits with 1 if an invariant was violated.
 package main
 
 import (
--- a/cmd/pathtally-standin/main.go
+++ b/cmd/pathtally-standin/main.go
@@ -1,6 +1,5 @@
-// Command pathtally-standin runs one stand-in for a system outside of the
-// standalone stack: the platform, engines, a trainer or a scorer. Run it without
-// arguments for the subcommands.
+// Command pathtally-standin runs a stand-in for a system outside the standalone stack: the
+// platform, engines, a trainer or a scorer. Run it without arguments to list the subcommands.
 package main
 
 import (
--- a/cmd/pathtally/main.go
+++ b/cmd/pathtally/main.go
@@ -1,5 +1,5 @@
-// Command pathtally runs a node, on the users' platform or of the standalone
-// stack, and is the operator's command line. Run it with -h for the subcommands.
+// Command pathtally runs a node, either on the users' platform or of the standalone stack, and
+// provides the operator's subcommands. Run it with -h to list them.
 package main
 
 import (
