--- a/api/v1/diff.go
+++ b/api/v1/diff.go
@@ -8,17 +8,16 @@
 	"strings"
 )
 
-// ChangeKind says what happened to an object between two sets.
+// ChangeKind is the kind of a Change.
 type ChangeKind string
 
-// The kinds of change.
 const (
 	ChangeAdded   ChangeKind = "added"
 	ChangeRemoved ChangeKind = "removed"
 	ChangeUpdated ChangeKind = "updated"
 )
 
-// Change is one object that differs between two sets.
+// Change is one object that differs between two sets. Before and After are its JSON.
 type Change struct {
 	Key    Key
 	Kind   ChangeKind
@@ -26,7 +25,7 @@
 	After  []byte
 }
 
-// String gives the change on one line.
+// String formats the change on one line.
 func (c Change) String() string {
 	if c.Kind == ChangeUpdated {
 		return fmt.Sprintf("%s %s: %s -> %s", c.Kind, c.Key, c.Before, c.After)
@@ -34,12 +33,12 @@
 	return fmt.Sprintf("%s %s", c.Kind, c.Key)
 }
 
-// Diff lists what changed from one set to another, ordered by key.
+// Diff returns the changes from one set to another, ordered by key.
 func Diff(before, after *Set) []Change {
 	var changes []Change
 	for key, object := range after.objects {
-		old, stood := before.objects[key]
-		if !stood {
+		old, exists := before.objects[key]
+		if !exists {
 			changes = append(changes, Change{Key: key, Kind: ChangeAdded, After: mustJSON(object)})
 			continue
 		}
@@ -57,8 +56,8 @@
 	return changes
 }
 
-// mustJSON encodes a declared object; these hold only texts, numbers and
-// string maps, so encoding cannot fail.
+// mustJSON encodes an object. It panics if that fails, which is impossible because objects
+// contain only strings, numbers, booleans and string maps.
 func mustJSON(object Object) []byte {
 	data, err := json.Marshal(object)
 	if err != nil {
--- a/api/v1/doc.go
+++ b/api/v1/doc.go
@@ -1,5 +1,5 @@
-// Package v1 declares the objects that operators write: engines, models,
-// weight versions, traffic groups, routing rules, trainers and limits. Each
-// kind has its defaults and its validation beside its type. A Set is a
-// validated whole; a configuration generation is one Set with a number.
+// Package v1 defines the objects that operators declare: engines, models, weight versions,
+// traffic groups, routing rules, trainers and limits. Each kind sets its own defaults and
+// validates itself; Set.Validate also checks the references between objects. A configuration
+// generation is a numbered Set.
 package v1
--- a/api/v1/duration.go
+++ b/api/v1/duration.go
@@ -5,28 +5,27 @@
 	"time"
 )
 
-// Duration is a time span written as in Go, such as "1.5s" or "2m".
+// Duration is a time.Duration that is encoded in Go's duration syntax, such as "1.5s" or "2m".
 type Duration time.Duration
 
-// MarshalJSON writes the span as text.
+// MarshalJSON implements json.Marshaler.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// UnmarshalJSON reads the span from text; a number is refused because it has
-// no unit.
+// UnmarshalJSON implements json.Unmarshaler. It rejects numbers, because they have no unit.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
 		return &ValueError{Found: string(data), Allowed: "a duration with its unit, such as \"2s\""}
 	}
-	span, err := time.ParseDuration(text)
+	parsed, err := time.ParseDuration(text)
 	if err != nil {
 		return &ValueError{Found: text, Allowed: "a duration with its unit, such as \"2s\""}
 	}
-	*d = Duration(span)
+	*d = Duration(parsed)
 	return nil
 }
 
-// Std returns the span as a time.Duration.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
--- a/api/v1/engine.go
+++ b/api/v1/engine.go
@@ -15,24 +15,24 @@
 	Spec EngineSpec `json:"spec"`
 }
 
-// EngineSpec is what the operator wants of a replica.
+// EngineSpec is the specification of an Engine.
 type EngineSpec struct {
-	// Address is the engine's HTTP address, IP and port.
+	// Address is the engine's HTTP address, an IP address and a port.
 	Address string `json:"address"`
-	// Model names the Model that it serves.
+	// Model is the name of the Model that the engine serves.
 	Model string `json:"model"`
-	// Zone and Region are where it runs.
+	// Zone and Region are the location of the engine.
 	Zone   string `json:"zone"`
 	Region string `json:"region"`
 	// Role is serve, rollout or both (the default).
 	Role string `json:"role,omitempty"`
-	// Slots is how many sequences it batches at the most.
+	// Slots is the maximum number of sequences that the engine runs concurrently.
 	Slots int `json:"slots,omitempty"`
-	// Cordoned keeps new work away from the engine.
+	// Cordoned excludes the engine from new work.
 	Cordoned bool `json:"cordoned,omitempty"`
 }
 
-// SetDefaults fills in role and slots.
+// SetDefaults implements Object.
 func (e *Engine) SetDefaults() {
 	if e.Spec.Role == "" {
 		e.Spec.Role = RoleBoth
@@ -42,7 +42,7 @@
 	}
 }
 
-// Validate checks the engine by itself.
+// Validate implements Object.
 func (e *Engine) Validate(report *Report) {
 	report.Address("spec.address", e.Spec.Address)
 	report.Required("spec.model", e.Spec.Model)
--- a/api/v1/errors.go
+++ b/api/v1/errors.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// ValueError is a single value that cannot be read.
+// ValueError reports an invalid value.
 type ValueError struct {
 	Found   string
 	Allowed string
 }
 
-// Error says what was found and what is allowed.
+// Error implements error.
 func (e *ValueError) Error() string {
 	return fmt.Sprintf("found %q, allowed: %s", e.Found, e.Allowed)
 }
 
-// FieldError is one thing wrong in a declared object.
+// FieldError reports an invalid field of a declared object.
 type FieldError struct {
 	File    string
 	Line    int
@@ -26,19 +26,19 @@
 	Allowed string
 }
 
-// Error gives file, line, field path, the value found and what is allowed.
+// Error implements error. It includes file and line if they are known.
 func (e *FieldError) Error() string {
-	place := e.Object.String()
+	location := e.Object.String()
 	if e.File != "" {
-		place = fmt.Sprintf("%s:%d: %s", e.File, e.Line, place)
+		location = fmt.Sprintf("%s:%d: %s", e.File, e.Line, location)
 	}
-	return fmt.Sprintf("%s: %s: found %q, allowed: %s", place, e.Path, e.Found, e.Allowed)
+	return fmt.Sprintf("%s: %s: found %q, allowed: %s", location, e.Path, e.Found, e.Allowed)
 }
 
-// FieldErrors are all the findings of one run.
+// FieldErrors holds all errors found in one validation.
 type FieldErrors []*FieldError
 
-// Error gives one finding a line.
+// Error implements error, with one line for each finding.
 func (e FieldErrors) Error() string {
 	lines := make([]string, len(e))
 	for i, finding := range e {
@@ -47,14 +47,15 @@
 	return strings.Join(lines, "\n")
 }
 
-// ReadError is a file or folder that could not be read.
+// ReadError reports a file, folder or stored entry that cannot be read, or an object that
+// cannot be encoded as an entry.
 type ReadError struct {
 	Path  string
 	Cause error
 }
 
-// Error names the path and the cause.
+// Error implements error.
 func (e *ReadError) Error() string { return fmt.Sprintf("%s: %v", e.Path, e.Cause) }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *ReadError) Unwrap() error { return e.Cause }
--- a/api/v1/header.go
+++ b/api/v1/header.go
@@ -3,10 +3,10 @@
 // APIVersion is the only value of apiVersion that this package accepts.
 const APIVersion = "pathtally.dev/v1"
 
-// Kind names the type of an object.
+// Kind is the name of an object type.
 type Kind string
 
-// The declared kinds.
+// The kinds of objects.
 const (
 	KindEngine        Kind = "Engine"
 	KindModel         Kind = "Model"
@@ -17,49 +17,49 @@
 	KindLimit         Kind = "Limit"
 )
 
-// Kinds lists every declared kind in the order in which they are shown.
+// Kinds lists all kinds in display order.
 var Kinds = []Kind{KindEngine, KindModel, KindWeightVersion, KindTrafficGroup, KindRoutingRule, KindTrainer, KindLimit}
 
-// Metadata names an object and carries the labels that selectors match.
+// Metadata holds the name of an object and the labels that selectors match.
 type Metadata struct {
 	Name   string            `json:"name"`
 	Labels map[string]string `json:"labels,omitempty"`
 }
 
-// Header is the part that all kinds share.
+// Header holds the fields that all kinds have in common.
 type Header struct {
 	APIVersion string   `json:"apiVersion"`
 	Kind       Kind     `json:"kind"`
 	Metadata   Metadata `json:"metadata"`
 }
 
-// Head returns the shared part, so that every kind that embeds a Header
-// satisfies Object.
+// Head implements Object for all kinds, which embed a Header.
 func (h *Header) Head() *Header { return h }
 
-// Key identifies the object inside a Set.
+// Key returns the key of the object in a Set.
 func (h *Header) Key() Key { return Key{Kind: h.Kind, Name: h.Metadata.Name} }
 
-// Key is the kind and the name of an object.
+// Key identifies an object in a Set by kind and name.
 type Key struct {
 	Kind Kind
 	Name string
 }
 
-// String gives "Kind/name".
+// String returns "Kind/name".
 func (k Key) String() string { return string(k.Kind) + "/" + k.Name }
 
-// Object is any declared kind.
+// Object is a declared object of any kind.
 type Object interface {
+	// Head returns the object's header.
 	Head() *Header
-	// SetDefaults fills in the fields that the operator left out.
+	// SetDefaults sets the default values of omitted fields.
 	SetDefaults()
-	// Validate reports what is wrong with the object by itself; references
-	// to other objects are checked by Set.Validate.
+	// Validate reports invalid fields. It does not check references to other objects, as
+	// Set.Validate does.
 	Validate(report *Report)
 }
 
-// newObject returns an empty object of a kind, or nil for an unknown kind.
+// newObject returns an empty object of a kind, or nil if the kind is unknown.
 func newObject(kind Kind) Object {
 	switch kind {
 	case KindEngine:
--- a/api/v1/limit.go
+++ b/api/v1/limit.go
@@ -7,28 +7,28 @@
 	defaultRetryBudgetPercent = 10
 )
 
-// Limit declares how much a set of traffic groups may ask of one node.
+// Limit declares the limits of a set of traffic groups at one node.
 type Limit struct {
 	Header
 	Spec LimitSpec `json:"spec"`
 }
 
-// LimitSpec gives the bounds, each for one group on one node.
+// LimitSpec is the specification of a Limit. Limits apply to each group at each node.
 type LimitSpec struct {
 	// Groups selects traffic groups by label.
 	Groups string `json:"groups"`
-	// RequestsPerSecond is the admitted rate; Burst is the bucket's size.
+	// RequestsPerSecond and Burst are the rate and the size of the token bucket.
 	RequestsPerSecond float64 `json:"requestsPerSecond,omitempty"`
 	Burst             int     `json:"burst,omitempty"`
-	// MaxInFlight and MaxQueue bound requests running and waiting.
+	// MaxInFlight and MaxQueue are the maximum numbers of running and queued requests.
 	MaxInFlight int `json:"maxInFlight,omitempty"`
 	MaxQueue    int `json:"maxQueue,omitempty"`
-	// RetryBudgetPercent is the share of recent successes that may be spent
-	// on retries.
+	// RetryBudgetPercent is the maximum number of retries as a percentage of recent
+	// successes.
 	RetryBudgetPercent float64 `json:"retryBudgetPercent,omitempty"`
 }
 
-// SetDefaults fills in every bound left out.
+// SetDefaults implements Object.
 func (l *Limit) SetDefaults() {
 	if l.Spec.RequestsPerSecond == 0 {
 		l.Spec.RequestsPerSecond = defaultRequestsPerSecond
@@ -47,7 +47,7 @@
 	}
 }
 
-// Validate checks the limit by itself.
+// Validate implements Object.
 func (l *Limit) Validate(report *Report) {
 	report.Selector("spec.groups", l.Spec.Groups)
 	report.Positive("spec.requestsPerSecond", l.Spec.RequestsPerSecond)
--- a/api/v1/load.go
+++ b/api/v1/load.go
@@ -12,8 +12,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// LoadFolder reads every .yaml and .yml file of a folder, applies defaults
-// and validates the whole. All findings come back together as FieldErrors.
+// LoadFolder reads all .yaml and .yml files of a folder, sets defaults and validates the
+// resulting Set. It returns all findings together as FieldErrors.
 func LoadFolder(folder string) (*Set, error) {
 	entries, err := os.ReadDir(folder)
 	if err != nil {
@@ -29,15 +29,15 @@
 		if err != nil {
 			return nil, &ReadError{Path: path, Cause: err}
 		}
-		loader.file(path, data)
+		loader.loadFile(path, data)
 	}
 	return loader.finish()
 }
 
-// Load reads objects from one YAML text, without checking references.
+// Load reads objects from YAML and sets defaults. It does not call Set.Validate.
 func Load(file string, data []byte) (*Set, error) {
 	loader := newLoader()
-	loader.file(file, data)
+	loader.loadFile(file, data)
 	if len(loader.findings) > 0 {
 		return nil, loader.findings
 	}
@@ -48,14 +48,14 @@
 	return strings.HasSuffix(name, ".yaml") || strings.HasSuffix(name, ".yml")
 }
 
-// loader gathers objects, where each was declared, and findings.
+// loader collects objects, the source of each, and findings.
 type loader struct {
 	set      *Set
 	sources  map[Key]source
 	findings FieldErrors
 }
 
-// source is where an object was declared.
+// source is the location at which an object was declared.
 type source struct {
 	file string
 	node *yaml.Node
@@ -65,7 +65,7 @@
 	return &loader{set: NewSet(), sources: map[Key]source{}}
 }
 
-func (l *loader) file(path string, data []byte) {
+func (l *loader) loadFile(path string, data []byte) {
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	for {
 		var document yaml.Node
@@ -78,23 +78,23 @@
 			return
 		}
 		if len(document.Content) == 1 && document.Content[0].Kind == yaml.MappingNode {
-			l.object(path, document.Content[0])
+			l.loadObject(path, document.Content[0])
 			continue
 		}
 		l.findings = append(l.findings, &FieldError{File: path, Line: document.Line, Path: "(document)", Found: "no mapping", Allowed: "an object with apiVersion, kind, metadata and spec"})
 	}
 }
 
-func (l *loader) object(path string, node *yaml.Node) {
+func (l *loader) loadObject(path string, node *yaml.Node) {
 	kind := Kind(scalarAt(node, "kind"))
 	object := newObject(kind)
 	key := Key{Kind: kind, Name: scalarAt(childOf(node, "metadata"), "name")}
 	if object == nil {
-		l.add(path, lineOf(node, "kind"), key, "kind", string(kind), "one of Engine, Model, WeightVersion, TrafficGroup, RoutingRule, Trainer, Limit")
+		l.addFinding(path, lineOf(node, "kind"), key, "kind", string(kind), "one of Engine, Model, WeightVersion, TrafficGroup, RoutingRule, Trainer, Limit")
 		return
 	}
 	if version := scalarAt(node, "apiVersion"); version != APIVersion {
-		l.add(path, lineOf(node, "apiVersion"), key, "apiVersion", version, APIVersion)
+		l.addFinding(path, lineOf(node, "apiVersion"), key, "apiVersion", version, APIVersion)
 	}
 	checker := &shapeChecker{file: path, object: key}
 	checker.check(node, typeOf(object), "")
@@ -102,12 +102,12 @@
 	if len(checker.findings) > 0 {
 		return
 	}
-	if earlier, stood := l.sources[key]; stood {
-		l.add(path, node.Line, key, "metadata.name", key.Name, "a name used once for each kind; also declared in "+earlier.file)
+	if earlier, exists := l.sources[key]; exists {
+		l.addFinding(path, node.Line, key, "metadata.name", key.Name, "a name used once for each kind; also declared in "+earlier.file)
 		return
 	}
 	if err := decodeInto(node, object); err != nil {
-		l.add(path, node.Line, key, "(object)", err.Error(), "values of the declared types")
+		l.addFinding(path, node.Line, key, "(object)", err.Error(), "values of the declared types")
 		return
 	}
 	object.SetDefaults()
@@ -115,16 +115,16 @@
 	l.set.objects[key] = object
 }
 
-func (l *loader) add(file string, line int, key Key, path, found, allowed string) {
+func (l *loader) addFinding(file string, line int, key Key, path, found, allowed string) {
 	l.findings = append(l.findings, &FieldError{File: file, Line: line, Object: key, Path: path, Found: found, Allowed: allowed})
 }
 
-// finish validates the whole and gives each finding its file and line.
+// finish validates the set and adds file and line to the findings of the validation.
 func (l *loader) finish() (*Set, error) {
 	for _, finding := range l.set.Validate() {
-		where := l.sources[finding.Object]
-		finding.File = where.file
-		finding.Line = lineOf(where.node, finding.Path)
+		declared := l.sources[finding.Object]
+		finding.File = declared.file
+		finding.Line = lineOf(declared.node, finding.Path)
 		l.findings = append(l.findings, finding)
 	}
 	if len(l.findings) > 0 {
--- a/api/v1/load_test.go
+++ b/api/v1/load_test.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-// TestBrokenFolder checks that everything wrong in a folder comes in one run,
-// each with file, line, field, the value found and what is allowed.
-func TestBrokenFolder(t *testing.T) {
+// LoadFolder must return all findings at once, each with file, line, field, found value and
+// allowed values.
+func TestLoadFolderFindings(t *testing.T) {
 	_, err := LoadFolder("testdata/broken")
 	var findings FieldErrors
 	if !errors.As(err, &findings) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("LoadFolder returned %v, want FieldErrors", err)
 	}
 	goldie.New(t).Assert(t, "broken", []byte(findings.Error()))
 }
@@ -35,21 +35,21 @@
 			t.Fatal(err)
 		}
 		if changes := Diff(set, again); len(changes) > 0 {
-			t.Errorf("%s changes on its way through entries: %v", folder, changes)
+			t.Errorf("%s: objects changed in the round trip through Entries: %v", folder, changes)
 		}
 	}
 }
 
-func TestMissingFolderIsTyped(t *testing.T) {
+func TestLoadMissingFolder(t *testing.T) {
 	_, err := LoadFolder("testdata/none")
 	var read *ReadError
 	if !errors.As(err, &read) {
-		t.Errorf("got %v", err)
+		t.Errorf("LoadFolder returned %v, want a *ReadError", err)
 	}
 }
 
-// TestDiffLeadsFromOneSetToTheOther applies a diff and compares.
-func TestDiffLeadsFromOneSetToTheOther(t *testing.T) {
+// Applying the changes of Diff to the first set must yield the second one.
+func TestApplyDiff(t *testing.T) {
 	draw := func(t *rapid.T, label string) *Set {
 		set := NewSet()
 		for _, name := range rapid.SliceOfDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d"}), rapid.ID[string]).Draw(t, label) {
@@ -69,14 +69,14 @@
 			}
 			patched = patched.Merge(NewSet(after.Get(change.Key)))
 		}
-		if left := Diff(patched, after); len(left) > 0 {
-			t.Fatalf("after the diff these still differ: %v", left)
+		if remaining := Diff(patched, after); len(remaining) > 0 {
+			t.Fatalf("differences remain after applying the diff: %v", remaining)
 		}
 	})
 }
 
-// FuzzLoad checks that no text makes the loader panic, and that every finding
-// says what is allowed.
+// FuzzLoad checks that no input makes Load panic, and that every finding has a path and the
+// allowed values.
 func FuzzLoad(f *testing.F) {
 	f.Add([]byte("apiVersion: pathtally.dev/v1\nkind: Model\nmetadata: {name: m}\nspec: {contextLength: 10}\n"))
 	f.Add([]byte("kind: Engine\nspec: [1, 2]\n---\n- x\n"))
@@ -87,7 +87,7 @@
 		if errors.As(err, &findings) {
 			for _, finding := range findings {
 				if finding.Allowed == "" || finding.Path == "" {
-					t.Errorf("a finding says too little: %+v", finding)
+					t.Errorf("finding without path or allowed values: %+v", finding)
 				}
 			}
 			return
--- a/api/v1/model.go
+++ b/api/v1/model.go
@@ -11,15 +11,15 @@
 	Spec ModelSpec `json:"spec"`
 }
 
-// ModelSpec gives the bounds of a model.
+// ModelSpec is the specification of a Model.
 type ModelSpec struct {
-	// ContextLength is the most tokens that prompt and answer may have.
+	// ContextLength is the maximum number of tokens of prompt and response together.
 	ContextLength int `json:"contextLength,omitempty"`
-	// MaxBodyBytes is the largest request body accepted for the model.
+	// MaxBodyBytes is the maximum size of a request body.
 	MaxBodyBytes int `json:"maxBodyBytes,omitempty"`
 }
 
-// SetDefaults fills in the bounds.
+// SetDefaults implements Object.
 func (m *Model) SetDefaults() {
 	if m.Spec.ContextLength == 0 {
 		m.Spec.ContextLength = defaultContextLength
@@ -29,7 +29,7 @@
 	}
 }
 
-// Validate checks the model by itself.
+// Validate implements Object.
 func (m *Model) Validate(report *Report) {
 	report.Positive("spec.contextLength", float64(m.Spec.ContextLength))
 	report.Positive("spec.maxBodyBytes", float64(m.Spec.MaxBodyBytes))
--- a/api/v1/routingrule.go
+++ b/api/v1/routingrule.go
@@ -1,23 +1,23 @@
 package v1
 
-// RoutingRule joins traffic groups to engines, both by label.
+// RoutingRule routes the requests of traffic groups to engines. Both are selected by label.
 type RoutingRule struct {
 	Header
 	Spec RoutingRuleSpec `json:"spec"`
 }
 
-// RoutingRuleSpec holds the two selectors.
+// RoutingRuleSpec is the specification of a RoutingRule.
 type RoutingRuleSpec struct {
-	// Groups selects traffic groups.
+	// Groups selects traffic groups by label.
 	Groups string `json:"groups"`
-	// Engines selects engines; only those of the group's model are used.
+	// Engines selects engines by label. A group uses only engines of its model.
 	Engines string `json:"engines"`
 }
 
-// SetDefaults has nothing to fill in.
+// SetDefaults implements Object.
 func (r *RoutingRule) SetDefaults() {}
 
-// Validate checks that both selectors can be parsed.
+// Validate implements Object.
 func (r *RoutingRule) Validate(report *Report) {
 	report.Selector("spec.groups", r.Spec.Groups)
 	report.Selector("spec.engines", r.Spec.Engines)
--- a/api/v1/set.go
+++ b/api/v1/set.go
@@ -8,14 +8,14 @@
 	"k8s.io/apimachinery/pkg/labels"
 )
 
-// Set is a group of objects, at most one for each key. It is immutable once
-// it has been handed to a reader.
+// Set is a set of objects with distinct keys. Its methods do not change it, so it is safe for
+// concurrent reads.
 type Set struct {
 	objects map[Key]Object
 }
 
-// NewSet returns a set of the given objects; a later one replaces an earlier
-// one of the same key.
+// NewSet returns a set of the given objects. If several have the same key, the last one is
+// used.
 func NewSet(objects ...Object) *Set {
 	set := &Set{objects: make(map[Key]Object, len(objects))}
 	for _, object := range objects {
@@ -24,13 +24,13 @@
 	return set
 }
 
-// Len is the number of objects.
+// Len returns the number of objects.
 func (s *Set) Len() int { return len(s.objects) }
 
-// Get returns an object, or nil.
+// Get returns the object with a key, or nil.
 func (s *Set) Get(key Key) Object { return s.objects[key] }
 
-// Keys returns all keys in order.
+// Keys returns all keys in ascending order.
 func (s *Set) Keys() []Key {
 	keys := make([]Key, 0, len(s.objects))
 	for key := range s.objects {
@@ -40,7 +40,7 @@
 	return keys
 }
 
-// All returns the objects of one type, ordered by name.
+// All returns the objects of one type, sorted by name.
 func All[T Object](s *Set) []T {
 	var found []T
 	for _, object := range s.objects {
@@ -52,7 +52,8 @@
 	return found
 }
 
-// Merge returns a new set in which the objects of other replace those of s.
+// Merge returns a new set with the objects of both sets. If both have a key, the object of
+// other is used.
 func (s *Set) Merge(other *Set) *Set {
 	merged := &Set{objects: make(map[Key]Object, len(s.objects)+len(other.objects))}
 	for key, object := range s.objects {
@@ -64,16 +65,16 @@
 	return merged
 }
 
-// Without returns a new set that lacks the given keys.
+// Without returns a new set without the objects of the given keys.
 func (s *Set) Without(keys ...Key) *Set {
-	rest := s.Merge(NewSet())
+	remaining := s.Merge(NewSet())
 	for _, key := range keys {
-		delete(rest.objects, key)
+		delete(remaining.objects, key)
 	}
-	return rest
+	return remaining
 }
 
-// Entries returns each object as JSON under its key.
+// Entries returns the JSON of each object by key.
 func (s *Set) Entries() (map[string][]byte, error) {
 	entries := make(map[string][]byte, len(s.objects))
 	for key, object := range s.objects {
@@ -86,7 +87,7 @@
 	return entries, nil
 }
 
-// FromEntries is the inverse of Entries.
+// FromEntries decodes a set from the result of Entries.
 func FromEntries(entries map[string][]byte) (*Set, error) {
 	set := &Set{objects: make(map[Key]Object, len(entries))}
 	for name, data := range entries {
@@ -103,8 +104,8 @@
 	return set, nil
 }
 
-// Matches tells whether a label selector matches an object. A selector that
-// cannot be parsed matches nothing; validation has refused it before.
+// Matches reports whether a label selector matches an object. A selector that cannot be
+// parsed matches no object; validation rejects such selectors.
 func Matches(selector string, object Object) bool {
 	parsed, err := labels.Parse(selector)
 	if err != nil {
--- a/api/v1/setvalidate.go
+++ b/api/v1/setvalidate.go
@@ -4,8 +4,8 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,98}[a-z0-9])?$`)
 
-// Validate checks every object and every reference between them. It returns
-// all findings, ordered by object.
+// Validate validates all objects and the references between them. It returns all findings,
+// ordered by object.
 func (s *Set) Validate() FieldErrors {
 	var findings FieldErrors
 	for _, key := range s.Keys() {
--- a/api/v1/shape.go
+++ b/api/v1/shape.go
@@ -8,8 +8,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// shapeChecker compares a YAML tree with a declared type and reports unknown
-// fields and values of the wrong type, each with its line.
+// shapeChecker compares a YAML tree with a Go type and records unknown fields and values of
+// the wrong type, each with its line.
 type shapeChecker struct {
 	file     string
 	object   Key
@@ -31,7 +31,7 @@
 
 func (c *shapeChecker) checkStruct(node *yaml.Node, want reflect.Type, path string) {
 	if node.Kind != yaml.MappingNode {
-		c.add(node, path, node.Value, "a mapping")
+		c.addFinding(node, path, node.Value, "a mapping")
 		return
 	}
 	fields := fieldsOf(want)
@@ -43,7 +43,7 @@
 			continue
 		}
 		if !known {
-			c.add(node.Content[i], fieldPath, name, "a declared field; "+name+" is unknown here")
+			c.addFinding(node.Content[i], fieldPath, name, "a declared field; "+name+" is unknown here")
 			continue
 		}
 		c.check(node.Content[i+1], field, fieldPath)
@@ -52,7 +52,7 @@
 
 func (c *shapeChecker) checkMap(node *yaml.Node, want reflect.Type, path string) {
 	if node.Kind != yaml.MappingNode {
-		c.add(node, path, node.Value, "a mapping")
+		c.addFinding(node, path, node.Value, "a mapping")
 		return
 	}
 	for i := 0; i+1 < len(node.Content); i += 2 {
@@ -62,28 +62,28 @@
 
 func (c *shapeChecker) checkScalar(node *yaml.Node, want reflect.Type, path string) {
 	if node.Kind != yaml.ScalarNode {
-		c.add(node, path, "a nested value", describe(want))
+		c.addFinding(node, path, "a nested value", describeType(want))
 		return
 	}
 	value := reflect.New(want)
 	if unmarshaler, custom := value.Interface().(json.Unmarshaler); custom {
 		quoted, _ := json.Marshal(node.Value)
 		if err := unmarshaler.UnmarshalJSON(quoted); err != nil {
-			c.add(node, path, node.Value, "a duration with its unit, such as 2s")
+			c.addFinding(node, path, node.Value, "a duration with its unit, such as 2s")
 		}
 		return
 	}
 	if want.Kind() == reflect.String && node.Tag != "!!str" {
-		c.add(node, path, node.Value, "text; put it in quotes")
+		c.addFinding(node, path, node.Value, "text; put it in quotes")
 		return
 	}
 	if err := node.Decode(value.Interface()); err != nil {
-		c.add(node, path, node.Value, describe(want))
+		c.addFinding(node, path, node.Value, describeType(want))
 	}
 }
 
-// describe says in words what values a type takes.
-func describe(want reflect.Type) string {
+// describeType describes the allowed values of a type in an error message.
+func describeType(want reflect.Type) string {
 	switch want.Kind() {
 	case reflect.Int, reflect.Int64:
 		return "a whole number"
@@ -95,11 +95,12 @@
 	return "a " + want.Kind().String()
 }
 
-func (c *shapeChecker) add(node *yaml.Node, path, found, allowed string) {
+func (c *shapeChecker) addFinding(node *yaml.Node, path, found, allowed string) {
 	c.findings = append(c.findings, &FieldError{File: c.file, Line: node.Line, Object: c.object, Path: path, Found: found, Allowed: allowed})
 }
 
-// fieldsOf maps JSON names to types, with embedded structs flattened.
+// fieldsOf returns the types of a struct's fields by JSON name, including the fields of
+// embedded structs.
 func fieldsOf(want reflect.Type) map[string]reflect.Type {
 	fields := map[string]reflect.Type{}
 	for i := range want.NumField() {
@@ -126,7 +127,7 @@
 	return path + "." + name
 }
 
-// childOf returns the value of a mapping's key, or nil.
+// childOf returns the value of a key of a mapping, or nil.
 func childOf(node *yaml.Node, name string) *yaml.Node {
 	if node == nil || node.Kind != yaml.MappingNode {
 		return nil
@@ -139,6 +140,7 @@
 	return nil
 }
 
+// scalarAt returns the scalar value of a key of a mapping, or "".
 func scalarAt(node *yaml.Node, name string) string {
 	child := childOf(node, name)
 	if child == nil {
@@ -147,7 +149,8 @@
 	return child.Value
 }
 
-// lineOf returns the line of a field path, or of its nearest parent.
+// lineOf returns the line of a field path or, if the field does not exist, of its nearest
+// existing parent.
 func lineOf(node *yaml.Node, path string) int {
 	line := 0
 	for _, name := range strings.Split(path, ".") {
--- a/api/v1/trafficgroup.go
+++ b/api/v1/trafficgroup.go
@@ -5,30 +5,30 @@
 const (
 	defaultDeadline   = Duration(30 * time.Second)
 	defaultPriority   = 50
-	highestPriority   = 100
+	maxPriority       = 100
 	defaultFloorShare = 0.5
 )
 
-// TrafficGroup declares a kind of caller: its model, urgency and floor.
+// TrafficGroup declares a group of callers with the same model, priority and deadline.
 type TrafficGroup struct {
 	Header
 	Spec TrafficGroupSpec `json:"spec"`
 }
 
-// TrafficGroupSpec says what a group of callers is promised.
+// TrafficGroupSpec is the specification of a TrafficGroup.
 type TrafficGroupSpec struct {
-	// Model names the Model that the group calls.
+	// Model is the name of the Model that the group calls.
 	Model string `json:"model"`
-	// Priority runs from 1 to 100; greater is served first.
+	// Priority is from 1 to 100. Requests with a greater priority are served first.
 	Priority int `json:"priority,omitempty"`
-	// Deadline bounds a request that names none.
+	// Deadline is the default deadline of a request.
 	Deadline Duration `json:"deadline,omitempty"`
-	// FloorShare is the part of the group's engines, from 0 to 1, that must
-	// stay in service while weights are swapped.
+	// FloorShare is the minimum share, from 0 to 1, of the group's engines that must stay
+	// in service during a weight rollout.
 	FloorShare float64 `json:"floorShare,omitempty"`
 }
 
-// SetDefaults fills in priority, deadline and floor.
+// SetDefaults implements Object.
 func (g *TrafficGroup) SetDefaults() {
 	if g.Spec.Priority == 0 {
 		g.Spec.Priority = defaultPriority
@@ -41,10 +41,10 @@
 	}
 }
 
-// Validate checks the group by itself.
+// Validate implements Object.
 func (g *TrafficGroup) Validate(report *Report) {
 	report.Required("spec.model", g.Spec.Model)
-	report.Between("spec.priority", float64(g.Spec.Priority), 1, highestPriority)
+	report.Between("spec.priority", float64(g.Spec.Priority), 1, maxPriority)
 	report.Positive("spec.deadline", float64(g.Spec.Deadline))
 	report.Between("spec.floorShare", g.Spec.FloorShare, 0, 1)
 }
--- a/api/v1/trainer.go
+++ b/api/v1/trainer.go
@@ -2,7 +2,7 @@
 
 import "net/url"
 
-// What a trainer prizes.
+// Objectives of a trainer.
 const (
 	PrizeIdleTime  = "idle-time"
 	PrizeStaleness = "staleness"
@@ -13,31 +13,31 @@
 	defaultStepsAhead   = 1
 )
 
-// Trainer declares a consumer of rollouts.
+// Trainer declares a trainer, which consumes rollouts.
 type Trainer struct {
 	Header
 	Spec TrainerSpec `json:"spec"`
 }
 
-// TrainerSpec says what a trainer needs.
+// TrainerSpec is the specification of a Trainer.
 type TrainerSpec struct {
-	// Model names the Model that is trained.
+	// Model is the name of the Model that is trained.
 	Model string `json:"model"`
-	// Engines selects the engines that may run its rollouts.
+	// Engines selects by label the engines that may run the trainer's rollouts.
 	Engines string `json:"engines"`
-	// Scorer is the URL of the service that judges each sample.
+	// Scorer is the URL of the service that scores samples.
 	Scorer string `json:"scorer"`
-	// MaxStaleness is the bound, in weight versions, between the version a
-	// step trains and the oldest version that produced a sample of it.
+	// MaxStaleness is the maximum difference, in weight versions, between the version that
+	// a step trains and the oldest version that generated a sample of the step.
 	MaxStaleness int64 `json:"maxStaleness,omitempty"`
-	// StepsAhead is how many steps may be generated before the one in
-	// training has been acknowledged.
+	// StepsAhead is the maximum number of steps that are generated ahead of the step in
+	// training.
 	StepsAhead int `json:"stepsAhead,omitempty"`
-	// Prizes is idle-time or staleness.
+	// Prizes is the trainer's objective: idle-time (the default) or staleness.
 	Prizes string `json:"prizes,omitempty"`
 }
 
-// SetDefaults fills in the bound, the look-ahead and the measure.
+// SetDefaults implements Object.
 func (t *Trainer) SetDefaults() {
 	if t.Spec.MaxStaleness == 0 {
 		t.Spec.MaxStaleness = defaultMaxStaleness
@@ -50,7 +50,7 @@
 	}
 }
 
-// Validate checks the trainer by itself.
+// Validate implements Object.
 func (t *Trainer) Validate(report *Report) {
 	report.Required("spec.model", t.Spec.Model)
 	report.Selector("spec.engines", t.Spec.Engines)
--- a/api/v1/weightversion.go
+++ b/api/v1/weightversion.go
@@ -1,28 +1,28 @@
 package v1
 
-// WeightVersion declares one version of a model's weights. The greatest
-// active version whose selector matches an engine is the one it should run.
+// WeightVersion declares one version of a model's weights. An engine should run the greatest
+// active version whose selector matches it.
 type WeightVersion struct {
 	Header
 	Spec WeightVersionSpec `json:"spec"`
 }
 
-// WeightVersionSpec names the weights and says how far they are rolled out.
+// WeightVersionSpec is the specification of a WeightVersion.
 type WeightVersionSpec struct {
-	// Model names the Model.
+	// Model is the name of the Model.
 	Model string `json:"model"`
-	// Version is the number of the weights; greater is newer.
+	// Version is the version number. Greater numbers are newer.
 	Version int64 `json:"version"`
-	// Active is false while engines may only stage the weights.
+	// Active permits engines to run the weights. Otherwise they may only stage them.
 	Active bool `json:"active"`
-	// Engines selects the engines by label; empty selects all of the model.
+	// Engines selects engines by label. Empty selects all engines of the model.
 	Engines string `json:"engines,omitempty"`
 }
 
-// SetDefaults has nothing to fill in.
+// SetDefaults implements Object.
 func (w *WeightVersion) SetDefaults() {}
 
-// Validate checks the version by itself.
+// Validate implements Object.
 func (w *WeightVersion) Validate(report *Report) {
 	report.Required("spec.model", w.Spec.Model)
 	report.Positive("spec.version", float64(w.Spec.Version))
