--- a/standin/dutyapi/message.go
+++ b/standin/dutyapi/message.go
@@ -1,6 +1,6 @@
 package dutyapi
 
-// message is the body of a call: a report of usage, or an order of replicas.
+// message is the body of a call: a usage report or an order of replicas.
 type message struct {
 	Window  *int64            `json:"windowId"`
 	Counts  map[string]uint64 `json:"counts"`
@@ -9,8 +9,8 @@
 	Desired *int              `json:"desired"`
 }
 
-// isWhole tells whether a message has what its path wants.
-func (m *message) isWhole(path string) bool {
+// isComplete reports whether a message has all fields that its path requires.
+func (m *message) isComplete(path string) bool {
 	switch path {
 	case "/usage":
 		return m.Window != nil && m.Counts != nil
--- a/standin/dutyapi/report.go
+++ b/standin/dutyapi/report.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Report is a window's usage as it was first reported.
+// Report is the first usage report of a window.
 type Report struct {
 	Window int64
 	Holder string
--- a/standin/dutyapi/server.go
+++ b/standin/dutyapi/server.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Server is a running API.
+// Server serves the API. It is safe for concurrent use.
 type Server struct {
 	listener net.Listener
 	server   *http.Server
@@ -19,34 +19,35 @@
 	reports  map[int64]Report
 	replicas map[Zone]int
 	findings []string
-	// token is the greatest seen and holder the last caller; acted is when each
-	// holder called last.
-	token  uint64
-	holder string
-	acted  map[string]time.Time
-	// status answers every call instead, 0 for none.
+	// token is the greatest token received, holder the last caller, and lastCalls the
+	// time of each holder's last call.
+	token     uint64
+	holder    string
+	lastCalls map[string]time.Time
+	// status, if not 0, is the response to every call, which then has no effect.
 	status int
 }
 
-// Start serves the API on a port that the system chooses.
+// Start serves the API on a free port of the loopback interface.
 func Start() (*Server, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	api := &Server{listener: listener, reports: map[int64]Report{}, replicas: map[Zone]int{}, acted: map[string]time.Time{}}
+	api := &Server{listener: listener, reports: map[int64]Report{}, replicas: map[Zone]int{}, lastCalls: map[string]time.Time{}}
 	api.server = &http.Server{Handler: api}
 	go api.server.Serve(listener)
 	return api, nil
 }
 
-// Address is where the API listens.
+// Address returns the address of the API.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close ends the API.
+// Close stops the API.
 func (s *Server) Close() { s.server.Close() }
 
-// SetStatus has the API answer each call with a status and no effect; 0 ends that.
+// SetStatus makes the API respond to each call with a status, without any other effect; 0
+// restores normal operation.
 func (s *Server) SetStatus(status int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -60,14 +61,14 @@
 	return maps.Clone(s.reports)
 }
 
-// Replicas returns how many replicas were ordered last, by zone.
+// Replicas returns the last ordered number of replicas of each zone.
 func (s *Server) Replicas() map[Zone]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return maps.Clone(s.replicas)
 }
 
-// Findings are the calls that broke a rule.
+// Findings describes the calls that violated a rule.
 func (s *Server) Findings() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -80,7 +81,7 @@
 	token, err := strconv.ParseUint(request.Header.Get("Pathtally-Fencing-Token"), 10, 64)
 	holder := request.Header.Get("Pathtally-Duty-Holder")
 	if request.Method != http.MethodPost || err != nil || holder == "" ||
-		json.NewDecoder(request.Body).Decode(&body) != nil || !body.isWhole(request.URL.Path) {
+		json.NewDecoder(request.Body).Decode(&body) != nil || !body.isComplete(request.URL.Path) {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
@@ -90,10 +91,10 @@
 		writer.WriteHeader(s.status)
 		return
 	}
-	s.judge(holder, token)
+	s.checkFencing(holder, token)
 	if body.Desired != nil {
 		s.replicas[Zone{Service: body.Service, Zone: body.Zone}] = *body.Desired
 		return
 	}
-	s.take(Report{Window: *body.Window, Holder: holder, Token: token, Counts: body.Counts, At: time.Now()})
+	s.addReport(Report{Window: *body.Window, Holder: holder, Token: token, Counts: body.Counts, At: time.Now()})
 }
--- a/standin/dutyapi/server_test.go
+++ b/standin/dutyapi/server_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// call reports a window and returns the status.
-func call(t *testing.T, api *Server, holder string, token, window, count int) int {
+// reportUsage reports the usage of a window and returns the HTTP status.
+func reportUsage(t *testing.T, api *Server, holder string, token, window, count int) int {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://"+api.Address()+"/usage", strings.NewReader(fmt.Sprintf(`{"windowId":%d,"counts":{"t":%d}}`, window, count)))
 	if err != nil {
@@ -24,30 +24,30 @@
 	return response.StatusCode
 }
 
-func TestBrokenRulesAreFound(t *testing.T) {
+func TestFindings(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		calls [][4]any
 		want  string
 	}{
-		{"sound", [][4]any{{"a", 1, 1, 5}, {"a", 2, 2, 5}, {"b", 3, 3, 5}, {"b", 3, 3, 5}}, ""},
-		{"a window twice", [][4]any{{"a", 1, 1, 5}, {"a", 1, 1, 6}}, "window 1"},
-		{"a falling token", [][4]any{{"a", 2, 1, 5}, {"b", 1, 2, 5}}, "after 2"},
-		{"one token of two", [][4]any{{"a", 2, 1, 5}, {"b", 2, 2, 5}}, "a and b"},
-		{"in turns", [][4]any{{"a", 1, 1, 5}, {"b", 2, 2, 5}, {"a", 3, 3, 5}}, "in turns"},
+		{"no violation", [][4]any{{"a", 1, 1, 5}, {"a", 2, 2, 5}, {"b", 3, 3, 5}, {"b", 3, 3, 5}}, ""},
+		{"different reports of a window", [][4]any{{"a", 1, 1, 5}, {"a", 1, 1, 6}}, "window 1"},
+		{"decreasing token", [][4]any{{"a", 2, 1, 5}, {"b", 1, 2, 5}}, "after token 2"},
+		{"token of two holders", [][4]any{{"a", 2, 1, 5}, {"b", 2, 2, 5}}, "a and b both"},
+		{"alternating holders", [][4]any{{"a", 1, 1, 5}, {"b", 2, 2, 5}, {"a", 3, 3, 5}}, "called alternately"},
 	} {
 		api, err := Start()
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, made := range test.calls {
-			if status := call(t, api, made[0].(string), made[1].(int), made[2].(int), made[3].(int)); status != http.StatusOK {
-				t.Errorf("%s: status %d", test.name, status)
+			if status := reportUsage(t, api, made[0].(string), made[1].(int), made[2].(int), made[3].(int)); status != http.StatusOK {
+				t.Errorf("%s: status %d, want 200", test.name, status)
 			}
 		}
 		found := strings.Join(api.Findings(), "; ")
 		if (test.want == "") != (found == "") || !strings.Contains(found, test.want) {
-			t.Errorf("%s: found %q", test.name, found)
+			t.Errorf("%s: unexpected findings %q", test.name, found)
 		}
 		api.Close()
 	}
--- a/standin/dutyapi/zone.go
+++ b/standin/dutyapi/zone.go
@@ -1,4 +1,4 @@
 package dutyapi
 
-// Zone is a zone of a service.
+// Zone identifies a zone of a service.
 type Zone struct{ Service, Zone string }
--- a/standin/metastore/direct.go
+++ b/standin/metastore/direct.go
@@ -9,14 +9,14 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// Objects returns the objects of a kind by revision, without faults.
+// Objects returns the objects of a kind ordered by revision. Faults do not apply.
 func (s *Store) Objects(kind string) []objectstore.Object {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return slices.SortedFunc(maps.Values(s.objects[kind]), func(a, b objectstore.Object) int { return cmp.Compare(a.Revision, b.Revision) })
 }
 
-// Has tells whether an object exists, without faults.
+// Has reports whether an object exists. Faults do not apply.
 func (s *Store) Has(kind, name string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -24,15 +24,15 @@
 	return found
 }
 
-// Calls returns the number of calls of a verb so far.
+// Calls returns the number of calls with a verb so far.
 func (s *Store) Calls(verb string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.calls[verb]
 }
 
-// Write creates or replaces an object unconditionally and without faults, as
-// operators, trainers and replicas do.
+// Write creates an object or replaces its spec unconditionally, as operators, trainers and
+// replicas do. Faults do not apply.
 func (s *Store) Write(kind, name string, spec any) objectstore.Object {
 	encoded, err := json.Marshal(spec)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return s.put(kind, objectstore.Object{Name: name, Spec: encoded, Status: s.objects[kind][name].Status})
 }
 
-// Remove deletes an object, as its writer or its expiry does.
+// Remove deletes an object, as its writer or its expiry does. Faults do not apply.
 func (s *Store) Remove(kind, name string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -56,10 +56,11 @@
 	s.record(kind, objectstore.Change{Object: object, Deleted: true})
 }
 
-// Forget drops the history, so that watches have to list anew.
+// Forget drops the history of changes, so that watches from earlier revisions fail with
+// ErrHistoryGone.
 func (s *Store) Forget() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.history, s.forgotten = nil, s.revision
+	s.history, s.compactedRevision = nil, s.revision
 	s.notify()
 }
--- a/standin/metastore/doc.go
+++ b/standin/metastore/doc.go
@@ -1,9 +1,7 @@
-// Package metastore stands in for the users' metadata store in tests: objects
-// by kind and name with revisions, written on condition, listed, watched and
-// forgotten.
+// Package metastore is an in-memory stand-in for the users' metadata store in tests. It stores
+// objects by kind and name with revisions, and supports conditional writes, lists and watches.
 //
-// A Store owns its objects and the history of changes, in memory. Tests use it
-// in process; its Server speaks the store's protocol over HTTP. Faults and delays
-// are set by the test, call by call (fault.go); what a test does past them, as
-// operators and replicas would, is in direct.go.
+// Tests use a Store in process; a Server serves it over HTTP with the store's protocol. Tests
+// choose the fault and the delay of each call (fault.go). The methods in direct.go bypass
+// faults and delays; tests use them to act as operators and replicas.
 package metastore
--- a/standin/metastore/fault.go
+++ b/standin/metastore/fault.go
@@ -9,27 +9,26 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// ErrFault is the cause of failures that a test has asked for.
-var ErrFault = merry.Sentinel("fault of the stand-in")
+// ErrFault is the cause of errors that a test has injected.
+var ErrFault = merry.Sentinel("injected fault")
 
-// Fault decides what happens to a call before it is carried out.
+// Fault is an injected fault of a call.
 type Fault int
 
-// The faults of a call.
 const (
-	// Sound calls are carried out and answered.
+	// Sound executes the call and returns its result.
 	Sound Fault = iota
-	// Refused calls have no effect, and the answer says so.
+	// Refused fails the call with a RefusedError. The call has no effect.
 	Refused
-	// Unanswered calls take effect, and their answer is lost.
+	// Unanswered executes the call and loses its response.
 	Unanswered
-	// Late calls are not answered, and take effect at ApplyLate.
+	// Late loses the response and executes a write only at ApplyLate.
 	Late
-	// Silent calls have no effect and are not answered.
+	// Silent loses the call. It has no effect and no response.
 	Silent
 )
 
-// Call is a call as faults and delays see it.
+// Call describes a call for the choice of its fault and delay.
 type Call struct {
 	// Verb is list, get, watch, create, replace or status.
 	Verb string
@@ -37,25 +36,25 @@
 	Name string
 }
 
-// Delay is how slow a call is: the time before it is carried out and from there
-// to its answer. It is carried out also if its caller does not wait.
+// Delay is the time from a call to its execution and from there to its response. The call is
+// executed even if its caller stops waiting.
 type Delay struct{ Before, After time.Duration }
 
-// SetFault decides the fault of every later call; nil for none.
+// SetFault sets the function that returns the fault of each later call; nil for no faults.
 func (s *Store) SetFault(fault func(Call) Fault) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.fault = fault
 }
 
-// SetDelay decides the delay of every later call but watches; nil for none.
+// SetDelay sets the function that returns the delay of each later call except watches; nil
+// for no delays.
 func (s *Store) SetDelay(delay func(Call) Delay) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.delay = delay
 }
 
-// delayOf returns the delay of a call.
 func (s *Store) delayOf(call Call) Delay {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -65,8 +64,8 @@
 	return s.delay(call)
 }
 
-// enter counts a call and decides its fault.
-func (s *Store) enter(ctx context.Context, verb, kind, name string) Fault {
+// begin counts a call and returns its fault.
+func (s *Store) begin(ctx context.Context, verb, kind, name string) Fault {
 	if ctx.Err() != nil {
 		return Refused
 	}
@@ -79,9 +78,9 @@
 	return s.fault(Call{Verb: verb, Kind: kind, Name: name})
 }
 
-// read carries out a reading call under its fault.
-func (s *Store) read(ctx context.Context, verb, kind, name string) error {
-	switch s.enter(ctx, verb, kind, name) {
+// beginRead applies the fault and the delay of a read. The caller reads if it returns nil.
+func (s *Store) beginRead(ctx context.Context, verb, kind, name string) error {
+	switch s.begin(ctx, verb, kind, name) {
 	case Sound:
 		delay := s.delayOf(Call{Verb: verb, Kind: kind, Name: name})
 		time.Sleep(delay.Before + delay.After)
@@ -92,32 +91,32 @@
 	return &objectstore.UnansweredError{Cause: ErrFault}
 }
 
-// write carries out a writing call under its fault.
+// write executes a write subject to its fault and delay. It calls apply with the mutex held.
 func (s *Store) write(ctx context.Context, verb, kind, name string, apply func() (objectstore.Object, error)) (objectstore.Object, error) {
-	locked := func() (objectstore.Object, error) {
+	applyLocked := func() (objectstore.Object, error) {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
 		return apply()
 	}
-	switch s.enter(ctx, verb, kind, name) {
+	switch s.begin(ctx, verb, kind, name) {
 	case Sound:
 		delay := s.delayOf(Call{Verb: verb, Kind: kind, Name: name})
 		time.Sleep(delay.Before)
 		defer time.Sleep(delay.After)
-		return locked()
+		return applyLocked()
 	case Refused:
 		return objectstore.Object{}, &objectstore.RefusedError{Status: 503, Cause: ErrFault}
 	case Unanswered:
-		locked()
+		applyLocked()
 	case Late:
 		s.mutex.Lock()
-		s.late = append(s.late, func() { locked() })
+		s.late = append(s.late, func() { applyLocked() })
 		s.mutex.Unlock()
 	}
 	return objectstore.Object{}, &objectstore.UnansweredError{Cause: ErrFault}
 }
 
-// ApplyLate carries out the calls that were held back.
+// ApplyLate executes the writes that were held back, in order.
 func (s *Store) ApplyLate() {
 	s.mutex.Lock()
 	late := s.late
--- a/standin/metastore/reads.go
+++ b/standin/metastore/reads.go
@@ -9,12 +9,12 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// pageLength is how many objects a page of a listing holds.
+// pageLength is the maximum number of objects in a page of a listing.
 const pageLength = 50
 
 // List implements objectstore.Store.
 func (s *Store) List(ctx context.Context, kind, after string, _ objectstore.Freshness) (objectstore.Page, error) {
-	if err := s.read(ctx, "list", kind, after); err != nil {
+	if err := s.beginRead(ctx, "list", kind, after); err != nil {
 		return objectstore.Page{}, err
 	}
 	s.mutex.Lock()
@@ -34,7 +34,7 @@
 
 // Get implements objectstore.Store.
 func (s *Store) Get(ctx context.Context, kind, name string, _ objectstore.Freshness) (objectstore.Object, error) {
-	if err := s.read(ctx, "get", kind, name); err != nil {
+	if err := s.beginRead(ctx, "get", kind, name); err != nil {
 		return objectstore.Object{}, err
 	}
 	s.mutex.Lock()
@@ -48,21 +48,21 @@
 
 // Watch implements objectstore.Store.
 func (s *Store) Watch(ctx context.Context, kind string, from uint64, wait time.Duration) (objectstore.Changes, error) {
-	limit := time.NewTimer(wait)
-	defer limit.Stop()
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
 	for {
-		if err := s.read(ctx, "watch", kind, ""); err != nil {
+		if err := s.beginRead(ctx, "watch", kind, ""); err != nil {
 			return objectstore.Changes{}, err
 		}
 		s.mutex.Lock()
-		if from < s.forgotten {
+		if from < s.compactedRevision {
 			s.mutex.Unlock()
 			return objectstore.Changes{}, objectstore.ErrHistoryGone
 		}
 		changes := objectstore.Changes{Revision: s.revision}
-		for _, past := range s.history {
-			if past.kind == kind && past.at > from {
-				changes.Events = append(changes.Events, past.change)
+		for _, recorded := range s.history {
+			if recorded.kind == kind && recorded.revision > from {
+				changes.Events = append(changes.Events, recorded.change)
 			}
 		}
 		changed := s.changed
@@ -72,7 +72,7 @@
 		}
 		select {
 		case <-changed:
-		case <-limit.C:
+		case <-timeout.C:
 			return changes, nil
 		case <-ctx.Done():
 			return objectstore.Changes{}, &objectstore.UnansweredError{Cause: ctx.Err()}
--- a/standin/metastore/server.go
+++ b/standin/metastore/server.go
@@ -12,13 +12,13 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// pathObjects is where the store's calls begin.
-const pathObjects = "/-/objects/"
+// objectsPath is the path prefix of the store's API.
+const objectsPath = "/-/objects/"
 
-// longestWait bounds how long a watch is held.
-const longestWait = 30 * time.Second
+// maxWatchWait is the maximum time that a watch waits for changes.
+const maxWatchWait = 30 * time.Second
 
-// Server speaks the store's protocol over HTTP.
+// Server serves a Store over HTTP with the protocol of the metadata store.
 type Server struct{ Store *Store }
 
 type wireObject struct {
@@ -46,7 +46,7 @@
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	path, isObjects := strings.CutPrefix(request.URL.Path, pathObjects)
+	path, isObjects := strings.CutPrefix(request.URL.Path, objectsPath)
 	if !isObjects {
 		writer.WriteHeader(http.StatusNotFound)
 		return
@@ -57,35 +57,35 @@
 	query := request.URL.Query()
 	switch {
 	case request.Method == http.MethodGet && query.Has("watch"):
-		s.watch(ctx, writer, kind, query.Get("watch"), query.Get("waitMs"))
+		s.handleWatch(ctx, writer, kind, query.Get("watch"), query.Get("waitMs"))
 	case request.Method == http.MethodGet && name == "":
 		page, err := s.Store.List(ctx, kind, query.Get("sinceRev"), objectstore.Linearizable)
 		listed := make([]wireObject, 0, len(page.Objects))
 		for _, object := range page.Objects {
 			listed = append(listed, toWire(object))
 		}
-		answer(writer, map[string]any{"requests": listed, "more": page.More, "at": page.Revision}, err)
+		writeResponse(writer, map[string]any{"requests": listed, "more": page.More, "at": page.Revision}, err)
 	case request.Method == http.MethodGet:
 		object, err := s.Store.Get(ctx, kind, name, objectstore.Linearizable)
-		answer(writer, toWire(object), err)
+		writeResponse(writer, toWire(object), err)
 	default:
-		s.change(ctx, writer, request, kind, name, part)
+		s.handleWrite(ctx, writer, request, kind, name, part)
 	}
 }
 
-func (s *Server) watch(ctx context.Context, writer http.ResponseWriter, kind, from, wait string) {
+func (s *Server) handleWatch(ctx context.Context, writer http.ResponseWriter, kind, from, wait string) {
 	revision, _ := strconv.ParseUint(from, 10, 64)
 	milliseconds, _ := strconv.Atoi(wait)
-	changes, err := s.Store.Watch(ctx, kind, revision, min(time.Duration(milliseconds)*time.Millisecond, longestWait))
+	changes, err := s.Store.Watch(ctx, kind, revision, min(time.Duration(milliseconds)*time.Millisecond, maxWatchWait))
 	events := make([]wireEvent, 0, len(changes.Events))
 	for _, change := range changes.Events {
 		events = append(events, wireEvent{Gone: change.Deleted, Object: toWire(change.Object)})
 	}
-	answer(writer, map[string]any{"events": events, "at": changes.Revision}, err)
+	writeResponse(writer, map[string]any{"events": events, "at": changes.Revision}, err)
 }
 
-// change carries out a writing call.
-func (s *Server) change(ctx context.Context, writer http.ResponseWriter, request *http.Request, kind, name, part string) {
+// handleWrite handles a create, replace or status call.
+func (s *Server) handleWrite(ctx context.Context, writer http.ResponseWriter, request *http.Request, kind, name, part string) {
 	var body wireObject
 	if err := json.NewDecoder(request.Body).Decode(&body); err != nil {
 		writer.WriteHeader(http.StatusBadRequest)
@@ -104,12 +104,12 @@
 		writer.WriteHeader(http.StatusMethodNotAllowed)
 		return
 	}
-	answer(writer, toWire(object), err)
+	writeResponse(writer, toWire(object), err)
 }
 
-// answer writes the result of a call. A call without an answer ends its
-// connection.
-func answer(writer http.ResponseWriter, result any, err error) {
+// writeResponse writes the result of a call. If the response of the call is lost, it aborts
+// the connection.
+func writeResponse(writer http.ResponseWriter, result any, err error) {
 	var conflict *objectstore.ConflictError
 	var refused *objectstore.RefusedError
 	status := http.StatusOK
--- a/standin/metastore/store.go
+++ b/standin/metastore/store.go
@@ -7,25 +7,28 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// Store is the stand-in. It is safe for use by many goroutines.
+// Store is an in-memory metadata store. It is safe for concurrent use.
 type Store struct {
 	mutex    sync.Mutex
 	revision uint64
 	objects  map[string]map[string]objectstore.Object
 	history  []event
-	// forgotten is the revision up to which the history is gone.
-	forgotten uint64
-	changed   chan struct{}
-	fault     func(Call) Fault
-	delay     func(Call) Delay
-	late      []func()
-	calls     map[string]int
+	// compactedRevision is the revision up to which the history has been dropped.
+	compactedRevision uint64
+	// changed is closed and replaced at each change.
+	changed chan struct{}
+	fault   func(Call) Fault
+	delay   func(Call) Delay
+	// late are the writes that ApplyLate executes.
+	late  []func()
+	calls map[string]int
 }
 
+// event is one entry of the history.
 type event struct {
-	kind   string
-	change objectstore.Change
-	at     uint64
+	kind     string
+	change   objectstore.Change
+	revision uint64
 }
 
 var _ objectstore.Store = (*Store)(nil)
@@ -35,14 +38,14 @@
 	return &Store{objects: map[string]map[string]objectstore.Object{}, changed: make(chan struct{}), calls: map[string]int{}}
 }
 
-// put stores an object under the next revision. The mutex must be held.
+// put stores an object with the next revision. A write that changes nothing does not
+// increase the revision. The mutex must be held.
 func (s *Store) put(kind string, object objectstore.Object) objectstore.Object {
 	if s.objects[kind] == nil {
 		s.objects[kind] = map[string]objectstore.Object{}
 	}
 	existing, found := s.objects[kind][object.Name]
 	if found && bytes.Equal(existing.Spec, object.Spec) && bytes.Equal(existing.Status, object.Status) {
-		// A write that changes nothing makes no revision.
 		return existing
 	}
 	s.revision++
@@ -53,7 +56,7 @@
 }
 
 func (s *Store) record(kind string, change objectstore.Change) {
-	s.history = append(s.history, event{kind: kind, change: change, at: s.revision})
+	s.history = append(s.history, event{kind: kind, change: change, revision: s.revision})
 	s.notify()
 }
 
--- a/standin/metastore/writes.go
+++ b/standin/metastore/writes.go
@@ -20,7 +20,7 @@
 // Replace implements objectstore.Store.
 func (s *Store) Replace(ctx context.Context, kind, name string, spec json.RawMessage, revision uint64) (objectstore.Object, error) {
 	return s.write(ctx, "replace", kind, name, func() (objectstore.Object, error) {
-		existing, err := s.at(kind, name, revision)
+		existing, err := s.getAtRevision(kind, name, revision)
 		if err != nil {
 			return objectstore.Object{}, err
 		}
@@ -32,7 +32,7 @@
 // ReplaceStatus implements objectstore.Store.
 func (s *Store) ReplaceStatus(ctx context.Context, kind, name string, status json.RawMessage, revision uint64) (objectstore.Object, error) {
 	return s.write(ctx, "status", kind, name, func() (objectstore.Object, error) {
-		existing, err := s.at(kind, name, revision)
+		existing, err := s.getAtRevision(kind, name, revision)
 		if err != nil {
 			return objectstore.Object{}, err
 		}
@@ -41,8 +41,9 @@
 	})
 }
 
-// at returns an object that is at a revision. The mutex must be held.
-func (s *Store) at(kind, name string, revision uint64) (objectstore.Object, error) {
+// getAtRevision returns an object. It returns a ConflictError if the object is not at the
+// given revision. The mutex must be held.
+func (s *Store) getAtRevision(kind, name string, revision uint64) (objectstore.Object, error) {
 	existing, found := s.objects[kind][name]
 	if !found {
 		return objectstore.Object{}, objectstore.ErrNotFound
--- a/standin/replica/config.go
+++ b/standin/replica/config.go
@@ -4,36 +4,37 @@
 	"time"
 )
 
-// Config describes a replica.
+// Config configures a replica.
 type Config struct {
 	ID string
-	// Slots is how many requests run at once; more are refused.
+	// Slots is the maximum number of concurrent requests. Further requests are refused.
 	Slots int
-	// Model makes it a model engine.
+	// Model is the model that the replica serves; empty for a replica that is not a model
+	// engine.
 	Model string
 	// EventInterval is the time between the events of a stream.
 	EventInterval time.Duration
-	// LoadTime is how long a change of weights takes.
+	// LoadTime is the time that loading a weight version takes.
 	LoadTime time.Duration
-	// Work is how long a plain request takes.
+	// Work is the time that a request without a stream takes.
 	Work time.Duration
-	// CrashOn ends the replica once it has run a request whose body contains this text
-	// for CrashAfter; empty for none.
+	// CrashOn makes the replica crash when it has run a request whose body contains this
+	// text for CrashAfter; empty for no crash.
 	CrashOn    string
 	CrashAfter time.Duration
-	// Born is when the replica started, in milliseconds since the start of 1970; 0 for
-	// unknown.
+	// Born is the start time of the replica in Unix milliseconds; 0 if unknown.
 	Born int64
-	// OnCrash is called before such a crash; nil for none.
+	// OnCrash is called before a crash; may be nil.
 	OnCrash func()
 }
 
-// Faults are the misbehaviours of a replica.
+// Faults are the injected faults of a replica. A fault with the value n affects every n-th
+// request; 0 disables it.
 type Faults struct {
-	// CutEvery ends each such run in the middle of an event, 0 for none.
+	// CutEvery aborts the response in the middle of an event.
 	CutEvery int
-	// SurplusEvery sends a second answer after each such one, 0 for none.
+	// SurplusEvery sends a second response after the first.
 	SurplusEvery int
-	// WrongIDEvery answers each such request under another's id, 0 for none.
+	// WrongIDEvery sends the response with the ID of another request.
 	WrongIDEvery int
 }
--- a/standin/replica/doc.go
+++ b/standin/replica/doc.go
@@ -1,9 +1,9 @@
-// Package replica stands in for the replicas of the users' platform in tests:
-// model engines that stream events under weight versions and take orders, and
-// services that answer plain requests.
+// Package replica is a stand-in, in tests, for the replicas of the users' platform: model
+// engines, which stream events and accept orders to load weight versions, and services, which
+// respond without a stream.
 //
-// A Server owns what it ran and the orders that arrived, so that tests can judge
-// the nodes by what replicas saw. The text of a stream is a function of the
-// request's id (Events, Data, Text). Faults are set by the test; a Network gives
-// replicas connections in memory for tests on a virtual clock.
+// A Server records the requests that it runs and the orders that it receives, so that tests can
+// check what nodes sent. The text of a stream is a function of the request's ID (Events, Data,
+// Text). Tests inject Faults. A Network provides in-memory connections for tests on a virtual
+// clock.
 package replica
--- a/standin/replica/orders.go
+++ b/standin/replica/orders.go
@@ -6,19 +6,21 @@
 	"time"
 )
 
+// models returns the models field of the replica's report and entry.
 func (s *Server) models() []map[string]any {
 	return []map[string]any{{"name": s.config.Model, "version": s.Version(), "adapters": []string{}}}
 }
 
-func (s *Server) report(writer http.ResponseWriter) {
+// handleReport handles a request for the replica's state.
+func (s *Server) handleReport(writer http.ResponseWriter) {
 	models := s.models()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	json.NewEncoder(writer).Encode(map[string]any{"stage": "both", "models": models, "busy": s.busy, "seq": s.sequence, "active": s.active, "born": s.config.Born})
 }
 
-// order accepts a change of weights.
-func (s *Server) order(writer http.ResponseWriter, request *http.Request) {
+// handleOrder handles an order to load a weight version.
+func (s *Server) handleOrder(writer http.ResponseWriter, request *http.Request) {
 	var order struct {
 		Op       string
 		Model    string
--- a/standin/replica/pipe.go
+++ b/standin/replica/pipe.go
@@ -8,21 +8,20 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrNoListener means that nobody listens at an address in memory.
-var ErrNoListener = merry.Sentinel("nobody listens at the address")
+// ErrNoListener means that a Network has no listener at an address.
+var ErrNoListener = merry.Sentinel("no listener at the address")
 
-// Network is a set of listeners in memory, so that replicas and those who call
-// them run on the virtual clock of a test. It is safe for use by many
-// goroutines.
+// Network connects replicas and their clients in memory, so that both run on the virtual clock
+// of a test. It is safe for concurrent use.
 type Network struct {
 	mutex     sync.Mutex
 	listeners map[string]*pipeListener
 }
 
-// NewNetwork returns a network without listeners.
+// NewNetwork returns an empty network.
 func NewNetwork() *Network { return &Network{listeners: map[string]*pipeListener{}} }
 
-// Listen opens a listener at an address, any text.
+// Listen opens a listener. The address may be any string.
 func (n *Network) Listen(address string) net.Listener {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -31,7 +30,7 @@
 	return listener
 }
 
-// Dial opens a connection to a listener.
+// Dial connects to the listener at an address.
 func (n *Network) Dial(ctx context.Context, address string) (net.Conn, error) {
 	n.mutex.Lock()
 	listener := n.listeners[address]
@@ -39,10 +38,10 @@
 	if listener == nil {
 		return nil, ErrNoListener
 	}
-	near, far := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case listener.accepted <- far:
-		return near, nil
+	case listener.accepted <- server:
+		return client, nil
 	case <-listener.closed:
 		return nil, ErrNoListener
 	case <-ctx.Done():
@@ -50,7 +49,7 @@
 	}
 }
 
-// pipeListener implements net.Listener in memory.
+// pipeListener is an in-memory net.Listener.
 type pipeListener struct {
 	address  string
 	accepted chan net.Conn
--- a/standin/replica/requests.go
+++ b/standin/replica/requests.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// begin admits a request if a slot is free.
+// begin admits and records a request if a slot is free and no weights are being loaded. number
+// counts the admitted requests from 1.
 func (s *Server) begin(request *http.Request, body string, after int) (number int, version int64, faults Faults, admitted bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -32,10 +33,11 @@
 	s.active--
 }
 
+// every reports whether a fault that affects each count-th request affects this one.
 func every(count, number int) bool { return count > 0 && number%count == 0 }
 
-// serve runs a request or refuses it.
-func (s *Server) serve(writer http.ResponseWriter, request *http.Request) {
+// handleRequest runs a request or refuses it.
+func (s *Server) handleRequest(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return
@@ -63,16 +65,16 @@
 		return
 	}
 	time.Sleep(s.config.Work)
-	answer := "answer to " + id + ": " + string(body)
-	header.Set("Content-Length", strconv.Itoa(len(answer)))
-	io.WriteString(writer, answer)
+	text := "answer to " + id + ": " + string(body)
+	header.Set("Content-Length", strconv.Itoa(len(text)))
+	io.WriteString(writer, text)
 	if every(faults.SurplusEvery, number) {
-		s.surplus(writer)
+		s.writeSecondResponse(writer)
 	}
 }
 
-// surplus sends a second answer after the complete one.
-func (s *Server) surplus(writer http.ResponseWriter) {
+// writeSecondResponse writes a second response after the complete first one.
+func (s *Server) writeSecondResponse(writer http.ResponseWriter) {
 	http.NewResponseController(writer).Flush()
 	connection, buffer, err := http.NewResponseController(writer).Hijack()
 	if err != nil {
@@ -83,7 +85,7 @@
 	time.AfterFunc(time.Second, func() { connection.Close() })
 }
 
-// crash ends the replica in the middle of a request.
+// crash stops the replica in the middle of a request.
 func (s *Server) crash() {
 	time.Sleep(s.config.CrashAfter)
 	if s.config.OnCrash != nil {
--- a/standin/replica/run.go
+++ b/standin/replica/run.go
@@ -6,22 +6,23 @@
 
 // Run is one request that a replica ran.
 type Run struct {
-	ID      string
-	Method  string
-	Target  string
-	Body    string
+	ID     string
+	Method string
+	Target string
+	Body   string
+	// After is the Last-Event-Id header, 0 if absent.
 	After   int
 	Version int64
-	// Tenant is the tenant that the node named, and Credentials what it passed on
-	// of the caller's credentials, which must be empty.
+	// Tenant is the tenant header sent by the node. Credentials is the caller's
+	// Authorization header, which the node must not forward.
 	Tenant      string
 	Credentials string
-	// Priority is the priority header as it came, empty for none.
+	// Priority is the priority header; empty if absent.
 	Priority string
 	At       time.Time
 }
 
-// OrderSeen is one order as it arrived.
+// OrderSeen is one received order to load a weight version.
 type OrderSeen struct {
 	Owner   string
 	Token   uint64
--- a/standin/replica/server.go
+++ b/standin/replica/server.go
@@ -6,25 +6,27 @@
 	"sync"
 )
 
-// Server is a running replica.
+// Server is a running replica. It is safe for concurrent use.
 type Server struct {
 	config   Config
 	listener net.Listener
 	server   *http.Server
 
-	mutex    sync.Mutex
-	version  int64
+	mutex   sync.Mutex
+	version int64
+	// busy is set while weights are loaded; sequence counts these loads.
 	busy     bool
 	sequence int64
-	active   int
-	served   int
-	runs     []Run
-	orders   []OrderSeen
-	faults   Faults
-	ended    bool
+	// active is the number of running requests, served that of all admitted ones.
+	active int
+	served int
+	runs   []Run
+	orders []OrderSeen
+	faults Faults
+	ended  bool
 }
 
-// Start serves a replica on a port that the system chooses.
+// Start starts a replica on a free port of the loopback interface.
 func Start(config Config) (*Server, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,7 +35,7 @@
 	return Serve(config, listener), nil
 }
 
-// Serve serves a replica on a listener, which may be one in memory.
+// Serve starts a replica on a listener.
 func Serve(config Config, listener net.Listener) *Server {
 	replica := &Server{config: config, listener: listener, version: 1}
 	replica.server = &http.Server{Handler: replica}
@@ -41,10 +43,10 @@
 	return replica
 }
 
-// Address is where the replica listens.
+// Address returns the address of the replica.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close ends the replica at once.
+// Close stops the replica immediately and closes its connections.
 func (s *Server) Close() {
 	s.mutex.Lock()
 	s.ended = true
@@ -52,42 +54,42 @@
 	s.server.Close()
 }
 
-// Ended tells whether the replica has ended, by itself or not.
+// Ended reports whether the replica has crashed or was closed.
 func (s *Server) Ended() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.ended
 }
 
-// SetFaults changes how the replica misbehaves.
+// SetFaults replaces the injected faults.
 func (s *Server) SetFaults(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults = faults
 }
 
-// Runs returns what the replica ran.
+// Runs returns the requests that the replica ran.
 func (s *Server) Runs() []Run {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return append([]Run(nil), s.runs...)
 }
 
-// Orders returns the orders that arrived.
+// Orders returns the received orders.
 func (s *Server) Orders() []OrderSeen {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return append([]OrderSeen(nil), s.orders...)
 }
 
-// Version is the weight version that the replica has.
+// Version returns the loaded weight version.
 func (s *Server) Version() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.version
 }
 
-// Entry is the replica's entry in the metadata store.
+// Entry returns the replica's entry in the metadata store.
 func (s *Server) Entry(service, zone string) map[string]any {
 	entry := map[string]any{"service": service, "address": s.Address(), "zone": zone, "version": "v1", "slots": s.config.Slots, "state": "ready"}
 	if s.config.Born != 0 {
@@ -110,10 +112,10 @@
 	}
 	switch request.URL.Path {
 	case "/-/report":
-		s.report(writer)
+		s.handleReport(writer)
 	case "/-/order":
-		s.order(writer, request)
+		s.handleOrder(writer, request)
 	default:
-		s.serve(writer, request)
+		s.handleRequest(writer, request)
 	}
 }
--- a/standin/replica/stream.go
+++ b/standin/replica/stream.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// stream sends the events of a generation, whose number its id decides.
+// stream sends the events of a generation after event number after.
 func (s *Server) stream(writer http.ResponseWriter, request *http.Request, after, number int, version int64, faults Faults) {
 	header := writer.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Pathtally-Weight-Versions", strconv.FormatInt(version, 10))
 	writer.WriteHeader(http.StatusOK)
 	id := request.Header.Get("Pathtally-Request-Id")
-	total := Events(id)
-	for event := after + 1; event <= total; event++ {
+	count := Events(id)
+	for event := after + 1; event <= count; event++ {
 		select {
 		case <-request.Context().Done():
 			return
@@ -36,13 +36,13 @@
 	}
 }
 
-// Events is how many events the generation of a request has.
+// Events returns the number of events of a request's generation.
 func Events(id string) int { return 2 + len(id)%3 }
 
-// Data is the text of one event of a request.
+// Data returns the data of one event of a request.
 func Data(id string, event int) string { return fmt.Sprintf("%s-%d", id, event) }
 
-// Text is the whole text of a request.
+// Text returns the data of all events of a request, one per line.
 func Text(id string) string {
 	parts := make([]string, 0, Events(id))
 	for event := 1; event <= Events(id); event++ {
