--- a/internal/jobs/batch/accept.go
+++ b/internal/jobs/batch/accept.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// backgroundTimeout bounds how long a submission whose outcome is uncertain is retried
-// after its caller has been answered.
+// backgroundTimeout bounds the retries of a submission, or of an end, after its caller
+// has been answered.
 const backgroundTimeout = 30 * time.Second
 
-// acceptance is a submission on its way into the store.
+// acceptance is a submission that is being written to the store.
 type acceptance struct {
-	// tenant is whose submission it is.
+	// tenant is the tenant that submitted the job.
 	tenant string
 	done   chan struct{}
 	err    error
 }
 
-// Submit stores a batch job and has it run, by the node that runs the jobs of its model if
-// that one answers. A nil error means that the job is stored; a *jobstore.NotTakenError
-// that nothing of it will run; ErrOtherTenant that the id is another tenant's job's; a
-// *jobstore.UncertainError promises nothing. A job is accepted once, whoever submits it
-// again.
+// Submit stores a batch job and has it run, if possible by the node that runs the jobs of
+// its model. Submitting an id again is safe: a job is accepted once.
+//
+// It returns nil once the job is stored, a *jobstore.NotTakenError if the job is not
+// stored and will not run, ErrOtherTenant if another tenant's job has the id, and a
+// *jobstore.UncertainError if the outcome is unknown.
 func (s *Service) Submit(ctx context.Context, arrival *Arrival) error {
 	if s.isKnown(arrival.ID) {
 		return s.authorizeArrival(ctx, arrival)
@@ -42,7 +43,7 @@
 	return err
 }
 
-// isKnown tells whether a batch job is known to be stored.
+// isKnown reports whether this node knows that a job is stored.
 func (s *Service) isKnown(id string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -66,8 +67,7 @@
 	}
 }
 
-// beginAcceptance returns the acceptance of a job that is under way, or begins
-// one.
+// beginAcceptance returns the pending acceptance of a job, or starts one.
 func (s *Service) beginAcceptance(ctx context.Context, arrival *Arrival) *acceptance {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -84,8 +84,8 @@
 	return pending
 }
 
-// accept writes a submission, first within the caller's time and then, if it
-// is uncertain, beyond it.
+// accept writes a submission to the store. If the outcome is unknown at the caller's
+// deadline, the caller is answered and the write is retried in the background.
 func (s *Service) accept(pending *acceptance, deadline time.Time, arrival *Arrival) {
 	ctx, cancel := context.WithDeadline(s.base, deadline)
 	defer cancel()
@@ -109,8 +109,8 @@
 	s.endAcceptance(arrival, stored, made, began, err)
 }
 
-// endAcceptance starts an accepted job that is this process's, and records one that is
-// another's.
+// endAcceptance starts an accepted job if this process owns it, and otherwise records its
+// owner.
 func (s *Service) endAcceptance(arrival *Arrival, stored jobstore.Record, made bool, began time.Time, err error) {
 	id := arrival.ID
 	s.mutex.Lock()
@@ -130,13 +130,13 @@
 	case own && made && time.Since(began) < maxPromptAcceptance:
 		s.start(id, arrival.Submission, stored, jobstore.Listing{}, began)
 	case own:
-		// An earlier try made it, it was run here and forgotten, or it may have been
-		// taken over while the answer was on its way.
+		// The record is not known to be current: an earlier attempt created it, the job
+		// was run here and evicted, or it may have been taken over meanwhile.
 		go s.resume(id)
 	}
 }
 
-// recordOf is the record of a job that this node accepts.
+// recordOf returns the record of a job that this node accepts.
 func (s *Service) recordOf(arrival *Arrival) jobstore.Record {
 	return jobstore.Record{
 		Owner: s.config.Self, Epoch: 1, Route: arrival.Route, Host: arrival.Host, Tenant: arrival.Tenant, Entry: arrival.Entry,
@@ -144,15 +144,15 @@
 	}
 }
 
-// maxPromptAcceptance is how long an acceptance may take for its record to be unchanged
-// since: nobody takes a job over before its owner has been silent for as long.
+// maxPromptAcceptance is the longest acceptance after which the record is known to be
+// unchanged: no node takes a job over before its owner has been silent for this long.
 const maxPromptAcceptance = ownership.OwnerTimeout
 
-// resume continues a job of this process that it does not hold, unless the job has ended.
+// resume loads and starts an open job that this process owns but does not have in memory.
 func (s *Service) resume(id string) {
 	stored, err := s.config.JobStore.Read(s.base, id)
 	if err != nil {
-		// It is taken over like any job whose owner is silent.
+		// The job is taken over like any other whose owner sends no heartbeats.
 		s.mutex.Lock()
 		s.learnRemote(id, s.config.Self, 0, false)
 		s.mutex.Unlock()
--- a/internal/jobs/batch/answers.go
+++ b/internal/jobs/batch/answers.go
@@ -7,8 +7,8 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// Answer answers another node's question about a batch job; false if the
-// message is none.
+// Answer handles another node's request about a batch job. It returns false for messages
+// of other kinds.
 func (s *Service) Answer(message wire.Message, reply func(wire.Message)) bool {
 	switch question := message.(type) {
 	case *wire.JobRead:
--- a/internal/jobs/batch/append_answer_test.go
+++ b/internal/jobs/batch/append_answer_test.go
@@ -8,11 +8,8 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// Symptom: a position that a caller had read was empty at the owner of an open job.
-//
-// Sequence: an append is done by the store and its answer is lost; another node, which
-// the owner does not answer, reads the results from the store. Then the store answers
-// nobody. The owner, which cannot look behind its append, showed an empty page.
+// Guards against a result that a reader has seen missing at the owner while the outcome
+// of its append is unknown and the store does not respond.
 func TestAnOwnerThatCannotLookBehindItsAppendSaysSo(t *testing.T) {
 	cluster, held := unlistedResults(t)
 	cluster.store.SetFault(func(call metastore.Call) metastore.Fault {
--- a/internal/jobs/batch/arrival.go
+++ b/internal/jobs/batch/arrival.go
@@ -1,18 +1,18 @@
 package batch
 
-// Arrival is a batch job as it comes to a node, before it is stored.
+// Arrival is a request to submit a batch job.
 type Arrival struct {
-	// ID is the caller's id of the job.
+	// ID is the job id that the caller chose.
 	ID string
-	// Route is the name of the route that took the job, and Host its host.
+	// Route is the name of the route that matched the request, and Host the request's
+	// host.
 	Route string
 	Host  string
-	// Tenant is whose job it is, empty where no tenants are declared.
+	// Tenant is the job's tenant, empty where no tenants are declared.
 	Tenant string
 	// Entry is the region of the node that the caller connected to.
 	Entry string
-	// Payload is the submission as its caller sent it, and Submission what it
-	// says.
+	// Payload is the submission as received, and Submission its decoded form.
 	Payload    []byte
 	Submission *Submission
 }
--- a/internal/jobs/batch/attempt.go
+++ b/internal/jobs/batch/attempt.go
@@ -23,31 +23,31 @@
 	endpoint *routing.Endpoint
 	cancel   context.CancelCauseFunc
 	begun    time.Time
-	// priority is that of the item's route, 0 the most urgent.
+	// priority is that of the job's items, 0 the most urgent.
 	priority int
-	// events counts the events of this run, and heard is when the last came,
-	// as a span since begun.
+	// events counts the events received in this run. lastEvent is when the last one came,
+	// in nanoseconds since the run began.
 	events    atomic.Int64
 	lastEvent atomic.Int64
-	// after is how many events the item had before this run.
+	// after is the number of events that the item had before this run.
 	after int
-	// first is how long the first event took, and longestGap the longest time
-	// between two events. They belong to the goroutine of the run.
+	// first is the delay of the first event, and longestGap the longest time between two
+	// later ones. Only the run's goroutine accesses them.
 	first      time.Duration
 	longestGap time.Duration
-	// took is how long the run lasted. It belongs to the goroutine of the run.
+	// took is the duration of the run. Only the run's goroutine writes it.
 	took time.Duration
 }
 
-// idle is how long nothing has come.
+// idle returns the time since the last event, or since the start of the run.
 func (a *attempt) idle() time.Duration {
 	return time.Since(a.begun) - time.Duration(a.lastEvent.Load())
 }
 
-// cut ends the run for a reason.
+// cut cancels the run with a cause.
 func (a *attempt) cut(reason error) { a.cancel(reason) }
 
-// launch starts an item at a replica. The mutex must be held.
+// launch starts a run of an item at a replica. The mutex must be held.
 func (s *scheduler) launch(waiting *item, endpoint *routing.Endpoint) {
 	ctx, cancel := context.WithCancelCause(waiting.job.ctx)
 	running := &attempt{item: waiting, endpoint: endpoint, cancel: cancel, begun: time.Now(), after: len(waiting.progress.events)}
@@ -78,7 +78,7 @@
 	}()
 }
 
-// run streams an item from a replica to its end.
+// run streams an item from a replica until the stream ends.
 func (s *scheduler) run(ctx context.Context, running *attempt, host string, singleVersion bool) error {
 	work := running.item
 	call := &dispatch.Call{
@@ -97,8 +97,8 @@
 	}
 	version := answer.Verdict.Version
 	s.learnVersion(running.endpoint.Name, work.job.submission.Model, version)
-	// A replica that has nothing to add to a text names no version: it is not to be
-	// taken for one with old weights, or the item runs on for ever.
+	// A replica that has nothing to add to a complete text names no version. Treating
+	// that as old weights would retry the item forever.
 	addsNothing := version == 0 && len(work.progress.events) > 0
 	if err := checkVersion(version, work.job.submission.MinVersion); err != nil && !addsNothing {
 		answer.Discard()
@@ -107,8 +107,8 @@
 	return s.receiveEvents(running, answer, version, singleVersion)
 }
 
-// receiveEvents reads the events of an answer to its end. The version is the answer's
-// until an event names another.
+// receiveEvents reads the events of a response until the stream ends. version is the
+// weight version of the response, which applies until an event names another one.
 func (s *scheduler) receiveEvents(running *attempt, answer *dispatch.Answer, version int64, singleVersion bool) error {
 	work := running.item
 	events := eventstream.NewReader(answer, s.config.Codec.VersionField(), len(work.progress.events))
@@ -141,7 +141,7 @@
 	}
 }
 
-// checkVersion tells why events of a weight version must not be used, nil where they may.
+// checkVersion returns an error if events made by a weight version must not be used.
 // Version 0 means that the replica named none.
 func checkVersion(version, least int64) error {
 	switch {
@@ -153,7 +153,7 @@
 	return ErrOldWeights
 }
 
-// learnVersion records a weight version that a replica's answer names.
+// learnVersion records a weight version that a replica's response names.
 func (s *scheduler) learnVersion(replica, model string, version int64) {
 	if version <= 0 {
 		return
@@ -163,15 +163,14 @@
 	s.replicas.Get(replica).ObserveVersion(model, version)
 }
 
-// startAnew drops what an item's runs have made.
+// startAnew discards an item's text, so that its next run starts from the beginning.
 func (s *scheduler) startAnew(work *item) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	work.startAnew()
 }
 
-// receiveEvent adds the next event to an item's text and learns the replica's pace from
-// it.
+// receiveEvent appends an event to an item's text and updates the replica's pace.
 func (s *scheduler) receiveEvent(running *attempt, event string, version int64) {
 	since := time.Since(running.begun)
 	interval := since - time.Duration(running.lastEvent.Swap(int64(since)))
@@ -186,7 +185,8 @@
 	s.replicas.Get(running.endpoint.Name).Observe(interval, time.Now())
 }
 
-// runEnded ends a run: its item is finished, waits for another run, or has failed.
+// runEnded removes a run that has ended. Unless it succeeded, its item is queued again or
+// abandoned.
 func (s *scheduler) runEnded(running *attempt, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -213,8 +213,8 @@
 	s.sortQueue()
 }
 
-// logFields describes a run that has ended for the log: where it ran, how long after the
-// start of the job here it began, and how its events came. Times are in milliseconds.
+// logFields returns the log fields of a run that has ended. Times are in milliseconds;
+// beganMs counts from the start of the job on this node.
 func (a *attempt) logFields() []any {
 	work := a.item
 	return []any{
--- a/internal/jobs/batch/authorize.go
+++ b/internal/jobs/batch/authorize.go
@@ -6,11 +6,12 @@
 	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 )
 
-// Authorize tells whether a tenant may read and end a batch job: its own, and
-// those that were accepted when no tenants were declared. For any other the job
-// does not exist: the error is ErrNoSuchJob. Other errors mean that this node
-// cannot tell. An empty tenant is that of a configuration without tenants and of
-// public routes, and may do so with every job.
+// Authorize checks that a tenant may read and end a batch job. It may if the job is its
+// own or was accepted when no tenants were declared. An empty tenant (no tenants
+// declared, or a public route) may access every job.
+//
+// The error is jobstore.ErrNoSuchJob for a job of another tenant, which hides its
+// existence. Other errors mean that this node could not find out.
 func (s *Service) Authorize(ctx context.Context, id, tenant string) error {
 	if tenant == "" {
 		return nil
@@ -37,7 +38,7 @@
 	return nil
 }
 
-// authorizeArrival tells whether a tenant may submit a job again that is stored already.
+// authorizeArrival checks that a tenant may submit a job again that is stored already.
 func (s *Service) authorizeArrival(ctx context.Context, arrival *Arrival) error {
 	err := s.Authorize(ctx, arrival.ID, arrival.Tenant)
 	switch {
@@ -49,7 +50,7 @@
 	return nil
 }
 
-// tenantOf returns a batch job's tenant, if it is known here.
+// tenantOf returns the tenant of a batch job if this node knows it.
 func (s *Service) tenantOf(id string) (tenant string, known bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -62,7 +63,7 @@
 	return "", false
 }
 
-// learnStored records a job of another node as the store has it. The mutex must be held.
+// learnStored records another node's job from its stored record. The mutex must be held.
 func (s *Service) learnStored(stored jobstore.StoredJob) *remoteJob {
 	remote := s.learnRemote(stored.ID, stored.Record.Owner, stored.Record.Epoch, stored.Ended)
 	remote.tenant, remote.tenantKnown = stored.Record.Tenant, true
--- a/internal/jobs/batch/candidates.go
+++ b/internal/jobs/batch/candidates.go
@@ -5,20 +5,20 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// candidateKey names the items that are placed among the same replicas of a plan.
+// candidateKey identifies the items that share candidates within a plan.
 type candidateKey struct {
 	model string
 	items int
 }
 
-// candidateSet are the replicas of one plan among which items are placed.
+// candidateSet caches the candidate replicas computed from one plan.
 type candidateSet struct {
 	plan  *routing.Plan
 	byKey map[candidateKey][]*routing.Endpoint
 }
 
-// candidatesOf are the replicas of a service among which the items of a job are placed,
-// worked out once for each plan. The mutex must be held.
+// candidatesOf returns the replicas of a service that may run the items of a job. The
+// result is cached until the plan changes. The mutex must be held.
 func (s *scheduler) candidatesOf(service string, plan *routing.Plan, job *job) []*routing.Endpoint {
 	set := s.candidates[service]
 	if set == nil || set.plan != plan {
--- a/internal/jobs/batch/end.go
+++ b/internal/jobs/batch/end.go
@@ -9,8 +9,8 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// End ends a batch job: nothing more of it is run. With a nil error the store has the end;
-// a caller that gets another one repeats the call.
+// End ends a batch job: its remaining items are not run. A nil error means that the end
+// is stored. A caller that gets an error may retry.
 func (s *Service) End(ctx context.Context, id string) error {
 	s.mutex.Lock()
 	held := s.jobs[id]
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// endAtOwner asks the owner of a job to end it, and tells whether it has.
+// endAtOwner asks the owner of a job to end it, and reports whether the owner has.
 func (s *Service) endAtOwner(ctx context.Context, id string) bool {
 	owner, known := s.ownerOf(ctx, id)
 	if !known {
@@ -47,8 +47,8 @@
 	return true
 }
 
-// endHeld ends a job that this node runs. No more of it runs from now on, whatever
-// the store answers.
+// endHeld ends a job that this node runs. Its runs stop even if the store does not accept
+// the end yet.
 func (s *Service) endHeld(ctx context.Context, id string) error {
 	s.endAndAnnounce(id)
 	err := s.storeEnd(ctx, id)
@@ -58,8 +58,8 @@
 	return err
 }
 
-// storeEnd stores the end of a job. The store's answer names the owner: a former owner
-// that does not know its successor must not go on answering from memory.
+// storeEnd stores the end of a job and applies the record that the store returns: if the
+// record names another owner, this node must no longer answer from memory.
 func (s *Service) storeEnd(ctx context.Context, id string) error {
 	began := time.Now()
 	stored, err := s.recordEnd(ctx, id)
@@ -67,7 +67,7 @@
 		return err
 	}
 	s.mutex.Lock()
-	// It is announced from now on, however long the write took.
+	// The end is announced again, for the full time, however long the write took.
 	s.ends.Announce(id, time.Now())
 	if held := s.jobs[id]; held != nil {
 		s.applyRecord(held, stored, began)
@@ -78,9 +78,9 @@
 	return nil
 }
 
-// persistEnd stores an end that the store did not take within its caller's time, or that
-// another node announced: the caller may not repeat it, and a later owner would run the
-// job on. It goes on when the job has become another node's.
+// persistEnd retries storing an end that another node announced or that was not stored by
+// the caller's deadline. The caller may not retry, and a later owner would resume the
+// job. It continues even if another node becomes the owner.
 func (s *Service) persistEnd(id string) {
 	s.mutex.Lock()
 	pursued := s.endsBeingPersisted[id]
@@ -99,7 +99,7 @@
 	s.mutex.Unlock()
 }
 
-// recordEnd writes the end of a job to the store, and returns the job as stored then.
+// recordEnd writes the end of a job to the store and returns the stored job.
 func (s *Service) recordEnd(ctx context.Context, id string) (jobstore.StoredJob, error) {
 	began := time.Now()
 	stored, err := s.config.JobStore.End(ctx, id)
@@ -112,7 +112,7 @@
 	return stored, nil
 }
 
-// endAndAnnounce stops a job here and has its end announced to the other nodes.
+// endAndAnnounce stops a job on this node and announces its end to the other nodes.
 func (s *Service) endAndAnnounce(id string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/jobs/batch/ended_owner_test.go
+++ b/internal/jobs/batch/ended_owner_test.go
@@ -8,22 +8,12 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// Symptom: a node that is in touch shows fewer results of an ended job than were
-// read at another one, for a minute and a half or for as long as its process lives.
-//
-// Sequence: the owner of a job is cut off; a successor takes the job over and lists
-// results, which are read; an end of the job reaches the former owner before that
-// one has looked up who owns the job; then the way is well again. The store takes
-// that end at once, or does not answer and the caller repeats the end at the
-// successor.
-//
-// Cause: a job that was ended here counts as settled. Nobody looks up any more who
-// owns it, word of the end from another node finds it ended and is dropped, and what
-// was held when the job was ended is shown from then on.
+// Guards against a former owner that serves its outdated results of a job because the job
+// was ended there before it learned of its successor.
 func TestAnEndAtAFormerOwnerDoesNotMakeItsOldResultsStand(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// down are the calls that the store refuses until the way is well again.
+		// down are the store calls that fail until the partition heals.
 		down []string
 	}{
 		{"the store takes the end", []string{"get"}},
@@ -46,7 +36,7 @@
 				}
 				return metastore.Sound
 			})
-			// What the former owner runs finishes neither here nor there.
+			// The former owner's runs must not finish.
 			held.cancel()
 			engine.release()
 			listed := cluster.readAll(successor, "job", 6)
@@ -60,7 +50,8 @@
 					t.Fatal(err)
 				}
 			}
-			// Longer than a node that has been cut off may take to be in touch.
+			// This allows the former owner more time than it may take to learn of its
+			// successor.
 			shown := 0
 			for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && shown < len(listed); time.Sleep(20 * time.Millisecond) {
 				if page, err := former.Read(context.Background(), "job", 0, 0); err == nil {
--- a/internal/jobs/batch/ends_test.go
+++ b/internal/jobs/batch/ends_test.go
@@ -10,25 +10,12 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// Symptom: items of a batch job reached replicas for more than three seconds after
-// the job's end had been acknowledged.
-//
-// Sequence: all nodes are killed. The new process of the job's owner takes the job
-// over and reads its payload and results, which takes about a second while the store
-// comes back. The caller ends the job: the end is recorded and told to all nodes.
-// Then the owner has read everything and starts the job.
-//
-// Cause: an end could stop only a job that was held. The one that was being read was
-// not, and starting it threw away the note that its end had left; only the look at
-// the record three seconds later found it.
-//
-// Settled by the owner's log, the same in four plays: "batch job taken over" at
-// 34.74 s, the end acknowledged at 34.78, "batch job started" at 35.50, "batch job
-// ended" at 38.71, one period of the look at the record later.
+// Guards against items that run after the end of their job because the end arrived while
+// the job was being loaded.
 func TestAJobEndedWhileItIsTakenOverIsNotRun(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// deaf has the successor hear nothing of the other nodes meanwhile.
+		// deaf disconnects the successor from the other nodes when the job is ended.
 		deaf bool
 	}{
 		{"the successor hears of the end", false},
@@ -70,9 +57,9 @@
 	}
 }
 
-// loseOwner has the first node run a job and die, and returns the node that takes the
-// job over and another one. The successor owns the job in its record, and is held
-// back by the gate before it has read the results.
+// loseOwner runs a job on the first node, stops that node, and returns the node that
+// takes the job over and the third one. The gate keeps the successor, which owns the job
+// by its record, from reading the results.
 func (c *cluster) loseOwner(engine *testEngine) (successor, other *testNode) {
 	c.t.Helper()
 	if err := c.submit(c.nodes[0], "job", 6); err != nil {
@@ -94,7 +81,7 @@
 	return successor, other
 }
 
-// runCount counts the runs that have begun.
+// runCount returns the number of runs started.
 func (e *testEngine) runCount() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -105,9 +92,8 @@
 	return count
 }
 
-// A job may be ended before the node that accepts it knows that it has: the store
-// has made the record, and its answer is still on the way when another node, to which
-// the caller sent the job as well, says that it is accepted.
+// Guards against items that run after the end of their job because the job was ended at
+// another node while the response to its create was delayed.
 func TestAJobEndedWhileItIsAcceptedIsNotRun(t *testing.T) {
 	engine := heldEngine(t)
 	cluster := newCluster(t, 2, engine)
@@ -119,7 +105,7 @@
 	if err := cluster.nodes[1].End(context.Background(), "job"); err != nil {
 		t.Fatal(err)
 	}
-	// The end is told to all nodes once; that takes some microseconds here.
+	// The heartbeat that announces the end needs some time to arrive.
 	time.Sleep(scanInterval)
 	close(gate.open)
 	if err := <-accepted; err != nil {
@@ -131,21 +117,8 @@
 	}
 }
 
-// Symptom: a result that a caller had read was gone: a node showed one result fewer
-// than had been read, twenty seconds after the job's end.
-//
-// Sequence: the caller ends the job while an append of results is on its way into the
-// store. The owner stands still for five seconds; a caller reads the job at another
-// node, which reads the store. Then the owner goes on, finds that it still owns the
-// job, and answers reads from memory.
-//
-// Cause: the end cut the append off and its outcome, unknown, was taken for "not
-// done". The store had done it, so the owner's memory lacked a chunk for good.
-//
-// Settled by the owner's log: "batch job ended" at 18.918 s with 51 results listed of
-// 52, 8 chunks, appending; "results not appended", chunk 8, 0.2 ms later; 52 results
-// in 9 chunks read from the store by two other nodes at 31 s; none at position 51 by
-// way of the owner at 41 s. No other node ever owned the job.
+// Guards against a result that a reader has seen missing at the owner because the job
+// ended while the result was being appended.
 func TestAResultReadFromTheStoreStaysAtItsOwner(t *testing.T) {
 	t.Run("the append's answer is late", func(t *testing.T) {
 		cluster, held := unlistedResults(t)
@@ -178,8 +151,8 @@
 	})
 }
 
-// unlistedResults is a cluster of two nodes, the first of which runs a job with two
-// results that wait to be listed.
+// unlistedResults returns a cluster of two nodes, the first of which runs a job with two
+// finished results that are not appended yet.
 func unlistedResults(t *testing.T) (*cluster, *job) {
 	t.Helper()
 	engine := heldEngine(t)
@@ -207,8 +180,8 @@
 	}
 }
 
-// readBesideOwner reads the job at the second node while the first one is not to be
-// reached, and returns how many results it shows.
+// readBesideOwner reads the job at the second node while the first one is unreachable,
+// and returns the number of results.
 func (c *cluster) readBesideOwner() int {
 	c.t.Helper()
 	c.setCut("node-0", true)
@@ -220,7 +193,7 @@
 	return len(page.Results)
 }
 
-// awaitOwnersAnswer waits until the first node answers for the job from memory.
+// awaitOwnersAnswer waits until the first node serves the job from memory.
 func (c *cluster) awaitOwnersAnswer() {
 	c.t.Helper()
 	eventually(c.t, "the owner answers from memory", func() bool {
@@ -229,7 +202,8 @@
 	})
 }
 
-// checkNothingGone checks that each node that answers shows what has been read.
+// checkNothingGone checks that every node that can read the job returns at least as many
+// results as were read before.
 func (c *cluster) checkNothingGone(when string, read int) {
 	c.t.Helper()
 	for _, node := range c.nodes {
@@ -240,8 +214,8 @@
 	}
 }
 
-// An end that is heard of between the last look at a job's record and its start keeps
-// the job from being started, and is made lasting.
+// Guards against starting a job whose end arrived after its record was last read, and
+// against losing that end.
 func TestAnEndHeardOfAfterTheLastLookKeepsAJobFromItsStart(t *testing.T) {
 	engine := heldEngine(t)
 	defer engine.release()
--- a/internal/jobs/batch/epoch_test.go
+++ b/internal/jobs/batch/epoch_test.go
@@ -7,14 +7,8 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// Symptom: a node that is well asks a former owner for the results of a job, and shows
-// fewer than had been read at the successor.
-//
-// Sequence: an owner is cut off; another node takes its job over and tells all nodes;
-// the way is well again, and the former owner, which has not looked its ownership up
-// yet, goes on with its heartbeats.
-//
-// Cause: whoever was heard last counted as the owner, however old its ownership was.
+// Guards against taking a former owner, which still sends heartbeats, for the owner of a
+// job.
 func TestAHeartbeatOfAFormerOwnerChangesNothing(t *testing.T) {
 	cluster := newCluster(t, 1, startEngine(t, 1))
 	node := cluster.nodes[0]
@@ -36,7 +30,7 @@
 		{"node-9", 2, "node-9", true},
 		{"node-8", 1, "node-9", false},
 		{"node-9", 2, "node-9", true},
-		// Nodes of an earlier release tell no epoch.
+		// Nodes of earlier releases send no epoch.
 		{"node-7", 0, "node-7", true},
 	} {
 		before := time.Time{}
@@ -54,7 +48,7 @@
 	}
 }
 
-// A job that runs here is not in doubt because a former owner says that it runs it.
+// A heartbeat of a former owner must not make the ownership of a local job unconfirmed.
 func TestAFormerOwnersClaimLeavesTheOwnerCertain(t *testing.T) {
 	engine := heldEngine(t)
 	defer engine.release()
--- a/internal/jobs/batch/errors.go
+++ b/internal/jobs/batch/errors.go
@@ -9,44 +9,45 @@
 )
 
 var (
-	// ErrOtherTenant means that another tenant has handed in a batch job under
-	// the same id.
+	// ErrOtherTenant is returned for a submission whose id belongs to a batch job of
+	// another tenant.
 	ErrOtherTenant = merry.Sentinel("another tenant's batch job has this id")
-	// ErrCredentials means that an item of a batch job carries credentials.
+	// ErrCredentials is returned for a submission in which an item carries credentials.
 	ErrCredentials = merry.Sentinel("an item must not carry credentials: it runs for the tenant that hands the batch job in")
-	// ErrOutside means that a node may not have the bodies of a batch job.
+	// ErrOutside means that this node is outside the regions that may hold the bodies of
+	// a batch job.
 	ErrOutside = merry.Sentinel("the node is outside the allowed regions")
-	// ErrNoSuchItem means that a batch job has no such item.
+	// ErrNoSuchItem means that a batch job has no item with the given id.
 	ErrNoSuchItem = merry.Sentinel("no such item")
-	// ErrDisplaced means that another node runs the batch job now.
+	// ErrDisplaced means that the node asked does not run the batch job.
 	ErrDisplaced = merry.Sentinel("another node runs the batch job")
-	// ErrUnframed means that only the end of a connection ended a stream.
+	// ErrUnframed means that the connection closed before the end of the response was
+	// received.
 	ErrUnframed = merry.Sentinel("stream ended without a frame")
-	// ErrStalled means that a run was cut because nothing came.
+	// ErrStalled is the cause of a run that was canceled because no events came.
 	ErrStalled = merry.Sentinel("run has stalled")
-	// ErrMoved means that a run was cut to go on at a faster replica.
+	// ErrMoved is the cause of a run that was canceled to continue at a faster replica.
 	ErrMoved = merry.Sentinel("run was moved")
-	// ErrNoVersion means that a replica names no weight version.
+	// ErrNoVersion means that a replica's response names no weight version.
 	ErrNoVersion = merry.Sentinel("replica names no weight version")
-	// ErrOldWeights means that a replica's weights are older than allowed.
+	// ErrOldWeights means that a replica's weight version is older than the job allows,
+	// or not the one that made the item's earlier events where its route requires a
+	// single version.
 	ErrOldWeights = merry.Sentinel("weights are older than allowed")
 )
 
-// CutError is a run that was cut to go on elsewhere.
+// CutError means that the scheduler canceled a run so that its item continues elsewhere.
 type CutError struct {
-	// Cause is ErrMoved or ErrStalled, and Reason why it is worth it.
+	// Cause is ErrMoved or ErrStalled.
 	Cause  error
 	Reason placement.Reason
 }
 
-// Error gives the cause and the reason.
 func (e *CutError) Error() string { return fmt.Sprintf("%v: %s", e.Cause, e.Reason) }
 
-// Unwrap returns the cause.
 func (e *CutError) Unwrap() error { return e.Cause }
 
-// ItemStatusError is a replica's answer that is no stream of an item.
+// ItemStatusError means that a replica responded to an item with a status other than 200.
 type ItemStatusError struct{ Status int }
 
-// Error gives the status.
 func (e *ItemStatusError) Error() string { return fmt.Sprintf("replica answered status %d", e.Status) }
--- a/internal/jobs/batch/failing.go
+++ b/internal/jobs/batch/failing.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// maxFailuresFactor is how many times the attempts of its route an item may fail before
-// it is given up, where the replicas are to blame. The platform forbids a further run
-// after three times as many.
+// maxFailuresFactor times the route's attempts is the number of failures, at failing
+// replicas or not, after which an item is abandoned. The platform forbids a further run
+// after three times the attempts.
 const maxFailuresFactor = 2
 
-// recordFailure records that a replica answered that an item failed there, and gives the
-// item up once that is certain to be the item's own fault. The mutex must be held.
+// recordFailure records that an item failed at a replica, according to its response, and
+// abandons the item once its own failures or all its failures reach their limits. The
+// mutex must be held.
 func (s *scheduler) recordFailure(running *attempt, state *replicastate.State) {
 	work, replica, now := running.item, running.endpoint.Name, time.Now()
 	wasFailing := state.Failures.IsFailing(now)
 	if !slices.Contains(work.failedAt, replica) {
-		// An item that fails where it has failed before says nothing new of the
-		// replica.
+		// Repeated failures of an item at one replica count once in the failure rate of
+		// the replica.
 		state.Failures.Observe(true, now)
 		work.failedAt = append(work.failedAt, replica)
 	}
--- a/internal/jobs/batch/final_test.go
+++ b/internal/jobs/batch/final_test.go
@@ -12,14 +12,14 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// ownWay is one node's way to the store, which a test can cut for creates and for
-// all other calls.
+// nodeStore is one node's connection to the store, on which a test can make creates or
+// all other calls fail.
 type ownWay struct {
 	*metastore.Store
 	cutCreates, cutOthers atomic.Bool
 }
 
-// cutAnswer is how long a call waits for its answer on a way that is cut.
+// cutAnswer is the time after which a disconnected call fails.
 const cutAnswer = 50 * time.Millisecond
 
 func pass(ctx context.Context, cut *atomic.Bool) error {
@@ -51,17 +51,8 @@
 	return w.Store.Create(ctx, kind, name, spec)
 }
 
-// Symptom: a result of an ended job is read at one node, and another node, in touch
-// all the time, has nothing at its position until it forgets the job.
-//
-// Sequence: the owner of a job is cut off or stands still while a result of its is
-// on the way into the store; the job is ended at another node before anybody takes
-// it over; more than eight seconds later that node reads the results for a reader;
-// then the owner is back, and its append is done before it hears of the end.
-//
-// Cause: results count as final by the time since the end alone. That bounds calls
-// already sent, and not an owner that does not know of the end and sends one later:
-// nothing in the store bars it.
+// Guards against nodes that return different results of an ended job because an owner
+// that did not know of the end appended one after others had read the job.
 func TestResultsAreNotFinalWhileTheOwnerMayNotKnowOfTheEnd(t *testing.T) {
 	engine := heldEngine(t)
 	cluster := newCluster(t, 0)
@@ -93,7 +84,7 @@
 	if _, err := reader.Read(context.Background(), "job", 0, 0); err != nil {
 		t.Fatal(err)
 	}
-	// The owner is back, and its append is the first call to get through.
+	// The owner is connected again, and its append is the first call to succeed.
 	way.cutCreates.Store(false)
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		owner.mutex.Lock()
--- a/internal/jobs/batch/handler.go
+++ b/internal/jobs/batch/handler.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// submitTimeout bounds a submission whose caller and route name no time, and
-	// endTimeout an end whose caller names none.
+	// submitTimeout bounds a submission for which neither caller nor route sets a
+	// deadline, and endTimeout an end whose caller sets none.
 	submitTimeout = 10 * time.Second
 	endTimeout    = 3 * time.Second
-	// answerMargin is kept of the caller's time for the way of the answer.
+	// answerMargin is the part of the caller's deadline reserved for the response.
 	answerMargin = 60 * time.Millisecond
-	// callTimeout bounds a call about a job besides the time that it may wait.
+	// callTimeout bounds a call about a job, in addition to the time that a reader asks
+	// to wait.
 	callTimeout = 1300 * time.Millisecond
-	// maxReadWait bounds how long a reader may have a call held.
+	// maxReadWait bounds the time that a reader may wait for new results.
 	maxReadWait = 2 * time.Second
-	// maxPageBytes bounds the texts of one page.
+	// maxPageBytes bounds the texts in one page.
 	maxPageBytes = 900 << 10
 )
 
-// Handler serves the calls of batch jobs over HTTP. It is safe for use by many goroutines.
+// Handler serves the HTTP API of batch jobs. It is safe for concurrent use.
 type Handler struct {
 	Service *Service
 	Headers ingress.Headers
@@ -45,7 +46,8 @@
 		h.refuse(writer, id, ErrCredentials, malformed)
 		return
 	}
-	// The caller's leaving does not end it: the job may be taken by then.
+	// The request's context is not used: the job may be stored already when the caller
+	// disconnects.
 	ctx, cancel := context.WithTimeout(h.Service.base, h.submitTimeout(request, route.Timeout)-answerMargin)
 	defer cancel()
 	err = h.Service.Submit(ctx, &Arrival{
@@ -60,8 +62,8 @@
 	writer.WriteHeader(http.StatusAccepted)
 }
 
-// submitTimeout is how long a submission may take: the route's time, or the caller's where
-// that is shorter.
+// submitTimeout returns the time that a submission may take: the route's timeout, or the
+// caller's deadline if that is shorter.
 func (h *Handler) submitTimeout(request *http.Request, routeTimeout time.Duration) time.Duration {
 	timeout := submitTimeout
 	if routeTimeout > 0 {
@@ -79,8 +81,8 @@
 	return isCall
 }
 
-// ServeCall implements ingress.Jobs. A batch job of another tenant's does not
-// exist for the caller.
+// ServeCall implements ingress.Jobs. It responds to a call about another tenant's batch
+// job as if the job did not exist.
 func (h *Handler) ServeCall(writer http.ResponseWriter, request *http.Request, tenant string) {
 	call, _, err := h.Service.config.Codec.Call(request)
 	if err != nil {
@@ -101,7 +103,7 @@
 	}
 }
 
-// authorize finds out whether a batch job is the calling tenant's.
+// authorize checks that a batch job belongs to the calling tenant.
 func (h *Handler) authorize(request *http.Request, call Call, tenant string) error {
 	ctx, cancel := context.WithTimeout(request.Context(), callTimeout)
 	defer cancel()
@@ -128,7 +130,7 @@
 	writer.Write(encoded)
 }
 
-// pageLength is how many results fit into one page, one at least.
+// pageLength returns how many of the results fit into one page, at least one.
 func pageLength(results []jobstore.Result) int {
 	size := 0
 	for i, result := range results {
@@ -167,12 +169,12 @@
 	writer.WriteHeader(http.StatusOK)
 }
 
-// fail answers a call that could not be served.
+// fail responds to a call that could not be served.
 func (h *Handler) fail(writer http.ResponseWriter, call Call, err error) {
 	h.refuse(writer, call.Job, err, refusalOfCall(err))
 }
 
-// refuse answers with the error's text and logs it.
+// refuse responds with an error and logs it.
 func (h *Handler) refuse(writer http.ResponseWriter, id string, err error, answer refusal) {
 	h.Headers.Refuse(writer.Header(), id, answer.retryAfter)
 	writer.Header().Set("Content-Type", "text/plain; charset=utf-8")
--- a/internal/jobs/batch/harness_test.go
+++ b/internal/jobs/batch/harness_test.go
@@ -38,7 +38,7 @@
 	versionField  = "x-version"
 )
 
-// testHeaders is a codec of its own, so that these tests know no platform.
+// testHeaders implements dispatch's header codec, independently of any platform.
 type testHeaders struct{}
 
 func (testHeaders) Prepare(header http.Header, conditions dispatch.Conditions) {
@@ -53,7 +53,7 @@
 	return dispatch.Verdict{RequestID: header.Get(headerID), Signed: true, NotRun: status == http.StatusServiceUnavailable, Version: version}
 }
 
-// testCodec reads submissions as JSON of the package's own types.
+// testCodec decodes submissions from the JSON encoding of Submission.
 type testCodec struct{}
 
 func (testCodec) Submission(body []byte) (*Submission, error) {
@@ -70,19 +70,19 @@
 
 func (testCodec) Signature(header http.Header) string { return header.Get("X-Signature") }
 
-// testEngine is a replica that streams events, each one's text naming the item
-// and its number.
+// testEngine is a replica that streams a number of events. The text of each names the
+// item and the event's number.
 type testEngine struct {
 	address string
 	events  int
 	mutex   sync.Mutex
 	version int64
-	// hold keeps streams open after the event holdAt until it is closed.
+	// hold, while open, stops streams after event holdAt.
 	hold    chan struct{}
 	holdAt  int
 	runs    map[string]int
 	resumed map[string][]int
-	// cutAt ends the first run of each item in the middle of an event.
+	// cutAt is the event within which the first run of each item is broken, 0 for none.
 	cutAt int
 	fail  map[string]int
 }
@@ -142,17 +142,17 @@
 	}
 }
 
-// testPeers joins the services of one test by their addresses.
+// testPeers connects the nodes of a test by their addresses.
 type testPeers struct {
 	mutex    sync.Mutex
 	services map[string]*testNode
-	// cut are the addresses that nothing reaches and that reach nothing.
+	// cut are the addresses that are disconnected.
 	cut map[string]bool
-	// mute is the node whose answers to submissions are lost.
+	// mute is the address of the node whose replies to submissions are lost.
 	mute string
 }
 
-// testNode is one node of a test.
+// testNode is a node of a test cluster.
 type testNode struct {
 	*Service
 	table  *peering.Table
@@ -160,7 +160,7 @@
 	ctx    context.Context
 }
 
-// link is how one node sends to the others.
+// link is a node's connection to its peers.
 type link struct {
 	peers *testPeers
 	from  string
@@ -213,16 +213,17 @@
 	n.Answer(message, reply)
 }
 
-// gate holds calls of one verb on one kind back until it is opened: reads before
-// they are made, creates when they are done and only the answer is on its way.
+// gate delays calls of one verb on one kind of object: a read before it is made, a create
+// after it was applied and before its response.
 type gate struct {
 	verb, kind string
 	open       chan struct{}
-	// reached counts the calls that wait or have waited.
+	// reached counts the calls that were delayed.
 	reached atomic.Int32
 }
 
-// wait holds a call back; false if its context ended first.
+// wait delays a call that the gate applies to. It returns false if the context ended
+// first.
 func (g *gate) wait(ctx context.Context, verb, kind string) bool {
 	if g == nil || g.verb != verb || g.kind != kind {
 		return true
@@ -236,7 +237,7 @@
 	}
 }
 
-// gatedStore is a store whose calls a gate may hold back.
+// gatedStore is a store whose calls a gate may delay.
 type gatedStore struct {
 	*metastore.Store
 	gate *atomic.Pointer[gate]
@@ -257,23 +258,24 @@
 	return object, err
 }
 
-// cluster is a set of nodes over one store and some engines.
+// cluster is a set of nodes that share a store and some engines.
 type cluster struct {
 	t     *testing.T
 	store *metastore.Store
-	// gate holds calls of the nodes to the store back.
+	// gate delays calls of the nodes to the store.
 	gate  atomic.Pointer[gate]
 	peers *testPeers
 	nodes []*testNode
-	// places are where nodes and engines are, by their names; each region is one zone
-	// of its name. homes are the route's.
+	// places are the regions of nodes and engines, by name; each region has one zone of
+	// the same name. homes are the route's allowed regions.
 	places map[string]string
 	homes  []string
-	// mostTold is up to how many peers all hear of starts and ends, 0 for the default.
+	// mostTold is the number of peers up to which starts and ends are announced to all, 0
+	// for the default.
 	mostTold int
 }
 
-// regions are those that the nodes know.
+// regions are the regions of the test's zones.
 var regions = map[string]string{"north": "north", "south": "south", "west": "west"}
 
 const testRoute = "drafts"
@@ -296,7 +298,7 @@
 	return node
 }
 
-// addOutsider adds a node that may never join.
+// addOutsider adds a node without waiting until it has joined.
 func (c *cluster) addOutsider(name string, engines []*testEngine) *testNode {
 	c.t.Helper()
 	node := c.makeNode(name, engines)
@@ -346,7 +348,7 @@
 	return node
 }
 
-// configure brings a version of the cluster's configuration into force at a node.
+// configure sets a version of the cluster's configuration at a node.
 func (c *cluster) configure(table *directory.Table, version uint64) {
 	table.SetConfiguration(&directory.Configuration{
 		Version: version,
@@ -358,7 +360,7 @@
 	}, version)
 }
 
-// setGate has the nodes' calls of a verb on a kind wait until the gate is opened.
+// setGate delays the nodes' calls of a verb on a kind until the gate is opened.
 func (c *cluster) setGate(verb, kind string) *gate {
 	made := &gate{verb: verb, kind: kind, open: make(chan struct{})}
 	c.gate.Store(made)
@@ -371,7 +373,7 @@
 	c.peers.cut[name] = cut
 }
 
-// submission is a job of a number of items in groups of two.
+// submission returns a job with items in groups of two.
 func submission(id string, items int) (*Submission, []byte) {
 	made := &Submission{Model: "m", MinVersion: 1}
 	for number := range items {
@@ -387,7 +389,7 @@
 	return made, encoded
 }
 
-// submit has a node accept a job and run it itself.
+// submit makes a node accept a job and run it itself.
 func (c *cluster) submit(node *testNode, id string, items int) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -395,7 +397,7 @@
 	return node.submitHere(ctx, &Arrival{ID: id, Route: testRoute, Host: "drafts.example", Payload: payload, Submission: made})
 }
 
-// eventually waits for a condition, for as long as a test may take.
+// eventually waits until a condition holds and fails the test after a timeout.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -406,7 +408,7 @@
 	t.Fatalf("not so in the end: %s", what)
 }
 
-// readAll reads a job from a node until all results are there.
+// readAll reads a job from a node until all results are listed.
 func (c *cluster) readAll(node *testNode, id string, total int) []jobstore.Result {
 	c.t.Helper()
 	var results []jobstore.Result
@@ -421,7 +423,7 @@
 	return results
 }
 
-// checkWhole checks that each item stands once with its whole text.
+// checkWhole checks that each item has one result with its complete text.
 func checkWhole(t *testing.T, id string, results []jobstore.Result, items, events int) {
 	t.Helper()
 	seen := map[string]bool{}
--- a/internal/jobs/batch/heartbeat.go
+++ b/internal/jobs/batch/heartbeat.go
@@ -14,12 +14,13 @@
 const (
 	// heartbeatInterval is the time between heartbeats of a node that runs jobs.
 	heartbeatInterval = 300 * time.Millisecond
-	// idleHeartbeats is how many heartbeats follow the end of the last job, so that all
-	// nodes learn of it.
+	// idleHeartbeats is the number of heartbeats sent after the last job has ended, so
+	// that all nodes learn of its end.
 	idleHeartbeats = 3
 )
 
-// FillHeartbeat adds what this node runs to its heartbeat.
+// FillHeartbeat adds this node's jobs, and what it knows from running them, to its
+// heartbeat.
 func (s *Service) FillHeartbeat(heartbeat *wire.NodeBeat) {
 	heartbeat.Uses = s.Uses()
 	s.mutex.Lock()
@@ -39,7 +40,7 @@
 	heartbeat.Ended = s.ends.Announced(time.Now())
 }
 
-// ReceiveHeartbeat takes another node's heartbeat.
+// ReceiveHeartbeat applies another node's heartbeat.
 func (s *Service) ReceiveHeartbeat(heartbeat *wire.NodeBeat) {
 	s.mutex.Lock()
 	s.replicas.LearnUses(heartbeat, time.Now())
@@ -64,8 +65,8 @@
 	s.WakeScheduler()
 }
 
-// learnRunningJobs records which jobs a heartbeat's sender runs, and returns those of this
-// node that the sender may own instead. The mutex must be held.
+// learnRunningJobs records which jobs a heartbeat's sender runs. It returns this node's
+// jobs that the sender may own instead. The mutex must be held.
 func (s *Service) learnRunningJobs(heartbeat *wire.NodeBeat) []*job {
 	var contested []*job
 	owner := jobstore.Owner{Node: heartbeat.Node, Address: heartbeat.Address, Incarnation: heartbeat.Incarnation}
@@ -85,8 +86,8 @@
 	return contested
 }
 
-// learnOrigins records the tenants and origins of the jobs of other nodes. The mutex must
-// be held.
+// learnOrigins records the tenants and origins of other nodes' jobs. The mutex must be
+// held.
 func (s *Service) learnOrigins(works []wire.JobWork) {
 	for _, work := range works {
 		if remote := s.remoteJobs[work.Job]; remote != nil {
@@ -98,14 +99,14 @@
 	}
 }
 
-// learnEnds ends the jobs that a heartbeat announces as ended, and returns those of this
-// node whose ends the store is not known to have. The mutex must be held.
+// learnEnds applies the ends that a heartbeat announces. It returns this node's jobs
+// among them whose end is not known to be stored. The mutex must be held.
 func (s *Service) learnEnds(heartbeat *wire.NodeBeat) []*job {
 	var contested []*job
 	for _, id := range heartbeat.Ended {
 		s.logUnheldEnd(id, heartbeat.Node)
 		if held := s.jobs[id]; held != nil && !held.endStored {
-			// Whoever ended it took another node for the owner.
+			// The node that ended the job took another node for its owner.
 			held.markSuspect()
 			contested = append(contested, held)
 		}
@@ -114,8 +115,7 @@
 	return contested
 }
 
-// epochsOf are the epochs in which a heartbeat's sender runs its jobs, where it names
-// them.
+// epochsOf returns the epochs that a heartbeat names, by job.
 func epochsOf(heartbeat *wire.NodeBeat) map[string]int {
 	epochs := make(map[string]int, len(heartbeat.Work))
 	for _, work := range heartbeat.Work {
@@ -124,8 +124,8 @@
 	return epochs
 }
 
-// logUnheldEnd logs the end of a job that this node is taking over: there is no
-// job yet that it could stop. The mutex must be held.
+// logUnheldEnd logs the end of a job that this node is taking over and has not started
+// yet. The mutex must be held.
 func (s *Service) logUnheldEnd(id, from string) {
 	remote := s.remoteJobs[id]
 	if s.jobs[id] != nil || remote == nil || !remote.takingOver || remote.ended {
@@ -134,8 +134,8 @@
 	s.config.Logger.Info("end heard of while the batch job is taken over", "request", id, "from", from)
 }
 
-// endLocally stops a job whose caller has ended it, and keeps one that this node is about
-// to start from being started. The mutex must be held.
+// endLocally stops a job that has ended, and keeps it from being started if this node is
+// about to. The mutex must be held.
 func (s *Service) endLocally(id string) {
 	s.ends.Learn(id, time.Now())
 	if remote := s.remoteJobs[id]; remote != nil {
@@ -155,8 +155,8 @@
 		"chunks", held.chunks, "appending", !held.appendingSince.IsZero())
 }
 
-// sendHeartbeats sends heartbeats while this node has something to announce, and waits for
-// that otherwise: most nodes of a large deployment never run a job.
+// sendHeartbeats sends heartbeats while this node runs jobs or has ends to announce, and
+// otherwise waits until it does: most nodes of a large deployment never run a job.
 func (s *Service) sendHeartbeats(ctx context.Context) {
 	quiet := 0
 	for {
@@ -178,7 +178,7 @@
 	}
 }
 
-// announcesEnds tells whether there is a recent end to announce.
+// announcesEnds reports whether there is a recent end to announce.
 func (s *Service) announcesEnds() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/jobs/batch/homes.go
+++ b/internal/jobs/batch/homes.go
@@ -11,13 +11,13 @@
 	"github.com/pathtally/pathtally/internal/replicas/homes"
 )
 
-// origin is what decides where the bodies of a batch job may be. The homes themselves
-// are those of the configuration in force.
+// origin holds what decides, with the current configuration, in which regions the bodies
+// of a batch job may be.
 type origin struct {
-	// routes are those whose requests the job holds: its own first, then its scorers'.
+	// routes are the routes of the job's requests: its own, then those of its scorers.
 	routes []string
 	tenant string
-	// entry is the region through which the job came, "" for unknown.
+	// entry is the region of the node that the job's caller connected to, "" if unknown.
 	entry string
 }
 
@@ -25,16 +25,16 @@
 	return origin{routes: append([]string{record.Route}, record.Scorers...), tenant: record.Tenant, entry: record.Entry}
 }
 
-// learnOrigin records where a job of another node comes from.
+// learnOrigin records the origin of another node's job.
 func (f *remoteJob) learnOrigin(from origin) {
 	if f.origin == nil {
-		// The rank depends on it.
+		// The cached rank depends on the origin.
 		f.membership = 0
 	}
 	f.origin = &from
 }
 
-// scorersOf names the routes of a submission's reward calls.
+// scorersOf returns the names of the routes of a submission's reward calls.
 func (s *Service) scorersOf(submission *Submission) []string {
 	var named []string
 	for _, submitted := range submission.Items {
@@ -48,10 +48,10 @@
 	return named
 }
 
-// boundsOf is where the bodies of a job may be. A route or tenant that is declared no
-// more may have had any homes: where the others have some, its bodies stay in the
-// region through which they came. A node that knows no configuration yet takes no
-// node, itself included, for one that may have them.
+// boundsOf returns where the bodies of a job may be. A route or tenant that is no longer
+// declared may have had any allowed regions; if others declare some, the bodies stay in
+// the job's entry region. Without a configuration no node may have the bodies, this one
+// included.
 func (s *Service) boundsOf(from origin) homes.Bounds {
 	configuration := s.config.Directory.View().Configuration
 	if configuration == nil {
@@ -67,7 +67,7 @@
 	return homes.Within(allowed, from.entry)
 }
 
-// bodyHomes are the regions whose nodes may have the body of a tenant's request.
+// bodyHomes returns the allowed regions for the bodies of a tenant's requests on a route.
 func bodyHomes(configuration *directory.Configuration, route, tenant string) homes.Set {
 	declared := configuration.Named(route)
 	if declared == nil || (tenant != "" && configuration.Tenants.Named(tenant) == nil) {
@@ -76,12 +76,12 @@
 	return configuration.HomesOf(declared, tenant)
 }
 
-// within returns a context for the store's calls that carry bodies of a job.
+// within returns a context for store calls that carry bodies of a job.
 func (s *Service) within(ctx context.Context, record jobstore.Record) context.Context {
 	return homes.WithBounds(ctx, s.boundsOf(originOf(record)))
 }
 
-// withinHeld is within for a job that this node runs.
+// withinHeld is like within, for a job that this node runs.
 func (s *Service) withinHeld(ctx context.Context, id string) context.Context {
 	s.mutex.Lock()
 	held := s.jobs[id]
@@ -92,8 +92,8 @@
 	return s.within(ctx, held.record)
 }
 
-// insiders are those of some nodes that may have the bodies of a job, in the same
-// order; all while its origin is not known.
+// insiders filters nodes to those that may have the bodies of a job, keeping their order.
+// It returns all nodes while the origin is unknown.
 func (s *Service) insiders(from *origin, nodes []string) []string {
 	if from == nil {
 		return nodes
@@ -105,7 +105,7 @@
 	return slices.DeleteFunc(slices.Clone(nodes), func(node string) bool { return !bounds.AllowsNode(s.regionOf(node)) })
 }
 
-// regionOf is the region of a node, "" if it is not known.
+// regionOf returns the region of a node, "" if unknown.
 func (s *Service) regionOf(node string) string {
 	if node == s.config.Self.Node {
 		return s.config.Region
@@ -114,14 +114,14 @@
 	return s.config.Directory.RegionOf(peer.Zone)
 }
 
-// isOutsider tells whether this node may not have the bodies of another node's job, as far
-// as the job's origin is known. The mutex must be held.
+// isOutsider reports whether this node is known not to be allowed the bodies of another
+// node's job. The mutex must be held.
 func (s *Service) isOutsider(remote *remoteJob) bool {
 	return remote.origin != nil && !s.boundsOf(*remote.origin).AllowsNode(s.config.Region)
 }
 
-// logWaiting logs once that no other node known may take a job over. The job's origin is
-// known, since every node may take over a job whose origin is not. The mutex must be held.
+// logWaiting logs, once per job, that no other known node may take the job over. The
+// job's origin must be known. The mutex must be held.
 func (s *Service) logWaiting(id string, remote *remoteJob) {
 	if remote.waitLogged || remote.ended || s.config.Directory.View().Configuration == nil {
 		return
@@ -131,8 +131,8 @@
 		"owner", remote.owner.Node, "allowed", s.boundsOf(*remote.origin).Homes().Regions(), "entry", remote.origin.entry)
 }
 
-// logJobsWithoutSuccessor logs the jobs that this node cannot give away, since no other
-// node known may have them: they wait until there is one. The mutex must be held.
+// logJobsWithoutSuccessor logs the open jobs that no other known node may take over. They
+// wait until such a node joins. The mutex must be held.
 func (s *Service) logJobsWithoutSuccessor() {
 	nodes := s.config.Table.Nodes()
 	for id, held := range s.jobs {
@@ -144,7 +144,8 @@
 	}
 }
 
-// checkHomes refuses a job of which some request has no replica that may serve it.
+// checkHomes returns an error if some request of the job has no replica in its allowed
+// regions.
 func (s *Service) checkHomes(from origin) error {
 	view := s.config.Directory.View()
 	if !view.Configuration.DeclaresHomes() {
@@ -160,8 +161,8 @@
 	return nil
 }
 
-// checkOffered refuses a job that another node hands to this one and that this one
-// may not have: the two may know different configurations.
+// checkOffered checks that this node may run a job that another node submits to it. The
+// two may have different configurations.
 func (s *Service) checkOffered(arrival *Arrival) error {
 	from := originOf(s.recordOf(arrival))
 	if !s.boundsOf(from).AllowsNode(s.config.Region) {
--- a/internal/jobs/batch/homes_test.go
+++ b/internal/jobs/batch/homes_test.go
@@ -19,8 +19,8 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// spread returns a cluster with a node in each of some regions and an engine in each
-// of others, before a route with homes.
+// spread returns a cluster with a node in each region of nodes and an engine in each
+// region of engines. The route allows the regions in homes.
 func spread(t *testing.T, homes, nodes, engines []string, started ...*testEngine) *cluster {
 	t.Helper()
 	c := &cluster{t: t, store: metastore.New(), peers: &testPeers{services: map[string]*testNode{}, cut: map[string]bool{}}, places: map[string]string{}, homes: homes}
@@ -43,7 +43,7 @@
 	return c
 }
 
-// handFrom hands a job to a node as a caller does that is connected to it.
+// handFrom submits a job like a caller that is connected to the node.
 func (c *cluster) handFrom(node *testNode, id string, items int) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -51,7 +51,7 @@
 	return node.Submit(ctx, &Arrival{ID: id, Route: testRoute, Host: "drafts.example", Entry: node.config.Region, Payload: payload, Submission: made})
 }
 
-// recorder is a store that records the kinds which a node reads.
+// recorder is a store that counts the reads of each kind.
 type recorder struct {
 	objectstore.Store
 	mutex sync.Mutex
@@ -71,7 +71,7 @@
 	return r.read[kind]
 }
 
-// record has a node's reads recorded from now on.
+// record counts a node's reads from now on.
 func (c *cluster) record(node *testNode) *recorder {
 	made := &recorder{Store: c.store, read: map[string]int{}}
 	node.mutex.Lock()
@@ -92,8 +92,8 @@
 	return len(e.runs)
 }
 
-// Whoever is first in rank for the model, a job goes to nodes in its homes or in the
-// region through which it came, and its items go to replicas in the homes.
+// A job must be run by a node in its allowed regions or its entry region, and its items
+// by replicas in the allowed regions, whatever the nodes' ranks.
 func TestJobsAreHandedToNodesInsideOnly(t *testing.T) {
 	outside, home := startEngine(t, 1), startEngine(t, 1)
 	c := spread(t, []string{"south"}, []string{"north", "west", "west", "west", "south"}, []string{"north", "south"}, outside, home)
@@ -114,8 +114,8 @@
 	}
 }
 
-// The owner dies. A node outside takes nothing over and reads no payload, however long
-// the job waits; the first one inside that comes does.
+// A node outside the allowed regions must not take over a job or read its payload,
+// however long the job has no owner.
 func TestAJobWaitsForANodeInside(t *testing.T) {
 	engine := heldEngine(t)
 	c := spread(t, []string{"south"}, []string{"south", "west", "west"}, []string{"south"}, engine)
@@ -149,8 +149,8 @@
 	}
 }
 
-// Watchers are told by rank among the nodes inside, so that a takeover is no later for
-// the nodes outside that rank before them.
+// Nodes outside the allowed regions must not delay a takeover by ranking before those
+// inside.
 func TestWatchersAreRankedAmongTheNodesInside(t *testing.T) {
 	engine := heldEngine(t)
 	c := spread(t, []string{"south"}, []string{"north", "west", "west", "west", "west", "west", "west", "south"}, []string{"south"}, engine)
@@ -198,8 +198,8 @@
 	}
 }
 
-// A node that knows another configuration hands a job on; the runner refuses what it
-// may not have by its own.
+// A node whose configuration does not allow it a job must reject the job when a node with
+// another configuration submits it.
 func TestARunnerRefusesWhatItMayNotHave(t *testing.T) {
 	c := spread(t, []string{"south"}, []string{"west"}, []string{"south"}, startEngine(t, 1))
 	_, payload := submission("job", 2)
@@ -210,8 +210,8 @@
 	}
 }
 
-// The homes change while items run: those go on, the next ones obey, and so do those
-// that are continued.
+// A change of the allowed regions must apply to items that start or are continued after
+// it, and leave running ones alone.
 func TestAChangeOfHomesBindsTheNextItems(t *testing.T) {
 	former, next := heldEngine(t), startEngine(t, 3)
 	former.cutAt = 2
@@ -238,7 +238,7 @@
 	}
 }
 
-// A job from before there were homes names no entry region: only the homes bind it.
+// A record without an entry region is bound by the allowed regions alone.
 func TestAnOldRecordIsBoundToItsHomes(t *testing.T) {
 	c := spread(t, []string{"south"}, []string{"north", "south"}, []string{"south"}, startEngine(t, 1))
 	from := originOf(jobstore.Record{Route: testRoute})
@@ -252,7 +252,7 @@
 	}
 }
 
-// A node that has just started may not know the configuration yet.
+// A node that has no configuration yet must not take jobs over.
 func TestANodeWithoutAConfigurationTakesNothingOver(t *testing.T) {
 	started := &Service{config: Config{Region: "north", Directory: directory.NewTable("node", "north", regions, klog.Background())}}
 	from := originOf(jobstore.Record{Route: testRoute, Entry: "north"})
--- a/internal/jobs/batch/job.go
+++ b/internal/jobs/batch/job.go
@@ -8,63 +8,63 @@
 	"github.com/pathtally/pathtally/internal/jobs/placement"
 )
 
-// job is a batch job that this node runs. The service's mutex guards it.
+// job is a batch job that this node runs or has run. The service's mutex guards it.
 type job struct {
 	id         string
 	submission *Submission
 	record     jobstore.Record
 	// takenUp is when this node started the job.
 	takenUp time.Time
-	// givenUpAt is when items may be given up, zero for never.
+	// givenUpAt is when items may be abandoned, zero for never.
 	givenUpAt time.Time
-	// due is when the job is to be whole, zero for no such time, and objective how long
-	// after its acceptance that is.
+	// due is the time by which the job should be complete, zero if its route sets none,
+	// and objective the time from its acceptance until then.
 	due       time.Time
 	objective time.Duration
 
 	items map[string]*item
-	// order lists the items as submitted.
+	// order lists the item ids as submitted.
 	order []string
-	// listed are the results that the store holds, in their order.
+	// listed are the results in the store, in order.
 	listed []jobstore.Result
 	chunks int
-	// finished are results that are not in the store yet.
+	// finished are the results that are not in the store yet.
 	finished []jobstore.Result
 	serial   int
 	// textsSaved is when the texts of running items were last saved.
 	textsSaved time.Time
-	// saving is set while texts are on their way into the store.
+	// saving is set while texts are being written to the store.
 	saving bool
-	// appendingSince is since when results are on their way into the store, which may
-	// have them already; zero while none are.
+	// appendingSince is when the current append of results began, zero if there is none.
+	// The store may have the results before it responds.
 	appendingSince time.Time
 	groups         map[string]*group
-	// flushSoon is set when a group became whole, to append without delay.
+	// flushSoon is set when a group becomes complete, to append with little delay.
 	flushSoon bool
 	flush     chan struct{}
 
 	ended   bool
 	endedAt time.Time
-	// endStored tells that the store has the end.
+	// endStored reports that the store has the end.
 	endStored bool
-	// displaced is set once another node owns the job, and suspect while that
-	// may be so: the results here may then lack some that have been read.
+	// displaced is set once another node owns the job. suspect is set while that is
+	// possible: the results here may then lack some that readers have seen.
 	displaced bool
 	suspect   bool
-	// suspectedAt is when the job became suspect last: a read of the record that began
-	// before shows nothing.
+	// suspectedAt is when suspect was last set. Only a read of the record that began
+	// later can clear it.
 	suspectedAt time.Time
-	// confirmedAt is when the last read of the record that was answered began, and
-	// lastReadAt when the last one of all did.
+	// confirmedAt is when the last successful read of the record began, and lastReadAt
+	// when the last read of all began.
 	confirmedAt time.Time
 	lastReadAt  time.Time
-	// changed is closed at each change that a waiting reader has to see.
+	// changed is closed when waiting readers have to look at the job again.
 	changed chan struct{}
-	// ctx is that of the job's runs: it ends with the job.
+	// ctx is the context of the job's runs; it ends with the job.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// appends is the context of writing to the store, which outlives the job's end: it
-	// ends when another node owns the job or this one forgets it.
+	// appends is the context of writes to the store, which outlives the job's end. It
+	// ends when another node owns the job or this node evicts it.
 	appends       context.Context
 	cancelAppends context.CancelFunc
 }
@@ -72,88 +72,91 @@
 // group counts the items of a group that have no result yet.
 type group struct {
 	open int
-	// inherited is set where an earlier job ended without the group, so that the trainer
-	// waits for it in any case.
+	// inherited is set if an earlier job ended before the group was complete: the trainer
+	// waits for such a group in any case.
 	inherited bool
 }
 
-// item is the state of one item on its way. The service's mutex guards it.
+// item is the state of one item of a job. The service's mutex guards it.
 type item struct {
 	*Item
 	job   *job
 	group *group
-	// rank is the item's place in the order of work of its job.
+	// rank is the item's position in its job's processing order.
 	rank placement.Rank
-	// urgent is set while it waits and its job has no time to lose with it.
+	// urgent is set while the item is queued and its job cannot afford further delay.
 	urgent bool
 
 	progress progress
-	// saved is how many events of the text the store has, and texts how often the text
-	// was begun anew.
+	// saved is the number of events of the current text in the store, and texts the
+	// number of times that the text was discarded and begun again.
 	saved   int
 	texts   int
 	running *attempt
-	// runs counts the runs begun here.
+	// runs counts the runs started on this node.
 	runs int
 	done bool
-	// expected is how many events earlier runs let expect, 0 for nothing known.
+	// expected is the number of events estimated from earlier runs, 0 if unknown.
 	expected int
-	// events is how many events its runs that have ended have made.
+	// events is the largest number of events that a text had when a run ended or the text
+	// was restored.
 	events int
-	// failures counts answers that say the item failed, ownFailures those of
-	// replicas that were not failing at the time, and failedAt names the replicas.
+	// failures counts responses that say that the item failed, and ownFailures those of
+	// replicas that were not failing at the time. failedAt are the replicas that sent
+	// them.
 	failures    int
 	ownFailures int
 	failedAt    []string
-	// breaks counts runs that ended without a reason that the item gave.
+	// breaks counts runs that ended early for a reason other than the item.
 	breaks int
-	// stalls counts runs that were cut because nothing came.
+	// stalls counts runs that were canceled because no events came.
 	stalls int
-	// waited is how long after the job's start here the first run began, and lastRun the
-	// run that ended last.
+	// waited is the time from the job's start on this node to the item's first run, and
+	// lastRun the run that ended last.
 	waited  time.Duration
 	lastRun *attempt
-	// notBefore is when the item may run again.
+	// retryAt is when the item may run again.
 	retryAt time.Time
 }
 
-// open tells whether the job still has work.
+// open reports whether the job still has items to run.
 func (j *job) open() bool { return !j.ended && !j.displaced && len(j.listed) < len(j.items) }
 
-// mayBeLost tells whether another node may take the job over: it is open, or the
-// store does not have its end.
+// mayBeLost reports whether another node may take the job over, which is possible while
+// it is open or its end is not stored.
 func (j *job) mayBeLost() bool { return j.open() || (j.ended && !j.endStored && !j.displaced) }
 
-// allListed tells whether every item has a result in the store.
+// allListed reports whether every item has a result in the store.
 func (j *job) allListed() bool { return len(j.listed) >= len(j.items) }
 
-// markSuspect makes the job suspect until a read of its record that begins from now on.
+// markSuspect sets suspect until a read of the record that begins from now on clears it.
 func (j *job) markSuspect() { j.suspect, j.suspectedAt = true, time.Now() }
 
-// notify wakes the readers that wait.
+// notify wakes the waiting readers.
 func (j *job) notify() {
 	close(j.changed)
 	j.changed = make(chan struct{})
 }
 
-// appendAnswerTimeout is how long results on their way into the store are taken for not
-// there yet. Readers are promised that what was read stays from a second later on.
+// appendAnswerTimeout is how long results that are being appended are assumed not to be
+// in the store yet. Readers are guaranteed that what was read remains readable one second
+// later.
 const appendAnswerTimeout = 100 * time.Millisecond
 
-// isCertain tells whether the job may be answered from memory: not where another node may
-// own it, nor where an append that was under way at its end has no answer yet. The mutex
-// must be held.
+// isCertain reports whether reads may be answered from memory. That is not so while
+// another node may own the job, nor while an append that was in progress when the job
+// ended has no outcome. The mutex must be held.
 func (j *job) isCertain() bool {
 	return j != nil && !j.suspect && !(j.ended && !j.appendingSince.IsZero())
 }
 
-// isAppending tells whether the store may have results that are not listed here. The
+// isAppending reports whether the store may have results that are not listed here. The
 // mutex must be held.
 func (j *job) isAppending() bool {
 	return !j.appendingSince.IsZero() && time.Since(j.appendingSince) > appendAnswerTimeout
 }
 
-// flushLater has the publisher append what is finished.
+// flushLater makes the publisher append the finished results.
 func (j *job) flushLater() {
 	select {
 	case j.flush <- struct{}{}:
--- a/internal/jobs/batch/late_create_test.go
+++ b/internal/jobs/batch/late_create_test.go
@@ -11,8 +11,8 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// lateStore makes the record of a job at once and answers long after; further tries
-// have no answer at all.
+// lateStore delays the response to the first create of a job's record, and never responds
+// to later ones.
 type lateStore struct {
 	*metastore.Store
 	tries  atomic.Int32
@@ -32,15 +32,8 @@
 	return object, err
 }
 
-// Symptom: after a job was taken over from a node that had stood still while it
-// accepted the job, all nodes took that node for the owner again.
-//
-// Sequence: the store makes a job's record and its answer is long on the way; the
-// caller sends the job to another node, which finds the record, hears nothing of its
-// owner, and takes the job over; then the answer comes.
-//
-// Cause: the answer to a create tells who the owner was when it was done, and the
-// accepting node took it for who is.
+// Guards against taking the owner named in a delayed response to a create for the current
+// owner, after the job was taken over.
 func TestAJobWhoseCreateWasAnsweredLateIsLookedAtFirst(t *testing.T) {
 	engine := heldEngine(t)
 	defer engine.release()
--- a/internal/jobs/batch/lateness.go
+++ b/internal/jobs/batch/lateness.go
@@ -6,8 +6,8 @@
 	"github.com/pathtally/pathtally/internal/jobs/placement"
 )
 
-// logLateness logs why a job was late that ends now, where it was. The mutex must be
-// held.
+// logLateness logs why a job that ends now missed its completion objective, if it did.
+// The mutex must be held.
 func (s *Service) logLateness(ended *job) {
 	if ended.due.IsZero() || !time.Now().After(ended.due) {
 		return
@@ -22,8 +22,8 @@
 		"item", last.ID, "replica", last.lastRun.endpoint.Name, "waitedMs", last.waited.Milliseconds(), "runs", last.runs, "events", last.events)
 }
 
-// lastItem is the item with a result whose last run ended last, nil for none. The mutex
-// must be held.
+// lastItem returns the finished item whose last run ended last, nil if there is none. The
+// mutex must be held.
 func (j *job) lastItem() *item {
 	var last *item
 	for _, id := range j.order {
@@ -38,17 +38,18 @@
 	return last
 }
 
-// history is what happened to the item. The mutex must be held.
+// history summarizes the item's runs. The mutex must be held.
 func (i *item) history() placement.History {
 	return placement.History{
 		Epoch: i.job.record.Epoch, Waited: i.waited, Stalls: i.stalls, Breaks: i.breaks, Interval: i.lastRun.interval(),
 	}
 }
 
-// endedAt is when a run that has ended did so.
+// endedAt returns when a run that has ended did so.
 func (a *attempt) endedAt() time.Time { return a.begun.Add(a.took) }
 
-// interval is the mean time between events of a run that has ended, 0 for too few.
+// interval returns the mean time between the events of a run that has ended, 0 if it had
+// fewer than two.
 func (a *attempt) interval() time.Duration {
 	gaps := a.events.Load() - 1
 	if gaps <= 0 {
--- a/internal/jobs/batch/leave.go
+++ b/internal/jobs/batch/leave.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	// leaveSaveTimeout bounds the wait for texts and ends to be stored before jobs are
-	// given away, and leavePollInterval is the time between checks of it.
+	// leaveSaveTimeout bounds the wait for texts and ends to be stored before the jobs
+	// are handed over, and leavePollInterval is the time between checks.
 	leaveSaveTimeout  = time.Second
 	leavePollInterval = 10 * time.Millisecond
 )
 
-// Leave gives the jobs of this node away: others take them over at once, with
-// the texts so far.
+// Leave hands the open jobs of this node over: it saves their texts and announces that
+// the node is leaving, so that others take the jobs over without waiting for a timeout.
 func (s *Service) Leave() {
 	s.flushTexts()
 	for began := time.Now(); s.isSaving() && time.Since(began) < leaveSaveTimeout; {
@@ -23,8 +23,8 @@
 	s.config.Table.Announce(s.nodesKnowingOpenJobs())
 }
 
-// nodesKnowingOpenJobs names the nodes that know of open jobs here. Those that would offer
-// this node a job learn from its answer that it leaves.
+// nodesKnowingOpenJobs returns the locators of the open jobs of this node. Nodes that
+// would offer this node a job learn that it is leaving from its reply.
 func (s *Service) nodesKnowingOpenJobs() []string {
 	var open []string
 	s.mutex.Lock()
@@ -41,7 +41,7 @@
 	return concerned
 }
 
-// flushTexts has the texts of running items saved now.
+// flushTexts makes the publishers save the texts of running items now.
 func (s *Service) flushTexts() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -51,7 +51,7 @@
 	}
 }
 
-// isSaving tells whether texts or ends are on their way into the store.
+// isSaving reports whether texts or ends are still to be stored.
 func (s *Service) isSaving() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/jobs/batch/listing.go
+++ b/internal/jobs/batch/listing.go
@@ -3,21 +3,23 @@
 import "time"
 
 const (
-	// nearlyWholeShare is the part of the desired groups, between 0 and 1, from which on
-	// each whole one of a late job is listed without delay.
+	// nearlyWholeShare is the share of the desired groups, from 0 to 1, from which each
+	// further complete group of a late job is listed with little delay.
 	nearlyWholeShare = 0.8
-	// lateGrace is how long after its job was due a group may still be held back: what
-	// readers see half a second later the platform takes for in time for a little while.
+	// lateGrace is how long after the job is due a complete group may still be held back.
+	// The platform counts results that readers see shortly after that as in time.
 	lateGrace = 200 * time.Millisecond
-	// lastEvents is how many events before the longest length known a text counts as
-	// about to end: half a second's.
+	// lastEvents is the number of events before the longest known length from which a
+	// text counts as about to end, half a second at the usual pace.
 	lastEvents = 10
 )
 
-// listsSoon tells whether what is finished is to be listed with little delay: all is, or
-// a group became whole and the trainer then has what it waits for or is late already. A
-// reader that is answered comes back half a second later, so results listed shortly
-// before the last ones that a trainer waits for would put these off. The mutex must be
+// listsSoon reports whether the finished results are to be listed with little delay:
+// either all items are finished, or a group became complete and the trainer then has what
+// it waits for or is late already.
+//
+// A reader that gets results comes back half a second later, so listing results shortly
+// before the last ones that the trainer waits for would delay these. The mutex must be
 // held.
 func (j *job) listsSoon(now time.Time) bool {
 	if j.remaining() == 0 {
@@ -27,9 +29,9 @@
 	return j.flushSoon && (j.hasDesired() || (late && j.nearlyWhole()))
 }
 
-// gatherTime is how long after an append results wait for others at most: longer where
-// texts that are about to end, of which the longest has so many events, make the job
-// whole. The mutex must be held.
+// gatherTime returns the longest time after an append that results wait for others. It is
+// longer if the texts that are about to end, given the longest known length in events,
+// complete what the trainer waits for. The mutex must be held.
 func (j *job) gatherTime(now time.Time, longest int) time.Duration {
 	limit := resultGather
 	if !j.due.IsZero() && now.After(j.due.Add(-resultGather)) {
@@ -45,12 +47,13 @@
 	return limit
 }
 
-// hasDesired tells whether the trainer has what it waits for. The mutex must be held.
+// hasDesired reports whether the trainer has the groups that it waits for. The mutex must
+// be held.
 func (j *job) hasDesired() bool { return j.hasDesiredIf(func(*item) bool { return false }) }
 
-// hasDesiredIf tells whether the trainer would have what it waits for if some of the items
-// without a result had one: as many whole groups as it desires, and all of those that it
-// has asked for before. The mutex must be held.
+// hasDesiredIf reports whether the trainer would have the groups that it waits for if the
+// unfinished items for which isSettled is true had results: the desired number of
+// complete groups, and all inherited ones among them. The mutex must be held.
 func (j *job) hasDesiredIf(isSettled func(*item) bool) bool {
 	open := map[*group]int{}
 	for _, counted := range j.groups {
@@ -72,9 +75,9 @@
 	return whole >= j.desired()
 }
 
-// nearlyWhole tells whether so many groups are whole that the trainer may soon
-// have what it waits for; without a trainer any whole group counts. The mutex
-// must be held.
+// nearlyWhole reports whether enough groups are complete that the trainer may soon have
+// those that it waits for. If the job names no desired number, one complete group is
+// enough. The mutex must be held.
 func (j *job) nearlyWhole() bool {
 	whole := 0
 	for _, counted := range j.groups {
@@ -85,5 +88,6 @@
 	return float64(whole) >= nearlyWholeShare*float64(j.desired())
 }
 
-// desired is how many whole groups the trainer waits for, 1 without a trainer.
+// desired returns the number of complete groups that the trainer waits for, 1 if the job
+// names none.
 func (j *job) desired() int { return min(len(j.groups), max(j.submission.Desired, 1)) }
--- a/internal/jobs/batch/locate.go
+++ b/internal/jobs/batch/locate.go
@@ -11,26 +11,25 @@
 )
 
 const (
-	// locatorsAsked is how many of them a node asks at once that is asked about a job
-	// that it does not know, and locateTime bounds their answer. The store is asked
-	// where none of them knows.
+	// locatorsAsked is the number of locators that a node asks in parallel about a job
+	// that it does not know, and locateTimeout bounds the wait for their replies. If none
+	// of them knows the job, the store is read.
 	locatorsAsked = 3
 	locateTimeout = 150 * time.Millisecond
 )
 
-// locatorsOf names the nodes that hear of a job's start and end.
+// locatorsOf returns the nodes that receive the heartbeats about a job's start and end.
 func (s *Service) locatorsOf(id string) []string {
 	return ownership.LocatorsOf(id, s.config.Table.Nodes())
 }
 
-// announce sends a heartbeat about a job's start or end to the job's locators and to some
-// more nodes.
+// announce sends a heartbeat about a job's start or end to the job's locators and to
+// further nodes.
 func (s *Service) announce(id string, more ...string) {
 	s.config.Table.Announce(append(s.locatorsOf(id), more...))
 }
 
-// ownerOf returns which other node runs a job, as this node or a locator knows. False
-// leaves the question to the store.
+// ownerOf returns the other node that runs a job, as far as this node or a locator knows.
 func (s *Service) ownerOf(ctx context.Context, id string) (jobstore.Owner, bool) {
 	if owner, known := s.knownOwner(id); known {
 		return owner, true
@@ -38,7 +37,7 @@
 	return s.locate(ctx, id)
 }
 
-// knownOwner returns which other node runs a job, if this node knows.
+// knownOwner returns the other node that runs a job, if this node knows it.
 func (s *Service) knownOwner(id string) (jobstore.Owner, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -49,7 +48,7 @@
 	return remote.owner, true
 }
 
-// locate asks the nodes that hear of a job who runs it, where not all nodes do.
+// locate asks locators who runs a job. If heartbeats go to all nodes, it asks none.
 func (s *Service) locate(ctx context.Context, id string) (jobstore.Owner, bool) {
 	if s.config.Table.AnnouncesToAll() {
 		return jobstore.Owner{}, false
@@ -74,7 +73,7 @@
 	return jobstore.Owner{}, false
 }
 
-// askLocator asks one node who runs a job; nil if it does not answer.
+// askLocator asks one node who runs a job. It returns nil if there is no reply.
 func (s *Service) askLocator(ctx context.Context, address, id string) *wire.JobFound {
 	reply, err := environment.Ask(ctx, s.config.Peers, address, &wire.JobFind{Job: id}, locateTimeout)
 	found, ok := reply.(*wire.JobFound)
@@ -84,7 +83,7 @@
 	return found
 }
 
-// learnFound records what another node knows of a job, and returns its owner.
+// learnFound records a locator's reply and returns the job's owner.
 func (s *Service) learnFound(id string, found *wire.JobFound) jobstore.Owner {
 	owner := jobstore.Owner{Node: found.Owner.Node, Address: found.Owner.Address, Incarnation: found.Owner.Incarnation}
 	s.mutex.Lock()
@@ -99,7 +98,7 @@
 	return remote.owner
 }
 
-// answerFind answers another node's question who runs a job.
+// answerFind handles another node's request for the owner of a job.
 func (s *Service) answerFind(question *wire.JobFind) *wire.JobFound {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -119,7 +118,7 @@
 	}
 }
 
-// addressOf is an owner as messages name it.
+// addressOf converts an owner to its form in messages.
 func addressOf(owner jobstore.Owner) wire.PeerAddress {
 	return wire.PeerAddress{Node: owner.Node, Address: owner.Address, Incarnation: owner.Incarnation}
 }
--- a/internal/jobs/batch/locate_test.go
+++ b/internal/jobs/batch/locate_test.go
@@ -13,7 +13,8 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// newLargeCluster returns a cluster of so many nodes that not all hear of each job.
+// newLargeCluster returns a cluster in which starts and ends of jobs are not announced to
+// all nodes.
 func newLargeCluster(t *testing.T, nodes int, engines ...*testEngine) *cluster {
 	t.Helper()
 	large := &cluster{t: t, store: metastore.New(), peers: &testPeers{services: map[string]*testNode{}, cut: map[string]bool{}}, mostTold: 1}
@@ -26,7 +27,7 @@
 	return large
 }
 
-// knowing are the nodes that know of a job.
+// knowing returns the nodes that know of a job.
 func (c *cluster) knowing(id string) []*testNode {
 	var knowing []*testNode
 	for _, node := range c.nodes {
@@ -39,7 +40,7 @@
 	return knowing
 }
 
-// unknowing is a node that does not know of a job.
+// unknowing returns a node that does not know of a job.
 func (c *cluster) unknowing(id string) *testNode {
 	c.t.Helper()
 	knowing := c.knowing(id)
@@ -52,8 +53,8 @@
 	return nil
 }
 
-// Symptom: with hundreds of nodes, each start and end of a job is a message to all of
-// them over a connection of its own.
+// A job must be readable and endable at nodes that got no announcement of it, without
+// asking the store.
 func TestAJobIsReadAndEndedThroughNodesThatWereNotToldOfIt(t *testing.T) {
 	engine := startEngine(t, 3)
 	large := newLargeCluster(t, 2*ownership.Locators, engine)
@@ -82,7 +83,8 @@
 	}
 }
 
-// A job that nobody knows is looked for in the store, whose word is certain.
+// A job that no node knows must be looked up in the store before it counts as not
+// existing.
 func TestAJobThatNoNodeKnowsIsLookedForInTheStore(t *testing.T) {
 	large := newLargeCluster(t, 2*ownership.Locators, startEngine(t, 3))
 	if _, err := large.nodes[3].Read(context.Background(), "none", 0, 0); !errors.Is(err, jobstore.ErrNoSuchJob) {
@@ -90,7 +92,7 @@
 	}
 }
 
-// The nodes that were asked are gone: the store tells who runs the job.
+// If no locator can be reached, the store must be asked who runs the job.
 func TestAJobIsFoundWhenTheNodesThatWereToldOfItAreSilent(t *testing.T) {
 	engine := startEngine(t, 3)
 	large := newLargeCluster(t, 2*ownership.Locators, engine)
@@ -114,7 +116,7 @@
 	}
 }
 
-// The nodes that a start or an end is told to do not grow with the deployment.
+// The number of nodes that get announcements must not grow with the deployment.
 func TestNewsOfAJobGoToTheSameNumberOfNodesInAnyDeployment(t *testing.T) {
 	for _, nodes := range []int{2 * ownership.Locators, 4 * ownership.Locators} {
 		large := newLargeCluster(t, nodes, startEngine(t, 3))
--- a/internal/jobs/batch/metrics.go
+++ b/internal/jobs/batch/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics count what becomes of batch jobs and their items.
+// metrics are the metrics of batch jobs and their items.
 type metrics struct {
 	runs        prometheus.Counter
 	moved       *prometheus.CounterVec
--- a/internal/jobs/batch/observedlengths.go
+++ b/internal/jobs/batch/observedlengths.go
@@ -6,7 +6,7 @@
 	"github.com/pathtally/pathtally/internal/jobs/placement"
 )
 
-// seen is how many events an item's runs have made. The service's mutex must be
+// seen returns the number of events known of the item's text. The service's mutex must be
 // held.
 func (i *item) seen() int {
 	if i.running == nil {
@@ -15,8 +15,8 @@
 	return max(i.events, i.running.after+int(i.running.events.Load()))
 }
 
-// recordLengths remembers, when a job ends, the lengths of the items of groups that are
-// not whole, to be announced to the other nodes. The mutex must be held.
+// recordLengths records the lengths of the items of incomplete groups when a job ends, to
+// announce them to other nodes. The mutex must be held.
 func (s *Service) recordLengths(ended *job) {
 	for _, left := range ended.items {
 		if left.group.open == 0 || left.seen() == 0 {
--- a/internal/jobs/batch/ownerwatch.go
+++ b/internal/jobs/batch/ownerwatch.go
@@ -10,11 +10,11 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// ownerCheckInterval is the time between checks of the owners.
+// ownerCheckInterval is the time between checks of the owners of jobs.
 const ownerCheckInterval = 150 * time.Millisecond
 
-// watchOwners takes over the jobs whose owners have fallen silent. While no job is known
-// it waits for one.
+// watchOwners takes over jobs whose owners send no heartbeats. While no job is known, it
+// waits for one.
 func (s *Service) watchOwners(ctx context.Context) {
 	pauses := newPauseDetector(s.config.Clock)
 	for objectstore.Sleep(ctx, ownerCheckInterval) {
@@ -30,8 +30,8 @@
 			go s.takeOver(ctx, id, lost)
 		}
 		if s.knowsNoJob() {
-			// The watchers of a job learn of it at the same moment; they need not all read
-			// the store at the same moments.
+			// All watchers of a job learn of it at the same time. A random delay spreads
+			// their reads of the store.
 			if !s.ownerWatchWake.wait(ctx) || !objectstore.Sleep(ctx, rand.N(ownerCheckInterval)) {
 				return
 			}
@@ -40,7 +40,7 @@
 	}
 }
 
-// knowsNoJob tells whether there is no job to watch or to forget, here or at other nodes.
+// knowsNoJob reports whether there is nothing to watch or evict.
 func (s *Service) knowsNoJob() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -48,16 +48,17 @@
 }
 
 const (
-	// recordCheckInterval is how often the record of an open job is read. An owner to
-	// which an end was not announced finds it there; with the time of a read it does so
-	// within the three seconds that platforms give for the last item.
+	// recordCheckInterval is the time between reads of the record of an open job, by
+	// which an owner finds an end that was not announced to it. Platforms allow three
+	// seconds from the end of a job to the end of its last run.
 	recordCheckInterval = 1500 * time.Millisecond
-	// recordCheckRetry is the time between reads while none has been answered.
+	// recordCheckRetry is the time between reads while none succeeds.
 	recordCheckRetry = 300 * time.Millisecond
 )
 
-// dueRecordChecks returns the jobs whose records are to be read now, to confirm their
-// owner. After a pause of this process no open job is answered from memory before that.
+// dueRecordChecks returns the jobs whose records are to be read now to confirm their
+// owner. After a pause of this process, no incomplete job is answered from memory before
+// that.
 func (s *Service) dueRecordChecks(paused bool) []*job {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -80,9 +81,9 @@
 
 // orphan is a job that this node is to take over.
 type orphan struct {
-	// owner is the one that is silent.
+	// owner is the silent owner.
 	owner jobstore.Owner
-	// probeOwner tells that it is to be asked first.
+	// probeOwner reports that the owner is to be asked first.
 	probeOwner bool
 }
 
@@ -96,7 +97,8 @@
 	orphans := map[string]orphan{}
 	for id, remote := range s.remoteJobs {
 		if s.jobs[id] != nil {
-			// It runs here: a reader looked it up just before this node took it up.
+			// A reader recorded the job's former owner just before the job was started
+			// here.
 			delete(s.remoteJobs, id)
 			continue
 		}
@@ -109,8 +111,8 @@
 	return orphans
 }
 
-// remoteView is a job of another node as decisions about takeovers see it. The mutex must
-// be held.
+// remoteView returns what takeover decisions need to know of another node's job. The
+// mutex must be held.
 func (s *Service) remoteView(id string, remote *remoteJob) ownership.RemoteJob {
 	return ownership.RemoteJob{
 		Ended: remote.ended, TakingOver: remote.takingOver, RetryAt: remote.retryAt, LastHeartbeat: remote.lastHeartbeat,
--- a/internal/jobs/batch/pace_test.go
+++ b/internal/jobs/batch/pace_test.go
@@ -9,8 +9,8 @@
 	"github.com/pathtally/pathtally/internal/jobs/replicastate"
 )
 
-// paced returns a service that has seen replicas at the given intervals, in
-// milliseconds.
+// paced returns a service that has observed replicas with the given intervals between
+// events, in milliseconds.
 func paced(intervals ...int) (*Service, *item) {
 	service, waiting := placing(len(intervals))
 	for number, interval := range intervals {
@@ -64,7 +64,7 @@
 	}
 }
 
-// running adds a run of an item at a replica that has made some events.
+// addRun adds a run of an item at a replica, with a number of events received.
 func (s *Service) addRun(replica string, events int64, work *item) *attempt {
 	pool := s.scheduler.newPool()
 	for _, candidate := range pool.replicasFor(work) {
--- a/internal/jobs/batch/pause.go
+++ b/internal/jobs/batch/pause.go
@@ -6,12 +6,12 @@
 	"github.com/pathtally/pathtally/internal/clock"
 )
 
-// pauseLimit is the gap between checks from which this process counts as having been
-// paused, so that others may have taken its jobs over.
+// pauseLimit is the gap between checks above which this process counts as paused, so that
+// other nodes may have taken its jobs over.
 const pauseLimit = 800 * time.Millisecond
 
-// pauseDetector notices that the process was paused or the machine suspended. It belongs
-// to one goroutine.
+// pauseDetector detects that the process was paused or the machine suspended. It is not
+// safe for concurrent use.
 type pauseDetector struct {
 	clock clock.Clock
 	last  time.Time
@@ -21,8 +21,7 @@
 	return &pauseDetector{clock: counting, last: counting()}
 }
 
-// check is called at each check of the owners and returns the gap since the last one where
-// that is a pause, else 0.
+// check returns the time since the last check if that counts as a pause, else 0.
 func (d *pauseDetector) check() time.Duration {
 	now := d.clock()
 	gap := now.Sub(d.last)
--- a/internal/jobs/batch/pause_test.go
+++ b/internal/jobs/batch/pause_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Others take an owner's jobs over while its machine is suspended. Its steady clock does
-// not show the gap.
+// Guards against missing a suspension of the machine, in which other nodes take jobs over
+// and a steady clock does not advance.
 func TestASuspensionIsAPause(t *testing.T) {
 	now := time.Unix(0, 0)
 	pauses := newPauseDetector(func() time.Time { return now })
--- a/internal/jobs/batch/pool.go
+++ b/internal/jobs/batch/pool.go
@@ -10,7 +10,7 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// poolKey names the items that may go to the same replicas.
+// poolKey identifies the items that may run at the same replicas.
 type poolKey struct {
 	route      string
 	model      string
@@ -18,27 +18,26 @@
 	tenant     string
 }
 
-// pool is the replicas that items may go to, as views for many decisions in a row:
-// what holds for all items is worked out once. The mutex must be held while
-// it is used.
+// pool is a snapshot of the replicas for a series of placement decisions. What is the
+// same for many items is computed once. The mutex must be held while it is used.
 type pool struct {
 	scheduler *scheduler
-	// running is set where the items run already: they want nothing of replicas that
-	// warm up.
+	// running is set if the items are running already: they do not count as demand at
+	// replicas in slow start.
 	running bool
 	view    *directory.View
 	now     time.Time
 	paces   placement.Paces
-	// loads are the items that run at each replica, from all nodes.
+	// loads are the numbers of items that run at each replica, from all nodes.
 	loads    map[string]int
 	replicas map[poolKey][]*placement.Replica
-	// byName joins the views of one replica, since they share its slots.
+	// byName has the single view of each replica, which all keys share as they share its
+	// slots.
 	byName    map[string]*placement.Replica
 	endpoints map[string]*routing.Endpoint
 }
 
-// newPool returns the replicas as the directory shows them now. The mutex must be
-// held.
+// newPool returns a pool of the replicas now in the directory. The mutex must be held.
 func (s *scheduler) newPool() *pool {
 	return &pool{
 		scheduler: s, view: s.config.Directory.View(), now: time.Now(), paces: s.replicas.Paces(), loads: s.replicas.Loads(time.Now()),
@@ -46,13 +45,14 @@
 	}
 }
 
-// pick returns the replica for an item, nil for none.
+// pick returns the replica for an item, nil if none has a free slot.
 func (p *pool) pick(waiting *item) *placement.Replica {
 	return placement.Pick(p.replicasFor(waiting), placement.Preference{FailedReplicas: waiting.failedAt, Urgent: waiting.urgent})
 }
 
-// replicasFor lists the replicas that have the weights for an item, are not loading, and that
-// it may go to once they have a free slot.
+// replicasFor returns the replicas at which an item may run, including those without a
+// free slot. Replicas that are blocked, are loading weights or have old ones are left
+// out.
 func (p *pool) replicasFor(waiting *item) []*placement.Replica {
 	key := poolKey{route: waiting.job.record.Route, model: waiting.job.submission.Model, minVersion: waiting.job.submission.MinVersion, tenant: waiting.job.record.Tenant}
 	replicas, known := p.replicas[key]
@@ -71,7 +71,7 @@
 	return replicas
 }
 
-// add adds the replicas that are not barred from some items.
+// add appends the endpoints at which the items of a key may run.
 func (p *pool) add(replicas []*placement.Replica, endpoints []*routing.Endpoint, key poolKey, query *routing.Query) []*placement.Replica {
 	for _, endpoint := range endpoints {
 		state := p.scheduler.replicas.Get(endpoint.Name)
@@ -79,7 +79,7 @@
 		if p.now.Before(state.BlockedUntil) || state.IsLoading(key.model) || (known > 0 && known < key.minVersion) {
 			continue
 		}
-		// Last, since a gate counts the question as demand.
+		// This comes last, since a slow-start gate counts the query as demand.
 		if !routing.ItemChain.Allow(query, endpoint) {
 			continue
 		}
@@ -88,7 +88,7 @@
 	return replicas
 }
 
-// replicaOf returns the one view of a replica.
+// replicaOf returns the view of a replica, and creates it on first use.
 func (p *pool) replicaOf(endpoint *routing.Endpoint, state *replicastate.State) *placement.Replica {
 	if shared := p.byName[endpoint.Name]; shared != nil {
 		return shared
--- a/internal/jobs/batch/publish.go
+++ b/internal/jobs/batch/publish.go
@@ -9,8 +9,8 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// publish appends the finished results of a job, and the texts of long items on
-// their way, until the job ends.
+// publish appends the finished results of a job, and saves the texts of its running
+// items, until the job ends.
 func (s *Service) publish(published *job) {
 	saving := time.NewTimer(textPeriod)
 	defer saving.Stop()
@@ -33,12 +33,11 @@
 }
 
 const (
-	// groupGather is how long results wait for others once a group is whole and
-	// its trainer may soon have what it waits for. Before that nobody waits for
-	// single results, and appends are resultGather apart, as savings of texts are:
-	// an owner that is lost costs the running of what finished since. From that long
-	// before the job is due they are dueGather apart, since whole groups count for
-	// less afterwards.
+	// groupGather is how long results wait for others once a group is complete and the
+	// trainer may soon have the groups that it waits for. Before that, nobody waits for
+	// single results, and appends are resultGather apart. If the owner fails, the results
+	// of that time are computed again. From resultGather before the job is due, appends
+	// are dueGather apart, since groups that complete late count for less.
 	groupGather  = 40 * time.Millisecond
 	resultGather = textPeriod
 	dueGather    = 500 * time.Millisecond
@@ -47,8 +46,8 @@
 	gatherPollInterval = 20 * time.Millisecond
 )
 
-// gather waits a little after the last append, so that results close together are one
-// object.
+// gather waits after the last append, so that results that finish close together share a
+// chunk.
 func (s *Service) gather(published *job, appended time.Time) {
 	for {
 		pause, done := s.gatherPause(published, time.Since(appended))
@@ -61,8 +60,8 @@
 	}
 }
 
-// gatherPause is how long to gather results before the next check, or before they are
-// listed if done.
+// gatherPause returns the time until the next check, or, if done, until the results are
+// to be appended.
 func (s *Service) gatherPause(published *job, waited time.Duration) (pause time.Duration, done bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -77,19 +76,19 @@
 	return gatherPollInterval, false
 }
 
-// remaining counts the items without a result.
+// remaining returns the number of items without a result.
 func (j *job) remaining() int { return len(j.items) - len(j.listed) - len(j.finished) }
 
-// appendOnce writes one chunk of finished results and lists what the store has at its
-// index then. It tells whether there is more to write.
+// appendOnce appends one chunk and lists what the store then has at its index, which may
+// be another node's chunk. It reports whether there is more to append.
 func (s *Service) appendOnce(published *job) bool {
 	written, index, due := s.nextChunk(published)
 	if !due {
 		return false
 	}
 	began := time.Now()
-	// The end of the job does not cut the append off: the store may have done it, and a
-	// result that others read there would be missing here.
+	// The end of the job does not cancel the append: the store may have applied it, and
+	// readers may have seen results there that would be missing here.
 	stored, own, err := s.config.JobStore.Append(s.within(published.appends, published.record), published.id, index, written)
 	s.mutex.Lock()
 	published.saving = false
@@ -111,8 +110,8 @@
 	return len(published.finished) > 0 && published.ctx.Err() == nil
 }
 
-// nextChunk is what is to be written of a job now, and at which place; false if that is
-// nothing.
+// nextChunk returns the chunk to append now and its index. It returns false if there is
+// nothing to append.
 func (s *Service) nextChunk(published *job) (written jobstore.Chunk, index int, due bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -135,9 +134,9 @@
 	return written, published.chunks, true
 }
 
-// settleOwner finds out whether this node still owns a job in which another
-// has written. Until then it appends nothing: the other may be its successor,
-// which knows only what stood before its own chunk.
+// settleOwner waits until it is known whether this node still owns a job to which another
+// node has appended a chunk. This node must not append before that: the other may be its
+// successor, which knows only the chunks before its own.
 func (s *Service) settleOwner(held *job) {
 	s.mutex.Lock()
 	held.markSuspect()
@@ -153,12 +152,12 @@
 	}
 }
 
-// writerName names this process in what it writes.
+// writerName identifies this process in the chunks that it writes.
 func (s *Service) writerName() string {
 	return s.config.Self.Node + "@" + formatIncarnation(s.config.Self.Incarnation)
 }
 
-// recordChunk adds a chunk that the store has to the listed results.
+// recordChunk lists the results of a stored chunk.
 func (s *Service) recordChunk(published *job, stored jobstore.Chunk, own bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -183,7 +182,7 @@
 	published.notify()
 }
 
-// boundedPart returns the first results that fit into one object.
+// boundedPart returns the first results that fit into one chunk, at least one.
 func boundedPart(results []jobstore.Result) []jobstore.Result {
 	size := 0
 	for i, result := range results {
@@ -195,10 +194,10 @@
 	return results[:len(results):len(results)]
 }
 
-// resultOverhead is about what a result takes besides its text, in bytes.
+// resultOverhead is the approximate size of an encoded result without its text, in bytes.
 const resultOverhead = 300
 
-// confirmOwner reads whether this node still owns a job, and gives it up if not.
+// confirmOwner reads whether this node still owns a job, and stops the job if not.
 func (s *Service) confirmOwner(held *job) {
 	ctx, cancel := context.WithTimeout(s.base, recordReadTimeout)
 	defer cancel()
@@ -211,8 +210,8 @@
 	}
 }
 
-// applyRecord applies the record of a held job that a call of the store returned which
-// began at an instant. The mutex must be held.
+// applyRecord applies a record of a local job that a store call returned. began is when
+// that call began. The mutex must be held.
 func (s *Service) applyRecord(held *job, stored jobstore.StoredJob, began time.Time) {
 	if s.jobs[held.id] != held {
 		return
@@ -225,7 +224,7 @@
 			held.endStored = true
 			s.endLocally(held.id)
 		case held.ended:
-			// Whoever announced the end may have failed before the store had it.
+			// The node that announced the end may have failed before storing it.
 			go s.persistEnd(held.id)
 		}
 		return
--- a/internal/jobs/batch/publish_test.go
+++ b/internal/jobs/batch/publish_test.go
@@ -45,9 +45,8 @@
 	}
 }
 
-// Every append is a call to the store. While a trainer has far to go, its results and
-// the texts of its long items go there together, once a second; what it waits for in
-// the end goes at once.
+// Results and texts must share appends while the trainer waits for many groups, and the
+// last results that it waits for must be appended at once.
 func TestResultsAndTextsAreAppendedTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -60,7 +59,7 @@
 			id: "job", submission: &Submission{Desired: 2}, items: map[string]*item{}, groups: map[string]*group{},
 			flush: make(chan struct{}, 1), changed: make(chan struct{}), ctx: ctx, cancel: cancel, appends: ctx, takenUp: time.Now(),
 		}
-		// Both groups have one long item, which is done last.
+		// Each group has one long item, which finishes last.
 		for number := range 42 {
 			id := fmt.Sprint(number)
 			name := fmt.Sprint(number % 2)
@@ -103,9 +102,8 @@
 	})
 }
 
-// Readers come back half a second after each answer. Results that were listed some
-// hundredths of a second before the last group that a trainer waited for used to make it
-// wait that long for this one.
+// Readers come back half a second after each response, so results listed shortly before
+// the last desired group would delay that group.
 func TestResultsBeforeTheLastDesiredGroupAreListedWithIt(t *testing.T) {
 	now := time.Now()
 	const longest = 146
--- a/internal/jobs/batch/queue.go
+++ b/internal/jobs/batch/queue.go
@@ -8,13 +8,13 @@
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
-// queued is an item that waits, with its view.
+// queued is a queued item with its view for placement decisions.
 type queued struct {
 	view placement.Item
 	item *item
 }
 
-// sortQueue orders the items that wait. The mutex must be held.
+// sortQueue sorts the queue in processing order. The mutex must be held.
 func (s *scheduler) sortQueue() {
 	configuration := s.config.Directory.View().Configuration
 	interval := s.replicas.Paces().Usual()
@@ -29,8 +29,8 @@
 	}
 }
 
-// viewOf is an item that waits as decisions see it, where runs make an event at an
-// interval. The mutex must be held.
+// viewOf returns the view of a queued item for placement decisions. interval is the usual
+// time between events. The mutex must be held.
 func (s *scheduler) viewOf(waiting *item, configuration *directory.Configuration, interval time.Duration) placement.Item {
 	return placement.Item{
 		Priority: priorityOf(configuration, waiting.job.record), JobStarted: waiting.job.takenUp,
@@ -39,8 +39,8 @@
 	}
 }
 
-// rest is how many events an item is expected to make yet, 0 for unknown. The mutex
-// must be held.
+// rest returns the expected number of remaining events of an item, 0 if unknown. The
+// mutex must be held.
 func (s *scheduler) rest(work *item) int {
 	rate := s.eventRates.Of(work.job.submission.Model)
 	expected := work.expected
@@ -50,7 +50,7 @@
 	return placement.Remaining(expected, work.seen(), rate.Longest())
 }
 
-// drop takes a job's items out of the queue. The mutex must be held.
+// drop removes a job's items from the queue. The mutex must be held.
 func (s *scheduler) drop(dropped *job) {
 	s.queue = slices.DeleteFunc(s.queue, func(waiting *item) bool { return waiting.job == dropped })
 }
--- a/internal/jobs/batch/rank.go
+++ b/internal/jobs/batch/rank.go
@@ -6,14 +6,14 @@
 	"github.com/pathtally/pathtally/internal/jobs/ownership"
 )
 
-// takeoverDelay returns how long to wait after the owner's last heartbeat before taking
-// over its job. The mutex must be held.
+// takeoverDelay returns how long this node waits after the owner's last heartbeat before
+// taking over its job. The mutex must be held.
 func (s *Service) takeoverDelay(id string, remote *remoteJob) time.Duration {
 	return ownership.Delay(s.conditionOf(remote), s.cachedRank(id, remote))
 }
 
-// conditionOf is what is known of a job's owner besides its heartbeats. The mutex must be
-// held.
+// conditionOf returns what is known of a job's owner besides its heartbeats. The mutex
+// must be held.
 func (s *Service) conditionOf(remote *remoteJob) ownership.OwnerCondition {
 	if remote.owner.Node == s.config.Self.Node {
 		return ownership.OwnerFormerSelf
@@ -28,8 +28,8 @@
 	return ownership.OwnerRunning
 }
 
-// rank is this node's place among those that may take a job over, ownership.Outside where
-// it may not. The mutex must be held.
+// rank returns this node's rank among those that may take a job over, ownership.Outside
+// if it may not. The mutex must be held.
 func (s *Service) rank(id string, remote *remoteJob) int {
 	nodes, owner := s.insiders(remote.origin, s.config.Table.Nodes()), remote.owner.Node
 	if owner == s.config.Self.Node {
@@ -42,8 +42,8 @@
 	return ownership.Rank(id, successors, s.config.Self.Node)
 }
 
-// cachedRank is this node's rank for a job, worked out anew when the nodes, the
-// configuration or the owner change. The mutex must be held.
+// cachedRank returns this node's rank for a job. It is computed again when the nodes, the
+// configuration, the owner or the job's origin change. The mutex must be held.
 func (s *Service) cachedRank(id string, remote *remoteJob) int {
 	membership, configuration := s.config.Table.Membership()+1, s.config.Directory.View().Configuration
 	if remote.membership != membership || remote.rankedIn != configuration {
--- a/internal/jobs/batch/read.go
+++ b/internal/jobs/batch/read.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// peerMargin is what an answer of another node may take beyond the time
-	// that a reader waits.
+	// peerMargin is the time allowed for another node's reply, in addition to the time
+	// that a reader asks to wait.
 	peerMargin = 700 * time.Millisecond
-	// readBehindTimeout bounds a read behind an append under way; with it an answer to
-	// another node stays within peerMargin.
+	// readBehindTimeout bounds a read of the chunk being appended. It is short enough
+	// that a reply to another node stays within peerMargin.
 	readBehindTimeout = 500 * time.Millisecond
-	// endTime bounds one question to the owner of a job that is to be ended.
+	// ownerEndTimeout bounds a request to a job's owner to end it.
 	ownerEndTimeout = 800 * time.Millisecond
 )
 
@@ -27,8 +27,9 @@
 	Results []jobstore.Result
 }
 
-// Read returns the results after a position, and waits for one up to the given time.
-// jobstore.ErrNoSuchJob is certain; other errors mean that this node cannot tell.
+// Read returns the results after a position. If there are none, it waits up to the given
+// time for some. jobstore.ErrNoSuchJob means that the job does not exist; other errors
+// mean that this node could not find out.
 func (s *Service) Read(ctx context.Context, id string, after int, wait time.Duration) (Page, error) {
 	if page, held := s.readHeld(ctx, id, after, wait); held {
 		return page, nil
@@ -54,8 +55,8 @@
 	return s.readStored(ctx, stored, after)
 }
 
-// readHeld reads a job that this node runs. False means that it does not, or cannot
-// be sure of what it holds: then the store is to be read.
+// readHeld reads a job that this node runs from memory. It returns false if this node
+// does not run the job or cannot rely on its memory, so that the store must be read.
 func (s *Service) readHeld(ctx context.Context, id string, after int, wait time.Duration) (Page, bool) {
 	limit := time.NewTimer(wait)
 	defer limit.Stop()
@@ -92,8 +93,9 @@
 	}
 }
 
-// readListed reads what is listed of a job that this node runs. False where that is
-// nothing and an append has no answer yet: its results may have been shown to others.
+// readListed reads what is listed of a job that this node runs. It returns false if that
+// is nothing while an append has no outcome: its results may have been shown to other
+// readers.
 func (s *Service) readListed(id string, after int) (Page, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -105,9 +107,9 @@
 	return page, len(page.Results) > 0 || !held.isAppending()
 }
 
-// readBehind returns what the store has from a chunk on, but for some results: it may
-// have done an append that this node has no answer to, and shown its results to
-// others.
+// readBehind reads the results from a chunk on, without the first ones, from the store:
+// it may have applied an append whose response this node did not get, and shown the
+// results to other readers.
 func (s *Service) readBehind(ctx context.Context, id string, chunks, after int) ([]jobstore.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, readBehindTimeout)
 	defer cancel()
@@ -119,8 +121,7 @@
 	return pageAfter(behind.Results, after, 0).Results, nil
 }
 
-// pageAfter is the page of the listed results behind a position. The mutex must be
-// held.
+// pageAfter returns the listed results after a position. The mutex must be held.
 func (j *job) pageAfter(after int) Page {
 	return pageAfter(j.listed[:len(j.listed):len(j.listed)], after, len(j.items))
 }
@@ -140,7 +141,8 @@
 	return read, json.Unmarshal(page.Results, &read.Results)
 }
 
-// Body returns the body of an item. ErrNoSuchJob and ErrNoSuchItem are certain.
+// Body returns the request body of an item. jobstore.ErrNoSuchJob and ErrNoSuchItem mean
+// that it does not exist; other errors mean that this node could not find out.
 func (s *Service) Body(ctx context.Context, id, itemID string) ([]byte, error) {
 	s.mutex.Lock()
 	held := s.jobs[id]
--- a/internal/jobs/batch/recover.go
+++ b/internal/jobs/batch/recover.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// joinPollInterval is the time between checks whether this node has joined, and
-	// joinTimeout bounds the wait: a node whose entry the store does not take reads the
-	// jobs through its peers all the same.
+	// joinPollInterval is the time between checks whether this node has joined.
+	// joinTimeout bounds the wait: a node whose entry is not stored can still read the
+	// jobs through its peers.
 	joinPollInterval = 20 * time.Millisecond
 	joinTimeout      = 1500 * time.Millisecond
 )
 
-// recover learns at the start which jobs there are. Those whose owners stay
-// silent are taken over like any others. A node that is new to the deployment
-// owns none, and the newest ones of others have their watchers: it takes a
-// listing that may be some seconds old, for a tenth of the price.
+// recover records the open jobs in the store when this node starts, so that those of
+// silent owners are taken over.
+//
+// A node that is new to the deployment owns no jobs, and the newest jobs of others have
+// watchers already. It reads a listing that may be some seconds old, which costs a tenth.
 func (s *Service) recover(ctx context.Context) {
 	for began := time.Now(); !s.config.Table.Joined() && time.Since(began) < joinTimeout; {
 		if !objectstore.Sleep(ctx, joinPollInterval) {
@@ -46,7 +47,7 @@
 	}
 }
 
-// Recovered tells whether the jobs of the store are known.
+// Recovered reports whether the jobs in the store are known.
 func (s *Service) Recovered() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/jobs/batch/refusal.go
+++ b/internal/jobs/batch/refusal.go
@@ -10,27 +10,25 @@
 )
 
 const (
-	// retryDelay is when callers are told to repeat a refused call.
+	// retryDelay is the Retry-After of refused calls.
 	retryDelay = 200 * time.Millisecond
-	// withoutHomeRetryDelay is when to repeat a job that no replica may run: a replica
-	// that is started or a configuration that is changed is known everywhere some seconds
-	// later.
+	// withoutHomeRetryDelay is the Retry-After of jobs that no replica may run. It covers
+	// the time in which a new replica or configuration reaches all nodes.
 	withoutHomeRetryDelay = 2 * time.Second
 )
 
-// refusal is how a call is answered that is not served.
+// refusal is the response to a call that is not served.
 type refusal struct {
 	status int
-	// retryAfter is when the caller is told to repeat the call, 0 for not at all.
+	// retryAfter is the delay after which the caller may retry, 0 for no retry.
 	retryAfter time.Duration
 }
 
-// malformed is the refusal of a call that cannot be understood or must not be made.
+// malformed is the refusal of an invalid call.
 var malformed = refusal{status: http.StatusBadRequest}
 
-// refusalOfSubmission is how a submission is refused that ended with an error. One whose
-// outcome is not known is answered with a gateway timeout: the caller repeats it, and the
-// job is accepted once.
+// refusalOfSubmission maps an error of a submission to its refusal. An unknown outcome is
+// a gateway timeout: the caller may retry, since the job is accepted once.
 func refusalOfSubmission(err error) refusal {
 	var notTaken *jobstore.NotTakenError
 	switch {
@@ -44,8 +42,8 @@
 	return refusal{status: http.StatusGatewayTimeout}
 }
 
-// refusalOfCall is how a read, a question for a body, or an end is refused: not found only
-// where that is certain.
+// refusalOfCall maps an error of a call about a job to its refusal. It is "not found"
+// only if the job or item is known not to exist.
 func refusalOfCall(err error) refusal {
 	if errors.Is(err, jobstore.ErrNoSuchJob) || errors.Is(err, ErrNoSuchItem) {
 		return refusal{status: http.StatusNotFound}
--- a/internal/jobs/batch/remotejob.go
+++ b/internal/jobs/batch/remotejob.go
@@ -9,47 +9,48 @@
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
-// remoteJob is a batch job that another node runs.
+// remoteJob is a batch job that another node runs. The service's mutex guards it.
 type remoteJob struct {
 	owner jobstore.Owner
-	// epoch is the owner's place among the job's owners, 0 for unknown.
+	// epoch is the number of owners up to this one, 0 if unknown.
 	epoch int
-	// lastHeartbeat is when the owner was last known to run it.
+	// lastHeartbeat is when the owner was last known to run the job.
 	lastHeartbeat time.Time
 	ended         bool
-	// tenant is whose job it is, if tenantKnown.
+	// tenant is the job's tenant, valid if tenantKnown is set.
 	tenant      string
 	tenantKnown bool
-	// origin decides where the job's bodies may be; nil while it is not known.
+	// origin decides in which regions the job's bodies may be, nil if unknown.
 	origin *origin
-	// waitLogged is set once the log says that the job waits for a node that may have it.
+	// waitLogged is set once the log says that no other node may take the job over.
 	waitLogged bool
-	// rank is this node's place among those that may take the job over, as
-	// worked out for a membership.
+	// rank caches this node's rank among those that may take the job over. It is valid
+	// for one version of the membership, 0 for none.
 	rank       int
 	membership uint64
-	// rankedIn is the configuration that the rank was worked out in.
+	// rankedIn is the configuration for which rank is valid.
 	rankedIn *directory.Configuration
-	// leaving is set when the owner gives its jobs away.
+	// leaving is set when the owner has announced that it hands its jobs over.
 	leaving bool
-	// takingOver is set while this node takes it over.
+	// takingOver is set while this node takes the job over.
 	takingOver bool
-	// retryAt is when a failed takeover may be tried again.
+	// retryAt is when a failed takeover may be retried.
 	retryAt time.Time
-	// results are those read from the store, for answers while the owner is
-	// silent, and chunks their number of objects.
+	// results are those read from the store, and chunks their number of chunks, for reads
+	// while the owner does not reply.
 	results []jobstore.Result
 	chunks  int
-	// total is how many items the job has, 0 while unknown.
+	// total is the number of items of the job, 0 if unknown.
 	total int
-	// final is set once the results were read to a seal, so that none can be added.
+	// final is set once results includes everything up to a seal, so that no more can
+	// follow.
 	final bool
-	// sealAfter is when a further seal may be tried.
+	// sealAfter is when a seal may be attempted again.
 	sealAfter time.Time
 }
 
-// learnRemote records who runs a job in an epoch, 0 for unknown. An earlier epoch than the
-// one known changes nothing: a former owner announces it until it has read the record. The
+// learnRemote records who runs a job in an epoch, 0 if unknown. An epoch earlier than the
+// known one is ignored: a former owner announces it until it has read the record. The
 // mutex must be held.
 func (s *Service) learnRemote(id string, owner jobstore.Owner, epoch int, ended bool) *remoteJob {
 	remote := s.remoteJobs[id]
@@ -64,7 +65,7 @@
 	case !ownership.IsEarlierEpoch(epoch, remote.epoch):
 		remote.owner, remote.epoch, remote.leaving = owner, epoch, false
 		remote.lastHeartbeat = time.Now()
-		// The rank depends on who the owner is.
+		// The cached rank depends on the owner.
 		remote.membership = 0
 	}
 	if ended {
--- a/internal/jobs/batch/replicas.go
+++ b/internal/jobs/batch/replicas.go
@@ -7,7 +7,8 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// NoteVersion takes what a coordinator of weights knows of a replica.
+// LearnVersion records the weight version that the weights coordinator announces for a
+// replica, or that the replica is loading weights.
 func (s *Service) LearnVersion(change wire.ReplicaVersion) {
 	s.mutex.Lock()
 	state := s.replicas.Get(change.Replica)
@@ -20,21 +21,21 @@
 	s.WakeScheduler()
 }
 
-// Uses returns how many items this node runs at each replica.
+// Uses returns the number of items that this node runs at each replica.
 func (s *Service) Uses() []wire.ReplicaUse {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.replicas.Announced(time.Now())
 }
 
-// Load is how many items run at a replica, from all nodes.
+// Load returns the number of items that run at a replica, from all nodes.
 func (s *Service) Load(id string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.replicas.Load(id, time.Now())
 }
 
-// routeOf returns a route by its name, nil for none.
+// routeOf returns the route with a name, nil if there is none.
 func routeOf(configuration *directory.Configuration, name string) *directory.Route {
 	for i := range configuration.Routes {
 		if configuration.Routes[i].Name == name {
--- a/internal/jobs/batch/replicas_test.go
+++ b/internal/jobs/batch/replicas_test.go
@@ -17,7 +17,8 @@
 	"github.com/pathtally/pathtally/internal/replicas/slowstart"
 )
 
-// Failing replicas answer at once and so have free slots: most items went there.
+// Failing replicas respond at once and so have free slots, which must not attract most
+// items.
 func TestItemsAvoidFailingReplicas(t *testing.T) {
 	service, waiting := placing(3)
 	now := time.Now()
@@ -42,7 +43,8 @@
 
 func replicaName(number int) string { return fmt.Sprintf("replica-%d", number) }
 
-// placing returns a service that knows so many replicas, and an item for them.
+// placing returns a service that knows a number of replicas, and an item to place on
+// them.
 func placing(count int) (*Service, *item) {
 	table := directory.NewTable("node", "zone", nil, klog.Background())
 	var listed []*directory.Replica
@@ -82,8 +84,7 @@
 	}
 }
 
-// TestItemsGoToOthersWhileAReplicaWarmsUp has nobody who allots: the replica is left
-// alone until it is warm.
+// A replica in slow start must get no items while no node grants permits for it.
 func TestItemsGoToOthersWhileAReplicaWarmsUp(t *testing.T) {
 	service, waiting := placing(2)
 	asker := slowstart.NewClient(slowstart.ClientConfig{Clock: time.Now, Logger: klog.Background(), Registry: prometheus.NewRegistry()})
@@ -105,7 +106,7 @@
 	}
 }
 
-// picks counts the items that are placed at each replica until all are full.
+// picks places items until all replicas are full, and counts those at each.
 func picks(service *Service, waiting *item) map[string]int {
 	pool := service.scheduler.newPool()
 	picked := map[string]int{}
@@ -163,8 +164,8 @@
 	}
 }
 
-// Some replicas never say that they leave: their entry goes, and they serve on
-// for a while. What runs there ends there, and nothing new begins.
+// Replicas may disappear from the directory without announcing it: their runs must
+// finish, and no new ones start there.
 func TestRunsEndAtAReplicaWhoseEntryIsGone(t *testing.T) {
 	engine := heldEngine(t)
 	cluster := newCluster(t, 1, engine)
--- a/internal/jobs/batch/retention.go
+++ b/internal/jobs/batch/retention.go
@@ -6,11 +6,11 @@
 	"github.com/pathtally/pathtally/internal/jobs/ownership"
 )
 
-// endedJobRetention is how long the results of an ended job stay in memory; after that the
-// store answers for it.
+// endedJobRetention is how long the results of an ended job stay in memory. After that,
+// reads are answered from the store.
 const endedJobRetention = 90 * time.Second
 
-// evict forgets jobs that ended long ago.
+// evict removes jobs that ended long ago and other outdated state.
 func (s *Service) evict() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -21,8 +21,8 @@
 		}
 	}
 	for id, remote := range s.remoteJobs {
-		// A node to which no owner announces the job knows it from a question, and asks
-		// again.
+		// A node that gets no announcements about the job knows it only from having
+		// asked, and can ask again.
 		untold := !s.config.Table.AnnouncesToAll() && s.cachedRank(id, remote) >= ownership.Locators
 		if (remote.ended || untold) && time.Since(remote.lastHeartbeat) > endedJobRetention {
 			delete(s.remoteJobs, id)
--- a/internal/jobs/batch/reward.go
+++ b/internal/jobs/batch/reward.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// rewardTime bounds one call of a scorer where its route names no time.
+	// maxRewardTimeout bounds one call of a scorer, also where its route allows more.
 	maxRewardTimeout = 2 * time.Second
-	// rewardPause is the time before a scorer that did not answer is called
-	// again, and longestRewardPause bounds it as it grows.
+	// rewardPause is the first delay before a scorer is called again, which doubles up to
+	// longestRewardPause.
 	rewardPause        = 60 * time.Millisecond
 	longestRewardPause = 500 * time.Millisecond
 )
@@ -30,7 +30,7 @@
 	config   *Config
 	mutex    *sync.Mutex
 	replicas *replicastate.Table
-	// bounds are those on the calls in progress, by route.
+	// bounds limit the concurrent calls, by route.
 	bounds map[string]*admission.Adaptive
 }
 
@@ -38,8 +38,8 @@
 	return &scorer{config: &service.config, mutex: &service.mutex, replicas: service.replicas, bounds: map[string]*admission.Adaptive{}}
 }
 
-// callReward calls an item's scorer until it answers, has failed as often as
-// its route allows, or the job ends.
+// callReward calls an item's scorer until it succeeds, has failed as often as its route
+// allows (failed), or the job ends.
 func (s *scorer) callReward(work *item, attempts func() int) (score string, failed, scored bool) {
 	reward := work.Reward
 	failures := 0
@@ -70,7 +70,7 @@
 	return "", false, false
 }
 
-// callScorer makes one call of a scorer once the bound of its route has room.
+// callScorer calls a scorer once the limit of its route allows another call.
 func (s *scorer) callScorer(ctx context.Context, route *directory.Route, call *dispatch.Call) (*forward.BufferedAnswer, error) {
 	bound := s.rewardBound(route)
 	if err := bound.Enter(ctx); err != nil {
@@ -84,14 +84,14 @@
 	return whole, err
 }
 
-// callsPerSlot is how many calls may be in progress for each slot of the
-// scorers: a group's items end close together, and a short queue at the
-// replicas is worked off while the next ones run.
+// callsPerSlot is the number of concurrent calls for each slot of a scorer. It is above
+// one because the items of a group end close together, so that a short queue at the
+// replicas keeps them busy.
 const callsPerSlot = 2
 
-// rewardBound is the bound on the calls of a route's scorers in progress. All
-// nodes that run jobs share the replicas' slots, and most of the replicas'
-// queues is left to live requests.
+// rewardBound returns the limit on concurrent calls to a route's scorers. The nodes that
+// run jobs share the replicas' slots, and most of the replicas' queues is left to live
+// requests.
 func (s *scorer) rewardBound(route *directory.Route) *admission.Adaptive {
 	view := s.config.Directory.View()
 	slots := 0
@@ -114,7 +114,7 @@
 	return bound
 }
 
-// rewardRoute is the route of a scorer.
+// rewardRoute returns the route of a reward call, nil if there is none.
 func (s *scorer) rewardRoute(reward *Reward) *directory.Route {
 	configuration := s.config.Directory.View().Configuration
 	if configuration == nil {
@@ -130,7 +130,7 @@
 	return maxRewardTimeout
 }
 
-// rewardAttempts is how many failures of a scorer end an item.
+// rewardAttempts returns the number of scorer failures after which an item is abandoned.
 func (s *scorer) rewardAttempts(work *item) int {
 	if work.Reward == nil {
 		return defaultAttempts
@@ -141,7 +141,7 @@
 	return defaultAttempts
 }
 
-// targetPath is a request target without its query.
+// targetPath returns a request target without its query.
 func targetPath(target string) string {
 	for i := range len(target) {
 		if target[i] == '?' {
--- a/internal/jobs/batch/runerror.go
+++ b/internal/jobs/batch/runerror.go
@@ -12,28 +12,29 @@
 )
 
 const (
-	// fullBlock is how long a replica that turned an item away gets none, and
-	// breakBlock one that broke a run off before its first event, at first.
+	// fullBlock is how long a replica that refused an item first gets no others, and
+	// breakBlock one whose run broke before its first event. Both grow with each failure
+	// in a row.
 	fullBlock  = 80 * time.Millisecond
 	breakBlock = 50 * time.Millisecond
-	// otherBlock is how long an address is left alone at which another
-	// incarnation answered.
+	// otherBlock is how long an address gets no items after another incarnation responded
+	// there.
 	otherBlock = 2 * time.Second
-	// breakPause is the time before an item whose run broke is run again, and
-	// longestBreak its bound as breaks repeat.
+	// breakPause is the delay before an item whose run broke is run again. It grows with
+	// each broken run up to longestBreak.
 	breakPause   = 5 * time.Millisecond
 	longestBreak = 500 * time.Millisecond
-	// quarantinePause is the time between checks whether an item may be sent again under
-	// which replicas end. It is given up when any other is: not before its time.
+	// quarantinePause is the time between checks whether a quarantined item may be sent
+	// again.
 	quarantinePause = time.Second
-	// failurePause is the time before an item that failed is run again.
+	// failurePause is the delay before an item that failed is run again.
 	failurePause = 60 * time.Millisecond
-	// refusedStatus is a replica's answer that an item can never be done.
+	// refusedStatus is a replica's response to an item that can never succeed.
 	refusedStatus = http.StatusUnprocessableEntity
 )
 
-// handleRunError decides what the failed end of a run means for the item and the replica.
-// The mutex must be held.
+// handleRunError updates the item and the replica after a run that failed. The mutex must
+// be held.
 func (s *scheduler) handleRunError(running *attempt, state *replicastate.State, err error) {
 	work := running.item
 	var notRun *dispatch.NotRunError
@@ -45,7 +46,7 @@
 	case errors.As(err, &quarantined):
 		work.retryAt = time.Now().Add(quarantinePause)
 	case errors.As(err, &withheld):
-		// It was not sent: another replica, or a later moment, will do.
+		// The item was not sent: another replica may take it, or this one later.
 		work.retryAt = time.Now().Add(breakPause)
 	case errors.As(err, &notRun) && notRun.OtherReplica:
 		state.BlockedUntil = time.Now().Add(otherBlock)
@@ -63,7 +64,7 @@
 		s.recordFailure(running, state)
 	default:
 		if running.events.Load() == 0 {
-			// It may be down: trying it with one item after the other helps none.
+			// The replica may be down: no further items are tried there for a while.
 			state.Unproven = true
 			state.Block(breakBlock)
 		}
@@ -72,13 +73,13 @@
 	}
 }
 
-// abandon ends an item without its text. The mutex must be held.
+// abandon gives an item the result Abandoned. The mutex must be held.
 func (s *scheduler) abandon(work *item, reason string) {
 	s.config.Logger.Info("item given up", "request", work.ID, "job", work.job.id, "reason", reason, "failures", work.failures)
 	s.finish(work, jobstore.Result{ID: work.ID, State: jobstore.Abandoned})
 }
 
-// itemAttempts is how many failures end an item.
+// itemAttempts returns the number of failures after which an item is abandoned.
 func (s *scheduler) itemAttempts(work *item) int {
 	if configuration := s.config.Directory.View().Configuration; configuration != nil {
 		if route := routeOf(configuration, work.job.record.Route); route != nil {
@@ -88,10 +89,10 @@
 	return defaultAttempts
 }
 
-// defaultAttempts holds where the route is no longer declared.
+// defaultAttempts applies if the route is no longer declared.
 const defaultAttempts = 3
 
-// finish takes an item's result. The mutex must be held.
+// finish records an item's result. The mutex must be held.
 func (s *scheduler) finish(work *item, result jobstore.Result) {
 	if work.done || work.job.ended || work.job.displaced {
 		return
--- a/internal/jobs/batch/runner.go
+++ b/internal/jobs/batch/runner.go
@@ -14,29 +14,30 @@
 )
 
 const (
-	// offerTime bounds the question to a node whether it would run a job: some
-	// ways between zones, and short beside the time that callers give the
-	// acceptance of a job, so that a dead node costs little.
+	// offerTimeout bounds the wait for a node's reply to an offer of a job. It covers
+	// several round trips between zones and is short compared with the deadline of a
+	// submission, so that a node that is down costs little.
 	offerTimeout = 150 * time.Millisecond
-	// runnersAsked is how many nodes are asked before this one runs a job itself.
+	// maxRunnersAsked is the number of nodes asked before this one runs a job itself.
 	maxRunnersAsked = 2
-	// runnerPart is the part of a caller's time for which the runner's answer is
-	// waited for: the rest is for this node to accept the job itself.
+	// runnerTimeShare is the share of the caller's remaining time spent waiting for the
+	// runner. The rest allows this node to accept the job itself.
 	runnerTimeShare = 0.5
 )
 
 var (
-	// ErrLeaving means that a node takes no more batch jobs.
+	// ErrLeaving means that the node accepts no more batch jobs.
 	ErrLeaving = merry.Sentinel("node is leaving")
-	// errRunnerUncertain means that another node may yet accept a batch job.
+	// errRunnerUncertain means that another node may still accept a batch job.
 	errRunnerUncertain = merry.Sentinel("another node may accept the batch job")
 )
 
-// submitToRunner hands a batch job to the node that runs the jobs of its model.
-// That one knows which of the model's items run where without a message, keeps
-// its connections to the replicas from one step to the next, and has seen the
-// items that come back. False means that this node is to accept the job itself;
-// the error is then not nil where the other node may have accepted it already.
+// submitToRunner submits a batch job to the node that runs the jobs of its model. That
+// node knows all items of the model without messages, keeps connections to the replicas
+// from step to step, and has run earlier attempts of returning items.
+//
+// False means that this node is to accept the job itself. The error is then non-nil if
+// the other node may have accepted it already.
 func (s *Service) submitToRunner(ctx context.Context, arrival *Arrival) (bool, error) {
 	id := arrival.ID
 	address, found := s.findRunner(ctx, arrival)
@@ -54,16 +55,16 @@
 	case !ok || answer.Outcome == wire.OutcomeUnknown:
 		return false, errRunnerUncertain
 	case answer.Outcome == wire.OutcomeNotRun:
-		// The store may answer this node.
+		// The store may still respond to this node.
 		s.config.Logger.Info("runner did not accept batch job", "request", id, "runner", address, "reason", answer.Detail)
 		return false, nil
 	}
 	return true, nil
 }
 
-// findRunner returns the address of the first node in rank for the jobs of an
-// arrival's model that may have it and would take it; false if that is this node or
-// none answers.
+// findRunner returns the address of the first node, in rank for the jobs of a model, that
+// may have the job's bodies and accepts an offer. It returns false if that is this node
+// or no such node replies.
 func (s *Service) findRunner(ctx context.Context, arrival *Arrival) (string, bool) {
 	model := arrival.Submission.Model
 	if model == "" {
@@ -89,9 +90,8 @@
 	return "", false
 }
 
-// runners are the nodes in their rank for a model's jobs, those with the most
-// processor time first: running the jobs of a trainer takes most of what a small
-// node has when a step begins.
+// runners returns the nodes in their rank for a model's jobs. Nodes with more processor
+// capacity come first, since the start of a step uses most of what a small node has.
 func (s *Service) runners(model string) []string {
 	capacities := s.config.Table.Capacities()
 	candidates := make([]rendezvous.Candidate, 0, len(capacities))
@@ -105,8 +105,8 @@
 	return ranked
 }
 
-// timeLeft is the time until a context's deadline, and backgroundTime where it
-// has none.
+// timeLeft returns the time until a context's deadline, or backgroundTimeout if it has
+// none.
 func timeLeft(ctx context.Context) time.Duration {
 	if deadline, bounded := ctx.Deadline(); bounded {
 		return time.Until(deadline)
@@ -114,7 +114,7 @@
 	return backgroundTimeout
 }
 
-// answerOffer answers another node whether this one would run a batch job.
+// answerOffer replies to another node whether this one would run a batch job.
 func (s *Service) answerOffer(reply func(wire.Message)) {
 	s.mutex.Lock()
 	leaving := s.leaving || !s.recovered
@@ -126,7 +126,7 @@
 	reply(&wire.Done{})
 }
 
-// answerSubmit accepts a batch job for another node.
+// answerSubmit accepts a batch job that another node received.
 func (s *Service) answerSubmit(question *wire.JobSubmit, reply func(wire.Message)) {
 	submission, err := s.config.Codec.Submission(question.Payload)
 	if err != nil {
--- a/internal/jobs/batch/runner_test.go
+++ b/internal/jobs/batch/runner_test.go
@@ -10,8 +10,8 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// byRank returns the nodes of a cluster in their rank for the jobs of the
-// tests' model, once they know each other.
+// byRank waits until all nodes know each other, and returns them in their rank for the
+// jobs of the tests' model.
 func (c *cluster) byRank() []*testNode {
 	c.t.Helper()
 	eventually(c.t, "all nodes know each other", func() bool {
@@ -33,7 +33,7 @@
 	return ranked
 }
 
-// hand hands a job to a node as a caller does.
+// hand submits a job to a node like a caller does.
 func (c *cluster) hand(node *testNode, id string, items int) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -58,7 +58,7 @@
 	checkWhole(t, "job-d", cluster.readAll(ranked[3], "job-d", 2), 2, 3)
 }
 
-// A small node took a trainer's jobs and was late with everything.
+// A small node must not become the runner of a trainer's jobs.
 func TestJobsAreRunByTheLargestNodes(t *testing.T) {
 	engine := heldEngine(t)
 	cluster := newCluster(t, 4, engine)
@@ -75,8 +75,8 @@
 	engine.release()
 }
 
-// A job goes past a runner that is gone, and is run where it was handed in when
-// several are.
+// A job must be run by the next node in rank if the runner is down, and by the node that
+// received it if several are.
 func TestJobsGoPastRunnersThatAreGone(t *testing.T) {
 	engine := heldEngine(t)
 	defer engine.release()
@@ -116,8 +116,8 @@
 	}
 }
 
-// A runner that accepted a job and whose answer is lost has taken it: the caller
-// must not be told that nothing will run.
+// If the reply of a runner that accepted a job is lost, the caller must not be told that
+// the job was rejected.
 func TestALostAnswerOfTheRunnerIsNoRefusal(t *testing.T) {
 	engine := heldEngine(t)
 	defer engine.release()
--- a/internal/jobs/batch/scanschedule.go
+++ b/internal/jobs/batch/scanschedule.go
@@ -2,21 +2,20 @@
 
 import "time"
 
-// pausedScanGap is the time between two scans from which this process counts as having
-// been paused. Events that came meanwhile are yet to be read, so that all runs seem to
-// have stalled.
+// pausedScanGap is the time between scans from which this process counts as paused.
+// Events that came during a pause are still unread, so that every run looks stalled.
 const pausedScanGap = 4 * scanInterval
 
 // scanSchedule decides when the runs are scanned for stalls and moves.
 type scanSchedule struct {
-	// last is when they were scanned, or skipped.
+	// last is when the last scan was made or skipped.
 	last time.Time
-	// skipped is set where they were skipped the last time.
+	// skipped is set if the last scan was skipped.
 	skipped bool
 }
 
-// isDue tells whether the runs are to be scanned now. After a pause they are skipped once,
-// and not again: a process that is slow throughout must scan as well.
+// isDue reports whether the runs are to be scanned now. It skips one scan after a pause,
+// but not two in a row, so that a process that is slow all the time still scans.
 func (s *scanSchedule) isDue(now time.Time) bool {
 	since := now.Sub(s.last)
 	if since < scanInterval {
--- a/internal/jobs/batch/scheduler.go
+++ b/internal/jobs/batch/scheduler.go
@@ -13,35 +13,34 @@
 )
 
 const (
-	// scanInterval is the time between scans for runs that have stalled.
+	// scanInterval is the time between scans of the runs for stalls and moves.
 	scanInterval = 100 * time.Millisecond
-	// idleScanInterval is the time between rounds while nothing is to be done.
+	// idleScanInterval is the time between rounds while there is no work.
 	idleScanInterval = 2 * time.Second
 )
 
-// scheduler owns the queue of items and their runs: it starts items at replicas, judges how
-// runs end, cuts those that have stalled, and moves those that would end sooner elsewhere.
+// scheduler owns the queue of items and their runs: it starts runs at replicas, handles
+// their ends, cancels stalled ones, and moves those that would end sooner elsewhere.
 //
-// It shares the service's mutex: an item's place in the queue, its run, the load of its
-// replica and the state of its job change together.
+// It shares the service's mutex, since an item's place in the queue, its run, the load of
+// its replica and the state of its job change together.
 type scheduler struct {
 	config  *Config
 	metrics *metrics
 	mutex   *sync.Mutex
-	// queue are the items that wait, in their order.
+	// queue are the items that wait for a replica, in processing order.
 	queue    []*item
 	attempts map[*attempt]bool
-	// replicas and eventRates are the service's.
+	// replicas and eventRates are shared with the service.
 	replicas   *replicastate.Table
 	eventRates statistics.EventRates
-	// candidates are the replicas of each service among which items are placed.
+	// candidates caches the candidate replicas, by service.
 	candidates map[string]*candidateSet
 	scorer     *scorer
 	// wake starts a round.
 	wake signal
 }
 
-// newScheduler returns a scheduler of a service with nothing to do.
 func newScheduler(service *Service) *scheduler {
 	return &scheduler{
 		config: &service.config, metrics: service.metrics, mutex: &service.mutex,
@@ -50,7 +49,7 @@
 	}
 }
 
-// schedule starts items at replicas until the context ends.
+// schedule starts and scans runs until the context ends.
 func (s *scheduler) schedule(ctx context.Context) {
 	timer := time.NewTimer(idleScanInterval)
 	defer timer.Stop()
@@ -62,8 +61,8 @@
 		if busy {
 			wait = scanInterval
 		}
-		// Wakes come more often than scans are due where many nodes run jobs, so the time
-		// of the next scan does not start anew with each.
+		// Wakes come more often than scans are due if many nodes run jobs, so the timer
+		// counts from the last scan and not from the last wake.
 		timer.Reset(max(0, wait-time.Since(looks.last)))
 		select {
 		case <-ctx.Done():
@@ -78,7 +77,8 @@
 	}
 }
 
-// assign starts all items that have a place, and tells whether there is work.
+// assign starts queued items that a replica has room for, and reports whether there is
+// work.
 func (s *scheduler) assign() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -109,7 +109,7 @@
 	return len(s.queue) > 0 || len(s.attempts) > 0
 }
 
-// expire gives an item up once that is allowed. The mutex must be held.
+// expire abandons an item if its job's retention has passed. The mutex must be held.
 func (s *scheduler) expire(waiting *item) bool {
 	if waiting.job.givenUpAt.IsZero() || time.Now().Before(waiting.job.givenUpAt) {
 		return false
@@ -119,7 +119,8 @@
 	return true
 }
 
-// inspect cuts runs that have stalled and moves runs away from slow replicas.
+// inspect cancels stalled runs and those at replicas that are gone, and moves runs away
+// from slow replicas.
 func (s *scheduler) inspect() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -147,14 +148,15 @@
 	move(attempts, placement.Moves(pool.paces, runs))
 }
 
-// move cuts runs that are to go on at other replicas.
+// move cancels the runs that are to continue at other replicas.
 func move(attempts []*attempt, moves []placement.Move) {
 	for _, next := range moves {
 		attempts[next.Run.Index].cut(&CutError{Cause: ErrMoved, Reason: next.Reason})
 	}
 }
 
-// runOf is the view of a run, given its index among those that are scanned.
+// runOf returns the view of a run for placement decisions. index is its position among
+// the scanned runs.
 func (p *pool) runOf(index int, running *attempt) *placement.Run {
 	work := running.item
 	return &placement.Run{
@@ -165,5 +167,5 @@
 	}
 }
 
-// stallBlock is how long a replica gets no items after one stalled there.
+// stallBlock is how long a replica gets no items after a run stalled there.
 const stallBlock = 700 * time.Millisecond
--- a/internal/jobs/batch/scheduler_test.go
+++ b/internal/jobs/batch/scheduler_test.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// Each look at the runs used to wait for a tenth of a second without a wake. Where
-// several nodes run jobs their heartbeats alone wake the scheduler more often than
-// that, and stalled runs were left for seconds.
+// Guards against stalled runs that are never scanned because the scheduler is woken more
+// often than scans are due.
 func TestRunsAreLookedAtHoweverOftenTheSchedulerIsWoken(t *testing.T) {
 	engine := startEngine(t, 3)
 	engine.hold, engine.holdAt = make(chan struct{}), 1
@@ -44,7 +43,7 @@
 	}{
 		{scanInterval / 2, false}, {scanInterval, true}, {3 * scanInterval, true},
 		{2 * pausedScanGap, false}, {scanInterval, true},
-		// A process that is slow throughout.
+		// A process that is slow all the time.
 		{2 * pausedScanGap, false}, {2 * pausedScanGap, true}, {2 * pausedScanGap, false}, {2 * pausedScanGap, true},
 	} {
 		now = now.Add(test.after)
--- a/internal/jobs/batch/score.go
+++ b/internal/jobs/batch/score.go
@@ -6,7 +6,7 @@
 	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 )
 
-// score has the whole text of an item scored and finishes the item.
+// score has an item's complete text scored and records the item's result.
 func (s *scheduler) score(ran *attempt, attempts func() int) {
 	work := ran.item
 	whole := time.Now()
--- a/internal/jobs/batch/seal.go
+++ b/internal/jobs/batch/seal.go
@@ -9,18 +9,20 @@
 )
 
 const (
-	// sealTime bounds the writing of a seal: a create whose first answers were lost is
-	// settled in as long.
+	// sealTimeout bounds the writing of a seal. It covers the time to determine the
+	// outcome of a create whose responses were lost.
 	sealTimeout = 2 * time.Second
-	// sealPause is the time between two tries while the store takes no writes.
+	// sealRetryPause is the delay before a seal that failed may be attempted again.
 	sealRetryPause = time.Second
 )
 
-// sealLater has a seal written behind what was read of an ended job, unless the store has
-// one or one is on its way. Nothing can be added behind a seal: an owner that does not
-// know of the end finds the place taken. Without it a result that the owner lists later
-// would be missing at a node that has read the job before. Readers do not wait for it,
-// since it changes nothing of what they are shown. The mutex must be held.
+// sealLater writes a seal after the chunks read of an ended job, in the background,
+// unless they end with one or an attempt is recent.
+//
+// Nothing can be appended behind a seal, not even by an owner that does not know of the
+// end. Without it, a result that this owner appends later would be missing at a node that
+// has read the job before. Readers need not wait for the seal, which does not change what
+// they get. The mutex must be held.
 func (s *Service) sealLater(id string, known *remoteJob) {
 	if known.final || time.Now().Before(known.sealAfter) {
 		return
@@ -29,8 +31,8 @@
 	go s.seal(id, known, jobstore.Listing{Chunks: known.chunks})
 }
 
-// seal writes an empty chunk behind a number of chunks and all that came since, and
-// records what the store has then as final.
+// seal writes a seal behind the given chunks and those added since, and records the
+// results up to it as final.
 func (s *Service) seal(id string, known *remoteJob, behind jobstore.Listing) {
 	from := behind.Chunks
 	ctx, cancel := context.WithTimeout(s.base, sealTimeout)
--- a/internal/jobs/batch/service.go
+++ b/internal/jobs/batch/service.go
@@ -19,7 +19,7 @@
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
-// Config is what a Service needs.
+// Config has the dependencies of a Service.
 type Config struct {
 	Self       jobstore.Owner
 	JobStore   *jobstore.Store
@@ -29,41 +29,41 @@
 	Forwarder  *forward.Forwarder
 	Peers      environment.Peers
 	Table      *peering.Table
-	// Region is the one that this node is in, "" for unknown.
+	// Region is the region of this node, "" if unknown.
 	Region string
-	// Clock counts suspensions of the machine.
+	// Clock also advances while the machine is suspended.
 	Clock    clock.Clock
 	Logger   klog.Logger
 	Registry prometheus.Registerer
 }
 
-// Service accepts batch jobs, runs those of this node, and answers reads of all. It is safe
-// for use by many goroutines.
+// Service accepts batch jobs, runs those that this node owns, and answers reads of all.
+// It is safe for concurrent use.
 type Service struct {
 	config  Config
 	metrics *metrics
-	// base is the context of all work; it ends with the node.
+	// base is the context of background work; it ends when the node stops.
 	base context.Context
 
 	mutex sync.Mutex
-	// jobs are those that this node runs or has run.
+	// jobs are those that this node runs or has run, by id.
 	jobs map[string]*job
-	// remoteJobs are those of other nodes.
+	// remoteJobs are those of other nodes, by id.
 	remoteJobs map[string]*remoteJob
-	// accepting are the submissions under way, by id.
+	// accepting are the pending submissions, by id.
 	accepting map[string]*acceptance
 	scheduler *scheduler
-	// replicas is what this node knows of replicas as places for items.
+	// replicas is what this node knows of replicas for placing items.
 	replicas *replicastate.Table
 	ends     *ends.Register
-	// endsBeingPersisted are the jobs whose end is being stored after its caller's time.
+	// endsBeingPersisted are the jobs whose end is being stored in the background.
 	endsBeingPersisted map[string]bool
-	// What jobs have shown of models and items.
+	// These are statistics from jobs so far.
 	tolerances statistics.Tolerances
 	lengths    *statistics.Lengths
 	eventRates statistics.EventRates
 	demand     *statistics.Demand
-	// storedLoads are the jobs that are being read from the store, by id.
+	// storedLoads are the reads of ended jobs in progress, by id.
 	storedLoads      map[string]*storedLoad
 	unansweredOffers *unansweredOffers
 	leaving          bool
@@ -74,7 +74,7 @@
 	ownerWatchWake signal
 }
 
-// NewService returns a service that does nothing before Run.
+// NewService returns a service, which is idle until Run is called.
 func NewService(base context.Context, config Config) *Service {
 	service := &Service{
 		config: config, base: base, metrics: newMetrics(config.Registry),
@@ -88,7 +88,7 @@
 	return service
 }
 
-// Run works until the context ends.
+// Run runs the service until the context ends.
 func (s *Service) Run(ctx context.Context) {
 	var duties sync.WaitGroup
 	for _, duty := range []func(context.Context){s.recover, s.scheduler.schedule, s.watchOwners, s.sendHeartbeats} {
@@ -97,7 +97,7 @@
 	duties.Wait()
 }
 
-// OpenJobs counts the jobs here that have work left.
+// OpenJobs returns the number of open jobs that this node runs.
 func (s *Service) OpenJobs() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -110,11 +110,11 @@
 	return count
 }
 
-// WakeScheduler starts a round of the scheduler.
+// WakeScheduler makes the scheduler look for replicas for the queued items.
 func (s *Service) WakeScheduler() { s.scheduler.wake.set() }
 
-// priorityOf is the rank of a job's items, 0 the most urgent: that of its tenant,
-// else that of its route.
+// priorityOf returns the priority of a job's items, 0 the most urgent: its tenant's if
+// declared, else its route's.
 func priorityOf(configuration *directory.Configuration, record jobstore.Record) int {
 	if configuration == nil {
 		return 0
@@ -126,7 +126,7 @@
 	return configuration.Tenants.PriorityOf(record.Tenant, route)
 }
 
-// displace stops running a job that another node owns now. The mutex must be held.
+// displace stops a job that another node owns now. The mutex must be held.
 func (s *Service) displace(displaced *job) {
 	if displaced.displaced {
 		return
--- a/internal/jobs/batch/service_test.go
+++ b/internal/jobs/batch/service_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// A replica that fails all items is to blame for it, and they are given up later
-// than they would be for failures of their own, but not never.
+// Items must get more attempts, but not unlimited ones, at a replica that fails all
+// items.
 func TestItemsOfAFailingReplicaAreGivenMoreAttempts(t *testing.T) {
 	for failures, want := range map[int]jobstore.State{4: jobstore.Succeeded, maxFailuresFactor * 3: jobstore.Abandoned} {
 		engine := startEngine(t, 2)
@@ -104,8 +104,7 @@
 	}
 }
 
-// A submission whose creates are done without an answer is taken all the same;
-// one whose creates were never done is refused and leaves nothing behind.
+// A submission must succeed if its creates were applied and only the responses were lost.
 func TestSubmissionSettlesWhatTheStoreDidNotAnswer(t *testing.T) {
 	cluster := newCluster(t, 1, startEngine(t, 2))
 	lost := 2
@@ -140,8 +139,8 @@
 	}
 }
 
-// An unanswered create of the job itself promises nothing, and the job is run
-// once it is done late.
+// A submission whose create may still be applied must be reported as uncertain, and its
+// job run once the create is applied.
 func TestUncertainSubmissionIsPursued(t *testing.T) {
 	cluster := newCluster(t, 1, startEngine(t, 2))
 	cluster.store.SetFault(func(call metastore.Call) metastore.Fault {
@@ -163,8 +162,7 @@
 	checkWhole(t, "job", cluster.readAll(cluster.nodes[0], "job", 2), 2, 2)
 }
 
-// The states of replicas that were gone used to be kept until the process
-// ended.
+// Guards against a leak of the states of replicas and nodes that are gone.
 func TestReplicasThatAreGoneAreForgotten(t *testing.T) {
 	table := directory.NewTable("node", "zone", nil, klog.Background())
 	table.SetReplicas([]*directory.Replica{{ID: "listed", State: directory.ReplicaReady}}, 0)
--- a/internal/jobs/batch/start.go
+++ b/internal/jobs/batch/start.go
@@ -8,12 +8,12 @@
 	"github.com/pathtally/pathtally/internal/jobs/placement"
 )
 
-// giveUpMargin is added to the time after which items may be given up, since the
-// clocks of owners differ.
+// giveUpMargin is added to a job's retention before its items are abandoned, since the
+// clocks of owners may differ.
 const giveUpMargin = 8 * time.Second
 
-// start starts a job whose record named this process as its owner when it was read. The
-// mutex must not be held.
+// start starts a job. confirmed is when the read began that returned the record, which
+// must name this process as owner. The mutex must not be held.
 func (s *Service) start(id string, submission *Submission, record jobstore.Record, listed jobstore.Listing, confirmed time.Time) {
 	s.mutex.Lock()
 	if existing := s.jobs[id]; existing != nil && !existing.displaced {
@@ -21,7 +21,7 @@
 		return
 	}
 	if s.ends.Has(id) {
-		// It was ended while this node read it or waited for the store's answer.
+		// The job was ended while this node read it or waited for the store's response.
 		s.learnStored(jobstore.StoredJob{ID: id, Record: record, Ended: true})
 		s.mutex.Unlock()
 		s.config.Logger.Info("batch job not started: it has ended", "request", id, "epoch", record.Epoch)
@@ -51,8 +51,8 @@
 	s.announce(id)
 }
 
-// newJob returns a job whose items have their ranks; those that are listed are
-// settled. The mutex must be held.
+// newJob returns a job with its items ranked and those that have results settled. The
+// mutex must be held.
 func (s *Service) newJob(id string, submission *Submission, record jobstore.Record, listed jobstore.Listing) *job {
 	appends, cancelAppends := context.WithCancel(s.base)
 	ctx, cancel := context.WithCancel(appends)
@@ -86,7 +86,7 @@
 	return made
 }
 
-// ranksOf gives the items of a submission their order of work. The mutex must be held.
+// ranksOf returns the rank of each item in the processing order. The mutex must be held.
 func (s *Service) ranksOf(submission *Submission) map[string]placement.Rank {
 	lengths := map[string]placement.Length{}
 	items := make([]placement.SubmittedItem, 0, len(submission.Items))
@@ -99,7 +99,7 @@
 	return placement.RankItems(items, submission.Desired, lengths)
 }
 
-// settle marks an item as listed or finished.
+// settle records that an item has a result.
 func (j *job) settle(id string) {
 	settled := j.items[id]
 	if settled == nil || settled.done {
@@ -109,8 +109,8 @@
 	settled.group.open--
 }
 
-// dueOf is when a job is to be whole and how long after its acceptance that is; zero for
-// a route that names no time.
+// dueOf returns the time by which a job should be complete, and the time from its
+// acceptance until then. Both are zero if its route sets no completion objective.
 func (s *Service) dueOf(record jobstore.Record) (time.Time, time.Duration) {
 	configuration := s.config.Directory.View().Configuration
 	if configuration == nil {
@@ -123,7 +123,7 @@
 	return time.UnixMilli(record.AcceptedMs).Add(route.CompletionObjective), route.CompletionObjective
 }
 
-// retention is after how long items of a job may be given up, 0 for never.
+// retention returns the time after which items of a job may be abandoned, 0 for never.
 func (s *Service) retention(record jobstore.Record) time.Duration {
 	configuration := s.config.Directory.View().Configuration
 	if configuration == nil {
--- a/internal/jobs/batch/stored.go
+++ b/internal/jobs/batch/stored.go
@@ -6,13 +6,12 @@
 	"time"
 )
 
-// storedLoadTime bounds the reading of one job from the store: some megabytes over
-// the slowest links of a deployment, beside as many other jobs as a trainer has in
-// a minute.
+// storedLoadTimeout bounds the read of one job from the store: some megabytes over the
+// slowest links of a deployment, while other jobs are read as well.
 const storedLoadTimeout = 20 * time.Second
 
-// storedLoad is a reading of one job from the store under way. What it read is
-// set once done is closed.
+// storedLoad is a read of a job from the store. Its other fields are valid once done is
+// closed.
 type storedLoad struct {
 	done    chan struct{}
 	results []jobstore.Result
@@ -20,11 +19,12 @@
 	err     error
 }
 
-// readStored reads a job's results from the store, for when its owner is away.
-// That of an ended job is shared by all who ask meanwhile and goes on when they
-// give up: with a bound as short as a caller's patience a large job on a slow link
-// was never read to its end, however often it was asked for. An open job is read
-// anew for each, since what a reading under way has missed may have been seen.
+// readStored reads a job's results from the store, for when its owner does not reply.
+//
+// All readers of an ended job share one read, which continues when they give up: bounded
+// by a caller's timeout, the read of a large job over a slow link would never finish. An
+// open job is read for each reader, since other readers may have seen results that a read
+// in progress misses.
 func (s *Service) readStored(ctx context.Context, stored jobstore.StoredJob, after int) (Page, error) {
 	if !stored.Ended {
 		results, total, err := s.loadStored(ctx, stored)
@@ -42,7 +42,7 @@
 	return pageAfter(load.results, after, load.total), nil
 }
 
-// joinLoad returns the reading of a job that is under way, or begins one.
+// joinLoad returns the read of a job that is in progress, or starts one.
 func (s *Service) joinLoad(stored jobstore.StoredJob) *storedLoad {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -63,8 +63,8 @@
 	return load
 }
 
-// loadStored reads what is not known yet of a job from the store, and returns all
-// its results and how many items it has.
+// loadStored reads the chunks of a job that are not in memory from the store. It returns
+// all results and the number of items.
 func (s *Service) loadStored(ctx context.Context, stored jobstore.StoredJob) (results []jobstore.Result, total int, err error) {
 	s.mutex.Lock()
 	known := s.learnStored(stored)
@@ -92,9 +92,9 @@
 	return results, total, nil
 }
 
-// keepStored keeps what was read of a job, so that the next reading goes on behind it.
-// A node that may not have the job's bodies keeps nothing: it has shown them to a
-// caller of its own, and reads them anew for the next. The mutex must be held.
+// keepStored keeps the results read of a job, so that the next read continues after them.
+// It is not called on nodes that may not have the job's bodies, which read them again for
+// each reader. The mutex must be held.
 func (s *Service) keepStored(stored jobstore.StoredJob, known *remoteJob, results []jobstore.Result, added jobstore.Listing) {
 	if added.Chunks > known.chunks {
 		known.results, known.chunks = results, added.Chunks
@@ -105,7 +105,7 @@
 	}
 }
 
-// readTotal reads how many items a job has.
+// readTotal reads the number of items of a job.
 func (s *Service) readTotal(ctx context.Context, stored jobstore.StoredJob) (int, error) {
 	payload, err := s.config.JobStore.Payload(ctx, stored.ID, stored.Record.Parts)
 	if err != nil {
@@ -118,7 +118,7 @@
 	return len(submission.Items), nil
 }
 
-// readFinal reads a job whose results this node has read after the last of them.
+// readFinal reads a job from memory if all its results are known to be there.
 func (s *Service) readFinal(id string, after int) (Page, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -129,7 +129,7 @@
 	return pageAfter(known.results, after, known.total), true
 }
 
-// pageAfter is the page of the results behind a position.
+// pageAfter returns the results after a position.
 func pageAfter(results []jobstore.Result, after, total int) Page {
 	page := Page{Total: total}
 	if after < len(results) {
@@ -138,8 +138,8 @@
 	return page
 }
 
-// readEndedFor reads an ended job of this node's former process for another
-// node, so that one node reads the store for all.
+// readEndedFor reads, for another node, an ended job that this node owned before it was
+// restarted or evicted the job. All nodes ask the same one, which reads the store once.
 func (s *Service) readEndedFor(ctx context.Context, id string, after int) (Page, bool) {
 	if page, final := s.readFinal(id, after); final {
 		return page, true
--- a/internal/jobs/batch/stored_ends_test.go
+++ b/internal/jobs/batch/stored_ends_test.go
@@ -10,15 +10,8 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// Symptom: a job that a caller has ended runs on at its new owner, although the store
-// has been well for seconds.
-//
-// Sequence: the former owner of a job, which does not know of its successor, is asked
-// to end it; the store refuses the end until the caller's time is over; the former
-// owner's look at the record shows the successor; then the store takes every call.
-//
-// Cause: the pursuit of an end stops with the appends of the job, thus as soon as the
-// job is found to be another node's. An end holds for an id, whoever runs the job.
+// Guards against a lost end: its retries must continue when the job turns out to have
+// another owner.
 func TestAnEndIsPursuedAlthoughTheJobIsAnotherNodesNow(t *testing.T) {
 	engine := heldEngine(t)
 	t.Cleanup(engine.release)
@@ -57,15 +50,8 @@
 	t.Error("the store lacks the end three seconds after it takes every call")
 }
 
-// Symptom: a job that a caller has ended stands as open in the store for good, and
-// whoever takes it up later runs it.
-//
-// Sequence: an end is told in a heartbeat by a node that took itself for the owner and
-// that the store did not answer; that node dies before the store has the end. The owner
-// stops the job, looks at the record, and finds no end there.
-//
-// Cause: only the process that was asked pursues an end. The owner's look shows each
-// time that the store lacks it, and nothing follows from that.
+// Guards against a lost end: the owner must store an end that another node announced and
+// may not have stored.
 func TestAnEndThatIsOnlyToldIsMadeLasting(t *testing.T) {
 	engine := heldEngine(t)
 	cluster := newCluster(t, 1, engine)
@@ -86,11 +72,8 @@
 	t.Errorf("the store lacks the end after %v", 3*recordCheckInterval)
 }
 
-// Symptom: a read of an ended job takes 0.7 to 1.4 s, time and again, while the store
-// answers reads at once and refuses writes.
-//
-// Cause: a reader waits for the seal, which adds nothing to what it is shown, and an
-// owner's new process is given no more time by those that ask it than the seal takes.
+// Guards against readers of an ended job that wait for its seal while the store rejects
+// writes.
 func TestAReaderOfAnEndedJobDoesNotWaitForItsSeal(t *testing.T) {
 	cluster := endedCluster(t)
 	cluster.store.SetFault(func(call metastore.Call) metastore.Fault {
--- a/internal/jobs/batch/stored_test.go
+++ b/internal/jobs/batch/stored_test.go
@@ -8,8 +8,8 @@
 	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 )
 
-// endedCluster is a cluster whose first node ran a job to its end and was then
-// started anew without any memory of it.
+// endedCluster returns a cluster whose first node ran and ended a job, and has no memory
+// of it, as after a restart.
 func endedCluster(t *testing.T) *cluster {
 	t.Helper()
 	engine := startEngine(t, 2)
@@ -27,7 +27,7 @@
 	return made
 }
 
-// awaitSeal waits until a node's copy of the job is final.
+// awaitSeal waits until a node knows that its results of the job are final.
 func (c *cluster) awaitSeal(node *testNode) {
 	c.t.Helper()
 	eventually(c.t, "the ended job is sealed", func() bool {
@@ -58,8 +58,7 @@
 	}
 }
 
-// An append of the former owner that comes after a reading of the ended job, however
-// late, is not carried out: every reading shows the same.
+// An append of a former owner that comes after an ended job was read must fail.
 func TestNothingIsAddedBehindWhatWasReadOfAnEndedJob(t *testing.T) {
 	cluster := endedCluster(t)
 	first, err := cluster.nodes[0].Read(context.Background(), "job", 0, 0)
@@ -85,7 +84,7 @@
 	}
 }
 
-// However many nodes read an ended job from the store, one chunk is added to it.
+// An ended job must get one seal, however many nodes read it from the store.
 func TestAnEndedJobIsSealedOnce(t *testing.T) {
 	cluster := endedCluster(t)
 	cluster.setCut("node-0", true)
@@ -101,9 +100,8 @@
 	}
 }
 
-// sfw-rollout trouble-2: an append that succeeds shows that no successor has set
-// its fence, but not that the job is open. An owner that took it for both ran items
-// 3.5 s after the job's end, of which it had not heard.
+// A successful append does not show that the job is open, so it must not delay the next
+// check of its record.
 func TestAnAppendDoesNotPutOffTheLookAtTheRecord(t *testing.T) {
 	engine := heldEngine(t)
 	defer engine.release()
@@ -131,9 +129,8 @@
 	}
 }
 
-// Kotuku grown, trouble-1, seed 999176898389: after the loss of all power every
-// try to read an ended job from the store over a slow link was given up after 0.7
-// s, and the next began anew.
+// Guards against a read of a stored job over a slow link that restarts whenever its
+// reader times out, and never completes.
 func TestAStoredJobIsReadOnAfterItsReaderGaveUp(t *testing.T) {
 	cluster := endedCluster(t)
 	gate := cluster.setGate("list", jobstore.KindResults)
@@ -151,7 +148,7 @@
 	})
 }
 
-// Readers that ask at the same time share one reading.
+// Concurrent readers must share one read of the store.
 func TestReadersShareOneReadingOfTheStore(t *testing.T) {
 	cluster := endedCluster(t)
 	gate := cluster.setGate("list", jobstore.KindResults)
@@ -183,7 +180,7 @@
 	}
 }
 
-// What a node knows of an ended job may be forgotten while the job is read.
+// Guards against an incomplete read if the job is evicted meanwhile.
 func TestAJobForgottenWhileItIsReadIsReadWhole(t *testing.T) {
 	cluster := endedCluster(t)
 	gate := cluster.setGate("list", jobstore.KindResults)
--- a/internal/jobs/batch/submission.go
+++ b/internal/jobs/batch/submission.go
@@ -5,18 +5,19 @@
 	"net/http"
 )
 
-// Submission is a batch job as a caller hands it in.
+// Submission is a batch job as its caller submits it.
 type Submission struct {
 	Step int
-	// Model is the model whose weight versions MinVersion counts.
+	// Model is the model that MinVersion refers to.
 	Model string
-	// MinVersion is the oldest weight version that may make tokens.
+	// MinVersion is the oldest weight version that may generate text.
 	MinVersion int64
-	// Desired is how many whole groups the trainer waits for; 0 for all.
+	// Desired is the number of complete groups that the trainer waits for; 0 if not
+	// given.
 	Desired int
 	Items   []*Item
-	// HasCredentials tells that an item named some for its request. They are not in the
-	// item's header: a job is stored, and credentials must not be.
+	// HasCredentials reports that an item carried credentials. They are removed from the
+	// item's header, since jobs are stored and credentials must not be.
 	HasCredentials bool
 }
 
@@ -24,12 +25,11 @@
 type Item struct {
 	ID     string
 	Target string
-	// Header is what the request carries to a replica, its id included.
+	// Header is the header sent to a replica, including the request id.
 	Header http.Header
 	Body   []byte
 	Group  string
-	// ExpectedTokens is the caller's estimate of the answer's length, 0 for
-	// none.
+	// ExpectedTokens is the caller's estimate of the length of the text, 0 if not given.
 	ExpectedTokens float64
 	Reward         *Reward
 }
@@ -43,22 +43,22 @@
 	Body   []byte
 }
 
-// Codec reads and writes the platform's form of batch jobs.
+// Codec translates between batch jobs and the platform's HTTP API.
 type Codec interface {
-	// Submission reads a batch job with the id of a request.
+	// Submission decodes the body of a submission.
 	Submission(body []byte) (*Submission, error)
-	// Page writes a part of a job's results.
+	// Page encodes a part of a job's results. next is the position to read on from.
 	Page(total, next int, results []jobstore.Result) ([]byte, error)
-	// Call reads what a request about a batch job asks; false if it is none. The
-	// error is that of a request that cannot be understood.
+	// Call decodes a request about a batch job; isCall is false if it is not one. The
+	// error means that the request is invalid.
 	Call(request *http.Request) (call Call, isCall bool, err error)
-	// VersionField is the name of the line of an event that has its weight version.
+	// VersionField returns the name of the event field that has the weight version.
 	VersionField() string
-	// Signature is a replica's signature in an answer's header.
+	// Signature returns the scorer's signature from the header of its response.
 	Signature(header http.Header) string
 }
 
-// CallKind is what a call about a batch job asks for.
+// CallKind is the kind of a call about a batch job.
 type CallKind int
 
 // The kinds of calls.
@@ -68,12 +68,12 @@
 	CallEnd
 )
 
-// Call is a request about a batch job.
+// Call is a decoded request about a batch job.
 type Call struct {
 	Kind CallKind
 	Job  string
-	// After is how many results the reader knows.
+	// After is the number of results that the reader has.
 	After int
-	// Item is the item whose body is asked for.
+	// Item is the item whose body is read.
 	Item string
 }
--- a/internal/jobs/batch/takeover.go
+++ b/internal/jobs/batch/takeover.go
@@ -9,11 +9,11 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// takeOverPause is the time between tries to take a job over.
+// takeoverRetryPause is the delay before a takeover that failed is tried again.
 const takeoverRetryPause = 400 * time.Millisecond
 
-// takeOver makes this node the owner of a job whose owner is silent, unless another one
-// has become that meanwhile or the job has ended.
+// takeOver makes this node the owner of a job whose owner is silent, unless the job has
+// ended or has another owner meanwhile.
 func (s *Service) takeOver(ctx context.Context, id string, lost orphan) {
 	defer func() {
 		s.mutex.Lock()
@@ -52,7 +52,7 @@
 }
 
 // loadJob reads a job that this process owns from the store and starts it, unless it has
-// ended meanwhile or is another node's.
+// ended or has another owner meanwhile.
 func (s *Service) loadJob(ctx context.Context, stored jobstore.StoredJob) {
 	for ctx.Err() == nil {
 		submission, listed, err := s.readJob(ctx, stored)
@@ -66,8 +66,8 @@
 }
 
 // startConfirmed reads a job's record once more and starts the job if it is open and this
-// process still owns it: reading the job may have taken seconds, and an end that came
-// meanwhile must not be followed by runs.
+// process still owns it. Reading the job may have taken seconds, and no run may start
+// after an end.
 func (s *Service) startConfirmed(ctx context.Context, read jobstore.StoredJob, submission *Submission, listed jobstore.Listing) {
 	for ctx.Err() == nil {
 		began := time.Now()
@@ -89,7 +89,7 @@
 	}
 }
 
-// readJob reads a job's submission and its stored results, behind which it writes a fence.
+// readJob reads a job's submission and results, and writes a fence behind the results.
 func (s *Service) readJob(ctx context.Context, stored jobstore.StoredJob) (*Submission, jobstore.Listing, error) {
 	ctx = s.within(ctx, stored.Record)
 	payload, err := s.config.JobStore.Payload(ctx, stored.ID, stored.Record.Parts)
@@ -108,5 +108,5 @@
 	return submission, listed, err
 }
 
-// readPause is the time between tries to read a job back.
+// readRetryPause is the delay before a failed read of the store is retried.
 const readRetryPause = 150 * time.Millisecond
--- a/internal/jobs/batch/takeover_test.go
+++ b/internal/jobs/batch/takeover_test.go
@@ -11,7 +11,7 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// owner returns the node that runs a job.
+// owner returns the node that runs a job, nil if there is none.
 func (c *cluster) owner(id string) *testNode {
 	for _, node := range c.nodes {
 		node.mutex.Lock()
@@ -24,7 +24,8 @@
 	return nil
 }
 
-// heldEngine streams one event of each item and keeps the rest back.
+// heldEngine returns an engine that streams one event of each item and holds the others
+// until released.
 func heldEngine(t *testing.T) *testEngine {
 	engine := startEngine(t, 3)
 	engine.hold, engine.holdAt = make(chan struct{}), 1
@@ -69,7 +70,8 @@
 	checkWhole(t, "job", cluster.readAll(fresh, "job", 6), 6, 3)
 }
 
-// displacedOwner has a node's job taken over while it is cut off from its peer.
+// displacedOwner returns a cluster in which the successor has taken the job over and the
+// former owner is disconnected from its peer.
 func displacedOwner(t *testing.T, engine *testEngine) (deployment *cluster, former, successor *testNode) {
 	t.Helper()
 	deployment = newCluster(t, 2, engine)
@@ -86,13 +88,12 @@
 	return deployment, former, successor
 }
 
-// A successor that has read the results must know every one that the former
-// owner lists after that: hunt-53fc-3 showed a result at the one and nothing at
-// its position at the other.
+// Guards against results that a former owner appends after its successor has read the
+// job.
 func TestFormerOwnerListsNothingThatItsSuccessorMisses(t *testing.T) {
 	engine := heldEngine(t)
 	cluster, former, successor := displacedOwner(t, engine)
-	// The former owner reaches the store, and only that, and finishes first.
+	// The former owner is connected to the store alone and finishes an item first.
 	former.mutex.Lock()
 	held := former.jobs["job"]
 	former.scheduler.finish(held.items["job.0"], jobstore.Result{ID: "job.0", State: jobstore.Abandoned})
@@ -117,13 +118,12 @@
 	checkWhole(t, "job", cluster.readAll(successor, "job", 6), 6, 3)
 }
 
-// A former owner that was away while the job was taken over and ended must not
-// answer from what it knew: hunt-e42d-39 showed fewer results than had been
-// read.
+// Guards against a former owner that serves outdated results after its job was taken over
+// and ended.
 func TestFormerOwnerAnswersNothingOldAfterTheEnd(t *testing.T) {
 	engine := heldEngine(t)
 	cluster, former, successor := displacedOwner(t, engine)
-	// While it is away, its own items finish neither here nor there.
+	// The former owner's runs must not finish.
 	former.mutex.Lock()
 	former.jobs["job"].cancel()
 	former.mutex.Unlock()
@@ -132,7 +132,7 @@
 	if err := successor.End(context.Background(), "job"); err != nil {
 		t.Fatal(err)
 	}
-	// The store does not tell it who owns the job, so it must not answer.
+	// The former owner cannot read who owns the job, so it must not serve it.
 	cluster.store.SetFault(func(call metastore.Call) metastore.Fault {
 		if call.Verb == "get" {
 			return metastore.Refused
@@ -218,7 +218,7 @@
 	if owner.OpenJobs() != 0 || cluster.owner("job") != nil {
 		t.Fatal("the job is still held")
 	}
-	// A caller that sends it once more starts nothing.
+	// Submitting the job again must start nothing.
 	if err := cluster.submit(owner, "job", 4); err != nil {
 		t.Fatal(err)
 	}
@@ -240,8 +240,8 @@
 	}
 }
 
-// A process that is known to have ended is not waited for: inc-f9dd lost a
-// second and a half of every job when all machines had lost power.
+// Takeovers from a process that is known to have ended must not wait for the owner
+// timeout.
 func TestJobsOfAnEndedProcessAreNotWaitedFor(t *testing.T) {
 	cluster := newCluster(t, 2, startEngine(t, 2))
 	node := cluster.nodes[0]
@@ -270,9 +270,8 @@
 	}
 }
 
-// A job that runs here is not taken over from this node itself, whatever a
-// reader noted of it meanwhile: in trouble-2 one was taken over ten times, each
-// time with a chunk in the store that held its results up.
+// A node must not take over a job that it runs itself, even if a reader recorded its
+// owner as a remote one.
 func TestJobThatRunsHereIsNotTakenOver(t *testing.T) {
 	engine := heldEngine(t)
 	cluster := newCluster(t, 1, engine)
@@ -290,7 +289,7 @@
 	checkWhole(t, "job", cluster.readAll(node, "job", 6), 6, 3)
 }
 
-// The next owner of items that a job ended without learns how long they are.
+// Guards against losing the known lengths of items that their job ended without.
 func TestLengthsOfUnfinishedItemsReachTheOtherNodes(t *testing.T) {
 	engine := heldEngine(t)
 	cluster := newCluster(t, 2, engine)
--- a/internal/jobs/batch/texts.go
+++ b/internal/jobs/batch/texts.go
@@ -7,52 +7,51 @@
 	"time"
 )
 
-// progress is what an item's runs have made so far: the events of its text and
-// the weight version that made each. The service's mutex guards it while a run
-// is under way; the goroutine of the run alone writes it.
+// progress is the text of an item so far: its events, and the weight version that made
+// each. The service's mutex guards it during a run; only the goroutine of the run writes
+// it.
 type progress struct {
 	events   []string
 	versions []int64
 }
 
-// add appends an event.
 func (p *progress) add(event string, version int64) {
 	p.events = append(p.events, event)
 	p.versions = append(p.versions, version)
 }
 
-// startAnew drops what the item's runs have made. The mutex must be held.
+// startAnew discards the item's text. The mutex must be held.
 func (i *item) startAnew() {
 	i.progress, i.saved = progress{}, 0
 	i.texts++
 }
 
-// text is the whole text.
 func (p *progress) text() string { return strings.Join(p.events, "\n") }
 
-// madeBy are the versions that made the text, each once, in rising order.
+// madeBy returns the distinct versions that made the text, in ascending order.
 func (p *progress) madeBy() []int64 {
 	return slices.Compact(slices.Sorted(slices.Values(p.versions)))
 }
 
 const (
-	// textPeriod is the time between two savings of the texts of running items, and
-	// besideResultsPeriod that where results are written anyway: the call costs the
-	// same, and what was not saved is made again after the owner's loss.
+	// textPeriod is the time between saves of the texts of running items, and
+	// besideResultsPeriod the shorter one if results are written in the same call, which
+	// then costs no more. After the loss of the owner, text that was not saved is
+	// generated again.
 	textPeriod          = time.Second
 	besideResultsPeriod = 400 * time.Millisecond
-	// leastText is how many events an item must have made for its text to be
-	// saved, and leastPiece how many of these must be new. Shorter texts are as
-	// soon made again as read back.
+	// leastText is the number of events from which a text is saved, and leastPiece the
+	// number of new events for a further save. Shorter texts are generated again as
+	// quickly as they are read back.
 	leastText  = 20
 	leastPiece = 10
-	// pieceOverhead is about what an event takes besides its text, in bytes.
+	// pieceOverhead is the approximate size of an encoded event without its text, in
+	// bytes.
 	pieceOverhead = 16
 )
 
-// unsavedTexts are the parts of the texts of running items that the store lacks,
-// as far as one object holds them; none before it is time, which is sooner where
-// results are written with them. The mutex must be held.
+// unsavedTexts returns the parts of the texts of running items that the store lacks, up
+// to about the size of a chunk, or nil if a save is not due yet. The mutex must be held.
 func (j *job) unsavedTexts(besideResults bool) []jobstore.TextPiece {
 	period := textPeriod
 	if besideResults {
@@ -81,19 +80,19 @@
 	return pieces
 }
 
-// noteSaved records which texts the store now has. The mutex must be held.
+// recordSaved records which texts the store has. The mutex must be held.
 func (j *job) recordSaved(pieces []jobstore.TextPiece) {
 	for _, part := range pieces {
-		// The item may have begun another text while this one was on its way.
+		// The item may have begun another text while this one was being stored.
 		if saved := j.items[part.Item]; saved != nil && saved.saved == part.From && saved.texts == part.TextNumber {
 			saved.saved += len(part.Events)
 		}
 	}
 }
 
-// joinPieces puts texts together from their pieces in the order in which they were
-// written. A piece that begins within the text so far replaces the rest, since its writer
-// began there anew; one that begins behind it is of no use.
+// joinPieces assembles texts from their pieces, in the order in which these were written.
+// A piece that begins within the text so far replaces the rest, since its writer began
+// there again. A piece that begins behind it is ignored.
 func joinPieces(pieces []jobstore.TextPiece) map[string]progress {
 	texts := map[string]progress{}
 	for _, part := range pieces {
@@ -109,7 +108,7 @@
 	return texts
 }
 
-// restore gives items the texts that an earlier owner saved, and tells how many
+// restore gives items the texts that an earlier owner saved, and returns how many items
 // got one.
 func (j *job) restore(texts map[string]progress) int {
 	restored := 0
--- a/internal/jobs/batch/texts_test.go
+++ b/internal/jobs/batch/texts_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// heldJob has a node run a job of six items whose texts stop after some events,
-// and waits until each item is so far.
+// heldJob runs a job of six items whose texts stop after event made, and waits until
+// soFar holds for each item.
 func heldJob(t *testing.T, events, made int, soFar func(*item) bool) (*testEngine, *cluster) {
 	t.Helper()
 	engine := startEngine(t, events)
@@ -62,8 +62,8 @@
 	return engine, cluster
 }
 
-// checkGoesOn checks that another node takes the job over, ends it, and runs no
-// item from before the events that had been made.
+// checkGoesOn checks that the other node takes the job over, finishes it, and starts no
+// item before event made.
 func checkGoesOn(t *testing.T, engine *testEngine, cluster *cluster, events, made int) {
 	t.Helper()
 	eventually(t, "the other node runs the job", func() bool { return cluster.owner("job") == cluster.nodes[1] })
@@ -78,8 +78,7 @@
 	}
 }
 
-// What the long items of a job had made when its owner was killed is not made
-// again.
+// A successor must continue the texts that the killed owner saved.
 func TestSuccessorGoesOnBehindTheTextsThatStand(t *testing.T) {
 	const events, made = 60, 40
 	engine, cluster := heldJob(t, events, made, func(running *item) bool { return running.saved >= made })
@@ -88,7 +87,7 @@
 	checkGoesOn(t, engine, cluster, events, made)
 }
 
-// A planned stop loses nothing of what the items have made by then.
+// A node that leaves must save the texts of its running items first.
 func TestLeavingNodeSavesTheTextsFirst(t *testing.T) {
 	const events, made = 60, 40
 	engine, cluster := heldJob(t, events, made, func(running *item) bool { return running.seen() >= made })
@@ -118,14 +117,8 @@
 	}
 }
 
-// Symptom: a successor goes on with a text whose beginning was made by one weight
-// version and the rest by another, where the job allows one only.
-//
-// Sequence: a piece of an item's text is on its way into the store; the item meets a
-// newer version and its text is begun anew; the store answers.
-//
-// Cause: the answer counted the piece's events as saved of the text that had been
-// begun anew, whose next piece was then written behind those of the old one.
+// Guards against mixing two texts of an item because a save of the first completed after
+// the second was begun.
 func TestATextBegunAnewIsSavedFromItsBeginning(t *testing.T) {
 	work := &item{Item: &Item{ID: "a"}}
 	held := &job{items: map[string]*item{"a": work}, order: []string{"a"}}
@@ -145,18 +138,8 @@
 	}
 }
 
-// Symptom: an item of a job that was taken over is run some forty times a second until
-// its caller gives the job up, and the step waits for it.
-//
-// Sequence: the owner of a job is killed after it has saved the last events of an item
-// and before it has listed the result. The successor goes on behind the saved text.
-//
-// Cause: the text is whole, so the replica adds nothing and names no weight version;
-// that was taken for weights that are too old, and the next run began at once.
-//
-// Settled by the successor's log: 402 runs of one item in ten seconds, each "weights are
-// older than allowed" after some 28 ms, from event 28 of 28; the answers had status 200
-// and no version.
+// Guards against retrying an item forever whose complete text was saved, for which
+// replicas name no weight version.
 func TestAnItemWhoseSavedTextIsWholeIsFinished(t *testing.T) {
 	const events = 40
 	cluster := newCluster(t, 0)
@@ -186,8 +169,7 @@
 	}
 }
 
-// What a text has made since the last saving is made again after its owner's loss. A
-// chunk of results that is written anyway takes it along.
+// Texts must be saved with each append of results, which costs no further call.
 func TestTextsRideAlongWithResults(t *testing.T) {
 	running := &item{Item: &Item{ID: "long"}}
 	for number := range 2 * leastText {
--- a/internal/jobs/batch/watchers.go
+++ b/internal/jobs/batch/watchers.go
@@ -10,11 +10,10 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// probeTimeout bounds the question to an owner whose heartbeats this node does not
-// receive.
+// probeTimeout bounds a request to an owner whose heartbeats this node does not receive.
 const probeTimeout = 500 * time.Millisecond
 
-// Watchers names the nodes that watch over the jobs of this node.
+// Watchers returns the nodes that watch the open jobs of this node.
 func (s *Service) Watchers() []string {
 	nodes := s.config.Table.Nodes()
 	s.mutex.Lock()
@@ -33,8 +32,8 @@
 	return named
 }
 
-// ownerAnswers asks the owner of a job that this node does not watch whether it
-// still runs it.
+// ownerAnswers asks the owner of a job whether it still runs it, for a node that does not
+// receive its heartbeats.
 func (s *Service) ownerAnswers(ctx context.Context, id string, owner jobstore.Owner) bool {
 	question := &wire.JobItem{Job: id}
 	reply, err := environment.Ask(ctx, s.config.Peers, owner.Address, question, probeTimeout)
--- a/internal/jobs/batch/watchers_test.go
+++ b/internal/jobs/batch/watchers_test.go
@@ -11,8 +11,7 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// watched splits the nodes other than the owner of a job into those that hear
-// its heartbeats and those that do not.
+// watched splits the nodes other than a job's owner into its watchers and the others.
 func (c *cluster) watched(id string, owner *testNode) (watching, others []*testNode) {
 	for _, node := range c.nodes {
 		if node == owner {
@@ -27,15 +26,15 @@
 	return watching, others
 }
 
-// age has a node believe that it heard of a job long ago.
+// age sets the last heartbeat of a job's owner to long ago.
 func (n *testNode) age(id string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.remoteJobs[id].lastHeartbeat = time.Now().Add(-time.Minute)
 }
 
-// watchedCluster is a cluster with more nodes than watch over one job, which
-// runs on the first node and which all have heard of.
+// watchedCluster returns a cluster with more nodes than a job has watchers, whose first
+// node runs a job that all nodes know of.
 func watchedCluster(t *testing.T, engine *testEngine) (made *cluster, watching, others []*testNode) {
 	t.Helper()
 	made = newCluster(t, ownership.Watchers+4, engine)
@@ -87,7 +86,7 @@
 	}
 }
 
-// A node that hears no heartbeats must not take a living owner's job over.
+// A node that is not a watcher must ask the owner before it takes a job over.
 func TestAnUnwatchedJobIsLeftToAnOwnerThatAnswers(t *testing.T) {
 	engine := heldEngine(t)
 	cluster, _, others := watchedCluster(t, engine)
@@ -107,7 +106,7 @@
 	}
 }
 
-// The owner and all its watchers may go at once.
+// A job must be taken over even if its owner and all its watchers fail at once.
 func TestAJobWithoutOwnerAndWatchersIsTakenOver(t *testing.T) {
 	engine := heldEngine(t)
 	cluster, watching, others := watchedCluster(t, engine)
@@ -134,9 +133,9 @@
 }
 
 func TestDemandIsTheMeanWorkOfAModelsJobs(t *testing.T) {
-	// Heartbeats tell of open jobs alone: these stay open, and the nodes know each
-	// other before. The first node runs them itself: the payload does not hold the
-	// lengths that another would read from it.
+	// Heartbeats contain open jobs only, so the jobs are kept open and the nodes know
+	// each other before. The first node runs the jobs itself, since the expected lengths
+	// are not in the payload.
 	engine := heldEngine(t)
 	defer engine.release()
 	cluster := newCluster(t, 2, engine)
@@ -155,7 +154,7 @@
 	}
 }
 
-// The rank of a node for a job leaves out the job's owner, whoever that is.
+// A node's rank for a job must be computed without the current owner.
 func TestRanksFollowTheOwner(t *testing.T) {
 	engine := heldEngine(t)
 	cluster, watching, _ := watchedCluster(t, engine)
@@ -175,7 +174,7 @@
 	}
 }
 
-// A node whose entry the store does not take learns of the jobs all the same.
+// A node whose entry the store rejects must still learn of the jobs.
 func TestANodeThatCannotJoinLearnsOfTheJobs(t *testing.T) {
 	engine := heldEngine(t)
 	defer engine.release()
@@ -199,7 +198,7 @@
 	}
 }
 
-// isUnwatched tells whether a node hears no heartbeats of a job's owner.
+// isUnwatched reports whether this node knows of a job and is not one of its watchers.
 func (s *Service) isUnwatched(id string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/jobs/batch/work.go
+++ b/internal/jobs/batch/work.go
@@ -8,7 +8,7 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// work is how much a job has to do, as heartbeats announce it.
+// work describes the job for heartbeats.
 func (j *job) work() wire.JobWork {
 	tokens, open := 0.0, 0
 	for _, counted := range j.groups {
@@ -20,8 +20,8 @@
 	return wire.JobWork{Job: j.id, Model: j.submission.Model, ExpectedTokens: uint64(tokens), Tenant: j.record.Tenant, Epoch: uint32(j.record.Epoch), Open: uint32(open), Items: uint32(len(j.submission.Items))}
 }
 
-// workOf is what heartbeats announce of a job. Its routes and entry region are named only
-// where homes are declared: nobody asks otherwise where its bodies may be.
+// workOf describes a job for heartbeats. Its routes and entry region are named only if
+// allowed regions are declared, since they serve no other purpose.
 func (s *Service) workOf(held *job) wire.JobWork {
 	work := held.work()
 	if s.config.Directory.View().Configuration.DeclaresHomes() {
@@ -31,16 +31,16 @@
 	return work
 }
 
-// Demand is the mean work of the recent batch jobs of each model, of all nodes, in
-// expected tokens, and the number of items of the largest of them.
+// Demand returns the mean work, in expected tokens, of the recent batch jobs of each
+// model on all nodes, and the number of items of the largest of them.
 func (s *Service) Demand() weightorders.Demand {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.demand.Mean()
 }
 
-// OpenWork is how many items of batch jobs run at a service's replicas, and how many run
-// or wait, on all nodes whose heartbeats are recent.
+// OpenWork returns the number of items of batch jobs that run at a service's replicas,
+// and of those that run or wait, on all nodes whose heartbeats are recent.
 func (s *Service) OpenWork(service string) (running, open int) {
 	view := s.config.Directory.View()
 	if view.Configuration == nil || view.Configuration.Services[service].Engine == nil {
