--- a/internal/jobs/batch/accept.go
+++ b/internal/jobs/batch/accept.go
@@ -22,9 +22,9 @@
 // Submit stores a batch job and has it run, if possible by the node that runs the jobs of
 // its model. Submitting an id again is safe: a job is accepted once.
 //
-// It returns nil once the job is stored, a *jobstore.NotTakenError if the job is not
+// It returns nil once the job is stored, a *jobstore.NotAcceptedError if the job is not
 // stored and will not run, ErrOtherTenant if another tenant's job has the id, and a
-// *jobstore.UncertainError if the outcome is unknown.
+// *jobstore.AcceptanceUnknownError if the outcome is unknown.
 func (s *Service) Submit(ctx context.Context, arrival *Arrival) error {
 	if s.isKnown(arrival.ID) {
 		return s.authorizeArrival(ctx, arrival)
@@ -37,8 +37,8 @@
 		return nil
 	}
 	err := s.submitHere(ctx, arrival)
-	if _, notTaken := err.(*jobstore.NotTakenError); notTaken && runnerErr != nil {
-		return &jobstore.UncertainError{Cause: runnerErr}
+	if _, notTaken := err.(*jobstore.NotAcceptedError); notTaken && runnerErr != nil {
+		return &jobstore.AcceptanceUnknownError{Cause: runnerErr}
 	}
 	return err
 }
@@ -63,7 +63,7 @@
 	case <-pending.done:
 		return pending.err
 	case <-ctx.Done():
-		return &jobstore.UncertainError{Cause: ctx.Err()}
+		return &jobstore.AcceptanceUnknownError{Cause: ctx.Err()}
 	}
 }
 
@@ -97,7 +97,7 @@
 		err = ErrOtherTenant
 	}
 	pending.err = err
-	if _, uncertain := err.(*jobstore.UncertainError); uncertain {
+	if _, uncertain := err.(*jobstore.AcceptanceUnknownError); uncertain {
 		s.config.Logger.Info("batch job outcome unknown, retrying", "request", id, "error", err.Error())
 		close(pending.done)
 		longer, cancelLonger := context.WithTimeout(s.base, backgroundTimeout)
@@ -139,8 +139,8 @@
 // recordOf returns the record of a job that this node accepts.
 func (s *Service) recordOf(arrival *Arrival) jobstore.Record {
 	return jobstore.Record{
-		Owner: s.config.Self, Epoch: 1, Route: arrival.Route, Host: arrival.Host, Tenant: arrival.Tenant, Entry: arrival.Entry,
-		Scorers: s.scorersOf(arrival.Submission), Items: len(arrival.Submission.Items), AcceptedMs: time.Now().UnixMilli(),
+		Owner: s.config.Self, Epoch: 1, Route: arrival.Route, Host: arrival.Host, Tenant: arrival.Tenant, EntryRegion: arrival.Entry,
+		ScorerRoutes: s.scorersOf(arrival.Submission), Items: len(arrival.Submission.Items), AcceptedMs: time.Now().UnixMilli(),
 	}
 }
 
--- a/internal/jobs/batch/recover.go
+++ b/internal/jobs/batch/recover.go
@@ -43,7 +43,7 @@
 			s.mutex.Unlock()
 			return
 		}
-		objectstore.Pause(ctx, readRetryPause)
+		objectstore.SleepWithJitter(ctx, readRetryPause)
 	}
 }
 
--- a/internal/jobs/batch/refusal.go
+++ b/internal/jobs/batch/refusal.go
@@ -30,7 +30,7 @@
 // refusalOfSubmission maps an error of a submission to its refusal. An unknown outcome is
 // a gateway timeout: the caller may retry, since the job is accepted once.
 func refusalOfSubmission(err error) refusal {
-	var notTaken *jobstore.NotTakenError
+	var notTaken *jobstore.NotAcceptedError
 	switch {
 	case errors.Is(err, ErrOtherTenant):
 		return refusal{status: http.StatusConflict}
--- a/internal/jobs/batch/replicas.go
+++ b/internal/jobs/batch/replicas.go
@@ -11,7 +11,7 @@
 // replica, or that the replica is loading weights.
 func (s *Service) LearnVersion(change wire.ReplicaVersion) {
 	s.mutex.Lock()
-	state := s.replicas.Get(change.Replica)
+	state := s.replicas.GetOrCreate(change.Replica)
 	if change.Loading {
 		state.LearnLoad(change.Model, time.Now())
 	} else {
--- a/internal/jobs/batch/runerror.go
+++ b/internal/jobs/batch/runerror.go
@@ -65,7 +65,7 @@
 	default:
 		if running.events.Load() == 0 {
 			// The replica may be down: no further items are tried there for a while.
-			state.Unproven = true
+			state.Unresponsive = true
 			state.Block(breakBlock)
 		}
 		work.breaks++
--- a/internal/jobs/batch/work.go
+++ b/internal/jobs/batch/work.go
@@ -24,7 +24,7 @@
 // allowed regions are declared, since they serve no other purpose.
 func (s *Service) workOf(held *job) wire.JobWork {
 	work := held.work()
-	if s.config.Directory.View().Configuration.DeclaresHomes() {
+	if s.config.Directory.View().Configuration.RestrictsRegions() {
 		bound := originOf(held.record)
 		work.Routes, work.Entry = bound.routes, bound.entry
 	}
--- a/internal/store/storerelay/relay_test.go
+++ b/internal/store/storerelay/relay_test.go
@@ -55,7 +55,7 @@
 	return g.Store.List(ctx, kind, after, freshness)
 }
 
-// pair is a node with a connection of its own, and one that it may call through.
+// pair is a node with its direct connection, and a helper.
 type pair struct {
 	own, other *gate
 	relay      *Relay
@@ -73,7 +73,7 @@
 		done(nil, environment.ErrPeerUnreachable)
 		return
 	}
-	done(p.helper.Answer(context.Background(), message.(*wire.StoreCall)), nil)
+	done(p.helper.HandleCall(context.Background(), message.(*wire.StoreCall)), nil)
 }
 
 func newPair() *pair {
@@ -81,7 +81,7 @@
 	made := &pair{own: &gate{Store: store}, other: &gate{Store: store}, reachable: true, known: true}
 	relayOver := func(own objectstore.Store) *Relay {
 		return New(Config{
-			Own: own, Peers: made, CurrentPeer: func() (string, bool) { return "other", made.known }, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
+			Direct: own, Peers: made, PeerWithStoreAccess: func() (string, bool) { return "other", made.known }, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
 		})
 	}
 	made.relay, made.helper = relayOver(made.own), relayOver(made.other)
@@ -115,7 +115,7 @@
 	if _, err := p.relay.Get(ctx, "k", "none", objectstore.Linearizable); !errors.Is(err, objectstore.ErrNotFound) {
 		t.Errorf("get of nothing: %v", err)
 	}
-	if page, err := p.relay.List(ctx, "k", "", objectstore.Linearizable); err != nil || len(page.Objects) != 1 || page.At == 0 {
+	if page, err := p.relay.List(ctx, "k", "", objectstore.Linearizable); err != nil || len(page.Objects) != 1 || page.Revision == 0 {
 		t.Errorf("list: %+v, %v", page, err)
 	}
 	if p.own.calls != 1 {
@@ -123,7 +123,7 @@
 	}
 }
 
-// A call without an answer may have been done, so the relay doesn't repeat it.
+// Guards against repeating a call without a response, which may have taken effect.
 func TestUnansweredCallIsNotRepeated(t *testing.T) {
 	p := newPair()
 	p.own.fail = silence
@@ -167,7 +167,7 @@
 	return errors.As(err, &unanswered)
 }
 
-// Two nodes that the store refuses do not send a call back and forth.
+// Guards against two refused nodes sending a call back and forth.
 func TestCallsMakeOneHop(t *testing.T) {
 	p := newPair()
 	p.own.fail, p.other.fail = refusal, refusal
