--- a/internal/jobs/batch/accept.go
+++ b/internal/jobs/batch/accept.go
@@ -29,14 +29,14 @@
 	if s.isKnown(arrival.ID) {
 		return s.authorizeArrival(ctx, arrival)
 	}
-	if err := s.checkHomes(originOf(s.recordOf(arrival))); err != nil {
+	if err := s.checkReplicas(originOf(s.recordOf(arrival))); err != nil {
 		return err
 	}
 	accepted, runnerErr := s.submitToRunner(ctx, arrival)
 	if accepted {
 		return nil
 	}
-	err := s.submitHere(ctx, arrival)
+	err := s.submitLocally(ctx, arrival)
 	if _, notTaken := err.(*jobstore.NotAcceptedError); notTaken && runnerErr != nil {
 		return &jobstore.AcceptanceUnknownError{Cause: runnerErr}
 	}
@@ -50,12 +50,12 @@
 	return s.jobs[id] != nil || s.remoteJobs[id] != nil
 }
 
-// submitHere stores a batch job and runs it on this node.
-func (s *Service) submitHere(ctx context.Context, arrival *Arrival) error {
+// submitLocally stores a batch job and runs it on this node.
+func (s *Service) submitLocally(ctx context.Context, arrival *Arrival) error {
 	if s.isKnown(arrival.ID) {
 		return s.authorizeArrival(ctx, arrival)
 	}
-	pending := s.beginAcceptance(ctx, arrival)
+	pending := s.startAcceptance(ctx, arrival)
 	if pending.tenant != arrival.Tenant {
 		return ErrOtherTenant
 	}
@@ -67,15 +67,15 @@
 	}
 }
 
-// beginAcceptance returns the pending acceptance of a job, or starts one.
-func (s *Service) beginAcceptance(ctx context.Context, arrival *Arrival) *acceptance {
+// startAcceptance returns the pending acceptance of a job, or starts one.
+func (s *Service) startAcceptance(ctx context.Context, arrival *Arrival) *acceptance {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if pending := s.accepting[arrival.ID]; pending != nil {
+	if pending := s.acceptances[arrival.ID]; pending != nil {
 		return pending
 	}
 	pending := &acceptance{tenant: arrival.Tenant, done: make(chan struct{})}
-	s.accepting[arrival.ID] = pending
+	s.acceptances[arrival.ID] = pending
 	deadline, bounded := ctx.Deadline()
 	if !bounded {
 		deadline = time.Now().Add(backgroundTimeout)
@@ -91,8 +91,8 @@
 	defer cancel()
 	id, began := arrival.ID, time.Now()
 	record := s.recordOf(arrival)
-	ctx = s.within(ctx, record)
-	stored, made, err := s.config.JobStore.Accept(ctx, id, record, arrival.Payload)
+	ctx = s.withRegionBounds(ctx, record)
+	stored, created, err := s.config.JobStore.Accept(ctx, id, record, arrival.Payload)
 	if err == nil && stored.Tenant != record.Tenant {
 		err = ErrOtherTenant
 	}
@@ -102,19 +102,19 @@
 		close(pending.done)
 		longer, cancelLonger := context.WithTimeout(s.base, backgroundTimeout)
 		defer cancelLonger()
-		stored, made, err = s.config.JobStore.Accept(s.within(longer, record), id, record, arrival.Payload)
+		stored, created, err = s.config.JobStore.Accept(s.withRegionBounds(longer, record), id, record, arrival.Payload)
 	} else {
 		defer close(pending.done)
 	}
-	s.endAcceptance(arrival, stored, made, began, err)
+	s.finishAcceptance(arrival, stored, created, began, err)
 }
 
-// endAcceptance starts an accepted job if this process owns it, and otherwise records its
-// owner.
-func (s *Service) endAcceptance(arrival *Arrival, stored jobstore.Record, made bool, began time.Time, err error) {
+// finishAcceptance starts an accepted job if this process owns it, and otherwise records
+// its owner.
+func (s *Service) finishAcceptance(arrival *Arrival, stored jobstore.Record, created bool, began time.Time, err error) {
 	id := arrival.ID
 	s.mutex.Lock()
-	delete(s.accepting, id)
+	delete(s.acceptances, id)
 	own := err == nil && stored.Owner == s.config.Self
 	if err == nil && !own {
 		s.learnStored(jobstore.StoredJob{ID: id, Record: stored})
@@ -127,7 +127,7 @@
 	s.config.Logger.Info("batch job accepted", "request", id, "owner", stored.Owner.Node, "items", len(arrival.Submission.Items),
 		"bytes", len(arrival.Payload), "tenant", stored.Tenant)
 	switch {
-	case own && made && time.Since(began) < maxPromptAcceptance:
+	case own && created && time.Since(began) < maxPromptAcceptance:
 		s.start(id, arrival.Submission, stored, jobstore.Listing{}, began)
 	case own:
 		// The record is not known to be current: an earlier attempt created it, the job
--- a/internal/jobs/batch/answers.go
+++ b/internal/jobs/batch/answers.go
@@ -10,32 +10,32 @@
 // Answer handles another node's request about a batch job. It returns false for messages
 // of other kinds.
 func (s *Service) Answer(message wire.Message, reply func(wire.Message)) bool {
-	switch question := message.(type) {
+	switch request := message.(type) {
 	case *wire.JobRead:
-		reply(s.answerRead(question))
+		reply(s.answerRead(request))
 	case *wire.JobItem:
-		reply(s.answerItem(question))
+		reply(s.answerItem(request))
 	case *wire.JobFind:
-		reply(s.answerFind(question))
+		reply(s.answerFind(request))
 	case *wire.JobEnd:
-		s.answerEnd(question, reply)
+		s.answerEnd(request, reply)
 	case *wire.JobOffer:
 		s.answerOffer(reply)
 	case *wire.JobSubmit:
-		s.answerSubmit(question, reply)
+		s.answerSubmit(request, reply)
 	default:
 		return false
 	}
 	return true
 }
 
-func (s *Service) answerRead(question *wire.JobRead) *wire.JobPage {
-	wait := time.Duration(question.WaitMs) * time.Millisecond
-	page, held := s.readHeld(s.base, question.Job, int(question.After), wait)
+func (s *Service) answerRead(request *wire.JobRead) *wire.JobPage {
+	wait := time.Duration(request.WaitMs) * time.Millisecond
+	page, held := s.readHeld(s.base, request.Job, int(request.After), wait)
 	if !held {
-		ctx, cancel := context.WithTimeout(s.base, peerMargin)
+		ctx, cancel := context.WithTimeout(s.base, peerReplyMargin)
 		defer cancel()
-		if page, held = s.readEndedFor(ctx, question.Job, int(question.After)); !held {
+		if page, held = s.readEndedForPeer(ctx, request.Job, int(request.After)); !held {
 			return &wire.JobPage{}
 		}
 	}
@@ -46,20 +46,20 @@
 	return &wire.JobPage{Known: true, Total: uint32(page.Total), Results: results}
 }
 
-func (s *Service) answerItem(question *wire.JobItem) *wire.JobItemBody {
+func (s *Service) answerItem(request *wire.JobItem) *wire.JobItemBody {
 	s.mutex.Lock()
-	held := s.jobs[question.Job]
+	held := s.jobs[request.Job]
 	s.mutex.Unlock()
 	if held == nil {
 		return &wire.JobItemBody{}
 	}
-	body, err := bodyOf(held.submission, question.Item)
+	body, err := bodyOf(held.submission, request.Item)
 	return &wire.JobItemBody{Known: true, Found: err == nil, Body: body}
 }
 
-func (s *Service) answerEnd(question *wire.JobEnd, reply func(wire.Message)) {
+func (s *Service) answerEnd(request *wire.JobEnd, reply func(wire.Message)) {
 	s.mutex.Lock()
-	held := s.jobs[question.Job]
+	held := s.jobs[request.Job]
 	s.mutex.Unlock()
 	if held == nil {
 		reply(&wire.Failure{Detail: "the job is not run here"})
@@ -67,7 +67,7 @@
 	}
 	ctx, cancel := context.WithTimeout(s.base, ownerEndTimeout)
 	defer cancel()
-	if err := s.End(ctx, question.Job); err != nil {
+	if err := s.End(ctx, request.Job); err != nil {
 		reply(&wire.Failure{Detail: err.Error()})
 		return
 	}
--- a/internal/jobs/batch/authorize.go
+++ b/internal/jobs/batch/authorize.go
@@ -16,10 +16,10 @@
 	if tenant == "" {
 		return nil
 	}
-	holder, known := s.tenantOf(id)
+	owner, known := s.tenantOf(id)
 	if !known {
 		s.locate(ctx, id)
-		holder, known = s.tenantOf(id)
+		owner, known = s.tenantOf(id)
 	}
 	if !known {
 		stored, err := s.config.JobStore.Read(ctx, id)
@@ -29,10 +29,10 @@
 		s.mutex.Lock()
 		s.learnStored(stored)
 		s.mutex.Unlock()
-		holder = stored.Record.Tenant
+		owner = stored.Record.Tenant
 	}
-	if holder != "" && holder != tenant {
-		s.config.Logger.Info("batch job asked for by another tenant", "request", id, "holder", holder, "tenant", tenant)
+	if owner != "" && owner != tenant {
+		s.config.Logger.Info("batch job requested by another tenant", "request", id, "holder", owner, "tenant", tenant)
 		return jobstore.ErrNoSuchJob
 	}
 	return nil
--- a/internal/jobs/batch/doc.go
+++ b/internal/jobs/batch/doc.go
@@ -8,14 +8,14 @@
 // created conditionally under the id that its caller chose, so that it is accepted once.
 // Its results are appended in numbered chunks, each created conditionally, so that one
 // writer gets each position. Package placement decides the order of items, their replicas,
-// moves and stalls; package ownership decides takeovers; packages ends, statistics and
+// moves and stalls; package ownership decides takeovers; packages endedjobs, statistics and
 // replicastate record ended jobs, statistics and the state of replicas. The directory has
 // routes and replicas, the peer table the other nodes.
 //
 // # State
 //
 // Service owns the jobs that this node runs or has run (job), what it knows of other nodes'
-// jobs (remoteJob), and the queue of items and their runs (attempt). One mutex guards all
+// jobs (remoteJob), and the queue of items and their runs (itemRun). One mutex guards all
 // of it. The mutex is never held during a call to the store, a peer or a replica;
 // docs/design/batch-parts.md says what has to change together. Handler serves HTTP.
 //
@@ -33,10 +33,10 @@
 //	state       set by                            reads are answered    until
 //	open        a start                           from memory           the end, or all results
 //	                                                                    are listed
-//	suspect     a pause of this process, another  from the store        a read of the record
+//	unconfirmed a pause of this process, another  from the store        a read of the record
 //	            owner's heartbeat, a chunk of                           sent since then
 //	            another writer
-//	displaced   a record that names another       by that owner         -
+//	superseded  a record that names another       by that owner         -
 //	            owner
 //	ended       a caller, or another node's       from memory           90 s after the end
 //	            heartbeat                                               is stored
--- a/internal/jobs/batch/end.go
+++ b/internal/jobs/batch/end.go
@@ -14,17 +14,17 @@
 func (s *Service) End(ctx context.Context, id string) error {
 	s.mutex.Lock()
 	held := s.jobs[id]
-	kept := held != nil && held.endStored
+	endStored := held != nil && held.endStored
 	s.mutex.Unlock()
 	switch {
-	case kept:
+	case endStored:
 		return nil
 	case held != nil:
 		return s.endHeld(ctx, id)
 	case s.endAtOwner(ctx, id):
 		return nil
 	}
-	stored, err := s.recordEnd(ctx, id)
+	stored, err := s.writeEnd(ctx, id)
 	if err != nil {
 		return err
 	}
@@ -62,7 +62,7 @@
 // record names another owner, this node must no longer answer from memory.
 func (s *Service) storeEnd(ctx context.Context, id string) error {
 	began := time.Now()
-	stored, err := s.recordEnd(ctx, id)
+	stored, err := s.writeEnd(ctx, id)
 	if err != nil {
 		return err
 	}
@@ -83,32 +83,32 @@
 // job. It continues even if another node becomes the owner.
 func (s *Service) persistEnd(id string) {
 	s.mutex.Lock()
-	pursued := s.endsBeingPersisted[id]
+	inProgress := s.endsBeingPersisted[id]
 	s.endsBeingPersisted[id] = true
 	s.mutex.Unlock()
-	if pursued {
+	if inProgress {
 		return
 	}
 	ctx, cancel := context.WithTimeout(s.base, backgroundTimeout)
 	defer cancel()
 	if err := s.storeEnd(ctx, id); err != nil {
-		s.config.Logger.Info("end of batch job given up", "request", id, "error", err.Error())
+		s.config.Logger.Info("batch job end not stored, retries stopped", "request", id, "error", err.Error())
 	}
 	s.mutex.Lock()
 	delete(s.endsBeingPersisted, id)
 	s.mutex.Unlock()
 }
 
-// recordEnd writes the end of a job to the store and returns the stored job.
-func (s *Service) recordEnd(ctx context.Context, id string) (jobstore.StoredJob, error) {
+// writeEnd writes the end of a job to the store and returns the stored job.
+func (s *Service) writeEnd(ctx context.Context, id string) (jobstore.StoredJob, error) {
 	began := time.Now()
 	stored, err := s.config.JobStore.End(ctx, id)
 	took := time.Since(began).Milliseconds()
 	if err != nil {
-		s.config.Logger.Info("end of batch job not recorded", "request", id, "tookMs", took, "error", err.Error())
+		s.config.Logger.Info("batch job end not stored", "request", id, "tookMs", took, "error", err.Error())
 		return jobstore.StoredJob{}, err
 	}
-	s.config.Logger.Info("end of batch job recorded", "request", id, "owner", stored.Record.Owner.Node, "tookMs", took)
+	s.config.Logger.Info("batch job end stored", "request", id, "owner", stored.Record.Owner.Node, "tookMs", took)
 	return stored, nil
 }
 
@@ -116,7 +116,7 @@
 func (s *Service) endAndAnnounce(id string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.endLocally(id)
+	s.applyEnd(id)
 	s.ends.Announce(id, time.Now())
 	s.heartbeatWake.set()
 	s.ownerWatchWake.set()
--- a/internal/jobs/batch/errors.go
+++ b/internal/jobs/batch/errors.go
@@ -20,16 +20,16 @@
 	// ErrNoSuchItem means that a batch job has no item with the given id.
 	ErrNoSuchItem = merry.Sentinel("no such item")
 	// ErrDisplaced means that the node asked does not run the batch job.
-	ErrDisplaced = merry.Sentinel("another node runs the batch job")
+	ErrDisplaced = merry.Sentinel("node does not run the batch job")
 	// ErrUnframed means that the connection closed before the end of the response was
 	// received.
-	ErrUnframed = merry.Sentinel("stream ended without a frame")
+	ErrUnframed = merry.Sentinel("connection closed before the end of the response")
 	// ErrStalled is the cause of a run that was canceled because no events came.
 	ErrStalled = merry.Sentinel("run has stalled")
 	// ErrMoved is the cause of a run that was canceled to continue at a faster replica.
 	ErrMoved = merry.Sentinel("run was moved")
 	// ErrNoVersion means that a replica's response names no weight version.
-	ErrNoVersion = merry.Sentinel("replica names no weight version")
+	ErrNoVersion = merry.Sentinel("response names no weight version")
 	// ErrOldWeights means that a replica's weight version is older than the job allows,
 	// or not the one that made the item's earlier events where its route requires a
 	// single version.
@@ -50,4 +50,6 @@
 // ItemStatusError means that a replica responded to an item with a status other than 200.
 type ItemStatusError struct{ Status int }
 
-func (e *ItemStatusError) Error() string { return fmt.Sprintf("replica answered status %d", e.Status) }
+func (e *ItemStatusError) Error() string {
+	return fmt.Sprintf("replica responded with status %d", e.Status)
+}
--- a/internal/jobs/batch/failing.go
+++ b/internal/jobs/batch/failing.go
@@ -14,26 +14,26 @@
 // recordFailure records that an item failed at a replica, according to its response, and
 // abandons the item once its own failures or all its failures reach their limits. The
 // mutex must be held.
-func (s *scheduler) recordFailure(running *attempt, state *replicastate.State) {
+func (s *scheduler) recordFailure(running *itemRun, state *replicastate.State) {
 	work, replica, now := running.item, running.endpoint.Name, time.Now()
 	wasFailing := state.Failures.IsFailing(now)
-	if !slices.Contains(work.failedAt, replica) {
+	if !slices.Contains(work.failedReplicas, replica) {
 		// Repeated failures of an item at one replica count once in the failure rate of
 		// the replica.
 		state.Failures.Observe(true, now)
-		work.failedAt = append(work.failedAt, replica)
+		work.failedReplicas = append(work.failedReplicas, replica)
 	}
 	isFailing := state.Failures.IsFailing(now)
 	if isFailing && !wasFailing {
-		s.config.Logger.Info("replica fails its runs", "replica", replica, "rate", state.Failures.At(now))
+		s.config.Logger.Info("replica marked as failing", "replica", replica, "rate", state.Failures.At(now))
 	}
-	work.retryAt = now.Add(failurePause)
+	work.retryAt = now.Add(failureRetryDelay)
 	work.failures++
 	if !isFailing {
-		work.ownFailures++
+		work.attributedFailures++
 	}
 	attempts := s.itemAttempts(work)
-	if work.ownFailures >= attempts || work.failures >= maxFailuresFactor*attempts {
-		s.abandon(work, "it failed as often as its route allows")
+	if work.attributedFailures >= attempts || work.failures >= maxFailuresFactor*attempts {
+		s.abandon(work, "attempts exhausted")
 	}
 }
--- a/internal/jobs/batch/final_test.go
+++ b/internal/jobs/batch/final_test.go
@@ -14,38 +14,38 @@
 
 // nodeStore is one node's connection to the store, on which a test can make creates or
 // all other calls fail.
-type ownWay struct {
+type nodeStore struct {
 	*metastore.Store
-	cutCreates, cutOthers atomic.Bool
+	failCreates, failOthers atomic.Bool
 }
 
-// cutAnswer is the time after which a disconnected call fails.
-const cutAnswer = 50 * time.Millisecond
+// failureDelay is the time after which a disconnected call fails.
+const failureDelay = 50 * time.Millisecond
 
-func pass(ctx context.Context, cut *atomic.Bool) error {
+func callError(ctx context.Context, cut *atomic.Bool) error {
 	if !cut.Load() {
 		return nil
 	}
-	objectstore.Sleep(ctx, cutAnswer)
+	objectstore.Sleep(ctx, failureDelay)
 	return &objectstore.UnansweredError{Cause: metastore.ErrFault}
 }
 
-func (w *ownWay) List(ctx context.Context, kind, after string, freshness objectstore.Freshness) (objectstore.Page, error) {
-	if err := pass(ctx, &w.cutOthers); err != nil {
+func (w *nodeStore) List(ctx context.Context, kind, after string, freshness objectstore.Freshness) (objectstore.Page, error) {
+	if err := callError(ctx, &w.failOthers); err != nil {
 		return objectstore.Page{}, err
 	}
 	return w.Store.List(ctx, kind, after, freshness)
 }
 
-func (w *ownWay) Get(ctx context.Context, kind, name string, freshness objectstore.Freshness) (objectstore.Object, error) {
-	if err := pass(ctx, &w.cutOthers); err != nil {
+func (w *nodeStore) Get(ctx context.Context, kind, name string, freshness objectstore.Freshness) (objectstore.Object, error) {
+	if err := callError(ctx, &w.failOthers); err != nil {
 		return objectstore.Object{}, err
 	}
 	return w.Store.Get(ctx, kind, name, freshness)
 }
 
-func (w *ownWay) Create(ctx context.Context, kind, name string, spec json.RawMessage) (objectstore.Object, error) {
-	if err := pass(ctx, &w.cutCreates); err != nil {
+func (w *nodeStore) Create(ctx context.Context, kind, name string, spec json.RawMessage) (objectstore.Object, error) {
+	if err := callError(ctx, &w.failCreates); err != nil {
 		return objectstore.Object{}, err
 	}
 	return w.Store.Create(ctx, kind, name, spec)
@@ -53,13 +53,13 @@
 
 // Guards against nodes that return different results of an ended job because an owner
 // that did not know of the end appended one after others had read the job.
-func TestResultsAreNotFinalWhileTheOwnerMayNotKnowOfTheEnd(t *testing.T) {
-	engine := heldEngine(t)
+func TestLateAppendOfOwnerUnawareOfEnd(t *testing.T) {
+	engine := newHoldingEngine(t)
 	cluster := newCluster(t, 0)
 	reader := cluster.addNode("node-1", []*testEngine{engine})
 	owner := cluster.makeNode("node-0", []*testEngine{engine})
-	way := &ownWay{Store: cluster.store}
-	owner.config.JobStore = jobstore.New(way)
+	ownerStore := &nodeStore{Store: cluster.store}
+	owner.config.JobStore = jobstore.New(ownerStore)
 	owner.table.Join(owner.ctx)
 	cluster.start(owner)
 	if err := cluster.submit(owner, "job", 6); err != nil {
@@ -72,9 +72,9 @@
 	owner.mutex.Lock()
 	held := owner.jobs["job"]
 	owner.mutex.Unlock()
-	way.cutCreates.Store(true)
-	way.cutOthers.Store(true)
-	cluster.setCut("node-0", true)
+	ownerStore.failCreates.Store(true)
+	ownerStore.failOthers.Store(true)
+	cluster.setDisconnected("node-0", true)
 	owner.mutex.Lock()
 	owner.scheduler.finish(held.items["job.0"], jobstore.Result{ID: "job.0", State: jobstore.Abandoned})
 	owner.mutex.Unlock()
@@ -85,7 +85,7 @@
 		t.Fatal(err)
 	}
 	// The owner is connected again, and its append is the first call to succeed.
-	way.cutCreates.Store(false)
+	ownerStore.failCreates.Store(false)
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		owner.mutex.Lock()
 		appended := len(held.listed) > 0
@@ -94,22 +94,22 @@
 			break
 		}
 	}
-	way.cutOthers.Store(false)
-	cluster.setCut("node-0", false)
+	ownerStore.failOthers.Store(false)
+	cluster.setDisconnected("node-0", false)
 	eventually(t, "the owner knows of the end", func() bool {
 		owner.mutex.Lock()
 		defer owner.mutex.Unlock()
-		return owner.jobs["job"] == nil || (held.ended && !held.suspect)
+		return owner.jobs["job"] == nil || (held.ended && !held.unconfirmed)
 	})
-	shown, err := owner.Read(context.Background(), "job", 0, 0)
+	atOwner, err := owner.Read(context.Background(), "job", 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	seen, err := reader.Read(context.Background(), "job", 0, 0)
+	atReader, err := reader.Read(context.Background(), "job", 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(seen.Results) != len(shown.Results) {
-		t.Errorf("%d results are read at the owner, %d at another node", len(shown.Results), len(seen.Results))
+	if len(atReader.Results) != len(atOwner.Results) {
+		t.Errorf("%d results at the owner, %d at another node", len(atOwner.Results), len(atReader.Results))
 	}
 }
--- a/internal/jobs/batch/handler.go
+++ b/internal/jobs/batch/handler.go
@@ -15,8 +15,8 @@
 	// deadline, and endTimeout an end whose caller sets none.
 	submitTimeout = 10 * time.Second
 	endTimeout    = 3 * time.Second
-	// answerMargin is the part of the caller's deadline reserved for the response.
-	answerMargin = 60 * time.Millisecond
+	// responseMargin is the part of the caller's deadline reserved for the response.
+	responseMargin = 60 * time.Millisecond
 	// callTimeout bounds a call about a job, in addition to the time that a reader asks
 	// to wait.
 	callTimeout = 1300 * time.Millisecond
@@ -48,14 +48,14 @@
 	}
 	// The request's context is not used: the job may be stored already when the caller
 	// disconnects.
-	ctx, cancel := context.WithTimeout(h.Service.base, h.submitTimeout(request, route.Timeout)-answerMargin)
+	ctx, cancel := context.WithTimeout(h.Service.base, h.submitTimeout(request, route.Timeout)-responseMargin)
 	defer cancel()
 	err = h.Service.Submit(ctx, &Arrival{
 		ID: id, Route: route.Name, Host: route.Host, Tenant: submitted.Tenant, Entry: h.Service.config.Region, Payload: submitted.Body,
 		Submission: submission,
 	})
 	if err != nil {
-		h.refuse(writer, id, err, refusalOfSubmission(err))
+		h.refuse(writer, id, err, submissionRefusal(err))
 		return
 	}
 	h.Headers.Refuse(writer.Header(), id, 0)
@@ -158,7 +158,7 @@
 func (h *Handler) serveEnd(writer http.ResponseWriter, request *http.Request, call Call) {
 	timeout := endTimeout
 	if wait, named := h.Headers.Deadline(request.Header); named {
-		timeout = max(wait-answerMargin, answerMargin)
+		timeout = max(wait-responseMargin, responseMargin)
 	}
 	ctx, cancel := context.WithTimeout(h.Service.base, timeout)
 	defer cancel()
@@ -171,14 +171,14 @@
 
 // fail responds to a call that could not be served.
 func (h *Handler) fail(writer http.ResponseWriter, call Call, err error) {
-	h.refuse(writer, call.Job, err, refusalOfCall(err))
+	h.refuse(writer, call.Job, err, callRefusal(err))
 }
 
 // refuse responds with an error and logs it.
-func (h *Handler) refuse(writer http.ResponseWriter, id string, err error, answer refusal) {
-	h.Headers.Refuse(writer.Header(), id, answer.retryAfter)
+func (h *Handler) refuse(writer http.ResponseWriter, id string, err error, response refusal) {
+	h.Headers.Refuse(writer.Header(), id, response.retryAfter)
 	writer.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	writer.WriteHeader(answer.status)
+	writer.WriteHeader(response.status)
 	writer.Write([]byte(err.Error() + "\n"))
-	h.Service.config.Logger.Info("answered by the node", "request", id, "status", answer.status, "reason", err.Error())
+	h.Service.config.Logger.Info("answered by the node", "request", id, "status", response.status, "reason", err.Error())
 }
--- a/internal/jobs/batch/harness_test.go
+++ b/internal/jobs/batch/harness_test.go
@@ -82,9 +82,9 @@
 	holdAt  int
 	runs    map[string]int
 	resumed map[string][]int
-	// cutAt is the event within which the first run of each item is broken, 0 for none.
-	cutAt int
-	fail  map[string]int
+	// breakAt is the event within which the first run of each item is broken, 0 for none.
+	breakAt int
+	fail    map[string]int
 }
 
 func startEngine(t *testing.T, events int) *testEngine {
@@ -132,7 +132,7 @@
 				return
 			}
 		}
-		if first && e.cutAt == number {
+		if first && e.breakAt == number {
 			fmt.Fprintf(writer, "id: %d\nda", number)
 			writer.(http.Flusher).Flush()
 			panic(http.ErrAbortHandler)
@@ -146,10 +146,10 @@
 type testPeers struct {
 	mutex    sync.Mutex
 	services map[string]*testNode
-	// cut are the addresses that are disconnected.
-	cut map[string]bool
-	// mute is the address of the node whose replies to submissions are lost.
-	mute string
+	// disconnected are the addresses that are disconnected.
+	disconnected map[string]bool
+	// lostReplies is the address of the node whose replies to submissions are lost.
+	lostReplies string
 }
 
 // testNode is a node of a test cluster.
@@ -171,7 +171,7 @@
 func (l link) target(address string) *testNode {
 	l.peers.mutex.Lock()
 	defer l.peers.mutex.Unlock()
-	if l.peers.cut[address] || l.peers.cut[l.from] {
+	if l.peers.disconnected[address] || l.peers.disconnected[l.from] {
 		return nil
 	}
 	return l.peers.services[address]
@@ -182,7 +182,7 @@
 func (l link) Broadcast(addresses []string, message wire.Message) {
 	for _, address := range addresses {
 		if node := l.target(address); node != nil {
-			go node.take(message, func(wire.Message) {})
+			go node.receive(message, func(wire.Message) {})
 		}
 	}
 }
@@ -195,17 +195,17 @@
 	}
 	_, submits := message.(*wire.JobSubmit)
 	l.peers.mutex.Lock()
-	lost := submits && l.peers.mute == address
+	lost := submits && l.peers.lostReplies == address
 	l.peers.mutex.Unlock()
 	if lost {
-		go node.take(message, func(wire.Message) {})
+		go node.receive(message, func(wire.Message) {})
 		time.AfterFunc(timeout, func() { done(nil, environment.ErrPeerUnreachable) })
 		return
 	}
-	go node.take(message, func(reply wire.Message) { done(reply, nil) })
+	go node.receive(message, func(reply wire.Message) { done(reply, nil) })
 }
 
-func (n *testNode) take(message wire.Message, reply func(wire.Message)) {
+func (n *testNode) receive(message wire.Message, reply func(wire.Message)) {
 	if heartbeat, isBeat := message.(*wire.NodeBeat); isBeat {
 		reply(n.table.HandleJoin(heartbeat))
 		return
@@ -266,13 +266,13 @@
 	gate  atomic.Pointer[gate]
 	peers *testPeers
 	nodes []*testNode
-	// places are the regions of nodes and engines, by name; each region has one zone of
+	// regions are the regions of nodes and engines, by name; each region has one zone of
 	// the same name. homes are the route's allowed regions.
-	places map[string]string
-	homes  []string
-	// mostTold is the number of peers up to which starts and ends are announced to all, 0
-	// for the default.
-	mostTold int
+	regions        map[string]string
+	allowedRegions []string
+	// maxBroadcastPeers is the number of peers up to which starts and ends are announced
+	// to all, 0 for the default.
+	maxBroadcastPeers int
 }
 
 // regions are the regions of the test's zones.
@@ -282,7 +282,7 @@
 
 func newCluster(t *testing.T, nodes int, engines ...*testEngine) *cluster {
 	t.Helper()
-	cluster := &cluster{t: t, store: metastore.New(), peers: &testPeers{services: map[string]*testNode{}, cut: map[string]bool{}}}
+	cluster := &cluster{t: t, store: metastore.New(), peers: &testPeers{services: map[string]*testNode{}, disconnected: map[string]bool{}}}
 	for number := range nodes {
 		cluster.addNode(fmt.Sprintf("node-%d", number), engines)
 	}
@@ -298,8 +298,8 @@
 	return node
 }
 
-// addOutsider adds a node without waiting until it has joined.
-func (c *cluster) addOutsider(name string, engines []*testEngine) *testNode {
+// addUnjoinedNode adds a node without waiting until it has joined.
+func (c *cluster) addUnjoinedNode(name string, engines []*testEngine) *testNode {
 	c.t.Helper()
 	node := c.makeNode(name, engines)
 	go node.table.Join(node.ctx)
@@ -315,13 +315,13 @@
 func (c *cluster) makeNode(name string, engines []*testEngine) *testNode {
 	c.t.Helper()
 	logger := klog.Background()
-	table := directory.NewTable("node", c.places[name], regions, logger)
+	table := directory.NewTable("node", c.regions[name], regions, logger)
 	c.configure(table, 1)
 	var replicas []*directory.Replica
 	for number, engine := range engines {
 		id := fmt.Sprintf("engine-%d", number)
 		replicas = append(replicas, &directory.Replica{
-			ID: id, Service: "engines", Address: engine.address, Zone: c.places[id], Slots: 8, State: directory.ReplicaReady,
+			ID: id, Service: "engines", Address: engine.address, Zone: c.regions[id], Slots: 8, State: directory.ReplicaReady,
 		})
 	}
 	table.SetReplicas(replicas, 0)
@@ -331,15 +331,15 @@
 	dispatcher := dispatch.New(exchange.NewPool(nil), testHeaders{}, nil)
 	self := jobstore.Owner{Node: name, Address: name, Incarnation: uint64(time.Now().UnixNano())}
 	node.table = peering.NewTable(peering.Config{
-		Node: name, Address: name, Zone: c.places[name], Incarnation: self.Incarnation, Store: c.store, Peers: link{c.peers, name}, Logger: logger,
+		Node: name, Address: name, Zone: c.regions[name], Incarnation: self.Incarnation, Store: c.store, Peers: link{c.peers, name}, Logger: logger,
 		FillHeartbeat: func(heartbeat *wire.NodeBeat) { node.FillHeartbeat(heartbeat) }, OnHeartbeat: func(heartbeat *wire.NodeBeat) { node.ReceiveHeartbeat(heartbeat) },
-		HeartbeatTargets: func() []string { return node.Watchers() }, MaxBroadcastPeers: c.mostTold,
+		HeartbeatTargets: func() []string { return node.Watchers() }, MaxBroadcastPeers: c.maxBroadcastPeers,
 	})
 	node.Service = NewService(ctx, Config{
 		Clock: clock.Steady,
 		Self:  self, JobStore: jobstore.New(gatedStore{c.store, &c.gate}), Codec: testCodec{}, Directory: table, Dispatcher: dispatcher,
 		Forwarder: forward.New(forward.Config{Directory: table, Dispatcher: dispatcher, Logger: logger, Metrics: forward.NewMetrics(prometheus.NewRegistry())}),
-		Peers:     link{c.peers, name}, Table: node.table, Region: c.places[name], Logger: logger, Registry: prometheus.NewRegistry(),
+		Peers:     link{c.peers, name}, Table: node.table, Region: c.regions[name], Logger: logger, Registry: prometheus.NewRegistry(),
 	})
 	c.peers.mutex.Lock()
 	c.peers.services[name] = node
@@ -354,7 +354,7 @@
 		Version: version,
 		Routes: []directory.Route{{
 			Name: testRoute, Host: "drafts.example", Prefix: "/d/", Kind: directory.RouteBatch, Attempts: 3,
-			Targets: []directory.Target{{Service: "engines", Weight: 1}}, AllowedRegions: c.homes,
+			Targets: []directory.Target{{Service: "engines", Weight: 1}}, AllowedRegions: c.allowedRegions,
 		}},
 		Services: map[string]directory.Service{"engines": {Name: "engines"}},
 	}, version)
@@ -362,39 +362,39 @@
 
 // setGate delays the nodes' calls of a verb on a kind until the gate is opened.
 func (c *cluster) setGate(verb, kind string) *gate {
-	made := &gate{verb: verb, kind: kind, open: make(chan struct{})}
-	c.gate.Store(made)
-	return made
+	created := &gate{verb: verb, kind: kind, open: make(chan struct{})}
+	c.gate.Store(created)
+	return created
 }
 
-func (c *cluster) setCut(name string, cut bool) {
+func (c *cluster) setDisconnected(name string, cut bool) {
 	c.peers.mutex.Lock()
 	defer c.peers.mutex.Unlock()
-	c.peers.cut[name] = cut
+	c.peers.disconnected[name] = cut
 }
 
 // submission returns a job with items in groups of two.
 func submission(id string, items int) (*Submission, []byte) {
-	made := &Submission{Model: "m", MinVersion: 1}
+	created := &Submission{Model: "m", MinVersion: 1}
 	for number := range items {
 		itemID := fmt.Sprintf("%s.%d", id, number)
-		made.Items = append(made.Items, &Item{
+		created.Items = append(created.Items, &Item{
 			ID: itemID, Target: "/d/x", Header: http.Header{headerID: {itemID}}, Body: []byte("body of " + itemID), Group: fmt.Sprint(number / 2),
 		})
 	}
-	encoded, err := json.Marshal(made)
+	encoded, err := json.Marshal(created)
 	if err != nil {
 		panic(err)
 	}
-	return made, encoded
+	return created, encoded
 }
 
 // submit makes a node accept a job and run it itself.
 func (c *cluster) submit(node *testNode, id string, items int) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	made, payload := submission(id, items)
-	return node.submitHere(ctx, &Arrival{ID: id, Route: testRoute, Host: "drafts.example", Payload: payload, Submission: made})
+	submitted, payload := submission(id, items)
+	return node.submitLocally(ctx, &Arrival{ID: id, Route: testRoute, Host: "drafts.example", Payload: payload, Submission: submitted})
 }
 
 // eventually waits until a condition holds and fails the test after a timeout.
@@ -405,7 +405,7 @@
 			return
 		}
 	}
-	t.Fatalf("not so in the end: %s", what)
+	t.Fatalf("timed out waiting until %s", what)
 }
 
 // readAll reads a job from a node until all results are listed.
@@ -423,13 +423,13 @@
 	return results
 }
 
-// checkWhole checks that each item has one result with its complete text.
-func checkWhole(t *testing.T, id string, results []jobstore.Result, items, events int) {
+// checkResults checks that each item has one result with its complete text.
+func checkResults(t *testing.T, id string, results []jobstore.Result, items, events int) {
 	t.Helper()
 	seen := map[string]bool{}
 	for _, result := range results {
 		if seen[result.ID] {
-			t.Errorf("item %s stands at two positions", result.ID)
+			t.Errorf("item %s is listed twice", result.ID)
 		}
 		seen[result.ID] = true
 		want := ""
--- a/internal/jobs/batch/heartbeat.go
+++ b/internal/jobs/batch/heartbeat.go
@@ -74,7 +74,7 @@
 	for _, id := range heartbeat.Jobs {
 		if held := s.jobs[id]; held != nil {
 			if !heartbeat.Leaving && !ownership.IsEarlierEpoch(epochs[id], held.record.Epoch) {
-				held.markSuspect()
+				held.markUnconfirmed()
 				contested = append(contested, held)
 			}
 			continue
@@ -104,13 +104,13 @@
 func (s *Service) learnEnds(heartbeat *wire.NodeBeat) []*job {
 	var contested []*job
 	for _, id := range heartbeat.Ended {
-		s.logUnheldEnd(id, heartbeat.Node)
+		s.logEndDuringTakeover(id, heartbeat.Node)
 		if held := s.jobs[id]; held != nil && !held.endStored {
 			// The node that ended the job took another node for its owner.
-			held.markSuspect()
+			held.markUnconfirmed()
 			contested = append(contested, held)
 		}
-		s.endLocally(id)
+		s.applyEnd(id)
 	}
 	return contested
 }
@@ -124,19 +124,19 @@
 	return epochs
 }
 
-// logUnheldEnd logs the end of a job that this node is taking over and has not started
-// yet. The mutex must be held.
-func (s *Service) logUnheldEnd(id, from string) {
+// logEndDuringTakeover logs the end of a job that this node is taking over and has not
+// started yet. The mutex must be held.
+func (s *Service) logEndDuringTakeover(id, from string) {
 	remote := s.remoteJobs[id]
 	if s.jobs[id] != nil || remote == nil || !remote.takingOver || remote.ended {
 		return
 	}
-	s.config.Logger.Info("end heard of while the batch job is taken over", "request", id, "from", from)
+	s.config.Logger.Info("batch job ended during its takeover", "request", id, "from", from)
 }
 
-// endLocally stops a job that has ended, and keeps it from being started if this node is
+// applyEnd stops a job that has ended, and keeps it from being started if this node is
 // about to. The mutex must be held.
-func (s *Service) endLocally(id string) {
+func (s *Service) applyEnd(id string) {
 	s.ends.Learn(id, time.Now())
 	if remote := s.remoteJobs[id]; remote != nil {
 		remote.ended = true
@@ -149,7 +149,7 @@
 	s.recordLengths(held)
 	s.logLateness(held)
 	held.cancel()
-	s.scheduler.drop(held)
+	s.scheduler.dequeue(held)
 	held.notify()
 	s.config.Logger.Info("batch job ended", "request", id, "listed", len(held.listed), "items", len(held.items),
 		"chunks", held.chunks, "appending", !held.appendingSince.IsZero())
@@ -158,28 +158,28 @@
 // sendHeartbeats sends heartbeats while this node runs jobs or has ends to announce, and
 // otherwise waits until it does: most nodes of a large deployment never run a job.
 func (s *Service) sendHeartbeats(ctx context.Context) {
-	quiet := 0
+	idleCount := 0
 	for {
-		if quiet > idleHeartbeats {
+		if idleCount > idleHeartbeats {
 			if !s.heartbeatWake.wait(ctx) {
 				return
 			}
 		} else if !objectstore.Sleep(ctx, heartbeatInterval) {
 			return
 		}
-		if s.OpenJobs() > 0 || s.announcesEnds() {
-			quiet = 0
+		if s.OpenJobs() > 0 || s.hasEndsToAnnounce() {
+			idleCount = 0
 		} else {
-			quiet++
+			idleCount++
 		}
-		if quiet <= idleHeartbeats {
+		if idleCount <= idleHeartbeats {
 			s.config.Table.SendHeartbeat()
 		}
 	}
 }
 
-// announcesEnds reports whether there is a recent end to announce.
-func (s *Service) announcesEnds() bool {
+// hasEndsToAnnounce reports whether there is a recent end to announce.
+func (s *Service) hasEndsToAnnounce() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.ends.Announced(time.Now())) > 0
--- a/internal/jobs/batch/homes.go
+++ b/internal/jobs/batch/homes.go
@@ -26,12 +26,12 @@
 }
 
 // learnOrigin records the origin of another node's job.
-func (f *remoteJob) learnOrigin(from origin) {
-	if f.origin == nil {
+func (r *remoteJob) learnOrigin(from origin) {
+	if r.origin == nil {
 		// The cached rank depends on the origin.
-		f.membership = 0
+		r.rankMembership = 0
 	}
-	f.origin = &from
+	r.origin = &from
 }
 
 // scorersOf returns the names of the routes of a submission's reward calls.
@@ -48,11 +48,11 @@
 	return named
 }
 
-// boundsOf returns where the bodies of a job may be. A route or tenant that is no longer
-// declared may have had any allowed regions; if others declare some, the bodies stay in
-// the job's entry region. Without a configuration no node may have the bodies, this one
-// included.
-func (s *Service) boundsOf(from origin) residency.Bounds {
+// regionBounds returns where the bodies of a job may be. A route or tenant that is no
+// longer declared may have had any allowed regions; if others declare some, the bodies
+// stay in the job's entry region. Without a configuration no node may have the bodies,
+// this one included.
+func (s *Service) regionBounds(from origin) residency.Bounds {
 	configuration := s.config.Directory.View().Configuration
 	if configuration == nil {
 		return residency.NewBounds(residency.NoRegions(), "")
@@ -62,13 +62,14 @@
 	}
 	allowed := residency.Set{}
 	for _, name := range from.routes {
-		allowed = allowed.And(bodyHomes(configuration, name, from.tenant))
+		allowed = allowed.And(allowedRegionsOf(configuration, name, from.tenant))
 	}
 	return residency.NewBounds(allowed, from.entry)
 }
 
-// bodyHomes returns the allowed regions for the bodies of a tenant's requests on a route.
-func bodyHomes(configuration *directory.Configuration, route, tenant string) residency.Set {
+// allowedRegionsOf returns the allowed regions for the bodies of a tenant's requests on a
+// route.
+func allowedRegionsOf(configuration *directory.Configuration, route, tenant string) residency.Set {
 	declared := configuration.RouteByName(route)
 	if declared == nil || (tenant != "" && configuration.Tenants.Named(tenant) == nil) {
 		return residency.NoRegions()
@@ -76,29 +77,29 @@
 	return configuration.AllowedRegions(declared, tenant)
 }
 
-// within returns a context for store calls that carry bodies of a job.
-func (s *Service) within(ctx context.Context, record jobstore.Record) context.Context {
-	return residency.WithBounds(ctx, s.boundsOf(originOf(record)))
+// withRegionBounds returns a context for store calls that carry bodies of a job.
+func (s *Service) withRegionBounds(ctx context.Context, record jobstore.Record) context.Context {
+	return residency.WithBounds(ctx, s.regionBounds(originOf(record)))
 }
 
-// withinHeld is like within, for a job that this node runs.
-func (s *Service) withinHeld(ctx context.Context, id string) context.Context {
+// withHeldRegionBounds is like within, for a job that this node runs.
+func (s *Service) withHeldRegionBounds(ctx context.Context, id string) context.Context {
 	s.mutex.Lock()
 	held := s.jobs[id]
 	s.mutex.Unlock()
 	if held == nil {
 		return residency.WithBounds(ctx, residency.NewBounds(residency.NoRegions(), s.config.Region))
 	}
-	return s.within(ctx, held.record)
+	return s.withRegionBounds(ctx, held.record)
 }
 
-// insiders filters nodes to those that may have the bodies of a job, keeping their order.
-// It returns all nodes while the origin is unknown.
-func (s *Service) insiders(from *origin, nodes []string) []string {
+// allowedNodes filters nodes to those that may have the bodies of a job, keeping their
+// order. It returns all nodes while the origin is unknown.
+func (s *Service) allowedNodes(from *origin, nodes []string) []string {
 	if from == nil {
 		return nodes
 	}
-	bounds := s.boundsOf(*from)
+	bounds := s.regionBounds(*from)
 	if !bounds.Regions().IsRestricted() {
 		return nodes
 	}
@@ -114,21 +115,21 @@
 	return s.config.Directory.RegionOf(peer.Zone)
 }
 
-// isOutsider reports whether this node is known not to be allowed the bodies of another
-// node's job. The mutex must be held.
-func (s *Service) isOutsider(remote *remoteJob) bool {
-	return remote.origin != nil && !s.boundsOf(*remote.origin).AllowsNode(s.config.Region)
+// isOutsideAllowedRegions reports whether this node is known not to be allowed the bodies
+// of another node's job. The mutex must be held.
+func (s *Service) isOutsideAllowedRegions(remote *remoteJob) bool {
+	return remote.origin != nil && !s.regionBounds(*remote.origin).AllowsNode(s.config.Region)
 }
 
-// logWaiting logs, once per job, that no other known node may take the job over. The
+// logNoSuccessor logs, once per job, that no other known node may take the job over. The
 // job's origin must be known. The mutex must be held.
-func (s *Service) logWaiting(id string, remote *remoteJob) {
-	if remote.waitLogged || remote.ended || s.config.Directory.View().Configuration == nil {
+func (s *Service) logNoSuccessor(id string, remote *remoteJob) {
+	if remote.noSuccessorLogged || remote.ended || s.config.Directory.View().Configuration == nil {
 		return
 	}
-	remote.waitLogged = true
-	s.config.Logger.Info("batch job waits for a node in its allowed regions, should its owner fall silent", "request", id,
-		"owner", remote.owner.Node, "allowed", s.boundsOf(*remote.origin).Regions().Regions(), "entry", remote.origin.entry)
+	remote.noSuccessorLogged = true
+	s.config.Logger.Info("no possible successor for batch job: no other node is in its allowed regions", "request", id,
+		"owner", remote.owner.Node, "allowed", s.regionBounds(*remote.origin).Regions().Regions(), "entry", remote.origin.entry)
 }
 
 // logJobsWithoutSuccessor logs the open jobs that no other known node may take over. They
@@ -137,16 +138,16 @@
 	nodes := s.config.Table.NodeNames()
 	for id, held := range s.jobs {
 		from := originOf(held.record)
-		if held.open() && len(ownership.Successors(s.insiders(&from, nodes), s.config.Self.Node)) == 0 {
-			s.config.Logger.Info("batch job given to nobody: no other node is in its allowed regions", "request", id,
-				"allowed", s.boundsOf(from).Regions().Regions(), "entry", from.entry)
+		if held.open() && len(ownership.Successors(s.allowedNodes(&from, nodes), s.config.Self.Node)) == 0 {
+			s.config.Logger.Info("batch job not handed over: no other node is in its allowed regions", "request", id,
+				"allowed", s.regionBounds(from).Regions().Regions(), "entry", from.entry)
 		}
 	}
 }
 
-// checkHomes returns an error if some request of the job has no replica in its allowed
+// checkReplicas returns an error if some request of the job has no replica in its allowed
 // regions.
-func (s *Service) checkHomes(from origin) error {
+func (s *Service) checkReplicas(from origin) error {
 	view := s.config.Directory.View()
 	if !view.Configuration.RestrictsRegions() {
 		return nil
@@ -165,8 +166,8 @@
 // two may have different configurations.
 func (s *Service) checkOffered(arrival *Arrival) error {
 	from := originOf(s.recordOf(arrival))
-	if !s.boundsOf(from).AllowsNode(s.config.Region) {
+	if !s.regionBounds(from).AllowsNode(s.config.Region) {
 		return &jobstore.NotAcceptedError{Cause: ErrOutside}
 	}
-	return s.checkHomes(from)
+	return s.checkReplicas(from)
 }
--- a/internal/jobs/batch/attempt.go
+++ b/internal/jobs/batch/itemrun.go
@@ -17,45 +17,47 @@
 // runTimeout bounds one run of an item at a replica.
 const runTimeout = 20 * time.Second
 
-// attempt is one run of an item at a replica.
-type attempt struct {
-	item     *item
-	endpoint *routing.Endpoint
-	cancel   context.CancelCauseFunc
-	begun    time.Time
+// itemRun is one run of an item at a replica.
+type itemRun struct {
+	item      *item
+	endpoint  *routing.Endpoint
+	cancel    context.CancelCauseFunc
+	startedAt time.Time
 	// priority is that of the job's items, 0 the most urgent.
 	priority int
 	// events counts the events received in this run. lastEvent is when the last one came,
 	// in nanoseconds since the run began.
 	events    atomic.Int64
 	lastEvent atomic.Int64
-	// after is the number of events that the item had before this run.
-	after int
-	// first is the delay of the first event, and longestGap the longest time between two
-	// later ones. Only the run's goroutine accesses them.
-	first      time.Duration
-	longestGap time.Duration
-	// took is the duration of the run. Only the run's goroutine writes it.
-	took time.Duration
+	// fromEvent is the number of events that the item had before this run.
+	fromEvent int
+	// firstEventDelay is the time from the start of the run to its first event, and
+	// longestGap the longest time between two later ones. Only the run's goroutine
+	// accesses them.
+	firstEventDelay time.Duration
+	longestGap      time.Duration
+	// duration is the time from the start to the end of the run. Only the run's goroutine
+	// writes it.
+	duration time.Duration
 }
 
 // idle returns the time since the last event, or since the start of the run.
-func (a *attempt) idle() time.Duration {
-	return time.Since(a.begun) - time.Duration(a.lastEvent.Load())
+func (r *itemRun) idle() time.Duration {
+	return time.Since(r.startedAt) - time.Duration(r.lastEvent.Load())
 }
 
-// cut cancels the run with a cause.
-func (a *attempt) cut(reason error) { a.cancel(reason) }
+// abort cancels the run with a cause.
+func (r *itemRun) abort(reason error) { r.cancel(reason) }
 
-// launch starts a run of an item at a replica. The mutex must be held.
-func (s *scheduler) launch(waiting *item, endpoint *routing.Endpoint) {
+// startRun starts a run of an item at a replica. The mutex must be held.
+func (s *scheduler) startRun(waiting *item, endpoint *routing.Endpoint) {
 	ctx, cancel := context.WithCancelCause(waiting.job.ctx)
-	running := &attempt{item: waiting, endpoint: endpoint, cancel: cancel, begun: time.Now(), after: len(waiting.progress.events)}
-	waiting.running = running
+	running := &itemRun{item: waiting, endpoint: endpoint, cancel: cancel, startedAt: time.Now(), fromEvent: len(waiting.progress.events)}
+	waiting.currentRun = running
 	if waiting.runs++; waiting.runs == 1 {
-		waiting.waited = running.begun.Sub(waiting.job.takenUp)
+		waiting.queueWait = running.startedAt.Sub(waiting.job.startedAt)
 	}
-	s.attempts[running] = true
+	s.runs[running] = true
 	s.replicas.GetOrCreate(endpoint.Name).Running++
 	s.metrics.runs.Inc()
 	configuration := s.config.Directory.View().Configuration
@@ -65,12 +67,12 @@
 	running.priority = priorityOf(configuration, waiting.job.record)
 	rewardAttempts := func() int { return s.scorer.rewardAttempts(waiting) }
 	go func() {
-		err := s.run(ctx, running, host, singleVersion)
+		err := s.streamItem(ctx, running, host, singleVersion)
 		if cause := context.Cause(ctx); err != nil && cause != nil {
 			err = cause
 		}
 		cancel(nil)
-		running.took = time.Since(running.begun)
+		running.duration = time.Since(running.startedAt)
 		s.runEnded(running, err)
 		if err == nil {
 			s.score(running, rewardAttempts)
@@ -78,50 +80,50 @@
 	}()
 }
 
-// run streams an item from a replica until the stream ends.
-func (s *scheduler) run(ctx context.Context, running *attempt, host string, singleVersion bool) error {
+// streamItem streams an item from a replica until the stream ends.
+func (s *scheduler) streamItem(ctx context.Context, running *itemRun, host string, singleVersion bool) error {
 	work := running.item
 	call := &dispatch.Call{
 		ID: work.ID, Method: http.MethodPost, Target: work.Target, Host: host, Header: work.Header, Body: work.Body,
 		Deadline: time.Now().Add(runTimeout), AfterEvent: len(work.progress.events), Resumable: true, Rank: dispatch.RankOf(running.priority),
 		Tenant: work.job.record.Tenant, Purpose: exchange.PurposeItem,
 	}
-	answer, err := s.config.Dispatcher.Send(ctx, running.endpoint, call)
+	response, err := s.config.Dispatcher.Send(ctx, running.endpoint, call)
 	if err != nil {
 		return err
 	}
-	defer answer.Close()
-	if answer.Status != http.StatusOK {
-		answer.Discard()
-		return &ItemStatusError{Status: answer.Status}
+	defer response.Close()
+	if response.Status != http.StatusOK {
+		response.Discard()
+		return &ItemStatusError{Status: response.Status}
 	}
-	version := answer.Verdict.Version
+	version := response.Verdict.Version
 	s.learnVersion(running.endpoint.Name, work.job.submission.Model, version)
 	// A replica that has nothing to add to a complete text names no version. Treating
 	// that as old weights would retry the item forever.
 	addsNothing := version == 0 && len(work.progress.events) > 0
 	if err := checkVersion(version, work.job.submission.MinVersion); err != nil && !addsNothing {
-		answer.Discard()
+		response.Discard()
 		return err
 	}
-	return s.receiveEvents(running, answer, version, singleVersion)
+	return s.receiveEvents(running, response, version, singleVersion)
 }
 
 // receiveEvents reads the events of a response until the stream ends. version is the
 // weight version of the response, which applies until an event names another one.
-func (s *scheduler) receiveEvents(running *attempt, answer *dispatch.Answer, version int64, singleVersion bool) error {
+func (s *scheduler) receiveEvents(running *itemRun, response *dispatch.Answer, version int64, singleVersion bool) error {
 	work := running.item
-	events := eventstream.NewReader(answer, s.config.Codec.VersionField(), len(work.progress.events))
+	events := eventstream.NewReader(response, s.config.Codec.VersionField(), len(work.progress.events))
 	for {
 		event, err := events.Next()
 		if errors.Is(err, io.EOF) {
-			if !answer.Framed {
+			if !response.Framed {
 				return ErrUnframed
 			}
 			return nil
 		}
 		if err != nil {
-			answer.Discard()
+			response.Discard()
 			return err
 		}
 		if event.Version > 0 {
@@ -129,12 +131,12 @@
 			s.learnVersion(running.endpoint.Name, work.job.submission.Model, version)
 		}
 		if err := checkVersion(version, work.job.submission.MinVersion); err != nil {
-			answer.Discard()
+			response.Discard()
 			return err
 		}
 		if singleVersion && len(work.progress.versions) > 0 && work.progress.versions[0] != version {
-			s.startAnew(work)
-			answer.Discard()
+			s.discardText(work)
+			response.Discard()
 			return ErrOldWeights
 		}
 		s.receiveEvent(running, event.Data, version)
@@ -143,9 +145,9 @@
 
 // checkVersion returns an error if events made by a weight version must not be used.
 // Version 0 means that the replica named none.
-func checkVersion(version, least int64) error {
+func checkVersion(version, minVersion int64) error {
 	switch {
-	case version >= least:
+	case version >= minVersion:
 		return nil
 	case version == 0:
 		return ErrNoVersion
@@ -163,22 +165,22 @@
 	s.replicas.GetOrCreate(replica).ObserveVersion(model, version)
 }
 
-// startAnew discards an item's text, so that its next run starts from the beginning.
-func (s *scheduler) startAnew(work *item) {
+// discardText discards an item's text, so that its next run starts from the beginning.
+func (s *scheduler) discardText(work *item) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	work.startAnew()
+	work.discardText()
 }
 
 // receiveEvent appends an event to an item's text and updates the replica's pace.
-func (s *scheduler) receiveEvent(running *attempt, event string, version int64) {
-	since := time.Since(running.begun)
+func (s *scheduler) receiveEvent(running *itemRun, event string, version int64) {
+	since := time.Since(running.startedAt)
 	interval := since - time.Duration(running.lastEvent.Swap(int64(since)))
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	running.item.progress.add(event, version)
 	if running.events.Add(1) == 1 {
-		running.first = interval
+		running.firstEventDelay = interval
 		return
 	}
 	running.longestGap = max(running.longestGap, interval)
@@ -187,21 +189,21 @@
 
 // runEnded removes a run that has ended. Unless it succeeded, its item is queued again or
 // abandoned.
-func (s *scheduler) runEnded(running *attempt, err error) {
+func (s *scheduler) runEnded(running *itemRun, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	work := running.item
-	delete(s.attempts, running)
+	delete(s.runs, running)
 	state := s.replicas.GetOrCreate(running.endpoint.Name)
 	state.Running--
-	work.running, work.lastRun = nil, running
-	work.events = max(work.events, len(work.progress.events))
+	work.currentRun, work.lastRun = nil, running
+	work.recordedEvents = max(work.recordedEvents, len(work.progress.events))
 	defer s.wake.set()
 	if err == nil {
 		state.Failures.Observe(false, time.Now())
 		s.eventRates.Of(work.job.submission.Model).Observe(work.ExpectedTokens, len(work.progress.events))
 	}
-	if work.job.ended || work.job.displaced || err == nil {
+	if work.job.ended || work.job.superseded || err == nil {
 		return
 	}
 	s.handleRunError(running, state, err)
@@ -215,11 +217,11 @@
 
 // logFields returns the log fields of a run that has ended. Times are in milliseconds;
 // beganMs counts from the start of the job on this node.
-func (a *attempt) logFields() []any {
-	work := a.item
+func (r *itemRun) logFields() []any {
+	work := r.item
 	return []any{
-		"request", work.ID, "job", work.job.id, "group", work.Group, "replica", a.endpoint.Name, "run", work.runs,
-		"beganMs", a.begun.Sub(work.job.takenUp).Milliseconds(), "firstMs", a.first.Milliseconds(), "tookMs", a.took.Milliseconds(),
-		"longestGapMs", a.longestGap.Milliseconds(), "fromEvent", a.after, "events", a.events.Load(), "expectedTokens", work.ExpectedTokens,
+		"request", work.ID, "job", work.job.id, "group", work.Group, "replica", r.endpoint.Name, "run", work.runs,
+		"beganMs", r.startedAt.Sub(work.job.startedAt).Milliseconds(), "firstMs", r.firstEventDelay.Milliseconds(), "tookMs", r.duration.Milliseconds(),
+		"longestGapMs", r.longestGap.Milliseconds(), "fromEvent", r.fromEvent, "events", r.events.Load(), "expectedTokens", work.ExpectedTokens,
 	}
 }
--- a/internal/jobs/batch/job.go
+++ b/internal/jobs/batch/job.go
@@ -13,26 +13,28 @@
 	id         string
 	submission *Submission
 	record     jobstore.Record
-	// takenUp is when this node started the job.
-	takenUp time.Time
-	// givenUpAt is when items may be abandoned, zero for never.
-	givenUpAt time.Time
-	// due is the time by which the job should be complete, zero if its route sets none,
-	// and objective the time from its acceptance until then.
-	due       time.Time
-	objective time.Duration
+	// startedAt is when this node started the job.
+	startedAt time.Time
+	// abandonAfter is when items may be abandoned, zero for never.
+	abandonAfter time.Time
+	// deadline is the time by which the job should be complete, zero if its route sets
+	// none, and completionObjective the time from its acceptance until then.
+	deadline            time.Time
+	completionObjective time.Duration
 
 	items map[string]*item
 	// order lists the item ids as submitted.
 	order []string
 	// listed are the results in the store, in order.
 	listed []jobstore.Result
+	// chunks is the number of chunks in the store, as far as this node knows.
 	chunks int
 	// finished are the results that are not in the store yet.
 	finished []jobstore.Result
-	serial   int
-	// textsSaved is when the texts of running items were last saved.
-	textsSaved time.Time
+	// serial numbers the chunks that this node builds.
+	serial int
+	// textsSavedAt is when the texts of running items were last saved.
+	textsSavedAt time.Time
 	// saving is set while texts are being written to the store.
 	saving bool
 	// appendingSince is when the current append of results began, zero if there is none.
@@ -47,13 +49,13 @@
 	endedAt time.Time
 	// endStored reports that the store has the end.
 	endStored bool
-	// displaced is set once another node owns the job. suspect is set while that is
+	// superseded is set once another node owns the job. unconfirmed is set while that is
 	// possible: the results here may then lack some that readers have seen.
-	displaced bool
-	suspect   bool
-	// suspectedAt is when suspect was last set. Only a read of the record that began
-	// later can clear it.
-	suspectedAt time.Time
+	superseded  bool
+	unconfirmed bool
+	// unconfirmedAt is when the ownership was last marked as unconfirmed. Only a read of
+	// the record that began later can confirm it.
+	unconfirmedAt time.Time
 	// confirmedAt is when the last successful read of the record began, and lastReadAt
 	// when the last read of all began.
 	confirmedAt time.Time
@@ -88,49 +90,50 @@
 	urgent bool
 
 	progress progress
-	// saved is the number of events of the current text in the store, and texts the
-	// number of times that the text was discarded and begun again.
-	saved   int
-	texts   int
-	running *attempt
+	// savedEvents is the number of events of the current text in the store, and
+	// textNumber the number of texts discarded before it.
+	savedEvents int
+	textNumber  int
+	currentRun  *itemRun
 	// runs counts the runs started on this node.
 	runs int
 	done bool
-	// expected is the number of events estimated from earlier runs, 0 if unknown.
-	expected int
-	// events is the largest number of events that a text had when a run ended or the text
-	// was restored.
-	events int
-	// failures counts responses that say that the item failed, and ownFailures those of
-	// replicas that were not failing at the time. failedAt are the replicas that sent
-	// them.
-	failures    int
-	ownFailures int
-	failedAt    []string
-	// breaks counts runs that ended early for a reason other than the item.
-	breaks int
+	// expectedEvents is the number of events estimated from earlier runs, 0 if unknown.
+	expectedEvents int
+	// recordedEvents is the largest number of events that a text had when a run ended or
+	// the text was restored.
+	recordedEvents int
+	// failures counts responses that say that the item failed, and attributedFailures
+	// those of replicas that were not failing at the time. failedReplicas are the
+	// replicas that sent them.
+	failures           int
+	attributedFailures int
+	failedReplicas     []string
+	// brokenRuns counts runs that ended early for a reason other than the item.
+	brokenRuns int
 	// stalls counts runs that were canceled because no events came.
 	stalls int
-	// waited is the time from the job's start on this node to the item's first run, and
+	// queueWait is the time from the job's start on this node to the item's first run, and
 	// lastRun the run that ended last.
-	waited  time.Duration
-	lastRun *attempt
+	queueWait time.Duration
+	lastRun   *itemRun
 	// retryAt is when the item may run again.
 	retryAt time.Time
 }
 
 // open reports whether the job still has items to run.
-func (j *job) open() bool { return !j.ended && !j.displaced && len(j.listed) < len(j.items) }
+func (j *job) open() bool { return !j.ended && !j.superseded && len(j.listed) < len(j.items) }
 
-// mayBeLost reports whether another node may take the job over, which is possible while
-// it is open or its end is not stored.
-func (j *job) mayBeLost() bool { return j.open() || (j.ended && !j.endStored && !j.displaced) }
+// mayBeTakenOver reports whether another node may take the job over, which is possible
+// while it is open or its end is not stored.
+func (j *job) mayBeTakenOver() bool { return j.open() || (j.ended && !j.endStored && !j.superseded) }
 
 // allListed reports whether every item has a result in the store.
 func (j *job) allListed() bool { return len(j.listed) >= len(j.items) }
 
-// markSuspect sets suspect until a read of the record that begins from now on clears it.
-func (j *job) markSuspect() { j.suspect, j.suspectedAt = true, time.Now() }
+// markUnconfirmed marks the ownership as unconfirmed until a read of the record that
+// begins from now on confirms it.
+func (j *job) markUnconfirmed() { j.unconfirmed, j.unconfirmedAt = true, time.Now() }
 
 // notify wakes the waiting readers.
 func (j *job) notify() {
@@ -138,26 +141,26 @@
 	j.changed = make(chan struct{})
 }
 
-// appendAnswerTimeout is how long results that are being appended are assumed not to be
+// appendResponseTimeout is how long results that are being appended are assumed not to be
 // in the store yet. Readers are guaranteed that what was read remains readable one second
 // later.
-const appendAnswerTimeout = 100 * time.Millisecond
+const appendResponseTimeout = 100 * time.Millisecond
 
-// isCertain reports whether reads may be answered from memory. That is not so while
+// canServeReads reports whether reads may be served from memory. They may not while
 // another node may own the job, nor while an append that was in progress when the job
 // ended has no outcome. The mutex must be held.
-func (j *job) isCertain() bool {
-	return j != nil && !j.suspect && !(j.ended && !j.appendingSince.IsZero())
+func (j *job) canServeReads() bool {
+	return j != nil && !j.unconfirmed && !(j.ended && !j.appendingSince.IsZero())
 }
 
 // isAppending reports whether the store may have results that are not listed here. The
 // mutex must be held.
 func (j *job) isAppending() bool {
-	return !j.appendingSince.IsZero() && time.Since(j.appendingSince) > appendAnswerTimeout
+	return !j.appendingSince.IsZero() && time.Since(j.appendingSince) > appendResponseTimeout
 }
 
-// flushLater makes the publisher append the finished results.
-func (j *job) flushLater() {
+// requestFlush makes the publisher append the finished results.
+func (j *job) requestFlush() {
 	select {
 	case j.flush <- struct{}{}:
 	default:
--- a/internal/jobs/batch/late_create_test.go
+++ b/internal/jobs/batch/late_create_test.go
@@ -11,48 +11,48 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// lateStore delays the response to the first create of a job's record, and never responds
-// to later ones.
-type lateStore struct {
+// delayedStore delays the response to the first create of a job's record, and never
+// responds to later ones.
+type delayedStore struct {
 	*metastore.Store
-	tries  atomic.Int32
-	answer chan struct{}
+	attempts atomic.Int32
+	respond  chan struct{}
 }
 
-func (s *lateStore) Create(ctx context.Context, kind, name string, spec json.RawMessage) (objectstore.Object, error) {
+func (s *delayedStore) Create(ctx context.Context, kind, name string, spec json.RawMessage) (objectstore.Object, error) {
 	if kind != jobstore.KindJobs {
 		return s.Store.Create(ctx, kind, name, spec)
 	}
-	if s.tries.Add(1) > 1 {
+	if s.attempts.Add(1) > 1 {
 		<-ctx.Done()
 		return objectstore.Object{}, &objectstore.UnansweredError{Cause: ctx.Err()}
 	}
 	object, err := s.Store.Create(ctx, kind, name, spec)
-	<-s.answer
+	<-s.respond
 	return object, err
 }
 
 // Guards against taking the owner named in a delayed response to a create for the current
 // owner, after the job was taken over.
-func TestAJobWhoseCreateWasAnsweredLateIsLookedAtFirst(t *testing.T) {
-	engine := heldEngine(t)
+func TestDelayedCreateResponseAfterTakeover(t *testing.T) {
+	engine := newHoldingEngine(t)
 	defer engine.release()
 	cluster := newCluster(t, 1, engine)
 	other := cluster.nodes[0]
 	slow := cluster.makeNode("node-1", []*testEngine{engine})
-	late := &lateStore{Store: cluster.store, answer: make(chan struct{})}
-	slow.config.JobStore = jobstore.New(late)
+	delayed := &delayedStore{Store: cluster.store, respond: make(chan struct{})}
+	slow.config.JobStore = jobstore.New(delayed)
 	slow.table.Join(slow.ctx)
 	cluster.start(slow)
-	eventually(t, "the slow node has read which jobs there are", slow.Recovered)
+	eventually(t, "the slow node has read the stored jobs", slow.Recovered)
 	accepted := make(chan error, 1)
 	go func() { accepted <- cluster.submit(slow, "job", 6) }()
-	eventually(t, "the record is made", func() bool { return cluster.store.Has(jobstore.KindJobs, "job") })
+	eventually(t, "the record is created", func() bool { return cluster.store.Has(jobstore.KindJobs, "job") })
 	if err := cluster.submit(other, "job", 6); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the other node has taken the job over", func() bool { return cluster.owner("job") == other })
-	close(late.answer)
+	close(delayed.respond)
 	if err := <-accepted; err != nil {
 		t.Fatal(err)
 	}
@@ -63,6 +63,6 @@
 	slow.mutex.Lock()
 	defer slow.mutex.Unlock()
 	if slow.jobs["job"] != nil || len(slow.replicas.States) > 0 {
-		t.Error("the slow node has run items of the job")
+		t.Error("the slow node runs the job or has used replicas")
 	}
 }
--- a/internal/jobs/batch/lateness.go
+++ b/internal/jobs/batch/lateness.go
@@ -9,7 +9,7 @@
 // logLateness logs why a job that ends now missed its completion objective, if it did.
 // The mutex must be held.
 func (s *Service) logLateness(ended *job) {
-	if ended.due.IsZero() || !time.Now().After(ended.due) {
+	if ended.deadline.IsZero() || !time.Now().After(ended.deadline) {
 		return
 	}
 	last := ended.lastItem()
@@ -18,8 +18,8 @@
 	}
 	reason := placement.ClassifyLateness(s.replicas.Paces(), last.history())
 	s.metrics.late.WithLabelValues(string(reason)).Inc()
-	s.config.Logger.Info("batch job was late", "request", ended.id, "reason", string(reason), "lateMs", time.Since(ended.due).Milliseconds(),
-		"item", last.ID, "replica", last.lastRun.endpoint.Name, "waitedMs", last.waited.Milliseconds(), "runs", last.runs, "events", last.events)
+	s.config.Logger.Info("batch job was late", "request", ended.id, "reason", string(reason), "lateMs", time.Since(ended.deadline).Milliseconds(),
+		"item", last.ID, "replica", last.lastRun.endpoint.Name, "waitedMs", last.queueWait.Milliseconds(), "runs", last.runs, "events", last.recordedEvents)
 }
 
 // lastItem returns the finished item whose last run ended last, nil if there is none. The
@@ -31,7 +31,7 @@
 		if !candidate.done || candidate.lastRun == nil {
 			continue
 		}
-		if last == nil || candidate.lastRun.endedAt().After(last.lastRun.endedAt()) {
+		if last == nil || candidate.lastRun.endTime().After(last.lastRun.endTime()) {
 			last = candidate
 		}
 	}
@@ -41,19 +41,19 @@
 // history summarizes the item's runs. The mutex must be held.
 func (i *item) history() placement.History {
 	return placement.History{
-		Epoch: i.job.record.Epoch, Waited: i.waited, Stalls: i.stalls, BrokenRuns: i.breaks, Interval: i.lastRun.interval(),
+		Epoch: i.job.record.Epoch, Waited: i.queueWait, Stalls: i.stalls, BrokenRuns: i.brokenRuns, Interval: i.lastRun.meanInterval(),
 	}
 }
 
-// endedAt returns when a run that has ended did so.
-func (a *attempt) endedAt() time.Time { return a.begun.Add(a.took) }
+// endTime returns when a run that has ended did so.
+func (r *itemRun) endTime() time.Time { return r.startedAt.Add(r.duration) }
 
-// interval returns the mean time between the events of a run that has ended, 0 if it had
-// fewer than two.
-func (a *attempt) interval() time.Duration {
-	gaps := a.events.Load() - 1
+// meanInterval returns the mean time between the events of a run that has ended, 0 if it
+// had fewer than two.
+func (r *itemRun) meanInterval() time.Duration {
+	gaps := r.events.Load() - 1
 	if gaps <= 0 {
 		return 0
 	}
-	return (a.took - a.first) / time.Duration(gaps)
+	return (r.duration - r.firstEventDelay) / time.Duration(gaps)
 }
--- a/internal/jobs/batch/leave.go
+++ b/internal/jobs/batch/leave.go
@@ -20,12 +20,12 @@
 	s.leaving = true
 	s.logJobsWithoutSuccessor()
 	s.mutex.Unlock()
-	s.config.Table.Announce(s.nodesKnowingOpenJobs())
+	s.config.Table.Announce(s.locatorsOfOpenJobs())
 }
 
-// nodesKnowingOpenJobs returns the locators of the open jobs of this node. Nodes that
+// locatorsOfOpenJobs returns the locators of the open jobs of this node. Nodes that
 // would offer this node a job learn that it is leaving from its reply.
-func (s *Service) nodesKnowingOpenJobs() []string {
+func (s *Service) locatorsOfOpenJobs() []string {
 	var open []string
 	s.mutex.Lock()
 	for id, held := range s.jobs {
@@ -34,11 +34,11 @@
 		}
 	}
 	s.mutex.Unlock()
-	var concerned []string
+	var locators []string
 	for _, id := range open {
-		concerned = append(concerned, s.locatorsOf(id)...)
+		locators = append(locators, s.locatorsOf(id)...)
 	}
-	return concerned
+	return locators
 }
 
 // flushTexts makes the publishers save the texts of running items now.
@@ -46,8 +46,8 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, held := range s.jobs {
-		held.textsSaved, held.flushSoon = time.Time{}, true
-		held.flushLater()
+		held.textsSavedAt, held.flushSoon = time.Time{}, true
+		held.requestFlush()
 	}
 }
 
@@ -59,7 +59,7 @@
 		return true
 	}
 	for _, held := range s.jobs {
-		if held.open() && held.textsSaved.IsZero() && len(held.unsavedTexts(false)) > 0 {
+		if held.open() && held.textsSavedAt.IsZero() && len(held.unsavedTexts(false)) > 0 {
 			return true
 		}
 		if held.saving {
--- a/internal/jobs/batch/locate.go
+++ b/internal/jobs/batch/locate.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// locatorsAsked is the number of locators that a node asks in parallel about a job
+	// maxLocatorsAsked is the number of locators that a node asks in parallel about a job
 	// that it does not know, and locateTimeout bounds the wait for their replies. If none
 	// of them knows the job, the store is read.
-	locatorsAsked = 3
-	locateTimeout = 150 * time.Millisecond
+	maxLocatorsAsked = 3
+	locateTimeout    = 150 * time.Millisecond
 )
 
 // locatorsOf returns the nodes that receive the heartbeats about a job's start and end.
@@ -25,8 +25,8 @@
 
 // announce sends a heartbeat about a job's start or end to the job's locators and to
 // further nodes.
-func (s *Service) announce(id string, more ...string) {
-	s.config.Table.Announce(append(s.locatorsOf(id), more...))
+func (s *Service) announce(id string, others ...string) {
+	s.config.Table.Announce(append(s.locatorsOf(id), others...))
 }
 
 // ownerOf returns the other node that runs a job, as far as this node or a locator knows.
@@ -55,11 +55,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, locateTimeout)
 	defer cancel()
-	answers := make(chan *wire.JobFound, locatorsAsked)
+	answers := make(chan *wire.JobFound, maxLocatorsAsked)
 	asked := 0
 	for _, node := range s.locatorsOf(id) {
 		peer, known := s.config.Table.Get(node)
-		if !known || asked == locatorsAsked {
+		if !known || asked == maxLocatorsAsked {
 			continue
 		}
 		asked++
@@ -99,16 +99,16 @@
 }
 
 // answerFind handles another node's request for the owner of a job.
-func (s *Service) answerFind(question *wire.JobFind) *wire.JobFound {
+func (s *Service) answerFind(request *wire.JobFind) *wire.JobFound {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if held := s.jobs[question.Job]; held != nil {
+	if held := s.jobs[request.Job]; held != nil {
 		return &wire.JobFound{
 			Known: true, Owner: addressOf(s.config.Self), Epoch: uint32(held.record.Epoch), Ended: held.ended,
 			Tenant: held.record.Tenant, TenantKnown: true,
 		}
 	}
-	remote := s.remoteJobs[question.Job]
+	remote := s.remoteJobs[request.Job]
 	if remote == nil || remote.owner.Node == "" {
 		return &wire.JobFound{}
 	}
--- a/internal/jobs/batch/locate_test.go
+++ b/internal/jobs/batch/locate_test.go
@@ -17,18 +17,18 @@
 // all nodes.
 func newLargeCluster(t *testing.T, nodes int, engines ...*testEngine) *cluster {
 	t.Helper()
-	large := &cluster{t: t, store: metastore.New(), peers: &testPeers{services: map[string]*testNode{}, cut: map[string]bool{}}, mostTold: 1}
+	large := &cluster{t: t, store: metastore.New(), peers: &testPeers{services: map[string]*testNode{}, disconnected: map[string]bool{}}, maxBroadcastPeers: 1}
 	for number := range nodes {
-		large.addOutsider(fmt.Sprintf("node-%d", number), engines)
+		large.addUnjoinedNode(fmt.Sprintf("node-%d", number), engines)
 	}
 	for _, node := range large.nodes {
-		eventually(t, "all nodes know one another", func() bool { return len(node.table.NodeNames()) == nodes })
+		eventually(t, "all nodes know each other", func() bool { return len(node.table.NodeNames()) == nodes })
 	}
 	return large
 }
 
-// knowing returns the nodes that know of a job.
-func (c *cluster) knowing(id string) []*testNode {
+// nodesKnowing returns the nodes that know of a job.
+func (c *cluster) nodesKnowing(id string) []*testNode {
 	var knowing []*testNode
 	for _, node := range c.nodes {
 		node.mutex.Lock()
@@ -40,10 +40,10 @@
 	return knowing
 }
 
-// unknowing returns a node that does not know of a job.
-func (c *cluster) unknowing(id string) *testNode {
+// nodeNotKnowing returns a node that does not know of a job.
+func (c *cluster) nodeNotKnowing(id string) *testNode {
 	c.t.Helper()
-	knowing := c.knowing(id)
+	knowing := c.nodesKnowing(id)
 	for _, node := range c.nodes {
 		if !slices.Contains(knowing, node) {
 			return node
@@ -55,29 +55,29 @@
 
 // A job must be readable and endable at nodes that got no announcement of it, without
 // asking the store.
-func TestAJobIsReadAndEndedThroughNodesThatWereNotToldOfIt(t *testing.T) {
+func TestReadAndEndAtUnannouncedNode(t *testing.T) {
 	engine := startEngine(t, 3)
 	large := newLargeCluster(t, 2*ownership.Locators, engine)
 	if err := large.submit(large.nodes[0], "job", 4); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "locators know of the job", func() bool { return len(large.knowing("job")) > ownership.Locators/2 })
-	if announced := len(large.knowing("job")); announced > ownership.Locators+1 {
-		t.Errorf("%d nodes were told, want %d at the most", announced, ownership.Locators+1)
+	eventually(t, "locators know of the job", func() bool { return len(large.nodesKnowing("job")) > ownership.Locators/2 })
+	if announced := len(large.nodesKnowing("job")); announced > ownership.Locators+1 {
+		t.Errorf("%d nodes got the announcement, want at most %d", announced, ownership.Locators+1)
 	}
-	looks := large.store.Calls("get")
-	checkWhole(t, "job", large.readAll(large.unknowing("job"), "job", 4), 4, 3)
-	if asked := large.store.Calls("get") - looks; asked > 0 {
-		t.Errorf("%d looks at the store for a job that other nodes know", asked)
+	reads := large.store.Calls("get")
+	checkResults(t, "job", large.readAll(large.nodeNotKnowing("job"), "job", 4), 4, 3)
+	if calls := large.store.Calls("get") - reads; calls > 0 {
+		t.Errorf("%d reads of the store for a job that other nodes know", calls)
 	}
-	if err := large.unknowing("job").End(context.Background(), "job"); err != nil {
+	if err := large.nodeNotKnowing("job").End(context.Background(), "job"); err != nil {
 		t.Fatal(err)
 	}
 	for _, node := range large.nodes {
 		node.mutex.Lock()
 		held := node.jobs["job"]
 		if held != nil && !held.ended {
-			t.Errorf("%s goes on with the job", node.config.Self.Node)
+			t.Errorf("%s still runs the job", node.config.Self.Node)
 		}
 		node.mutex.Unlock()
 	}
@@ -85,43 +85,43 @@
 
 // A job that no node knows must be looked up in the store before it counts as not
 // existing.
-func TestAJobThatNoNodeKnowsIsLookedForInTheStore(t *testing.T) {
+func TestUnknownJobIsLookedUpInStore(t *testing.T) {
 	large := newLargeCluster(t, 2*ownership.Locators, startEngine(t, 3))
 	if _, err := large.nodes[3].Read(context.Background(), "none", 0, 0); !errors.Is(err, jobstore.ErrNoSuchJob) {
-		t.Errorf("read of a job that was never handed in: %v", err)
+		t.Errorf("read of an unknown job: error %v", err)
 	}
 }
 
 // If no locator can be reached, the store must be asked who runs the job.
-func TestAJobIsFoundWhenTheNodesThatWereToldOfItAreSilent(t *testing.T) {
+func TestReadWithUnreachableLocators(t *testing.T) {
 	engine := startEngine(t, 3)
 	large := newLargeCluster(t, 2*ownership.Locators, engine)
 	if err := large.submit(large.nodes[0], "job", 4); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "locators know of the job", func() bool { return len(large.knowing("job")) > ownership.Locators/2 })
-	outsider := large.unknowing("job")
-	for _, node := range large.knowing("job") {
+	eventually(t, "locators know of the job", func() bool { return len(large.nodesKnowing("job")) > ownership.Locators/2 })
+	outsider := large.nodeNotKnowing("job")
+	for _, node := range large.nodesKnowing("job") {
 		node.mutex.Lock()
 		runs := node.jobs["job"] != nil
 		node.mutex.Unlock()
 		if !runs {
-			large.setCut(node.config.Self.Node, true)
+			large.setDisconnected(node.config.Self.Node, true)
 		}
 	}
 	began := time.Now()
-	checkWhole(t, "job", large.readAll(outsider, "job", 4), 4, 3)
+	checkResults(t, "job", large.readAll(outsider, "job", 4), 4, 3)
 	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("the job was read after %s", took)
+		t.Errorf("read took %s", took)
 	}
 }
 
 // The number of nodes that get announcements must not grow with the deployment.
-func TestNewsOfAJobGoToTheSameNumberOfNodesInAnyDeployment(t *testing.T) {
+func TestLocatorCountIndependentOfNodes(t *testing.T) {
 	for _, nodes := range []int{2 * ownership.Locators, 4 * ownership.Locators} {
 		large := newLargeCluster(t, nodes, startEngine(t, 3))
 		if announced := len(large.nodes[0].locatorsOf("job")); announced != ownership.Locators {
-			t.Errorf("%d of %d nodes are told", announced, nodes)
+			t.Errorf("%d locators among %d nodes", announced, nodes)
 		}
 	}
 }
--- a/internal/jobs/batch/metrics.go
+++ b/internal/jobs/batch/metrics.go
@@ -13,7 +13,7 @@
 }
 
 func newMetrics(registry prometheus.Registerer) *metrics {
-	made := &metrics{
+	metrics := &metrics{
 		runs:        prometheus.NewCounter(prometheus.CounterOpts{Name: "pathtally_item_runs_total", Help: "Runs of items begun at replicas."}),
 		moved:       prometheus.NewCounterVec(prometheus.CounterOpts{Name: "pathtally_item_moves_total", Help: "Runs cut to go on at another replica, by why."}, []string{"reason"}),
 		late:        prometheus.NewCounterVec(prometheus.CounterOpts{Name: "pathtally_jobs_late_total", Help: "Batch jobs that ended later than their route names, by why."}, []string{"reason"}),
@@ -21,6 +21,6 @@
 		withoutHome: prometheus.NewCounter(prometheus.CounterOpts{Name: "pathtally_jobs_without_home_total", Help: "Batch jobs refused because no replica is in the allowed regions."}),
 		results:     prometheus.NewCounterVec(prometheus.CounterOpts{Name: "pathtally_item_results_total", Help: "Items by how they ended."}, []string{"state"}),
 	}
-	registry.MustRegister(made.runs, made.moved, made.late, made.takeovers, made.withoutHome, made.results)
-	return made
+	registry.MustRegister(metrics.runs, metrics.moved, metrics.late, metrics.takeovers, metrics.withoutHome, metrics.results)
+	return metrics
 }
--- a/internal/jobs/batch/ownerwatch.go
+++ b/internal/jobs/batch/ownerwatch.go
@@ -18,18 +18,18 @@
 func (s *Service) watchOwners(ctx context.Context) {
 	pauses := newPauseDetector(s.config.Clock)
 	for objectstore.Sleep(ctx, ownerCheckInterval) {
-		stoodStill := pauses.check()
-		if stoodStill > 0 {
-			s.config.Logger.Info("process stood still", "forMs", stoodStill.Milliseconds(), "limitMs", pauseLimit.Milliseconds())
+		pause := pauses.check()
+		if pause > 0 {
+			s.config.Logger.Info("process was paused", "forMs", pause.Milliseconds(), "limitMs", pauseThreshold.Milliseconds())
 		}
 		s.evict()
-		for _, held := range s.dueRecordChecks(stoodStill > 0) {
+		for _, held := range s.dueRecordChecks(pause > 0) {
 			go s.confirmOwner(held)
 		}
 		for id, lost := range s.orphans() {
 			go s.takeOver(ctx, id, lost)
 		}
-		if s.knowsNoJob() {
+		if s.hasNothingToWatch() {
 			// All watchers of a job learn of it at the same time. A random delay spreads
 			// their reads of the store.
 			if !s.ownerWatchWake.wait(ctx) || !objectstore.Sleep(ctx, rand.N(ownerCheckInterval)) {
@@ -40,8 +40,8 @@
 	}
 }
 
-// knowsNoJob reports whether there is nothing to watch or evict.
-func (s *Service) knowsNoJob() bool {
+// hasNothingToWatch reports whether there is nothing to watch or evict.
+func (s *Service) hasNothingToWatch() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.jobs) == 0 && len(s.remoteJobs) == 0 && len(s.replicas.SlotUse) == 0 && s.ends.Len() == 0 && s.lengths.Len() == 0 && s.demand.Len() == 0
@@ -65,9 +65,9 @@
 	var due []*job
 	for _, held := range s.jobs {
 		if paused && !held.allListed() {
-			held.markSuspect()
+			held.markUnconfirmed()
 		}
-		if !held.suspect && (!held.mayBeLost() || time.Since(held.confirmedAt) < recordCheckInterval) {
+		if !held.unconfirmed && (!held.mayBeTakenOver() || time.Since(held.confirmedAt) < recordCheckInterval) {
 			continue
 		}
 		if time.Since(held.lastReadAt) < recordCheckRetry {
@@ -116,6 +116,6 @@
 func (s *Service) remoteView(id string, remote *remoteJob) ownership.RemoteJob {
 	return ownership.RemoteJob{
 		Ended: remote.ended, TakingOver: remote.takingOver, RetryAt: remote.retryAt, LastHeartbeat: remote.lastHeartbeat,
-		Owner: s.conditionOf(remote), Rank: func() int { return s.cachedRank(id, remote) },
+		Owner: s.ownerCondition(remote), Rank: func() int { return s.cachedRank(id, remote) },
 	}
 }
--- a/internal/jobs/batch/pause.go
+++ b/internal/jobs/batch/pause.go
@@ -6,9 +6,9 @@
 	"github.com/pathtally/pathtally/internal/clock"
 )
 
-// pauseLimit is the gap between checks above which this process counts as paused, so that
-// other nodes may have taken its jobs over.
-const pauseLimit = 800 * time.Millisecond
+// pauseThreshold is the gap between checks above which this process counts as paused, so
+// that other nodes may have taken its jobs over.
+const pauseThreshold = 800 * time.Millisecond
 
 // pauseDetector detects that the process was paused or the machine suspended. It is not
 // safe for concurrent use.
@@ -26,7 +26,7 @@
 	now := d.clock()
 	gap := now.Sub(d.last)
 	d.last = now
-	if gap <= pauseLimit {
+	if gap <= pauseThreshold {
 		return 0
 	}
 	return gap
--- a/internal/jobs/batch/pool.go
+++ b/internal/jobs/batch/pool.go
@@ -22,12 +22,12 @@
 // same for many items is computed once. The mutex must be held while it is used.
 type pool struct {
 	scheduler *scheduler
-	// running is set if the items are running already: they do not count as demand at
+	// itemsRunning is set if the items are running already: they do not count as demand at
 	// replicas in slow start.
-	running bool
-	view    *directory.View
-	now     time.Time
-	paces   placement.Paces
+	itemsRunning bool
+	view         *directory.View
+	now          time.Time
+	paces        placement.Paces
 	// loads are the numbers of items that run at each replica, from all nodes.
 	loads    map[string]int
 	replicas map[poolKey][]*placement.Replica
@@ -47,7 +47,7 @@
 
 // pick returns the replica for an item, nil if none has a free slot.
 func (p *pool) pick(waiting *item) *placement.Replica {
-	return placement.Pick(p.replicasFor(waiting), placement.Preference{FailedReplicas: waiting.failedAt, Urgent: waiting.urgent})
+	return placement.Pick(p.replicasFor(waiting), placement.Preference{FailedReplicas: waiting.failedReplicas, Urgent: waiting.urgent})
 }
 
 // replicasFor returns the replicas at which an item may run, including those without a
@@ -60,7 +60,7 @@
 		return replicas
 	}
 	if route := routeOf(p.view.Configuration, key.route); route != nil {
-		query := &routing.Query{Rollout: true, Waiting: !p.running, AllowedRegions: residency.Of(route.AllowedRegions, p.view.Configuration.Tenants.AllowedRegions(key.tenant))}
+		query := &routing.Query{Rollout: true, Waiting: !p.itemsRunning, AllowedRegions: residency.Of(route.AllowedRegions, p.view.Configuration.Tenants.AllowedRegions(key.tenant))}
 		for _, target := range route.Targets {
 			if plan := p.view.Plans[target.Service]; plan != nil {
 				replicas = p.add(replicas, p.scheduler.candidatesOf(target.Service, plan, waiting.job), key, query)
@@ -94,10 +94,10 @@
 		return shared
 	}
 	condition := placement.ReplicaHealth{Failing: state.Failures.IsFailing(p.now), Unresponsive: state.Unresponsive, SinceEvent: p.now.Sub(state.ObservedAt)}
-	made := placement.NewReplica(endpoint.Name, endpoint.Slots, p.loads[endpoint.Name], p.paces, condition)
-	if left := endpoint.State.SlowStart.PermitsLeft(); left < made.MaxLoad {
-		made.MaxLoad = min(made.MaxLoad, made.Load+left)
+	view := placement.NewReplica(endpoint.Name, endpoint.Slots, p.loads[endpoint.Name], p.paces, condition)
+	if left := endpoint.State.SlowStart.PermitsLeft(); left < view.MaxLoad {
+		view.MaxLoad = min(view.MaxLoad, view.Load+left)
 	}
-	p.byName[endpoint.Name], p.endpoints[endpoint.Name] = made, endpoint
-	return made
+	p.byName[endpoint.Name], p.endpoints[endpoint.Name] = view, endpoint
+	return view
 }
--- a/internal/jobs/batch/publish_test.go
+++ b/internal/jobs/batch/publish_test.go
@@ -16,30 +16,30 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-func TestGroupsAreListedWithoutDelayOnceMostAreWhole(t *testing.T) {
+func TestIsNearlyComplete(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		desired int
-		groups  int
-		whole   int
-		nearly  bool
+		name     string
+		desired  int
+		groups   int
+		complete int
+		nearly   bool
 	}{
-		{"none whole", 10, 12, 0, false},
-		{"half whole", 10, 12, 5, false},
-		{"most whole", 10, 12, 8, true},
-		{"more desired than there are", 20, 10, 8, true},
-		{"no trainer, none whole", 0, 10, 0, false},
-		{"no trainer, one whole", 0, 10, 1, true},
+		{"none complete", 10, 12, 0, false},
+		{"half complete", 10, 12, 5, false},
+		{"most complete", 10, 12, 8, true},
+		{"more desired than submitted", 20, 10, 8, true},
+		{"no desired number, none complete", 0, 10, 0, false},
+		{"no desired number, one complete", 0, 10, 1, true},
 	} {
 		held := &job{submission: &Submission{Desired: test.desired}, groups: map[string]*group{}}
 		for number := range test.groups {
 			open := 1
-			if number < test.whole {
+			if number < test.complete {
 				open = 0
 			}
 			held.groups[fmt.Sprint(number)] = &group{open: open}
 		}
-		if got := held.nearlyWhole(); got != test.nearly {
+		if got := held.isNearlyComplete(); got != test.nearly {
 			t.Errorf("%s: %t", test.name, got)
 		}
 	}
@@ -47,7 +47,7 @@
 
 // Results and texts must share appends while the trainer waits for many groups, and the
 // last results that it waits for must be appended at once.
-func TestResultsAndTextsAreAppendedTogether(t *testing.T) {
+func TestResultsAndTextsShareAppends(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		store := metastore.New()
@@ -57,7 +57,7 @@
 		})
 		held := &job{
 			id: "job", submission: &Submission{Desired: 2}, items: map[string]*item{}, groups: map[string]*group{},
-			flush: make(chan struct{}, 1), changed: make(chan struct{}), ctx: ctx, cancel: cancel, appends: ctx, takenUp: time.Now(),
+			flush: make(chan struct{}, 1), changed: make(chan struct{}), ctx: ctx, cancel: cancel, appends: ctx, startedAt: time.Now(),
 		}
 		// Each group has one long item, which finishes last.
 		for number := range 42 {
@@ -86,17 +86,17 @@
 			finish(fmt.Sprint(number))
 		}
 		if chunks := store.Calls("create"); chunks > 4 {
-			t.Errorf("%d appends in four seconds", chunks)
+			t.Errorf("%d appends in four seconds, want at most 4", chunks)
 		}
-		if saved := held.items["40"].saved; saved < 50 {
-			t.Errorf("%d of 80 events are saved", saved)
+		if saved := held.items["40"].savedEvents; saved < 50 {
+			t.Errorf("%d of 80 events are saved, want at least 50", saved)
 		}
 		finish("40")
 		finish("41")
 		time.Sleep(100 * time.Millisecond)
 		synctest.Wait()
 		if len(held.listed) != 42 {
-			t.Errorf("%d of 42 results are listed 0.1 s after the last", len(held.listed))
+			t.Errorf("%d of 42 results are listed 0.1 s after the last one finished", len(held.listed))
 		}
 		cancel()
 	})
@@ -104,43 +104,43 @@
 
 // Readers come back half a second after each response, so results listed shortly before
 // the last desired group would delay that group.
-func TestResultsBeforeTheLastDesiredGroupAreListedWithIt(t *testing.T) {
+func TestCoalesceDelayBeforeLastDesiredGroup(t *testing.T) {
 	now := time.Now()
 	const longest = 146
 	for _, test := range []struct {
-		name    string
-		whole   int
-		due     time.Time
-		carried bool
-		events  int
-		soon    bool
-		limit   time.Duration
+		name      string
+		complete  int
+		due       time.Time
+		inherited bool
+		events    int
+		soon      bool
+		limit     time.Duration
 	}{
-		{"most whole, due later", 9, now.Add(2 * time.Second), false, 80, false, resultGather},
-		{"most whole, the last about to end", 9, now.Add(2 * time.Second), false, 140, false, resultGather + endGather},
-		{"fewer whole, two about to end", 8, now.Add(2 * time.Second), false, 140, false, resultGather},
-		{"most whole, just due", 9, now.Add(-lateGrace / 2), false, 80, false, dueGather},
-		{"most whole, late", 9, now.Add(-time.Second), false, 80, true, dueGather},
-		{"most whole, no time named", 9, time.Time{}, false, 140, true, resultGather},
-		{"half whole, late", 5, now.Add(-time.Second), false, 80, false, dueGather},
-		{"as many whole as desired", 10, now.Add(2 * time.Second), false, 80, true, resultGather},
-		{"as many whole as desired, not one that came back", 10, now.Add(2 * time.Second), true, 80, false, resultGather},
-		{"as many whole as desired, one that came back about to end", 10, now.Add(2 * time.Second), true, 140, false, resultGather + endGather},
+		{"most complete, due later", 9, now.Add(2 * time.Second), false, 80, false, coalesceDelay},
+		{"most complete, last one about to end", 9, now.Add(2 * time.Second), false, 140, false, coalesceDelay + endingTextCoalesceDelay},
+		{"fewer complete, two about to end", 8, now.Add(2 * time.Second), false, 140, false, coalesceDelay},
+		{"most complete, just due", 9, now.Add(-lateGrace / 2), false, 80, false, coalesceDelayNearDeadline},
+		{"most complete, late", 9, now.Add(-time.Second), false, 80, true, coalesceDelayNearDeadline},
+		{"most complete, no deadline", 9, time.Time{}, false, 140, true, coalesceDelay},
+		{"half complete, late", 5, now.Add(-time.Second), false, 80, false, coalesceDelayNearDeadline},
+		{"desired number complete", 10, now.Add(2 * time.Second), false, 80, true, coalesceDelay},
+		{"desired number complete, inherited group open", 10, now.Add(2 * time.Second), true, 80, false, coalesceDelay},
+		{"desired number complete, inherited group about to end", 10, now.Add(2 * time.Second), true, 140, false, coalesceDelay + endingTextCoalesceDelay},
 	} {
-		held := &job{submission: &Submission{Desired: 10}, due: test.due, flushSoon: true, groups: map[string]*group{}, items: map[string]*item{}}
+		held := &job{submission: &Submission{Desired: 10}, deadline: test.due, flushSoon: true, groups: map[string]*group{}, items: map[string]*item{}}
 		for number := range 12 {
-			name, made := fmt.Sprint(number), &group{}
-			if number >= test.whole {
-				made.open, made.inherited = 1, test.carried && number == test.whole
-				held.items[name] = &item{Item: &Item{ID: name}, group: made}
+			name, counted := fmt.Sprint(number), &group{}
+			if number >= test.complete {
+				counted.open, counted.inherited = 1, test.inherited && number == test.complete
+				held.items[name] = &item{Item: &Item{ID: name}, group: counted}
 			}
-			held.groups[name] = made
+			held.groups[name] = counted
 		}
-		if next := held.items[fmt.Sprint(test.whole)]; next != nil {
-			next.events = test.events
+		if next := held.items[fmt.Sprint(test.complete)]; next != nil {
+			next.recordedEvents = test.events
 		}
-		if soon, limit := held.listsSoon(now), held.gatherTime(now, longest); soon != test.soon || limit != test.limit {
-			t.Errorf("%s: %t within %s", test.name, soon, limit)
+		if soon, limit := held.shouldListSoon(now), held.maxCoalesceDelay(now, longest); soon != test.soon || limit != test.limit {
+			t.Errorf("%s: list soon %t, delay %s", test.name, soon, limit)
 		}
 	}
 }
--- a/internal/jobs/batch/queue.go
+++ b/internal/jobs/batch/queue.go
@@ -23,9 +23,9 @@
 		views = append(views, queued{view: s.viewOf(waiting, configuration, interval), item: waiting})
 	}
 	slices.SortStableFunc(views, func(a, b queued) int { return placement.Compare(a.view, b.view) })
-	for place, next := range views {
+	for position, next := range views {
 		next.item.urgent = next.view.IsUrgent()
-		s.queue[place] = next.item
+		s.queue[position] = next.item
 	}
 }
 
@@ -33,24 +33,24 @@
 // time between events. The mutex must be held.
 func (s *scheduler) viewOf(waiting *item, configuration *directory.Configuration, interval time.Duration) placement.Item {
 	return placement.Item{
-		Priority: priorityOf(configuration, waiting.job.record), JobStarted: waiting.job.takenUp,
+		Priority: priorityOf(configuration, waiting.job.record), JobStarted: waiting.job.startedAt,
 		Rank: waiting.rank.Position, Reserve: waiting.rank.Reserve, HasProgress: len(waiting.progress.events) > 0,
-		Deadline: waiting.job.due, TimeLeft: time.Until(waiting.job.due), Objective: waiting.job.objective, ExpectedRunTime: time.Duration(s.rest(waiting)) * interval,
+		Deadline: waiting.job.deadline, TimeLeft: time.Until(waiting.job.deadline), Objective: waiting.job.completionObjective, ExpectedRunTime: time.Duration(s.remainingEvents(waiting)) * interval,
 	}
 }
 
-// rest returns the expected number of remaining events of an item, 0 if unknown. The
-// mutex must be held.
-func (s *scheduler) rest(work *item) int {
+// remainingEvents returns the expected number of remaining events of an item, 0 if
+// unknown. The mutex must be held.
+func (s *scheduler) remainingEvents(work *item) int {
 	rate := s.eventRates.Of(work.job.submission.Model)
-	expected := work.expected
+	expected := work.expectedEvents
 	if expected == 0 && work.Item != nil {
 		expected = rate.Expect(work.ExpectedTokens)
 	}
-	return placement.Remaining(expected, work.seen(), rate.Longest())
+	return placement.Remaining(expected, work.knownEvents(), rate.Longest())
 }
 
-// drop removes a job's items from the queue. The mutex must be held.
-func (s *scheduler) drop(dropped *job) {
+// dequeue removes a job's items from the queue. The mutex must be held.
+func (s *scheduler) dequeue(dropped *job) {
 	s.queue = slices.DeleteFunc(s.queue, func(waiting *item) bool { return waiting.job == dropped })
 }
--- a/internal/jobs/batch/rank.go
+++ b/internal/jobs/batch/rank.go
@@ -9,12 +9,12 @@
 // takeoverDelay returns how long this node waits after the owner's last heartbeat before
 // taking over its job. The mutex must be held.
 func (s *Service) takeoverDelay(id string, remote *remoteJob) time.Duration {
-	return ownership.Delay(s.conditionOf(remote), s.cachedRank(id, remote))
+	return ownership.Delay(s.ownerCondition(remote), s.cachedRank(id, remote))
 }
 
-// conditionOf returns what is known of a job's owner besides its heartbeats. The mutex
+// ownerCondition returns what is known of a job's owner besides its heartbeats. The mutex
 // must be held.
-func (s *Service) conditionOf(remote *remoteJob) ownership.OwnerCondition {
+func (s *Service) ownerCondition(remote *remoteJob) ownership.OwnerCondition {
 	if remote.owner.Node == s.config.Self.Node {
 		return ownership.OwnerPreviousProcess
 	}
@@ -31,13 +31,13 @@
 // rank returns this node's rank among those that may take a job over, ownership.Unranked
 // if it may not. The mutex must be held.
 func (s *Service) rank(id string, remote *remoteJob) int {
-	nodes, owner := s.insiders(remote.origin, s.config.Table.NodeNames()), remote.owner.Node
+	nodes, owner := s.allowedNodes(remote.origin, s.config.Table.NodeNames()), remote.owner.Node
 	if owner == s.config.Self.Node {
 		owner = ""
 	}
 	successors := ownership.Successors(nodes, owner)
 	if len(successors) == 0 {
-		s.logWaiting(id, remote)
+		s.logNoSuccessor(id, remote)
 	}
 	return ownership.Rank(id, successors, s.config.Self.Node)
 }
@@ -46,8 +46,8 @@
 // configuration, the owner or the job's origin change. The mutex must be held.
 func (s *Service) cachedRank(id string, remote *remoteJob) int {
 	membership, configuration := s.config.Table.MembershipVersion()+1, s.config.Directory.View().Configuration
-	if remote.membership != membership || remote.rankedIn != configuration {
-		remote.rank, remote.membership, remote.rankedIn = s.rank(id, remote), membership, configuration
+	if remote.rankMembership != membership || remote.rankConfiguration != configuration {
+		remote.rank, remote.rankMembership, remote.rankConfiguration = s.rank(id, remote), membership, configuration
 	}
 	return remote.rank
 }
--- a/internal/jobs/batch/read.go
+++ b/internal/jobs/batch/read.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// peerMargin is the time allowed for another node's reply, in addition to the time
-	// that a reader asks to wait.
-	peerMargin = 700 * time.Millisecond
-	// readBehindTimeout bounds a read of the chunk being appended. It is short enough
-	// that a reply to another node stays within peerMargin.
-	readBehindTimeout = 500 * time.Millisecond
+	// peerReplyMargin is the time allowed for another node's reply, in addition to the
+	// time that a reader asks to wait.
+	peerReplyMargin = 700 * time.Millisecond
+	// pendingAppendReadTimeout bounds a read of the chunk being appended. It is short
+	// enough that a reply to another node stays within peerReplyMargin.
+	pendingAppendReadTimeout = 500 * time.Millisecond
 	// ownerEndTimeout bounds a request to a job's owner to end it.
 	ownerEndTimeout = 800 * time.Millisecond
 )
@@ -34,12 +34,12 @@
 	if page, held := s.readHeld(ctx, id, after, wait); held {
 		return page, nil
 	}
-	if page, final := s.readFinal(id, after); final {
+	if page, sealed := s.readSealed(id, after); sealed {
 		return page, nil
 	}
 	owner, known := s.ownerOf(ctx, id)
 	if known {
-		if page, err := s.readFrom(ctx, owner, id, after, wait); err == nil {
+		if page, err := s.readFromOwner(ctx, owner, id, after, wait); err == nil {
 			return page, nil
 		}
 	}
@@ -48,7 +48,7 @@
 		return Page{}, err
 	}
 	if stored.Record.Owner != owner && stored.Record.Owner != s.config.Self {
-		if page, err := s.readFrom(ctx, stored.Record.Owner, id, after, wait); err == nil {
+		if page, err := s.readFromOwner(ctx, stored.Record.Owner, id, after, wait); err == nil {
 			return page, nil
 		}
 	}
@@ -58,12 +58,12 @@
 // readHeld reads a job that this node runs from memory. It returns false if this node
 // does not run the job or cannot rely on its memory, so that the store must be read.
 func (s *Service) readHeld(ctx context.Context, id string, after int, wait time.Duration) (Page, bool) {
-	limit := time.NewTimer(wait)
-	defer limit.Stop()
-	for patient := true; ; {
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	for waiting := true; ; {
 		s.mutex.Lock()
 		held := s.jobs[id]
-		if !held.isCertain() {
+		if !held.canServeReads() {
 			s.mutex.Unlock()
 			return Page{}, false
 		}
@@ -73,22 +73,22 @@
 		switch {
 		case len(page.Results) > 0 || !open:
 			return page, true
-		case !patient && appending:
-			behind, err := s.readBehind(ctx, id, chunks, after-listed)
+		case !waiting && appending:
+			pending, err := s.readPendingAppend(ctx, id, chunks, after-listed)
 			if err != nil {
 				return s.readListed(id, after)
 			}
-			page.Results = behind
+			page.Results = pending
 			return page, true
-		case !patient:
+		case !waiting:
 			return page, true
 		}
 		select {
 		case <-changed:
-		case <-limit.C:
-			patient = false
+		case <-timer.C:
+			waiting = false
 		case <-ctx.Done():
-			patient = false
+			waiting = false
 		}
 	}
 }
@@ -100,25 +100,25 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	held := s.jobs[id]
-	if !held.isCertain() {
+	if !held.canServeReads() {
 		return Page{}, false
 	}
 	page := held.pageAfter(after)
 	return page, len(page.Results) > 0 || !held.isAppending()
 }
 
-// readBehind reads the results from a chunk on, without the first ones, from the store:
-// it may have applied an append whose response this node did not get, and shown the
-// results to other readers.
-func (s *Service) readBehind(ctx context.Context, id string, chunks, after int) ([]jobstore.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, readBehindTimeout)
+// readPendingAppend reads the results from a chunk on, less the first ones, from the
+// store. The store may have applied an append whose response this node did not get, and
+// other readers may have seen its results.
+func (s *Service) readPendingAppend(ctx context.Context, id string, chunks, after int) ([]jobstore.Result, error) {
+	ctx, cancel := context.WithTimeout(ctx, pendingAppendReadTimeout)
 	defer cancel()
-	behind, err := s.config.JobStore.Results(s.withinHeld(ctx, id), id, chunks)
+	pending, err := s.config.JobStore.Results(s.withHeldRegionBounds(ctx, id), id, chunks)
 	if err != nil {
-		s.config.Logger.Info("nothing read behind an append on its way", "request", id, "chunk", chunks, "error", err.Error())
+		s.config.Logger.Info("results of a pending append not read", "request", id, "chunk", chunks, "error", err.Error())
 		return nil, err
 	}
-	return pageAfter(behind.Results, after, 0).Results, nil
+	return pageAfter(pending.Results, after, 0).Results, nil
 }
 
 // pageAfter returns the listed results after a position. The mutex must be held.
@@ -126,10 +126,10 @@
 	return pageAfter(j.listed[:len(j.listed):len(j.listed)], after, len(j.items))
 }
 
-// readFrom reads a job from the node that runs it.
-func (s *Service) readFrom(ctx context.Context, owner jobstore.Owner, id string, after int, wait time.Duration) (Page, error) {
-	question := &wire.JobRead{Job: id, After: uint32(after), WaitMs: uint32(wait.Milliseconds())}
-	message, err := environment.Ask(ctx, s.config.Peers, owner.Address, question, wait+peerMargin)
+// readFromOwner reads a job from the node that runs it.
+func (s *Service) readFromOwner(ctx context.Context, owner jobstore.Owner, id string, after int, wait time.Duration) (Page, error) {
+	request := &wire.JobRead{Job: id, After: uint32(after), WaitMs: uint32(wait.Milliseconds())}
+	message, err := environment.Ask(ctx, s.config.Peers, owner.Address, request, wait+peerReplyMargin)
 	if err != nil {
 		return Page{}, err
 	}
@@ -151,7 +151,7 @@
 		return bodyOf(held.submission, itemID)
 	}
 	if owner, known := s.ownerOf(ctx, id); known {
-		message, err := environment.Ask(ctx, s.config.Peers, owner.Address, &wire.JobItem{Job: id, Item: itemID}, peerMargin)
+		message, err := environment.Ask(ctx, s.config.Peers, owner.Address, &wire.JobItem{Job: id, Item: itemID}, peerReplyMargin)
 		if body, ok := message.(*wire.JobItemBody); ok && err == nil && body.Known {
 			if !body.Found {
 				return nil, ErrNoSuchItem
@@ -163,7 +163,7 @@
 	if err != nil {
 		return nil, err
 	}
-	payload, err := s.config.JobStore.Payload(s.within(ctx, stored.Record), id, stored.Record.Parts)
+	payload, err := s.config.JobStore.Payload(s.withRegionBounds(ctx, stored.Record), id, stored.Record.Parts)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/jobs/batch/refusal.go
+++ b/internal/jobs/batch/refusal.go
@@ -12,9 +12,9 @@
 const (
 	// retryDelay is the Retry-After of refused calls.
 	retryDelay = 200 * time.Millisecond
-	// withoutHomeRetryDelay is the Retry-After of jobs that no replica may run. It covers
+	// noReplicaRetryDelay is the Retry-After of jobs that no replica may run. It covers
 	// the time in which a new replica or configuration reaches all nodes.
-	withoutHomeRetryDelay = 2 * time.Second
+	noReplicaRetryDelay = 2 * time.Second
 )
 
 // refusal is the response to a call that is not served.
@@ -27,24 +27,24 @@
 // malformed is the refusal of an invalid call.
 var malformed = refusal{status: http.StatusBadRequest}
 
-// refusalOfSubmission maps an error of a submission to its refusal. An unknown outcome is
+// submissionRefusal maps an error of a submission to its refusal. An unknown outcome is
 // a gateway timeout: the caller may retry, since the job is accepted once.
-func refusalOfSubmission(err error) refusal {
+func submissionRefusal(err error) refusal {
 	var notTaken *jobstore.NotAcceptedError
 	switch {
 	case errors.Is(err, ErrOtherTenant):
 		return refusal{status: http.StatusConflict}
 	case errors.Is(err, forward.ErrNoHome):
-		return refusal{status: http.StatusServiceUnavailable, retryAfter: withoutHomeRetryDelay}
+		return refusal{status: http.StatusServiceUnavailable, retryAfter: noReplicaRetryDelay}
 	case errors.As(err, &notTaken):
 		return refusal{status: http.StatusServiceUnavailable, retryAfter: retryDelay}
 	}
 	return refusal{status: http.StatusGatewayTimeout}
 }
 
-// refusalOfCall maps an error of a call about a job to its refusal. It is "not found"
+// callRefusal maps an error of a call about a job to its refusal. It is "not found"
 // only if the job or item is known not to exist.
-func refusalOfCall(err error) refusal {
+func callRefusal(err error) refusal {
 	if errors.Is(err, jobstore.ErrNoSuchJob) || errors.Is(err, ErrNoSuchItem) {
 		return refusal{status: http.StatusNotFound}
 	}
--- a/internal/jobs/batch/refusal_test.go
+++ b/internal/jobs/batch/refusal_test.go
@@ -17,14 +17,14 @@
 		got  refusal
 		want refusal
 	}{
-		{"submission of another tenant's job", refusalOfSubmission(ErrOtherTenant), refusal{http.StatusConflict, 0}},
-		{"submission without a home", refusalOfSubmission(&jobstore.NotAcceptedError{Cause: forward.ErrNoHome}), refusal{http.StatusServiceUnavailable, 2 * time.Second}},
-		{"submission not taken", refusalOfSubmission(&jobstore.NotAcceptedError{Cause: broken}), refusal{http.StatusServiceUnavailable, 200 * time.Millisecond}},
-		{"submission uncertain", refusalOfSubmission(&jobstore.AcceptanceUnknownError{Cause: broken}), refusal{http.StatusGatewayTimeout, 0}},
-		{"submission that failed otherwise", refusalOfSubmission(broken), refusal{http.StatusGatewayTimeout, 0}},
-		{"call about no job", refusalOfCall(jobstore.ErrNoSuchJob), refusal{http.StatusNotFound, 0}},
-		{"call about no item", refusalOfCall(ErrNoSuchItem), refusal{http.StatusNotFound, 0}},
-		{"call that failed otherwise", refusalOfCall(broken), refusal{http.StatusServiceUnavailable, 200 * time.Millisecond}},
+		{"submission of another tenant's job", submissionRefusal(ErrOtherTenant), refusal{http.StatusConflict, 0}},
+		{"submission without a replica", submissionRefusal(&jobstore.NotAcceptedError{Cause: forward.ErrNoHome}), refusal{http.StatusServiceUnavailable, 2 * time.Second}},
+		{"submission not accepted", submissionRefusal(&jobstore.NotAcceptedError{Cause: broken}), refusal{http.StatusServiceUnavailable, 200 * time.Millisecond}},
+		{"submission with unknown outcome", submissionRefusal(&jobstore.AcceptanceUnknownError{Cause: broken}), refusal{http.StatusGatewayTimeout, 0}},
+		{"submission with another error", submissionRefusal(broken), refusal{http.StatusGatewayTimeout, 0}},
+		{"call about an unknown job", callRefusal(jobstore.ErrNoSuchJob), refusal{http.StatusNotFound, 0}},
+		{"call about an unknown item", callRefusal(ErrNoSuchItem), refusal{http.StatusNotFound, 0}},
+		{"call with another error", callRefusal(broken), refusal{http.StatusServiceUnavailable, 200 * time.Millisecond}},
 	} {
 		if test.got != test.want {
 			t.Errorf("%s: %+v, want %+v", test.name, test.got, test.want)
--- a/internal/jobs/batch/remotejob.go
+++ b/internal/jobs/batch/remotejob.go
@@ -22,14 +22,14 @@
 	tenantKnown bool
 	// origin decides in which regions the job's bodies may be, nil if unknown.
 	origin *origin
-	// waitLogged is set once the log says that no other node may take the job over.
-	waitLogged bool
+	// noSuccessorLogged is set once the log says that no other node may take the job over.
+	noSuccessorLogged bool
 	// rank caches this node's rank among those that may take the job over. It is valid
 	// for one version of the membership, 0 for none.
-	rank       int
-	membership uint64
-	// rankedIn is the configuration for which rank is valid.
-	rankedIn *directory.Configuration
+	rank           int
+	rankMembership uint64
+	// rankConfiguration is the configuration for which rank is valid.
+	rankConfiguration *directory.Configuration
 	// leaving is set when the owner has announced that it hands its jobs over.
 	leaving bool
 	// takingOver is set while this node takes the job over.
@@ -40,13 +40,13 @@
 	// while the owner does not reply.
 	results []jobstore.Result
 	chunks  int
-	// total is the number of items of the job, 0 if unknown.
-	total int
-	// final is set once results includes everything up to a seal, so that no more can
+	// itemCount is the number of items of the job, 0 if unknown.
+	itemCount int
+	// sealed is set once results includes everything up to a seal, so that no more can
 	// follow.
-	final bool
-	// sealAfter is when a seal may be attempted again.
-	sealAfter time.Time
+	sealed bool
+	// sealRetryAt is when a seal may be attempted again.
+	sealRetryAt time.Time
 }
 
 // learnRemote records who runs a job in an epoch, 0 if unknown. An epoch earlier than the
@@ -66,7 +66,7 @@
 		remote.owner, remote.epoch, remote.leaving = owner, epoch, false
 		remote.lastHeartbeat = time.Now()
 		// The cached rank depends on the owner.
-		remote.membership = 0
+		remote.rankMembership = 0
 	}
 	if ended {
 		s.ends.Learn(id, time.Now())
--- a/internal/jobs/batch/retention.go
+++ b/internal/jobs/batch/retention.go
@@ -23,8 +23,8 @@
 	for id, remote := range s.remoteJobs {
 		// A node that gets no announcements about the job knows it only from having
 		// asked, and can ask again.
-		untold := !s.config.Table.AnnouncesToAll() && s.cachedRank(id, remote) >= ownership.Locators
-		if (remote.ended || untold) && time.Since(remote.lastHeartbeat) > endedJobRetention {
+		unannounced := !s.config.Table.AnnouncesToAll() && s.cachedRank(id, remote) >= ownership.Locators
+		if (remote.ended || unannounced) && time.Since(remote.lastHeartbeat) > endedJobRetention {
 			delete(s.remoteJobs, id)
 		}
 	}
--- a/internal/jobs/batch/reward.go
+++ b/internal/jobs/batch/reward.go
@@ -19,10 +19,10 @@
 const (
 	// maxRewardTimeout bounds one call of a scorer, also where its route allows more.
 	maxRewardTimeout = 2 * time.Second
-	// rewardPause is the first delay before a scorer is called again, which doubles up to
-	// longestRewardPause.
-	rewardPause        = 60 * time.Millisecond
-	longestRewardPause = 500 * time.Millisecond
+	// rewardRetryDelay is the first delay before a scorer is called again, which doubles
+	// up to maxRewardRetryDelay.
+	rewardRetryDelay    = 60 * time.Millisecond
+	maxRewardRetryDelay = 500 * time.Millisecond
 )
 
 // scorer calls the routes that score texts. It shares the service's mutex.
@@ -30,12 +30,12 @@
 	config   *Config
 	mutex    *sync.Mutex
 	replicas *replicastate.Table
-	// bounds limit the concurrent calls, by route.
-	bounds map[string]*admission.Adaptive
+	// limiters limit the concurrent calls, by route.
+	limiters map[string]*admission.Adaptive
 }
 
 func newScorer(service *Service) *scorer {
-	return &scorer{config: &service.config, mutex: &service.mutex, replicas: service.replicas, bounds: map[string]*admission.Adaptive{}}
+	return &scorer{config: &service.config, mutex: &service.mutex, replicas: service.replicas, limiters: map[string]*admission.Adaptive{}}
 }
 
 // callReward calls an item's scorer until it succeeds, has failed as often as its route
@@ -43,7 +43,7 @@
 func (s *scorer) callReward(work *item, attempts func() int) (score string, failed, scored bool) {
 	reward := work.Reward
 	failures := 0
-	pause := rewardPause
+	pause := rewardRetryDelay
 	for work.job.ctx.Err() == nil {
 		route := s.rewardRoute(reward)
 		if route != nil {
@@ -51,11 +51,11 @@
 				ID: reward.ID, Method: http.MethodPost, Target: reward.Target, Host: reward.Host, Header: reward.Header, Body: reward.Body,
 				Tenant: work.job.record.Tenant, Purpose: exchange.PurposeScorer,
 			}
-			whole, err := s.callScorer(work.job.ctx, route, call)
+			response, err := s.callScorer(work.job.ctx, route, call)
 			if err == nil {
-				failures += whole.Failures
-				if whole.Answer.Status >= http.StatusOK && whole.Answer.Status < http.StatusMultipleChoices {
-					return s.config.Codec.Signature(whole.Answer.Header), false, true
+				failures += response.Failures
+				if response.Answer.Status >= http.StatusOK && response.Answer.Status < http.StatusMultipleChoices {
+					return s.config.Codec.Signature(response.Answer.Header), false, true
 				}
 				if failures >= attempts() {
 					return "", true, false
@@ -65,23 +65,23 @@
 		if !objectstore.SleepWithJitter(work.job.ctx, pause) {
 			break
 		}
-		pause = min(2*pause, longestRewardPause)
+		pause = min(2*pause, maxRewardRetryDelay)
 	}
 	return "", false, false
 }
 
 // callScorer calls a scorer once the limit of its route allows another call.
 func (s *scorer) callScorer(ctx context.Context, route *directory.Route, call *dispatch.Call) (*forward.BufferedAnswer, error) {
-	bound := s.rewardBound(route)
-	if err := bound.Enter(ctx); err != nil {
+	limiter := s.rewardLimiter(route)
+	if err := limiter.Enter(ctx); err != nil {
 		return nil, err
 	}
-	call.Deadline = time.Now().Add(rewardLimit(route))
-	whole, err := s.config.Forwarder.Do(ctx, route, call)
+	call.Deadline = time.Now().Add(rewardTimeout(route))
+	response, err := s.config.Forwarder.Do(ctx, route, call)
 	var refused *forward.RefusedError
-	isCrowded := errors.As(err, &refused) && refused.Reason != forward.ReasonQuarantined
-	bound.Leave(isCrowded || (err == nil && whole.Refusals > 0))
-	return whole, err
+	isOverloaded := errors.As(err, &refused) && refused.Reason != forward.ReasonQuarantined
+	limiter.Leave(isOverloaded || (err == nil && response.Refusals > 0))
+	return response, err
 }
 
 // callsPerSlot is the number of concurrent calls for each slot of a scorer. It is above
@@ -89,10 +89,10 @@
 // replicas keeps them busy.
 const callsPerSlot = 2
 
-// rewardBound returns the limit on concurrent calls to a route's scorers. The nodes that
+// rewardLimiter returns the limit on concurrent calls to a route's scorers. The nodes that
 // run jobs share the replicas' slots, and most of the replicas' queues is left to live
 // requests.
-func (s *scorer) rewardBound(route *directory.Route) *admission.Adaptive {
+func (s *scorer) rewardLimiter(route *directory.Route) *admission.Adaptive {
 	view := s.config.Directory.View()
 	slots := 0
 	for _, target := range route.Targets {
@@ -104,14 +104,14 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	most := callsPerSlot * slots / s.replicas.RunningNodes(time.Now())
-	bound := s.bounds[route.Name]
-	if bound == nil {
-		bound = admission.NewAdaptive(most)
-		s.bounds[route.Name] = bound
+	limit := callsPerSlot * slots / s.replicas.RunningNodes(time.Now())
+	limiter := s.limiters[route.Name]
+	if limiter == nil {
+		limiter = admission.NewAdaptive(limit)
+		s.limiters[route.Name] = limiter
 	}
-	bound.SetMost(most)
-	return bound
+	limiter.SetMost(limit)
+	return limiter
 }
 
 // rewardRoute returns the route of a reward call, nil if there is none.
@@ -123,7 +123,7 @@
 	return configuration.Lookup(reward.Host, targetPath(reward.Target))
 }
 
-func rewardLimit(route *directory.Route) time.Duration {
+func rewardTimeout(route *directory.Route) time.Duration {
 	if route.Timeout > 0 {
 		return min(route.Timeout, maxRewardTimeout)
 	}
--- a/internal/jobs/batch/runerror.go
+++ b/internal/jobs/batch/runerror.go
@@ -12,70 +12,70 @@
 )
 
 const (
-	// fullBlock is how long a replica that refused an item first gets no others, and
-	// breakBlock one whose run broke before its first event. Both grow with each failure
-	// in a row.
-	fullBlock  = 80 * time.Millisecond
-	breakBlock = 50 * time.Millisecond
-	// otherBlock is how long an address gets no items after another incarnation responded
-	// there.
-	otherBlock = 2 * time.Second
-	// breakPause is the delay before an item whose run broke is run again. It grows with
-	// each broken run up to longestBreak.
-	breakPause   = 5 * time.Millisecond
-	longestBreak = 500 * time.Millisecond
-	// quarantinePause is the time between checks whether a quarantined item may be sent
-	// again.
-	quarantinePause = time.Second
-	// failurePause is the delay before an item that failed is run again.
-	failurePause = 60 * time.Millisecond
-	// refusedStatus is a replica's response to an item that can never succeed.
-	refusedStatus = http.StatusUnprocessableEntity
+	// refusedBlock is how long a replica that refused an item first gets no others, and
+	// brokenRunBlock one whose run broke before its first event. Both grow with each
+	// failure in a row.
+	refusedBlock   = 80 * time.Millisecond
+	brokenRunBlock = 50 * time.Millisecond
+	// wrongIncarnationBlock is how long an address gets no items after another
+	// incarnation responded there.
+	wrongIncarnationBlock = 2 * time.Second
+	// brokenRunDelay is the delay before an item whose run broke is run again. It grows
+	// with each broken run up to maxBrokenRunDelay.
+	brokenRunDelay    = 5 * time.Millisecond
+	maxBrokenRunDelay = 500 * time.Millisecond
+	// quarantineRetryDelay is the time between checks whether a quarantined item may be
+	// sent again.
+	quarantineRetryDelay = time.Second
+	// failureRetryDelay is the delay before an item that failed is run again.
+	failureRetryDelay = 60 * time.Millisecond
+	// rejectedStatus is a replica's response to an item that can never succeed.
+	rejectedStatus = http.StatusUnprocessableEntity
 )
 
 // handleRunError updates the item and the replica after a run that failed. The mutex must
 // be held.
-func (s *scheduler) handleRunError(running *attempt, state *replicastate.State, err error) {
+func (s *scheduler) handleRunError(running *itemRun, state *replicastate.State, err error) {
 	work := running.item
 	var notRun *dispatch.NotRunError
 	var withheld *dispatch.WithheldError
 	var quarantined *dispatch.QuarantinedError
 	var status *ItemStatusError
-	var cut *CutError
+	var rescheduled *CutError
 	switch {
 	case errors.As(err, &quarantined):
-		work.retryAt = time.Now().Add(quarantinePause)
+		work.retryAt = time.Now().Add(quarantineRetryDelay)
 	case errors.As(err, &withheld):
 		// The item was not sent: another replica may take it, or this one later.
-		work.retryAt = time.Now().Add(breakPause)
+		work.retryAt = time.Now().Add(brokenRunDelay)
 	case errors.As(err, &notRun) && notRun.OtherReplica:
-		state.BlockedUntil = time.Now().Add(otherBlock)
+		state.BlockedUntil = time.Now().Add(wrongIncarnationBlock)
 	case errors.As(err, &notRun):
-		state.Block(fullBlock)
-	case errors.As(err, &cut):
-		s.metrics.moved.WithLabelValues(string(cut.Reason)).Inc()
-		if cut.Reason == placement.ReasonStalled {
+		state.Block(refusedBlock)
+	case errors.As(err, &rescheduled):
+		s.metrics.moved.WithLabelValues(string(rescheduled.Reason)).Inc()
+		if rescheduled.Reason == placement.ReasonStalled {
 			work.stalls++
 		}
 	case errors.Is(err, ErrOldWeights):
-	case errors.As(err, &status) && status.Status == refusedStatus:
-		s.abandon(work, "a replica says it can never be done")
+	case errors.As(err, &status) && status.Status == rejectedStatus:
+		s.abandon(work, "rejected by a replica")
 	case errors.As(err, &status) && status.Status == http.StatusInternalServerError:
 		s.recordFailure(running, state)
 	default:
 		if running.events.Load() == 0 {
 			// The replica may be down: no further items are tried there for a while.
 			state.Unresponsive = true
-			state.Block(breakBlock)
+			state.Block(brokenRunBlock)
 		}
-		work.breaks++
-		work.retryAt = time.Now().Add(min(time.Duration(work.breaks)*breakPause, longestBreak))
+		work.brokenRuns++
+		work.retryAt = time.Now().Add(min(time.Duration(work.brokenRuns)*brokenRunDelay, maxBrokenRunDelay))
 	}
 }
 
 // abandon gives an item the result Abandoned. The mutex must be held.
 func (s *scheduler) abandon(work *item, reason string) {
-	s.config.Logger.Info("item given up", "request", work.ID, "job", work.job.id, "reason", reason, "failures", work.failures)
+	s.config.Logger.Info("item abandoned", "request", work.ID, "job", work.job.id, "reason", reason, "failures", work.failures)
 	s.finish(work, jobstore.Result{ID: work.ID, State: jobstore.Abandoned})
 }
 
@@ -94,7 +94,7 @@
 
 // finish records an item's result. The mutex must be held.
 func (s *scheduler) finish(work *item, result jobstore.Result) {
-	if work.done || work.job.ended || work.job.displaced {
+	if work.done || work.job.ended || work.job.superseded {
 		return
 	}
 	job := work.job
@@ -104,5 +104,5 @@
 		job.flushSoon = true
 	}
 	s.metrics.results.WithLabelValues(string(result.State)).Inc()
-	job.flushLater()
+	job.requestFlush()
 }
--- a/internal/jobs/batch/runner.go
+++ b/internal/jobs/batch/runner.go
@@ -18,8 +18,8 @@
 	// several round trips between zones and is short compared with the deadline of a
 	// submission, so that a node that is down costs little.
 	offerTimeout = 150 * time.Millisecond
-	// maxRunnersAsked is the number of nodes asked before this one runs a job itself.
-	maxRunnersAsked = 2
+	// maxOffers is the number of nodes asked before this one runs a job itself.
+	maxOffers = 2
 	// runnerTimeShare is the share of the caller's remaining time spent waiting for the
 	// runner. The rest allows this node to accept the job itself.
 	runnerTimeShare = 0.5
@@ -45,18 +45,18 @@
 		return false, nil
 	}
 	submit := &wire.JobSubmit{Job: id, Route: arrival.Route, Host: arrival.Host, Payload: arrival.Payload, Tenant: arrival.Tenant, Entry: arrival.Entry}
-	reply, err := environment.Ask(ctx, s.config.Peers, address, submit, time.Duration(runnerTimeShare*float64(timeLeft(ctx))))
+	reply, err := environment.Ask(ctx, s.config.Peers, address, submit, time.Duration(runnerTimeShare*float64(remainingTime(ctx))))
 	if err != nil {
-		s.config.Logger.Info("runner of batch job lost", "request", id, "runner", address, "error", err.Error())
+		s.config.Logger.Info("no reply from batch job runner", "request", id, "runner", address, "error", err.Error())
 		return false, errRunnerUncertain
 	}
-	answer, ok := reply.(*wire.JobSubmitted)
+	submitted, ok := reply.(*wire.JobSubmitted)
 	switch {
-	case !ok || answer.Outcome == wire.OutcomeUnknown:
+	case !ok || submitted.Outcome == wire.OutcomeUnknown:
 		return false, errRunnerUncertain
-	case answer.Outcome == wire.OutcomeNotRun:
+	case submitted.Outcome == wire.OutcomeNotRun:
 		// The store may still respond to this node.
-		s.config.Logger.Info("runner did not accept batch job", "request", id, "runner", address, "reason", answer.Detail)
+		s.config.Logger.Info("batch job rejected by runner", "request", id, "runner", address, "reason", submitted.Detail)
 		return false, nil
 	}
 	return true, nil
@@ -71,9 +71,9 @@
 		return "", false
 	}
 	asked := 0
-	bound := originOf(s.recordOf(arrival))
-	for _, candidate := range s.insiders(&bound, s.runners(model)) {
-		if candidate == s.config.Self.Node || asked >= maxRunnersAsked {
+	from := originOf(s.recordOf(arrival))
+	for _, candidate := range s.allowedNodes(&from, s.rankedRunners(model)) {
+		if candidate == s.config.Self.Node || asked >= maxOffers {
 			return "", false
 		}
 		peer, known := s.config.Table.Get(candidate)
@@ -90,9 +90,10 @@
 	return "", false
 }
 
-// runners returns the nodes in their rank for a model's jobs. Nodes with more processor
-// capacity come first, since the start of a step uses most of what a small node has.
-func (s *Service) runners(model string) []string {
+// rankedRunners returns the nodes in their rank for a model's jobs. Nodes with more
+// processor capacity come first, since the start of a step uses most of what a small node
+// has.
+func (s *Service) rankedRunners(model string) []string {
 	capacities := s.config.Table.Capacities()
 	candidates := make([]rendezvous.Candidate, 0, len(capacities))
 	for node, capacity := range capacities {
@@ -105,9 +106,9 @@
 	return ranked
 }
 
-// timeLeft returns the time until a context's deadline, or backgroundTimeout if it has
-// none.
-func timeLeft(ctx context.Context) time.Duration {
+// remainingTime returns the time until a context's deadline, or backgroundTimeout if it
+// has none.
+func remainingTime(ctx context.Context) time.Duration {
 	if deadline, bounded := ctx.Deadline(); bounded {
 		return time.Until(deadline)
 	}
@@ -127,8 +128,8 @@
 }
 
 // answerSubmit accepts a batch job that another node received.
-func (s *Service) answerSubmit(question *wire.JobSubmit, reply func(wire.Message)) {
-	submission, err := s.config.Codec.Submission(question.Payload)
+func (s *Service) answerSubmit(request *wire.JobSubmit, reply func(wire.Message)) {
+	submission, err := s.config.Codec.Submission(request.Payload)
 	if err != nil {
 		reply(&wire.JobSubmitted{Outcome: wire.OutcomeNotRun, Detail: err.Error()})
 		return
@@ -136,14 +137,14 @@
 	ctx, cancel := context.WithTimeout(s.base, submitTimeout)
 	defer cancel()
 	arrival := &Arrival{
-		ID: question.Job, Route: question.Route, Host: question.Host, Tenant: question.Tenant, Entry: question.Entry, Payload: question.Payload,
+		ID: request.Job, Route: request.Route, Host: request.Host, Tenant: request.Tenant, Entry: request.Entry, Payload: request.Payload,
 		Submission: submission,
 	}
 	if err := s.checkOffered(arrival); err != nil {
 		reply(&wire.JobSubmitted{Outcome: wire.OutcomeNotRun, Detail: err.Error()})
 		return
 	}
-	err = s.submitHere(ctx, arrival)
+	err = s.submitLocally(ctx, arrival)
 	var notTaken *jobstore.NotAcceptedError
 	switch {
 	case err == nil:
--- a/internal/jobs/batch/runner_test.go
+++ b/internal/jobs/batch/runner_test.go
@@ -10,9 +10,9 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// byRank waits until all nodes know each other, and returns them in their rank for the
-// jobs of the tests' model.
-func (c *cluster) byRank() []*testNode {
+// nodesByRank waits until all nodes know each other, and returns them in their rank for
+// the jobs of the tests' model.
+func (c *cluster) nodesByRank() []*testNode {
 	c.t.Helper()
 	eventually(c.t, "all nodes know each other", func() bool {
 		for _, node := range c.nodes {
@@ -27,49 +27,49 @@
 		byName[node.config.Self.Node] = node
 	}
 	var ranked []*testNode
-	for _, name := range c.nodes[0].runners("m") {
+	for _, name := range c.nodes[0].rankedRunners("m") {
 		ranked = append(ranked, byName[name])
 	}
 	return ranked
 }
 
-// hand submits a job to a node like a caller does.
-func (c *cluster) hand(node *testNode, id string, items int) error {
+// submitAsCaller submits a job to a node like a caller does.
+func (c *cluster) submitAsCaller(node *testNode, id string, items int) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	made, payload := submission(id, items)
-	return node.Submit(ctx, &Arrival{ID: id, Route: testRoute, Host: "drafts.example", Payload: payload, Submission: made})
+	submitted, payload := submission(id, items)
+	return node.Submit(ctx, &Arrival{ID: id, Route: testRoute, Host: "drafts.example", Payload: payload, Submission: submitted})
 }
 
-func TestOneNodeRunsTheJobsOfAModel(t *testing.T) {
-	engine := heldEngine(t)
+func TestOneRunnerPerModel(t *testing.T) {
+	engine := newHoldingEngine(t)
 	cluster := newCluster(t, 4, engine)
-	ranked := cluster.byRank()
+	ranked := cluster.nodesByRank()
 	for number, node := range cluster.nodes {
 		id := []string{"job-a", "job-b", "job-c", "job-d"}[number]
-		if err := cluster.hand(node, id, 2); err != nil {
+		if err := cluster.submitAsCaller(node, id, 2); err != nil {
 			t.Fatal(err)
 		}
 		if owner := cluster.owner(id); owner != ranked[0] {
-			t.Errorf("%s is not run by the first in rank", id)
+			t.Errorf("%s is not run by the first node in rank", id)
 		}
 	}
 	engine.release()
-	checkWhole(t, "job-d", cluster.readAll(ranked[3], "job-d", 2), 2, 3)
+	checkResults(t, "job-d", cluster.readAll(ranked[3], "job-d", 2), 2, 3)
 }
 
 // A small node must not become the runner of a trainer's jobs.
-func TestJobsAreRunByTheLargestNodes(t *testing.T) {
-	engine := heldEngine(t)
+func TestRunnerIsLargestNode(t *testing.T) {
+	engine := newHoldingEngine(t)
 	cluster := newCluster(t, 4, engine)
-	ranked := cluster.byRank()
+	ranked := cluster.nodesByRank()
 	largest := ranked[2].config.Self.Node
 	for _, node := range cluster.nodes {
 		node.table.HandleHeartbeat(&wire.NodeBeat{Node: largest, Address: ranked[2].config.Self.Address, Incarnation: ranked[2].config.Self.Incarnation, Capacity: 800})
 	}
 	for _, node := range cluster.nodes {
-		if first := node.runners("m")[0]; node != ranked[2] && first != largest {
-			t.Errorf("%s takes %s for the runner, want %s", node.config.Self.Node, first, largest)
+		if first := node.rankedRunners("m")[0]; node != ranked[2] && first != largest {
+			t.Errorf("%s: runner %s, want %s", node.config.Self.Node, first, largest)
 		}
 	}
 	engine.release()
@@ -77,79 +77,79 @@
 
 // A job must be run by the next node in rank if the runner is down, and by the node that
 // received it if several are.
-func TestJobsGoPastRunnersThatAreGone(t *testing.T) {
-	engine := heldEngine(t)
+func TestSubmitSkipsUnreachableRunners(t *testing.T) {
+	engine := newHoldingEngine(t)
 	defer engine.release()
 	cluster := newCluster(t, 4, engine)
-	ranked := cluster.byRank()
-	cluster.setCut(ranked[0].config.Self.Node, true)
-	if err := cluster.hand(ranked[3], "past-one", 2); err != nil {
+	ranked := cluster.nodesByRank()
+	cluster.setDisconnected(ranked[0].config.Self.Node, true)
+	if err := cluster.submitAsCaller(ranked[3], "past-one", 2); err != nil {
 		t.Fatal(err)
 	}
 	if owner := cluster.owner("past-one"); owner != ranked[1] {
-		t.Error("the second in rank does not run the job")
+		t.Error("the second node in rank does not run the job")
 	}
-	cluster.setCut(ranked[1].config.Self.Node, true)
-	cluster.setCut(ranked[2].config.Self.Node, true)
+	cluster.setDisconnected(ranked[1].config.Self.Node, true)
+	cluster.setDisconnected(ranked[2].config.Self.Node, true)
 	ranked[3].mutex.Lock()
 	clear(ranked[3].unansweredOffers.until)
 	ranked[3].mutex.Unlock()
-	if err := cluster.hand(ranked[3], "past-two", 2); err != nil {
+	if err := cluster.submitAsCaller(ranked[3], "past-two", 2); err != nil {
 		t.Fatal(err)
 	}
 	if owner := cluster.owner("past-two"); owner != ranked[3] {
-		t.Error("the node that was handed the job does not run it")
+		t.Error("the node that received the job does not run it")
 	}
 }
 
-func TestALeavingNodeRunsNoNewJobs(t *testing.T) {
-	engine := heldEngine(t)
+func TestLeavingNodeRejectsOffers(t *testing.T) {
+	engine := newHoldingEngine(t)
 	defer engine.release()
 	cluster := newCluster(t, 3, engine)
-	ranked := cluster.byRank()
+	ranked := cluster.nodesByRank()
 	ranked[0].Leave()
-	if err := cluster.hand(ranked[2], "job", 2); err != nil {
+	if err := cluster.submitAsCaller(ranked[2], "job", 2); err != nil {
 		t.Fatal(err)
 	}
 	if owner := cluster.owner("job"); owner != ranked[1] {
-		t.Error("the second in rank does not run the job")
+		t.Error("the second node in rank does not run the job")
 	}
 }
 
 // If the reply of a runner that accepted a job is lost, the caller must not be told that
 // the job was rejected.
-func TestALostAnswerOfTheRunnerIsNoRefusal(t *testing.T) {
-	engine := heldEngine(t)
+func TestLostRunnerReplyIsNoRejection(t *testing.T) {
+	engine := newHoldingEngine(t)
 	defer engine.release()
 	cluster := newCluster(t, 3, engine)
-	ranked := cluster.byRank()
+	ranked := cluster.nodesByRank()
 	cluster.peers.mutex.Lock()
-	cluster.peers.mute = ranked[0].config.Self.Node
+	cluster.peers.lostReplies = ranked[0].config.Self.Node
 	cluster.peers.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), 400*time.Millisecond)
 	defer cancel()
-	made, payload := submission("job", 2)
-	err := ranked[2].Submit(ctx, &Arrival{ID: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Submission: made})
+	submitted, payload := submission("job", 2)
+	err := ranked[2].Submit(ctx, &Arrival{ID: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Submission: submitted})
 	var uncertain *jobstore.AcceptanceUnknownError
 	if err != nil && !errors.As(err, &uncertain) {
-		t.Errorf("error %v, want nil or an uncertain outcome", err)
+		t.Errorf("error %v, want nil or an UncertainError", err)
 	}
 	eventually(t, "the runner has the job", func() bool { return cluster.owner("job") == ranked[0] })
-	if err := cluster.hand(ranked[1], "job", 2); err != nil {
-		t.Errorf("handed in again: %v", err)
+	if err := cluster.submitAsCaller(ranked[1], "job", 2); err != nil {
+		t.Errorf("submitted again: error %v", err)
 	}
 	if owner := cluster.owner("job"); owner != ranked[0] {
-		t.Error("the job has moved")
+		t.Error("the job has another owner")
 	}
 }
 
-func TestAnUnreadableSubmissionIsNotRun(t *testing.T) {
+func TestInvalidSubmissionIsNotRun(t *testing.T) {
 	cluster := newCluster(t, 1, startEngine(t, 1))
 	var answer *wire.JobSubmitted
 	cluster.nodes[0].answerSubmit(&wire.JobSubmit{Job: "job", Payload: []byte("{")}, func(reply wire.Message) {
 		answer, _ = reply.(*wire.JobSubmitted)
 	})
 	if answer == nil || answer.Outcome != wire.OutcomeNotRun || answer.Detail == "" {
-		t.Errorf("answered %+v", answer)
+		t.Errorf("reply %+v, want OutcomeNotRun with a detail", answer)
 	}
 }
--- a/internal/jobs/batch/scheduler.go
+++ b/internal/jobs/batch/scheduler.go
@@ -29,8 +29,8 @@
 	metrics *metrics
 	mutex   *sync.Mutex
 	// queue are the items that wait for a replica, in processing order.
-	queue    []*item
-	attempts map[*attempt]bool
+	queue []*item
+	runs  map[*itemRun]bool
 	// replicas and eventRates are shared with the service.
 	replicas   *replicastate.Table
 	eventRates statistics.EventRates
@@ -44,7 +44,7 @@
 func newScheduler(service *Service) *scheduler {
 	return &scheduler{
 		config: &service.config, metrics: service.metrics, mutex: &service.mutex,
-		attempts: map[*attempt]bool{}, replicas: service.replicas, eventRates: service.eventRates, candidates: map[string]*candidateSet{},
+		runs: map[*itemRun]bool{}, replicas: service.replicas, eventRates: service.eventRates, candidates: map[string]*candidateSet{},
 		scorer: newScorer(service), wake: newSignal(),
 	}
 }
@@ -53,7 +53,7 @@
 func (s *scheduler) schedule(ctx context.Context) {
 	timer := time.NewTimer(idleScanInterval)
 	defer timer.Stop()
-	looks := scanSchedule{last: time.Now()}
+	scans := scanSchedule{last: time.Now()}
 	for {
 		changed := s.config.Directory.Changed()
 		busy := s.assign()
@@ -63,7 +63,7 @@
 		}
 		// Wakes come more often than scans are due if many nodes run jobs, so the timer
 		// counts from the last scan and not from the last wake.
-		timer.Reset(max(0, wait-time.Since(looks.last)))
+		timer.Reset(max(0, wait-time.Since(scans.last)))
 		select {
 		case <-ctx.Done():
 			return
@@ -71,8 +71,8 @@
 		case <-changed:
 		case <-timer.C:
 		}
-		if looks.isDue(time.Now()) {
-			s.inspect()
+		if scans.isDue(time.Now()) {
+			s.scanRuns()
 		}
 	}
 }
@@ -83,12 +83,12 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if len(s.queue) == 0 {
-		return len(s.attempts) > 0
+		return len(s.runs) > 0
 	}
 	pool := s.newPool()
 	full := map[*job]bool{}
 	s.queue = slices.DeleteFunc(s.queue, func(waiting *item) bool {
-		if waiting.done || waiting.job.ended || waiting.job.displaced {
+		if waiting.done || waiting.job.ended || waiting.job.superseded {
 			return true
 		}
 		if full[waiting.job] || time.Now().Before(waiting.retryAt) {
@@ -103,66 +103,66 @@
 			return false
 		}
 		chosen.Load++
-		s.launch(waiting, pool.endpoints[chosen.Name])
+		s.startRun(waiting, pool.endpoints[chosen.Name])
 		return true
 	})
-	return len(s.queue) > 0 || len(s.attempts) > 0
+	return len(s.queue) > 0 || len(s.runs) > 0
 }
 
 // expire abandons an item if its job's retention has passed. The mutex must be held.
 func (s *scheduler) expire(waiting *item) bool {
-	if waiting.job.givenUpAt.IsZero() || time.Now().Before(waiting.job.givenUpAt) {
+	if waiting.job.abandonAfter.IsZero() || time.Now().Before(waiting.job.abandonAfter) {
 		return false
 	}
-	s.config.Logger.Info("item given up", "request", waiting.ID, "job", waiting.job.id, "reason", "its time has run out", "breaks", waiting.breaks)
+	s.config.Logger.Info("item abandoned", "request", waiting.ID, "job", waiting.job.id, "reason", "retention exceeded", "breaks", waiting.brokenRuns)
 	s.finish(waiting, jobstore.Result{ID: waiting.ID, State: jobstore.Abandoned})
 	return true
 }
 
-// inspect cancels stalled runs and those at replicas that are gone, and moves runs away
+// scanRuns cancels stalled runs and those at replicas that are gone, and moves runs away
 // from slow replicas.
-func (s *scheduler) inspect() {
+func (s *scheduler) scanRuns() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if len(s.attempts) == 0 {
+	if len(s.runs) == 0 {
 		return
 	}
 	pool := s.newPool()
-	pool.running = true
-	runs := make([]*placement.Run, 0, len(s.attempts))
-	attempts := make([]*attempt, 0, len(s.attempts))
-	for running := range s.attempts {
-		run := pool.runOf(len(attempts), running)
-		attempts = append(attempts, running)
+	pool.itemsRunning = true
+	runs := make([]*placement.Run, 0, len(s.runs))
+	itemRuns := make([]*itemRun, 0, len(s.runs))
+	for running := range s.runs {
+		run := pool.runOf(len(itemRuns), running)
+		itemRuns = append(itemRuns, running)
 		switch {
 		case pool.view.Replicas[running.endpoint.Name] == nil && !placement.HasRecentEvent(run):
-			running.cut(&CutError{Cause: ErrMoved, Reason: placement.ReasonGone})
+			running.abort(&CutError{Cause: ErrMoved, Reason: placement.ReasonGone})
 		case placement.Stalled(pool.paces, run):
 			state := s.replicas.GetOrCreate(running.endpoint.Name)
 			state.BlockedUntil, state.Unresponsive = time.Now().Add(stallBlock), true
-			running.cut(&CutError{Cause: ErrStalled, Reason: placement.ReasonStalled})
+			running.abort(&CutError{Cause: ErrStalled, Reason: placement.ReasonStalled})
 		default:
 			runs = append(runs, run)
 		}
 	}
-	move(attempts, placement.Moves(pool.paces, runs))
+	move(itemRuns, placement.Moves(pool.paces, runs))
 }
 
 // move cancels the runs that are to continue at other replicas.
-func move(attempts []*attempt, moves []placement.Move) {
+func move(runs []*itemRun, moves []placement.Move) {
 	for _, next := range moves {
-		attempts[next.Run.Index].cut(&CutError{Cause: ErrMoved, Reason: next.Reason})
+		runs[next.Run.Index].abort(&CutError{Cause: ErrMoved, Reason: next.Reason})
 	}
 }
 
 // runOf returns the view of a run for placement decisions. index is its position among
 // the scanned runs.
-func (p *pool) runOf(index int, running *attempt) *placement.Run {
+func (p *pool) runOf(index int, running *itemRun) *placement.Run {
 	work := running.item
 	return &placement.Run{
-		Index: index, Replica: running.endpoint.Name, Replicas: p.replicasFor(work), FailedReplicas: work.failedAt,
-		Events: int(running.events.Load()), RemainingEvents: p.scheduler.rest(work), Idle: running.idle(),
-		HasDeadline: !work.job.due.IsZero(), TimeLeft: work.job.due.Sub(p.now),
+		Index: index, Replica: running.endpoint.Name, Replicas: p.replicasFor(work), FailedReplicas: work.failedReplicas,
+		Events: int(running.events.Load()), RemainingEvents: p.scheduler.remainingEvents(work), Idle: running.idle(),
+		HasDeadline: !work.job.deadline.IsZero(), TimeLeft: work.job.deadline.Sub(p.now),
 		Loading: p.scheduler.replicas.GetOrCreate(running.endpoint.Name).IsLoading(work.job.submission.Model),
 	}
 }
--- a/internal/jobs/batch/scheduler_test.go
+++ b/internal/jobs/batch/scheduler_test.go
@@ -7,7 +7,7 @@
 
 // Guards against stalled runs that are never scanned because the scheduler is woken more
 // often than scans are due.
-func TestRunsAreLookedAtHoweverOftenTheSchedulerIsWoken(t *testing.T) {
+func TestScanDespiteFrequentWakes(t *testing.T) {
 	engine := startEngine(t, 3)
 	engine.hold, engine.holdAt = make(chan struct{}), 1
 	cluster := newCluster(t, 1, engine)
@@ -22,21 +22,21 @@
 		t.Fatal(err)
 	}
 	began := time.Now()
-	eventually(t, "stalled runs are cut and begun again", func() bool {
+	eventually(t, "stalled runs are canceled and started again", func() bool {
 		engine.mutex.Lock()
 		defer engine.mutex.Unlock()
 		return engine.runs["job.0"] > 1 && engine.runs["job.1"] > 1
 	})
 	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("it took %s", took)
+		t.Errorf("stalled runs were restarted after %s", took)
 	}
 	engine.release()
-	checkWhole(t, "job", cluster.readAll(node, "job", 2), 2, 3)
+	checkResults(t, "job", cluster.readAll(node, "job", 2), 2, 3)
 }
 
-func TestRunsArePassedOverOnceAfterAPause(t *testing.T) {
+func TestScanScheduleSkipsOnceAfterPause(t *testing.T) {
 	now := time.Now()
-	looks := scanSchedule{last: now}
+	scans := scanSchedule{last: now}
 	for _, test := range []struct {
 		after time.Duration
 		due   bool
@@ -47,7 +47,7 @@
 		{2 * pausedScanGap, false}, {2 * pausedScanGap, true}, {2 * pausedScanGap, false}, {2 * pausedScanGap, true},
 	} {
 		now = now.Add(test.after)
-		if got := looks.isDue(now); got != test.due {
+		if got := scans.isDue(now); got != test.due {
 			t.Errorf("after %s: %t", test.after, got)
 		}
 	}
--- a/internal/jobs/batch/score.go
+++ b/internal/jobs/batch/score.go
@@ -7,10 +7,10 @@
 )
 
 // score has an item's complete text scored and records the item's result.
-func (s *scheduler) score(ran *attempt, attempts func() int) {
+func (s *scheduler) score(ran *itemRun, attempts func() int) {
 	work := ran.item
-	whole := time.Now()
-	result := jobstore.Result{ID: work.ID, State: jobstore.Succeeded, Text: work.progress.text(), Versions: work.progress.madeBy()}
+	began := time.Now()
+	result := jobstore.Result{ID: work.ID, State: jobstore.Succeeded, Text: work.progress.text(), Versions: work.progress.distinctVersions()}
 	if work.Reward != nil {
 		score, failed, scored := s.scorer.callReward(work, attempts)
 		if !scored && !failed {
@@ -19,10 +19,10 @@
 		result.Score = score
 		if failed {
 			result = jobstore.Result{ID: work.ID, State: jobstore.Abandoned}
-			s.config.Logger.Info("item given up", "request", work.ID, "job", work.job.id, "reason", "its scorer failed", "reward", work.Reward.ID)
+			s.config.Logger.Info("item abandoned", "request", work.ID, "job", work.job.id, "reason", "scorer failed", "reward", work.Reward.ID)
 		}
 	}
-	s.config.Logger.Info("item finished", append(ran.logFields(), "state", result.State, "rewardMs", time.Since(whole).Milliseconds())...)
+	s.config.Logger.Info("item finished", append(ran.logFields(), "state", result.State, "rewardMs", time.Since(began).Milliseconds())...)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.finish(work, result)
--- a/internal/jobs/batch/service.go
+++ b/internal/jobs/batch/service.go
@@ -50,9 +50,9 @@
 	jobs map[string]*job
 	// remoteJobs are those of other nodes, by id.
 	remoteJobs map[string]*remoteJob
-	// accepting are the pending submissions, by id.
-	accepting map[string]*acceptance
-	scheduler *scheduler
+	// acceptances are the pending submissions, by id.
+	acceptances map[string]*acceptance
+	scheduler   *scheduler
 	// replicas is what this node knows of replicas for placing items.
 	replicas *replicastate.Table
 	ends     *endedjobs.Registry
@@ -78,7 +78,7 @@
 func NewService(base context.Context, config Config) *Service {
 	service := &Service{
 		config: config, base: base, metrics: newMetrics(config.Registry),
-		jobs: map[string]*job{}, remoteJobs: map[string]*remoteJob{}, ends: endedjobs.NewRegistry(), endsBeingPersisted: map[string]bool{}, accepting: map[string]*acceptance{},
+		jobs: map[string]*job{}, remoteJobs: map[string]*remoteJob{}, ends: endedjobs.NewRegistry(), endsBeingPersisted: map[string]bool{}, acceptances: map[string]*acceptance{},
 		replicas:   replicastate.NewTable(),
 		tolerances: statistics.Tolerances{}, lengths: statistics.NewLengths(), eventRates: statistics.EventRates{},
 		demand: statistics.NewDemand(), unansweredOffers: newUnansweredOffers(), storedLoads: map[string]*storedLoad{},
@@ -91,7 +91,7 @@
 // Run runs the service until the context ends.
 func (s *Service) Run(ctx context.Context) {
 	var duties sync.WaitGroup
-	for _, duty := range []func(context.Context){s.recover, s.scheduler.schedule, s.watchOwners, s.sendHeartbeats} {
+	for _, duty := range []func(context.Context){s.recoverJobs, s.scheduler.schedule, s.watchOwners, s.sendHeartbeats} {
 		duties.Go(func() { duty(ctx) })
 	}
 	duties.Wait()
@@ -126,15 +126,15 @@
 	return configuration.Tenants.PriorityOf(record.Tenant, route)
 }
 
-// displace stops a job that another node owns now. The mutex must be held.
-func (s *Service) displace(displaced *job) {
-	if displaced.displaced {
+// stopSuperseded stops a job that another node owns now. The mutex must be held.
+func (s *Service) stopSuperseded(held *job) {
+	if held.superseded {
 		return
 	}
-	displaced.displaced = true
-	displaced.cancelAppends()
-	displaced.notify()
-	delete(s.jobs, displaced.id)
-	s.scheduler.drop(displaced)
-	s.config.Logger.Info("batch job owned by another node now", "request", displaced.id, "epoch", displaced.record.Epoch)
+	held.superseded = true
+	held.cancelAppends()
+	held.notify()
+	delete(s.jobs, held.id)
+	s.scheduler.dequeue(held)
+	s.config.Logger.Info("batch job is owned by another node", "request", held.id, "epoch", held.record.Epoch)
 }
--- a/internal/jobs/batch/service_test.go
+++ b/internal/jobs/batch/service_test.go
@@ -17,7 +17,7 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-func TestJobIsTakenOnceAndReadAlikeEverywhere(t *testing.T) {
+func TestJobAcceptedOnceAndReadEverywhere(t *testing.T) {
 	cluster := newCluster(t, 3, startEngine(t, 4), startEngine(t, 4))
 	for _, node := range cluster.nodes {
 		if err := cluster.submit(node, "job", 12); err != nil {
@@ -25,42 +25,42 @@
 		}
 	}
 	first := cluster.readAll(cluster.nodes[0], "job", 12)
-	checkWhole(t, "job", first, 12, 4)
+	checkResults(t, "job", first, 12, 4)
 	for _, node := range cluster.nodes[1:] {
 		again := cluster.readAll(node, "job", 12)
 		for position := range first {
 			if again[position].ID != first[position].ID {
-				t.Errorf("position %d holds %s at one node and %s at another", position, first[position].ID, again[position].ID)
+				t.Errorf("position %d: %s at the first node, %s at another", position, first[position].ID, again[position].ID)
 			}
 		}
 	}
 	body, err := cluster.nodes[2].Body(context.Background(), "job", "job.3")
 	if err != nil || string(body) != "body of job.3" {
-		t.Errorf("body of an item: %q, %v", body, err)
+		t.Errorf("item body: %q, error %v", body, err)
 	}
 	if _, err := cluster.nodes[1].Read(context.Background(), "other", 0, 0); !errors.Is(err, jobstore.ErrNoSuchJob) {
-		t.Errorf("a job that nobody submitted: %v", err)
+		t.Errorf("read of an unknown job: error %v", err)
 	}
 }
 
-func TestStreamCutInsideAnEventIsContinued(t *testing.T) {
+func TestStreamBrokenInsideEventIsContinued(t *testing.T) {
 	engine := startEngine(t, 5)
-	engine.cutAt = 3
+	engine.breakAt = 3
 	cluster := newCluster(t, 1, engine)
 	if err := cluster.submit(cluster.nodes[0], "job", 4); err != nil {
 		t.Fatal(err)
 	}
-	checkWhole(t, "job", cluster.readAll(cluster.nodes[0], "job", 4), 4, 5)
+	checkResults(t, "job", cluster.readAll(cluster.nodes[0], "job", 4), 4, 5)
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	for id, afters := range engine.resumed {
 		if len(afters) != 2 || afters[1] != 2 {
-			t.Errorf("item %s was run after events %v, want a start and one continuation after 2", id, afters)
+			t.Errorf("item %s was run from events %v, want one start and one continuation after event 2", id, afters)
 		}
 	}
 }
 
-func TestItemThatFailsIsAbandonedAfterItsAttempts(t *testing.T) {
+func TestFailingItemIsAbandoned(t *testing.T) {
 	for failures, want := range map[int]jobstore.State{2: jobstore.Succeeded, 3: jobstore.Abandoned} {
 		engine := startEngine(t, 2)
 		engine.fail["job.0"] = failures
@@ -74,7 +74,7 @@
 				wanted = want
 			}
 			if result.State != wanted {
-				t.Errorf("after %d failures item %s is %s, want %s", failures, result.ID, result.State, wanted)
+				t.Errorf("item after %d failures: %s is %s, want %s", failures, result.ID, result.State, wanted)
 			}
 		}
 	}
@@ -82,7 +82,7 @@
 
 // Items must get more attempts, but not unlimited ones, at a replica that fails all
 // items.
-func TestItemsOfAFailingReplicaAreGivenMoreAttempts(t *testing.T) {
+func TestFailingReplicaAllowsMoreAttempts(t *testing.T) {
 	for failures, want := range map[int]jobstore.State{4: jobstore.Succeeded, maxFailuresFactor * 3: jobstore.Abandoned} {
 		engine := startEngine(t, 2)
 		for number := range 4 {
@@ -99,13 +99,13 @@
 			}
 		}
 		if (want == jobstore.Abandoned) != (abandoned == 4) || (want == jobstore.Succeeded && abandoned > 0) {
-			t.Errorf("after %d failures each %d of 4 items are given up, want %s", failures, abandoned, want)
+			t.Errorf("after %d failures each, %d of 4 items are abandoned, want %s", failures, abandoned, want)
 		}
 	}
 }
 
 // A submission must succeed if its creates were applied and only the responses were lost.
-func TestSubmissionSettlesWhatTheStoreDidNotAnswer(t *testing.T) {
+func TestSubmitWithLostStoreResponses(t *testing.T) {
 	cluster := newCluster(t, 1, startEngine(t, 2))
 	lost := 2
 	cluster.store.SetFault(func(call metastore.Call) metastore.Fault {
@@ -118,30 +118,30 @@
 	if err := cluster.submit(cluster.nodes[0], "job", 2); err != nil {
 		t.Fatal(err)
 	}
-	checkWhole(t, "job", cluster.readAll(cluster.nodes[0], "job", 2), 2, 2)
+	checkResults(t, "job", cluster.readAll(cluster.nodes[0], "job", 2), 2, 2)
 }
 
-func TestSubmissionThatWasNeverWrittenIsNotTaken(t *testing.T) {
+func TestSubmitWithoutStore(t *testing.T) {
 	cluster := newCluster(t, 1, startEngine(t, 2))
 	cluster.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Refused })
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
-	made, payload := submission("job", 2)
-	err := cluster.nodes[0].Submit(ctx, &Arrival{ID: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Submission: made})
+	submitted, payload := submission("job", 2)
+	err := cluster.nodes[0].Submit(ctx, &Arrival{ID: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Submission: submitted})
 	var notTaken *jobstore.NotAcceptedError
 	var uncertain *jobstore.AcceptanceUnknownError
 	if !errors.As(err, &notTaken) && !errors.As(err, &uncertain) {
-		t.Fatalf("submission without a store: %v", err)
+		t.Fatalf("submit without a store: error %v", err)
 	}
 	cluster.store.SetFault(nil)
 	if _, err := cluster.store.Get(context.Background(), jobstore.KindJobs, "job", objectstore.Linearizable); !errors.Is(err, objectstore.ErrNotFound) {
-		t.Errorf("the job is in the store: %v", err)
+		t.Errorf("the job is in the store: error %v", err)
 	}
 }
 
 // A submission whose create may still be applied must be reported as uncertain, and its
 // job run once the create is applied.
-func TestUncertainSubmissionIsPursued(t *testing.T) {
+func TestUncertainSubmissionIsRetried(t *testing.T) {
 	cluster := newCluster(t, 1, startEngine(t, 2))
 	cluster.store.SetFault(func(call metastore.Call) metastore.Fault {
 		if call.Kind == jobstore.KindJobs && call.Verb == "create" {
@@ -151,19 +151,19 @@
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
-	made, payload := submission("job", 2)
-	err := cluster.nodes[0].Submit(ctx, &Arrival{ID: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Submission: made})
+	submitted, payload := submission("job", 2)
+	err := cluster.nodes[0].Submit(ctx, &Arrival{ID: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Submission: submitted})
 	var uncertain *jobstore.AcceptanceUnknownError
 	if !errors.As(err, &uncertain) {
-		t.Fatalf("submission without an answer: %v", err)
+		t.Fatalf("submit without a response: error %v", err)
 	}
 	cluster.store.ApplyLate()
 	cluster.store.SetFault(nil)
-	checkWhole(t, "job", cluster.readAll(cluster.nodes[0], "job", 2), 2, 2)
+	checkResults(t, "job", cluster.readAll(cluster.nodes[0], "job", 2), 2, 2)
 }
 
 // Guards against a leak of the states of replicas and nodes that are gone.
-func TestReplicasThatAreGoneAreForgotten(t *testing.T) {
+func TestEvictRemovesGoneReplicas(t *testing.T) {
 	table := directory.NewTable("node", "zone", nil, klog.Background())
 	table.SetReplicas([]*directory.Replica{{ID: "listed", State: directory.ReplicaReady}}, 0)
 	service := NewService(t.Context(), Config{Directory: table, Registry: prometheus.NewRegistry()})
@@ -175,10 +175,10 @@
 	service.evict()
 	for id, want := range map[string]bool{"listed": true, "busy": true, "gone": false} {
 		if _, kept := service.replicas.States[id]; kept != want {
-			t.Errorf("replica %s kept: %v", id, kept)
+			t.Errorf("state of replica %s kept: %v", id, kept)
 		}
 	}
 	if len(service.replicas.SlotUse) != 1 {
-		t.Errorf("uses of %d nodes are kept", len(service.replicas.SlotUse))
+		t.Errorf("slot use of %d nodes is kept, want 1", len(service.replicas.SlotUse))
 	}
 }
--- a/internal/jobs/batch/start.go
+++ b/internal/jobs/batch/start.go
@@ -8,15 +8,15 @@
 	"github.com/pathtally/pathtally/internal/jobs/placement"
 )
 
-// giveUpMargin is added to a job's retention before its items are abandoned, since the
+// abandonMargin is added to a job's retention before its items are abandoned, since the
 // clocks of owners may differ.
-const giveUpMargin = 8 * time.Second
+const abandonMargin = 8 * time.Second
 
 // start starts a job. confirmed is when the read began that returned the record, which
 // must name this process as owner. The mutex must not be held.
 func (s *Service) start(id string, submission *Submission, record jobstore.Record, listed jobstore.Listing, confirmed time.Time) {
 	s.mutex.Lock()
-	if existing := s.jobs[id]; existing != nil && !existing.displaced {
+	if existing := s.jobs[id]; existing != nil && !existing.superseded {
 		s.mutex.Unlock()
 		return
 	}
@@ -24,7 +24,7 @@
 		// The job was ended while this node read it or waited for the store's response.
 		s.learnStored(jobstore.StoredJob{ID: id, Record: record, Ended: true})
 		s.mutex.Unlock()
-		s.config.Logger.Info("batch job not started: it has ended", "request", id, "epoch", record.Epoch)
+		s.config.Logger.Info("batch job not started: already ended", "request", id, "epoch", record.Epoch)
 		go s.persistEnd(id)
 		return
 	}
@@ -56,34 +56,34 @@
 func (s *Service) newJob(id string, submission *Submission, record jobstore.Record, listed jobstore.Listing) *job {
 	appends, cancelAppends := context.WithCancel(s.base)
 	ctx, cancel := context.WithCancel(appends)
-	made := &job{
-		id: id, submission: submission, record: record, takenUp: time.Now(), items: map[string]*item{},
+	created := &job{
+		id: id, submission: submission, record: record, startedAt: time.Now(), items: map[string]*item{},
 		listed: listed.Results, chunks: listed.Chunks, groups: map[string]*group{}, flush: make(chan struct{}, 1), changed: make(chan struct{}),
 		ctx: ctx, cancel: cancel, appends: appends, cancelAppends: cancelAppends,
 	}
 	if retention := s.retention(record); retention > 0 {
 		elapsed := max(0, time.Since(time.UnixMilli(record.AcceptedMs)))
-		made.givenUpAt = made.takenUp.Add(retention + giveUpMargin - min(elapsed, retention))
+		created.abandonAfter = created.startedAt.Add(retention + abandonMargin - min(elapsed, retention))
 	}
-	made.due, made.objective = s.dueOf(record)
+	created.deadline, created.completionObjective = s.deadlineOf(record)
 	ranks := s.ranksOf(submission)
 	for _, submitted := range submission.Items {
-		itemGroup := made.groups[submitted.Group]
+		itemGroup := created.groups[submitted.Group]
 		if itemGroup == nil {
 			itemGroup = &group{}
-			made.groups[submitted.Group] = itemGroup
+			created.groups[submitted.Group] = itemGroup
 		}
 		itemGroup.open++
 		itemGroup.inherited = itemGroup.inherited || ranks[submitted.ID].Inherited
-		made.order = append(made.order, submitted.ID)
-		made.items[submitted.ID] = &item{
-			Item: submitted, job: made, group: itemGroup, rank: ranks[submitted.ID], expected: s.lengths.ExpectedEvents(submitted.ID),
+		created.order = append(created.order, submitted.ID)
+		created.items[submitted.ID] = &item{
+			Item: submitted, job: created, group: itemGroup, rank: ranks[submitted.ID], expectedEvents: s.lengths.ExpectedEvents(submitted.ID),
 		}
 	}
 	for _, result := range listed.Results {
-		made.settle(result.ID)
+		created.settle(result.ID)
 	}
-	return made
+	return created
 }
 
 // ranksOf returns the rank of each item in the processing order. The mutex must be held.
@@ -109,9 +109,9 @@
 	settled.group.open--
 }
 
-// dueOf returns the time by which a job should be complete, and the time from its
+// deadlineOf returns the time by which a job should be complete, and the time from its
 // acceptance until then. Both are zero if its route sets no completion objective.
-func (s *Service) dueOf(record jobstore.Record) (time.Time, time.Duration) {
+func (s *Service) deadlineOf(record jobstore.Record) (time.Time, time.Duration) {
 	configuration := s.config.Directory.View().Configuration
 	if configuration == nil {
 		return time.Time{}, 0
--- a/internal/jobs/batch/stored.go
+++ b/internal/jobs/batch/stored.go
@@ -13,10 +13,10 @@
 // storedLoad is a read of a job from the store. Its other fields are valid once done is
 // closed.
 type storedLoad struct {
-	done    chan struct{}
-	results []jobstore.Result
-	total   int
-	err     error
+	done      chan struct{}
+	results   []jobstore.Result
+	itemCount int
+	err       error
 }
 
 // readStored reads a job's results from the store, for when its owner does not reply.
@@ -39,7 +39,7 @@
 	if load.err != nil {
 		return Page{}, load.err
 	}
-	return pageAfter(load.results, after, load.total), nil
+	return pageAfter(load.results, after, load.itemCount), nil
 }
 
 // joinLoad returns the read of a job that is in progress, or starts one.
@@ -54,7 +54,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(s.base, storedLoadTimeout)
 		defer cancel()
-		load.results, load.total, load.err = s.loadStored(ctx, stored)
+		load.results, load.itemCount, load.err = s.loadStored(ctx, stored)
 		s.mutex.Lock()
 		delete(s.storedLoads, stored.ID)
 		s.mutex.Unlock()
@@ -69,11 +69,11 @@
 	s.mutex.Lock()
 	known := s.learnStored(stored)
 	from := known.chunks
-	results, total = known.results, max(known.total, stored.Record.Items)
+	results, total = known.results, max(known.itemCount, stored.Record.Items)
 	s.mutex.Unlock()
-	ctx = s.within(ctx, stored.Record)
+	ctx = s.withRegionBounds(ctx, stored.Record)
 	if total == 0 {
-		if total, err = s.readTotal(ctx, stored); err != nil {
+		if total, err = s.readItemCount(ctx, stored); err != nil {
 			return nil, 0, err
 		}
 	}
@@ -83,8 +83,8 @@
 	}
 	results = append(results[:len(results):len(results)], added.Results...)
 	s.mutex.Lock()
-	if known.total = total; !s.isOutsider(known) {
-		s.keepStored(stored, known, results, added)
+	if known.itemCount = total; !s.isOutsideAllowedRegions(known) {
+		s.cacheStored(stored, known, results, added)
 	}
 	s.mutex.Unlock()
 	s.config.Logger.Info("batch job read from the store", "request", stored.ID, "ended", stored.Ended, "owner", stored.Record.Owner.Node,
@@ -92,21 +92,21 @@
 	return results, total, nil
 }
 
-// keepStored keeps the results read of a job, so that the next read continues after them.
+// cacheStored keeps the results read of a job, so that the next read continues after them.
 // It is not called on nodes that may not have the job's bodies, which read them again for
 // each reader. The mutex must be held.
-func (s *Service) keepStored(stored jobstore.StoredJob, known *remoteJob, results []jobstore.Result, added jobstore.Listing) {
+func (s *Service) cacheStored(stored jobstore.StoredJob, known *remoteJob, results []jobstore.Result, added jobstore.Listing) {
 	if added.Chunks > known.chunks {
 		known.results, known.chunks = results, added.Chunks
 	}
-	known.final = known.final || added.Sealed
+	known.sealed = known.sealed || added.Sealed
 	if stored.Ended {
-		s.sealLater(stored.ID, known)
+		s.sealAsync(stored.ID, known)
 	}
 }
 
-// readTotal reads the number of items of a job.
-func (s *Service) readTotal(ctx context.Context, stored jobstore.StoredJob) (int, error) {
+// readItemCount reads the number of items of a job.
+func (s *Service) readItemCount(ctx context.Context, stored jobstore.StoredJob) (int, error) {
 	payload, err := s.config.JobStore.Payload(ctx, stored.ID, stored.Record.Parts)
 	if err != nil {
 		return 0, err
@@ -118,15 +118,15 @@
 	return len(submission.Items), nil
 }
 
-// readFinal reads a job from memory if all its results are known to be there.
-func (s *Service) readFinal(id string, after int) (Page, bool) {
+// readSealed reads a job from memory if all its results are known to be there.
+func (s *Service) readSealed(id string, after int) (Page, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	known := s.remoteJobs[id]
-	if known == nil || !known.final {
+	if known == nil || !known.sealed {
 		return Page{}, false
 	}
-	return pageAfter(known.results, after, known.total), true
+	return pageAfter(known.results, after, known.itemCount), true
 }
 
 // pageAfter returns the results after a position.
@@ -138,10 +138,11 @@
 	return page
 }
 
-// readEndedFor reads, for another node, an ended job that this node owned before it was
-// restarted or evicted the job. All nodes ask the same one, which reads the store once.
-func (s *Service) readEndedFor(ctx context.Context, id string, after int) (Page, bool) {
-	if page, final := s.readFinal(id, after); final {
+// readEndedForPeer reads, for another node, an ended job that this node owned before it
+// was restarted or evicted the job. All nodes ask the same one, which reads the store
+// once.
+func (s *Service) readEndedForPeer(ctx context.Context, id string, after int) (Page, bool) {
+	if page, sealed := s.readSealed(id, after); sealed {
 		return page, true
 	}
 	stored, err := s.config.JobStore.Read(ctx, id)
@@ -150,7 +151,7 @@
 	}
 	page, err := s.readStored(ctx, stored, after)
 	if err != nil {
-		s.config.Logger.Info("stored batch job not read", "request", id, "error", err.Error())
+		s.config.Logger.Info("stored batch job not read for a peer", "request", id, "error", err.Error())
 		return Page{}, false
 	}
 	return page, true
--- a/internal/jobs/batch/stored_ends_test.go
+++ b/internal/jobs/batch/stored_ends_test.go
@@ -12,17 +12,17 @@
 
 // Guards against a lost end: its retries must continue when the job turns out to have
 // another owner.
-func TestAnEndIsPursuedAlthoughTheJobIsAnotherNodesNow(t *testing.T) {
-	engine := heldEngine(t)
+func TestEndIsRetriedAfterTakeover(t *testing.T) {
+	engine := newHoldingEngine(t)
 	t.Cleanup(engine.release)
-	cluster, former, _ := displacedOwner(t, engine)
+	cluster, former, _ := newSupersededOwner(t, engine)
 	holds := func() bool {
 		former.mutex.Lock()
 		defer former.mutex.Unlock()
 		return former.jobs["job"] != nil
 	}
 	if !holds() {
-		t.Fatal("the former owner knows of its successor already")
+		t.Fatal("the former owner knows of its successor before the test starts")
 	}
 	cluster.store.SetFault(func(call metastore.Call) metastore.Fault {
 		if call.Verb == "status" {
@@ -33,27 +33,27 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	if err := former.End(ctx, "job"); err == nil {
-		t.Fatal("the end is acknowledged although the store refuses it")
+		t.Fatal("the end is acknowledged while the store rejects it")
 	}
 	eventually(t, "the former owner knows of its successor", func() bool { return !holds() })
 	cluster.store.SetFault(nil)
-	cluster.setCut("node-0", false)
+	cluster.setDisconnected("node-0", false)
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		standing, err := jobstore.New(cluster.store).Read(context.Background(), "job")
+		stored, err := jobstore.New(cluster.store).Read(context.Background(), "job")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if standing.Ended {
+		if stored.Ended {
 			return
 		}
 	}
-	t.Error("the store lacks the end three seconds after it takes every call")
+	t.Error("the end is not stored three seconds after the store recovered")
 }
 
 // Guards against a lost end: the owner must store an end that another node announced and
 // may not have stored.
-func TestAnEndThatIsOnlyToldIsMadeLasting(t *testing.T) {
-	engine := heldEngine(t)
+func TestAnnouncedEndIsStored(t *testing.T) {
+	engine := newHoldingEngine(t)
 	cluster := newCluster(t, 1, engine)
 	owner := cluster.nodes[0]
 	if err := cluster.submit(owner, "job", 6); err != nil {
@@ -61,21 +61,21 @@
 	}
 	owner.ReceiveHeartbeat(&wire.NodeBeat{Node: "former", Address: "former", Incarnation: 1, Ended: []string{"job"}})
 	for end := time.Now().Add(3 * recordCheckInterval); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		standing, err := jobstore.New(cluster.store).Read(context.Background(), "job")
+		stored, err := jobstore.New(cluster.store).Read(context.Background(), "job")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if standing.Ended {
+		if stored.Ended {
 			return
 		}
 	}
-	t.Errorf("the store lacks the end after %v", 3*recordCheckInterval)
+	t.Errorf("the end is not stored after %v", 3*recordCheckInterval)
 }
 
 // Guards against readers of an ended job that wait for its seal while the store rejects
 // writes.
-func TestAReaderOfAnEndedJobDoesNotWaitForItsSeal(t *testing.T) {
-	cluster := endedCluster(t)
+func TestReadDoesNotWaitForSeal(t *testing.T) {
+	cluster := newEndedCluster(t)
 	cluster.store.SetFault(func(call metastore.Call) metastore.Fault {
 		if call.Verb == "create" {
 			return metastore.Refused
--- a/internal/jobs/batch/stored_test.go
+++ b/internal/jobs/batch/stored_test.go
@@ -8,38 +8,38 @@
 	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 )
 
-// endedCluster returns a cluster whose first node ran and ended a job, and has no memory
-// of it, as after a restart.
-func endedCluster(t *testing.T) *cluster {
+// newEndedCluster returns a cluster whose first node ran and ended a job, and has no
+// memory of it, as after a restart.
+func newEndedCluster(t *testing.T) *cluster {
 	t.Helper()
 	engine := startEngine(t, 2)
-	made := newCluster(t, 3, engine)
-	if err := made.submit(made.nodes[0], "job", 4); err != nil {
+	c := newCluster(t, 3, engine)
+	if err := c.submit(c.nodes[0], "job", 4); err != nil {
 		t.Fatal(err)
 	}
-	made.readAll(made.nodes[0], "job", 4)
-	if err := made.nodes[0].End(context.Background(), "job"); err != nil {
+	c.readAll(c.nodes[0], "job", 4)
+	if err := c.nodes[0].End(context.Background(), "job"); err != nil {
 		t.Fatal(err)
 	}
-	made.nodes[0].mutex.Lock()
-	delete(made.nodes[0].jobs, "job")
-	made.nodes[0].mutex.Unlock()
-	return made
+	c.nodes[0].mutex.Lock()
+	delete(c.nodes[0].jobs, "job")
+	c.nodes[0].mutex.Unlock()
+	return c
 }
 
 // awaitSeal waits until a node knows that its results of the job are final.
 func (c *cluster) awaitSeal(node *testNode) {
 	c.t.Helper()
 	eventually(c.t, "the ended job is sealed", func() bool {
-		_, final := node.readFinal("job", 0)
+		_, final := node.readSealed("job", 0)
 		return final
 	})
 }
 
 func (c *cluster) storeReads() int { return c.store.Calls("get") + c.store.Calls("list") }
 
-func TestAnEndedJobIsReadFromTheStoreByItsOwnerOnly(t *testing.T) {
-	cluster := endedCluster(t)
+func TestEndedJobIsReadFromStoreByOwnerOnly(t *testing.T) {
+	cluster := newEndedCluster(t)
 	if _, err := cluster.nodes[0].Read(context.Background(), "job", 0, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -54,13 +54,13 @@
 		}
 	}
 	if calls := cluster.storeReads() - before; calls != 0 {
-		t.Errorf("%d reading calls to the store", calls)
+		t.Errorf("%d reads of the store, want none", calls)
 	}
 }
 
 // An append of a former owner that comes after an ended job was read must fail.
-func TestNothingIsAddedBehindWhatWasReadOfAnEndedJob(t *testing.T) {
-	cluster := endedCluster(t)
+func TestAppendAfterSealFails(t *testing.T) {
+	cluster := newEndedCluster(t)
 	first, err := cluster.nodes[0].Read(context.Background(), "job", 0, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -69,12 +69,12 @@
 	stored := jobstore.New(cluster.store)
 	listed, err := stored.Results(context.Background(), "job", 0)
 	if err != nil || !listed.Sealed {
-		t.Fatalf("the results are sealed: %v, error %v", listed.Sealed, err)
+		t.Fatalf("results sealed: %v, error %v", listed.Sealed, err)
 	}
 	late := jobstore.Chunk{Writer: "late", Results: []jobstore.Result{{ID: "late", State: jobstore.Abandoned}}}
-	standing, own, err := stored.Append(context.Background(), "job", listed.Chunks-1, late)
-	if err != nil || own || !standing.Seal {
-		t.Errorf("a late append is done: %v, seal %v, error %v", own, standing.Seal, err)
+	chunk, own, err := stored.Append(context.Background(), "job", listed.Chunks-1, late)
+	if err != nil || own || !chunk.Seal {
+		t.Errorf("append after the seal: succeeded %v, chunk is the seal %v, error %v", own, chunk.Seal, err)
 	}
 	for _, node := range cluster.nodes {
 		again, err := node.Read(context.Background(), "job", 0, 0)
@@ -85,9 +85,9 @@
 }
 
 // An ended job must get one seal, however many nodes read it from the store.
-func TestAnEndedJobIsSealedOnce(t *testing.T) {
-	cluster := endedCluster(t)
-	cluster.setCut("node-0", true)
+func TestEndedJobIsSealedOnce(t *testing.T) {
+	cluster := newEndedCluster(t)
+	cluster.setDisconnected("node-0", true)
 	before := cluster.store.Calls("create")
 	for _, node := range cluster.nodes[1:] {
 		if _, err := node.Read(context.Background(), "job", 0, 0); err != nil {
@@ -102,18 +102,18 @@
 
 // A successful append does not show that the job is open, so it must not delay the next
 // check of its record.
-func TestAnAppendDoesNotPutOffTheLookAtTheRecord(t *testing.T) {
-	engine := heldEngine(t)
+func TestAppendDoesNotDelayRecordCheck(t *testing.T) {
+	engine := newHoldingEngine(t)
 	defer engine.release()
 	cluster := newCluster(t, 1, engine)
 	node := cluster.nodes[0]
 	if err := cluster.submit(node, "job", 4); err != nil {
 		t.Fatal(err)
 	}
-	looked := time.Now().Add(time.Hour)
+	confirmedAt := time.Now().Add(time.Hour)
 	node.mutex.Lock()
 	held := node.jobs["job"]
-	held.confirmedAt = looked
+	held.confirmedAt = confirmedAt
 	node.scheduler.finish(held.items["job.0"], jobstore.Result{ID: "job.0", State: jobstore.Abandoned})
 	node.scheduler.finish(held.items["job.1"], jobstore.Result{ID: "job.1", State: jobstore.Abandoned})
 	node.mutex.Unlock()
@@ -124,33 +124,33 @@
 	})
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
-	if !held.confirmedAt.Equal(looked) {
-		t.Error("the append counts as a look at the job's record")
+	if !held.confirmedAt.Equal(confirmedAt) {
+		t.Error("the append counts as a read of the job's record")
 	}
 }
 
 // Guards against a read of a stored job over a slow link that restarts whenever its
 // reader times out, and never completes.
-func TestAStoredJobIsReadOnAfterItsReaderGaveUp(t *testing.T) {
-	cluster := endedCluster(t)
+func TestLoadContinuesAfterReaderTimeout(t *testing.T) {
+	cluster := newEndedCluster(t)
 	gate := cluster.setGate("list", jobstore.KindResults)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	if _, err := cluster.nodes[0].Read(ctx, "job", 0, 0); err == nil {
-		t.Fatal("read although the store holds the results back")
+		t.Fatal("read succeeded while the store delays the results")
 	}
 	close(gate.open)
-	eventually(t, "the job has been read", func() bool {
+	eventually(t, "the job is loaded", func() bool {
 		cluster.nodes[0].mutex.Lock()
 		defer cluster.nodes[0].mutex.Unlock()
 		known := cluster.nodes[0].remoteJobs["job"]
-		return known != nil && known.total == 4 && len(known.results) == 4
+		return known != nil && known.itemCount == 4 && len(known.results) == 4
 	})
 }
 
 // Concurrent readers must share one read of the store.
-func TestReadersShareOneReadingOfTheStore(t *testing.T) {
-	cluster := endedCluster(t)
+func TestConcurrentReadersShareLoad(t *testing.T) {
+	cluster := newEndedCluster(t)
 	gate := cluster.setGate("list", jobstore.KindResults)
 	node := cluster.nodes[0]
 	lists := cluster.store.Calls("list")
@@ -164,7 +164,7 @@
 			results <- err
 		}()
 	}
-	eventually(t, "the reading is under way", func() bool {
+	eventually(t, "the load is in progress", func() bool {
 		node.mutex.Lock()
 		defer node.mutex.Unlock()
 		return len(node.storedLoads) == 1
@@ -181,8 +181,8 @@
 }
 
 // Guards against an incomplete read if the job is evicted meanwhile.
-func TestAJobForgottenWhileItIsReadIsReadWhole(t *testing.T) {
-	cluster := endedCluster(t)
+func TestJobEvictedDuringLoad(t *testing.T) {
+	cluster := newEndedCluster(t)
 	gate := cluster.setGate("list", jobstore.KindResults)
 	node := cluster.nodes[0]
 	type answer struct {
@@ -194,7 +194,7 @@
 		page, err := node.Read(context.Background(), "job", 0, 0)
 		answers <- answer{page, err}
 	}()
-	eventually(t, "the reading is under way", func() bool {
+	eventually(t, "the load is in progress", func() bool {
 		node.mutex.Lock()
 		defer node.mutex.Unlock()
 		return len(node.storedLoads) == 1
--- a/internal/jobs/batch/takeover.go
+++ b/internal/jobs/batch/takeover.go
@@ -9,8 +9,8 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// takeoverRetryPause is the delay before a takeover that failed is tried again.
-const takeoverRetryPause = 400 * time.Millisecond
+// takeoverRetryDelay is the delay before a takeover that failed is tried again.
+const takeoverRetryDelay = 400 * time.Millisecond
 
 // takeOver makes this node the owner of a job whose owner is silent, unless the job has
 // ended or has another owner meanwhile.
@@ -19,10 +19,10 @@
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
 		if remote := s.remoteJobs[id]; remote != nil {
-			remote.takingOver, remote.retryAt = false, time.Now().Add(takeoverRetryPause)
+			remote.takingOver, remote.retryAt = false, time.Now().Add(takeoverRetryDelay)
 		}
 	}()
-	if lost.probeOwner && s.ownerAnswers(ctx, id, lost.owner) {
+	if lost.probeOwner && s.ownerRunsJob(ctx, id, lost.owner) {
 		s.mutex.Lock()
 		if remote := s.remoteJobs[id]; remote != nil {
 			remote.lastHeartbeat = time.Now()
@@ -36,9 +36,9 @@
 		return
 	}
 	s.mutex.Lock()
-	outsider := s.isOutsider(s.learnStored(stored))
+	outside := s.isOutsideAllowedRegions(s.learnStored(stored))
 	s.mutex.Unlock()
-	if may, _ := ownership.DecideReplace(stored, lost.owner, outsider); !may {
+	if may, _ := ownership.DecideReplace(stored, lost.owner, outside); !may {
 		return
 	}
 	taken, err := s.config.JobStore.TakeOver(ctx, stored, s.config.Self)
@@ -61,37 +61,37 @@
 			return
 		}
 		s.config.Logger.Error(err, "batch job not loaded", "request", stored.ID)
-		objectstore.SleepWithJitter(ctx, readRetryPause)
+		objectstore.SleepWithJitter(ctx, readRetryDelay)
 	}
 }
 
 // startConfirmed reads a job's record once more and starts the job if it is open and this
 // process still owns it. Reading the job may have taken seconds, and no run may start
 // after an end.
-func (s *Service) startConfirmed(ctx context.Context, read jobstore.StoredJob, submission *Submission, listed jobstore.Listing) {
+func (s *Service) startConfirmed(ctx context.Context, loaded jobstore.StoredJob, submission *Submission, listed jobstore.Listing) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		stored, err := s.config.JobStore.Read(ctx, read.ID)
+		stored, err := s.config.JobStore.Read(ctx, loaded.ID)
 		if err != nil {
-			s.config.Logger.Info("record of batch job not read before its start", "request", read.ID, "error", err.Error())
-			objectstore.SleepWithJitter(ctx, readRetryPause)
+			s.config.Logger.Info("batch job record not read before start", "request", loaded.ID, "error", err.Error())
+			objectstore.SleepWithJitter(ctx, readRetryDelay)
 			continue
 		}
-		if may, _ := ownership.DecideStart(stored, s.config.Self, read.Record.Epoch); !may {
-			s.config.Logger.Info("batch job not started", "request", read.ID, "ended", stored.Ended, "owner", stored.Record.Owner.Node, "epoch", stored.Record.Epoch)
+		if may, _ := ownership.DecideStart(stored, s.config.Self, loaded.Record.Epoch); !may {
+			s.config.Logger.Info("batch job not started", "request", loaded.ID, "ended", stored.Ended, "owner", stored.Record.Owner.Node, "epoch", stored.Record.Epoch)
 			s.mutex.Lock()
 			s.learnStored(stored)
 			s.mutex.Unlock()
 			return
 		}
-		s.start(read.ID, submission, stored.Record, listed, began)
+		s.start(loaded.ID, submission, stored.Record, listed, began)
 		return
 	}
 }
 
 // readJob reads a job's submission and results, and writes a fence behind the results.
 func (s *Service) readJob(ctx context.Context, stored jobstore.StoredJob) (*Submission, jobstore.Listing, error) {
-	ctx = s.within(ctx, stored.Record)
+	ctx = s.withRegionBounds(ctx, stored.Record)
 	payload, err := s.config.JobStore.Payload(ctx, stored.ID, stored.Record.Parts)
 	if err != nil {
 		return nil, jobstore.Listing{}, err
@@ -104,9 +104,9 @@
 	if err != nil {
 		return nil, jobstore.Listing{}, err
 	}
-	listed, err = s.config.JobStore.Fence(ctx, stored.ID, listed, s.writerName())
+	listed, err = s.config.JobStore.Fence(ctx, stored.ID, listed, s.writerID())
 	return submission, listed, err
 }
 
-// readRetryPause is the delay before a failed read of the store is retried.
-const readRetryPause = 150 * time.Millisecond
+// readRetryDelay is the delay before a failed read of the store is retried.
+const readRetryDelay = 150 * time.Millisecond
--- a/internal/jobs/batch/takeover_test.go
+++ b/internal/jobs/batch/takeover_test.go
@@ -24,9 +24,9 @@
 	return nil
 }
 
-// heldEngine returns an engine that streams one event of each item and holds the others
-// until released.
-func heldEngine(t *testing.T) *testEngine {
+// newHoldingEngine returns an engine that streams one event of each item and holds the
+// others until released.
+func newHoldingEngine(t *testing.T) *testEngine {
 	engine := startEngine(t, 3)
 	engine.hold, engine.holdAt = make(chan struct{}), 1
 	return engine
@@ -39,47 +39,47 @@
 	e.hold = nil
 }
 
-func TestDeadOwnersJobIsTakenOver(t *testing.T) {
-	engine := heldEngine(t)
+func TestJobOfFailedOwnerIsTakenOver(t *testing.T) {
+	engine := newHoldingEngine(t)
 	cluster := newCluster(t, 3, engine)
 	if err := cluster.submit(cluster.nodes[0], "job", 6); err != nil {
 		t.Fatal(err)
 	}
 	cluster.nodes[0].cancel()
-	cluster.setCut("node-0", true)
+	cluster.setDisconnected("node-0", true)
 	eventually(t, "another node owns the job", func() bool {
 		owner := cluster.owner("job")
 		return owner != nil && owner != cluster.nodes[0]
 	})
 	engine.release()
-	checkWhole(t, "job", cluster.readAll(cluster.nodes[1], "job", 6), 6, 3)
+	checkResults(t, "job", cluster.readAll(cluster.nodes[1], "job", 6), 6, 3)
 }
 
-func TestJobsOfAStoppedDeploymentAreTakenUpAgain(t *testing.T) {
-	engine := heldEngine(t)
+func TestNewNodeRunsJobsOfStoppedCluster(t *testing.T) {
+	engine := newHoldingEngine(t)
 	cluster := newCluster(t, 2, engine)
 	if err := cluster.submit(cluster.nodes[0], "job", 6); err != nil {
 		t.Fatal(err)
 	}
 	for number, node := range cluster.nodes {
 		node.cancel()
-		cluster.setCut([]string{"node-0", "node-1"}[number], true)
+		cluster.setDisconnected([]string{"node-0", "node-1"}[number], true)
 	}
 	engine.release()
 	fresh := cluster.addNode("node-2", []*testEngine{engine})
-	checkWhole(t, "job", cluster.readAll(fresh, "job", 6), 6, 3)
+	checkResults(t, "job", cluster.readAll(fresh, "job", 6), 6, 3)
 }
 
-// displacedOwner returns a cluster in which the successor has taken the job over and the
-// former owner is disconnected from its peer.
-func displacedOwner(t *testing.T, engine *testEngine) (deployment *cluster, former, successor *testNode) {
+// newSupersededOwner returns a cluster in which the successor has taken the job over and
+// the former owner is disconnected from its peer.
+func newSupersededOwner(t *testing.T, engine *testEngine) (deployment *cluster, former, successor *testNode) {
 	t.Helper()
 	deployment = newCluster(t, 2, engine)
 	former, successor = deployment.nodes[0], deployment.nodes[1]
 	if err := deployment.submit(former, "job", 6); err != nil {
 		t.Fatal(err)
 	}
-	deployment.setCut("node-0", true)
+	deployment.setDisconnected("node-0", true)
 	eventually(t, "the job is taken over", func() bool {
 		successor.mutex.Lock()
 		defer successor.mutex.Unlock()
@@ -90,9 +90,9 @@
 
 // Guards against results that a former owner appends after its successor has read the
 // job.
-func TestFormerOwnerListsNothingThatItsSuccessorMisses(t *testing.T) {
-	engine := heldEngine(t)
-	cluster, former, successor := displacedOwner(t, engine)
+func TestFormerOwnerAppendsNothing(t *testing.T) {
+	engine := newHoldingEngine(t)
+	cluster, former, successor := newSupersededOwner(t, engine)
 	// The former owner is connected to the store alone and finishes an item first.
 	former.mutex.Lock()
 	held := former.jobs["job"]
@@ -112,17 +112,17 @@
 		t.Fatal(err)
 	}
 	if len(stored.Results) != len(known.Results) {
-		t.Errorf("the store lists %d results, the successor knows %d", len(stored.Results), len(known.Results))
+		t.Errorf("%d results in the store, %d at the successor", len(stored.Results), len(known.Results))
 	}
 	engine.release()
-	checkWhole(t, "job", cluster.readAll(successor, "job", 6), 6, 3)
+	checkResults(t, "job", cluster.readAll(successor, "job", 6), 6, 3)
 }
 
 // Guards against a former owner that serves outdated results after its job was taken over
 // and ended.
-func TestFormerOwnerAnswersNothingOldAfterTheEnd(t *testing.T) {
-	engine := heldEngine(t)
-	cluster, former, successor := displacedOwner(t, engine)
+func TestFormerOwnerServesNoOldResults(t *testing.T) {
+	engine := newHoldingEngine(t)
+	cluster, former, successor := newSupersededOwner(t, engine)
 	// The former owner's runs must not finish.
 	former.mutex.Lock()
 	former.jobs["job"].cancel()
@@ -139,26 +139,26 @@
 		}
 		return metastore.Sound
 	})
-	cluster.setCut("node-0", false)
+	cluster.setDisconnected("node-0", false)
 	successor.table.Broadcast()
-	eventually(t, "the former owner has heard of the end", func() bool {
+	eventually(t, "the former owner knows of the end", func() bool {
 		former.mutex.Lock()
 		defer former.mutex.Unlock()
 		held := former.jobs["job"]
-		return held == nil || held.ended || held.suspect
+		return held == nil || held.ended || held.unconfirmed
 	})
 	if page, err := former.Read(context.Background(), "job", 0, 0); err == nil && len(page.Results) < len(listed) {
-		t.Errorf("former owner shows %d results, %d had been read", len(page.Results), len(listed))
+		t.Errorf("former owner returns %d results, %d were read before", len(page.Results), len(listed))
 	}
 	cluster.store.SetFault(nil)
 	page, err := former.Read(context.Background(), "job", 0, 0)
 	if err != nil || len(page.Results) < len(listed) {
-		t.Errorf("former owner shows %d results, %d had been read: %v", len(page.Results), len(listed), err)
+		t.Errorf("former owner returns %d results, %d were read before, error %v", len(page.Results), len(listed), err)
 	}
 }
 
-func TestEndedJobRunsNothingMore(t *testing.T) {
-	engine := heldEngine(t)
+func TestEndStopsRuns(t *testing.T) {
+	engine := newHoldingEngine(t)
 	cluster := newCluster(t, 2, engine)
 	if err := cluster.submit(cluster.nodes[0], "job", 6); err != nil {
 		t.Fatal(err)
@@ -166,25 +166,25 @@
 	if err := cluster.nodes[1].End(context.Background(), "job"); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "no run is left", func() bool {
+	eventually(t, "no run or queued item is left", func() bool {
 		cluster.nodes[0].mutex.Lock()
 		defer cluster.nodes[0].mutex.Unlock()
-		return len(cluster.nodes[0].scheduler.attempts) == 0 && len(cluster.nodes[0].scheduler.queue) == 0
+		return len(cluster.nodes[0].scheduler.runs) == 0 && len(cluster.nodes[0].scheduler.queue) == 0
 	})
-	standing, err := jobstore.New(cluster.store).Read(context.Background(), "job")
-	if err != nil || !standing.Ended {
-		t.Errorf("the store has the end: %v, %v", standing.Ended, err)
+	stored, err := jobstore.New(cluster.store).Read(context.Background(), "job")
+	if err != nil || !stored.Ended {
+		t.Errorf("end stored: %v, error %v", stored.Ended, err)
 	}
 	if err := cluster.nodes[0].End(context.Background(), "job"); err != nil {
-		t.Errorf("a repeated end: %v", err)
+		t.Errorf("repeated end: error %v", err)
 	}
 	if err := cluster.nodes[0].End(context.Background(), "other"); !errors.Is(err, jobstore.ErrNoSuchJob) {
-		t.Errorf("the end of a job that nobody submitted: %v", err)
+		t.Errorf("end of an unknown job: error %v", err)
 	}
 }
 
-func TestLeavingNodeGivesItsJobsAway(t *testing.T) {
-	engine := heldEngine(t)
+func TestLeavingNodeHandsJobsOver(t *testing.T) {
+	engine := newHoldingEngine(t)
 	cluster := newCluster(t, 2, engine)
 	if err := cluster.submit(cluster.nodes[0], "job", 6); err != nil {
 		t.Fatal(err)
@@ -196,12 +196,12 @@
 		defer cluster.nodes[1].mutex.Unlock()
 		return cluster.nodes[1].jobs["job"] != nil
 	})
-	t.Logf("given away after %s", time.Since(begun))
+	t.Logf("handed over after %s", time.Since(begun))
 	engine.release()
-	checkWhole(t, "job", cluster.readAll(cluster.nodes[1], "job", 6), 6, 3)
+	checkResults(t, "job", cluster.readAll(cluster.nodes[1], "job", 6), 6, 3)
 }
 
-func TestEndedJobIsReadFromTheStoreOnceForgotten(t *testing.T) {
+func TestEvictedJobIsReadFromStore(t *testing.T) {
 	cluster := newCluster(t, 2, startEngine(t, 2))
 	owner := cluster.nodes[0]
 	if err := cluster.submit(owner, "job", 4); err != nil {
@@ -216,25 +216,25 @@
 	owner.mutex.Unlock()
 	owner.evict()
 	if owner.OpenJobs() != 0 || cluster.owner("job") != nil {
-		t.Fatal("the job is still held")
+		t.Fatal("the job is still in memory")
 	}
 	// Submitting the job again must start nothing.
 	if err := cluster.submit(owner, "job", 4); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the node has looked the job up", func() bool {
+	eventually(t, "the node has read the record", func() bool {
 		owner.mutex.Lock()
 		defer owner.mutex.Unlock()
 		return owner.jobs["job"] != nil || (owner.remoteJobs["job"] != nil && owner.remoteJobs["job"].ended)
 	})
 	if cluster.owner("job") != nil {
-		t.Error("an ended job is taken up again")
+		t.Error("an ended job was started again")
 	}
 	for _, node := range cluster.nodes {
 		after := cluster.readAll(node, "job", 4)
 		for position := range before {
 			if after[position].ID != before[position].ID {
-				t.Errorf("position %d has changed", position)
+				t.Errorf("result at position %d has changed", position)
 			}
 		}
 	}
@@ -242,7 +242,7 @@
 
 // Takeovers from a process that is known to have ended must not wait for the owner
 // timeout.
-func TestJobsOfAnEndedProcessAreNotWaitedFor(t *testing.T) {
+func TestTakeoverDelay(t *testing.T) {
 	cluster := newCluster(t, 2, startEngine(t, 2))
 	node := cluster.nodes[0]
 	eventually(t, "the nodes know each other", func() bool {
@@ -253,27 +253,27 @@
 	for _, test := range []struct {
 		name  string
 		owner jobstore.Owner
-		least time.Duration
-		most  time.Duration
+		min   time.Duration
+		max   time.Duration
 	}{
 		{"this node's former process", jobstore.Owner{Node: "node-0", Incarnation: 1}, 0, 0},
 		{"a peer's former process", jobstore.Owner{Node: "node-1", Incarnation: 1}, ownership.RankDelay, 2 * ownership.RankDelay},
 		{"a peer's process", jobstore.Owner{Node: "node-1", Incarnation: peer.Incarnation}, ownership.OwnerTimeout, ownership.OwnerTimeout + ownership.RankDelay},
-		{"a node never heard", jobstore.Owner{Node: "node-9", Incarnation: 1}, ownership.OwnerTimeout, ownership.OwnerTimeout + 2*ownership.RankDelay},
+		{"a node without heartbeats", jobstore.Owner{Node: "node-9", Incarnation: 1}, ownership.OwnerTimeout, ownership.OwnerTimeout + 2*ownership.RankDelay},
 	} {
 		node.mutex.Lock()
 		wait := node.takeoverDelay("job", &remoteJob{owner: test.owner})
 		node.mutex.Unlock()
-		if wait < test.least || wait > test.most {
-			t.Errorf("%s: waits %s, want %s to %s", test.name, wait, test.least, test.most)
+		if wait < test.min || wait > test.max {
+			t.Errorf("%s: waits %s, want %s to %s", test.name, wait, test.min, test.max)
 		}
 	}
 }
 
 // A node must not take over a job that it runs itself, even if a reader recorded its
 // owner as a remote one.
-func TestJobThatRunsHereIsNotTakenOver(t *testing.T) {
-	engine := heldEngine(t)
+func TestOwnJobIsNotTakenOver(t *testing.T) {
+	engine := newHoldingEngine(t)
 	cluster := newCluster(t, 1, engine)
 	node := cluster.nodes[0]
 	if err := cluster.submit(node, "job", 6); err != nil {
@@ -283,24 +283,24 @@
 	node.learnRemote("job", node.jobs["job"].record.Owner, 0, false)
 	node.mutex.Unlock()
 	if orphans := node.orphans(); len(orphans) > 0 {
-		t.Errorf("to be taken over: %v", orphans)
+		t.Errorf("jobs to take over: %v, want none", orphans)
 	}
 	engine.release()
-	checkWhole(t, "job", cluster.readAll(node, "job", 6), 6, 3)
+	checkResults(t, "job", cluster.readAll(node, "job", 6), 6, 3)
 }
 
 // Guards against losing the known lengths of items that their job ended without.
-func TestLengthsOfUnfinishedItemsReachTheOtherNodes(t *testing.T) {
-	engine := heldEngine(t)
+func TestLengthsReachOtherNodes(t *testing.T) {
+	engine := newHoldingEngine(t)
 	cluster := newCluster(t, 2, engine)
 	if err := cluster.submit(cluster.nodes[0], "job", 6); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "all items have made an event", func() bool {
+	eventually(t, "all items have an event", func() bool {
 		cluster.nodes[0].mutex.Lock()
 		defer cluster.nodes[0].mutex.Unlock()
 		for _, running := range cluster.nodes[0].jobs["job"].items {
-			if running.seen() < 1 {
+			if running.knownEvents() < 1 {
 				return false
 			}
 		}
--- a/internal/jobs/batch/texts.go
+++ b/internal/jobs/batch/texts.go
@@ -20,31 +20,31 @@
 	p.versions = append(p.versions, version)
 }
 
-// startAnew discards the item's text. The mutex must be held.
-func (i *item) startAnew() {
-	i.progress, i.saved = progress{}, 0
-	i.texts++
+// discardText discards the item's text. The mutex must be held.
+func (i *item) discardText() {
+	i.progress, i.savedEvents = progress{}, 0
+	i.textNumber++
 }
 
 func (p *progress) text() string { return strings.Join(p.events, "\n") }
 
-// madeBy returns the distinct versions that made the text, in ascending order.
-func (p *progress) madeBy() []int64 {
+// distinctVersions returns the distinct versions that made the text, in ascending order.
+func (p *progress) distinctVersions() []int64 {
 	return slices.Compact(slices.Sorted(slices.Values(p.versions)))
 }
 
 const (
-	// textPeriod is the time between saves of the texts of running items, and
-	// besideResultsPeriod the shorter one if results are written in the same call, which
-	// then costs no more. After the loss of the owner, text that was not saved is
-	// generated again.
-	textPeriod          = time.Second
-	besideResultsPeriod = 400 * time.Millisecond
-	// leastText is the number of events from which a text is saved, and leastPiece the
-	// number of new events for a further save. Shorter texts are generated again as
-	// quickly as they are read back.
-	leastText  = 20
-	leastPiece = 10
+	// textSaveInterval is the time between saves of the texts of running items, and
+	// textSaveIntervalWithResults the shorter one if results are written in the same
+	// call, which then costs no more. After the loss of the owner, text that was not
+	// saved is generated again.
+	textSaveInterval            = time.Second
+	textSaveIntervalWithResults = 400 * time.Millisecond
+	// minSavedEvents is the number of events from which a text is saved, and
+	// minPieceEvents the number of new events for a further save. Shorter texts are
+	// generated again as quickly as they are read back.
+	minSavedEvents = 20
+	minPieceEvents = 10
 	// pieceOverhead is the approximate size of an encoded event without its text, in
 	// bytes.
 	pieceOverhead = 16
@@ -52,40 +52,40 @@
 
 // unsavedTexts returns the parts of the texts of running items that the store lacks, up
 // to about the size of a chunk, or nil if a save is not due yet. The mutex must be held.
-func (j *job) unsavedTexts(besideResults bool) []jobstore.TextPiece {
-	period := textPeriod
-	if besideResults {
-		period = besideResultsPeriod
+func (j *job) unsavedTexts(withResults bool) []jobstore.TextPiece {
+	period := textSaveInterval
+	if withResults {
+		period = textSaveIntervalWithResults
 	}
-	if time.Since(j.textsSaved) < period {
+	if time.Since(j.textsSavedAt) < period {
 		return nil
 	}
 	var pieces []jobstore.TextPiece
 	size := 0
 	for _, id := range j.order {
 		running := j.items[id]
-		made := len(running.progress.events)
-		if running.done || made < leastText || made-running.saved < leastPiece || size > jobstore.MaxChunkBytes {
+		known := len(running.progress.events)
+		if running.done || known < minSavedEvents || known-running.savedEvents < minPieceEvents || size > jobstore.MaxChunkBytes {
 			continue
 		}
-		part := jobstore.TextPiece{
-			Item: id, From: running.saved, TextNumber: running.texts,
-			Events: running.progress.events[running.saved:made:made], Versions: running.progress.versions[running.saved:made:made],
+		piece := jobstore.TextPiece{
+			Item: id, From: running.savedEvents, TextNumber: running.textNumber,
+			Events: running.progress.events[running.savedEvents:known:known], Versions: running.progress.versions[running.savedEvents:known:known],
 		}
-		for _, event := range part.Events {
+		for _, event := range piece.Events {
 			size += len(event) + pieceOverhead
 		}
-		pieces = append(pieces, part)
+		pieces = append(pieces, piece)
 	}
 	return pieces
 }
 
 // recordSaved records which texts the store has. The mutex must be held.
 func (j *job) recordSaved(pieces []jobstore.TextPiece) {
-	for _, part := range pieces {
+	for _, piece := range pieces {
 		// The item may have begun another text while this one was being stored.
-		if saved := j.items[part.Item]; saved != nil && saved.saved == part.From && saved.texts == part.TextNumber {
-			saved.saved += len(part.Events)
+		if saved := j.items[piece.Item]; saved != nil && saved.savedEvents == piece.From && saved.textNumber == piece.TextNumber {
+			saved.savedEvents += len(piece.Events)
 		}
 	}
 }
@@ -95,14 +95,14 @@
 // there again. A piece that begins behind it is ignored.
 func joinPieces(pieces []jobstore.TextPiece) map[string]progress {
 	texts := map[string]progress{}
-	for _, part := range pieces {
-		existing := texts[part.Item]
-		if part.From > len(existing.events) || len(part.Events) != len(part.Versions) {
+	for _, piece := range pieces {
+		existing := texts[piece.Item]
+		if piece.From > len(existing.events) || len(piece.Events) != len(piece.Versions) {
 			continue
 		}
-		texts[part.Item] = progress{
-			events:   append(existing.events[:part.From:part.From], part.Events...),
-			versions: append(existing.versions[:part.From:part.From], part.Versions...),
+		texts[piece.Item] = progress{
+			events:   append(existing.events[:piece.From:piece.From], piece.Events...),
+			versions: append(existing.versions[:piece.From:piece.From], piece.Versions...),
 		}
 	}
 	return texts
@@ -114,7 +114,7 @@
 	restored := 0
 	for id, text := range texts {
 		if pending := j.items[id]; pending != nil && !pending.done {
-			pending.progress, pending.saved, pending.events = text, len(text.events), len(text.events)
+			pending.progress, pending.savedEvents, pending.recordedEvents = text, len(text.events), len(text.events)
 			restored++
 		}
 	}
--- a/internal/jobs/batch/watchers.go
+++ b/internal/jobs/batch/watchers.go
@@ -25,21 +25,21 @@
 	}
 	s.mutex.Unlock()
 	var named []string
-	for id, bound := range open {
-		successors := ownership.Successors(s.insiders(&bound, nodes), s.config.Self.Node)
+	for id, from := range open {
+		successors := ownership.Successors(s.allowedNodes(&from, nodes), s.config.Self.Node)
 		named = append(named, ownership.WatchersOf(id, successors)...)
 	}
 	return named
 }
 
-// ownerAnswers asks the owner of a job whether it still runs it, for a node that does not
+// ownerRunsJob asks the owner of a job whether it still runs it, for a node that does not
 // receive its heartbeats.
-func (s *Service) ownerAnswers(ctx context.Context, id string, owner jobstore.Owner) bool {
-	question := &wire.JobItem{Job: id}
-	reply, err := environment.Ask(ctx, s.config.Peers, owner.Address, question, probeTimeout)
+func (s *Service) ownerRunsJob(ctx context.Context, id string, owner jobstore.Owner) bool {
+	request := &wire.JobItem{Job: id}
+	reply, err := environment.Ask(ctx, s.config.Peers, owner.Address, request, probeTimeout)
 	if err != nil {
 		return false
 	}
-	answer, ok := reply.(*wire.JobItemBody)
-	return ok && answer.Known
+	body, ok := reply.(*wire.JobItemBody)
+	return ok && body.Known
 }
