--- a/internal/jobs/batch/watchers_test.go
+++ b/internal/jobs/batch/watchers_test.go
@@ -11,13 +11,14 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// watched splits the nodes other than a job's owner into its watchers and the others.
-func (c *cluster) watched(id string, owner *testNode) (watching, others []*testNode) {
+// splitByWatching splits the nodes other than a job's owner into its watchers and the
+// others.
+func (c *cluster) splitByWatching(id string, owner *testNode) (watching, others []*testNode) {
 	for _, node := range c.nodes {
 		if node == owner {
 			continue
 		}
-		if node.isUnwatched(id) {
+		if node.isNotWatcher(id) {
 			others = append(others, node)
 		} else {
 			watching = append(watching, node)
@@ -26,48 +27,48 @@
 	return watching, others
 }
 
-// age sets the last heartbeat of a job's owner to long ago.
-func (n *testNode) age(id string) {
+// expireHeartbeat sets the last heartbeat of a job's owner to long ago.
+func (n *testNode) expireHeartbeat(id string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.remoteJobs[id].lastHeartbeat = time.Now().Add(-time.Minute)
 }
 
-// watchedCluster returns a cluster with more nodes than a job has watchers, whose first
+// newWatchedCluster returns a cluster with more nodes than a job has watchers, whose first
 // node runs a job that all nodes know of.
-func watchedCluster(t *testing.T, engine *testEngine) (made *cluster, watching, others []*testNode) {
+func newWatchedCluster(t *testing.T, engine *testEngine) (c *cluster, watching, others []*testNode) {
 	t.Helper()
-	made = newCluster(t, ownership.Watchers+4, engine)
-	owner := made.nodes[0]
+	c = newCluster(t, ownership.Watchers+4, engine)
+	owner := c.nodes[0]
 	eventually(t, "all nodes know each other", func() bool {
-		for _, node := range made.nodes {
-			if len(node.table.NodeNames()) != len(made.nodes) {
+		for _, node := range c.nodes {
+			if len(node.table.NodeNames()) != len(c.nodes) {
 				return false
 			}
 		}
 		return true
 	})
-	if err := made.submit(owner, "job", 6); err != nil {
+	if err := c.submit(owner, "job", 6); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "all nodes have heard of the job", func() bool {
-		for _, node := range made.nodes[1:] {
+	eventually(t, "all nodes know of the job", func() bool {
+		for _, node := range c.nodes[1:] {
 			if _, known := node.knownOwner("job"); !known {
 				return false
 			}
 		}
 		return true
 	})
-	watching, others = made.watched("job", owner)
+	watching, others = c.splitByWatching("job", owner)
 	if len(watching) != ownership.Watchers || len(others) != 3 {
-		t.Fatalf("%d nodes watch and %d do not", len(watching), len(others))
+		t.Fatalf("%d watchers and %d other nodes", len(watching), len(others))
 	}
-	return made, watching, others
+	return c, watching, others
 }
 
-func TestOwnersTellTheirWatchers(t *testing.T) {
-	engine := heldEngine(t)
-	cluster, watching, _ := watchedCluster(t, engine)
+func TestWatchersReceiveHeartbeats(t *testing.T) {
+	engine := newHoldingEngine(t)
+	cluster, watching, _ := newWatchedCluster(t, engine)
 	defer engine.release()
 	for _, node := range watching {
 		node.mutex.Lock()
@@ -75,49 +76,49 @@
 		node.mutex.Unlock()
 	}
 	cluster.nodes[0].table.SendHeartbeat()
-	heard := func(node *testNode) bool {
+	gotHeartbeat := func(node *testNode) bool {
 		node.mutex.Lock()
 		defer node.mutex.Unlock()
-		standing := node.remoteJobs["job"]
-		return standing != nil && time.Since(standing.lastHeartbeat) < time.Minute
+		remote := node.remoteJobs["job"]
+		return remote != nil && time.Since(remote.lastHeartbeat) < time.Minute
 	}
 	for _, node := range watching {
-		eventually(t, "a watcher hears the owner", func() bool { return heard(node) })
+		eventually(t, "a watcher gets the owner's heartbeat", func() bool { return gotHeartbeat(node) })
 	}
 }
 
 // A node that is not a watcher must ask the owner before it takes a job over.
-func TestAnUnwatchedJobIsLeftToAnOwnerThatAnswers(t *testing.T) {
-	engine := heldEngine(t)
-	cluster, _, others := watchedCluster(t, engine)
+func TestNonWatcherProbesOwner(t *testing.T) {
+	engine := newHoldingEngine(t)
+	cluster, _, others := newWatchedCluster(t, engine)
 	defer engine.release()
 	for _, node := range others {
-		node.age("job")
+		node.expireHeartbeat("job")
 	}
 	for _, node := range others {
-		eventually(t, "the owner has been asked", func() bool {
+		eventually(t, "the owner has replied", func() bool {
 			node.mutex.Lock()
 			defer node.mutex.Unlock()
 			return time.Since(node.remoteJobs["job"].lastHeartbeat) < time.Minute
 		})
 	}
 	if owner := cluster.owner("job"); owner != cluster.nodes[0] {
-		t.Error("the job was taken over from a living owner")
+		t.Error("the job was taken over from a running owner")
 	}
 }
 
 // A job must be taken over even if its owner and all its watchers fail at once.
-func TestAJobWithoutOwnerAndWatchersIsTakenOver(t *testing.T) {
-	engine := heldEngine(t)
-	cluster, watching, others := watchedCluster(t, engine)
+func TestTakeoverWithoutWatchers(t *testing.T) {
+	engine := newHoldingEngine(t)
+	cluster, watching, others := newWatchedCluster(t, engine)
 	for _, node := range append(watching, cluster.nodes[0]) {
 		node.cancel()
-		cluster.setCut(node.config.Self.Node, true)
+		cluster.setDisconnected(node.config.Self.Node, true)
 	}
 	for _, node := range others {
-		node.age("job")
+		node.expireHeartbeat("job")
 	}
-	eventually(t, "a node that did not watch owns the job", func() bool {
+	eventually(t, "a node that is not a watcher owns the job", func() bool {
 		for _, node := range others {
 			node.mutex.Lock()
 			held := node.jobs["job"] != nil
@@ -129,23 +130,23 @@
 		return false
 	})
 	engine.release()
-	checkWhole(t, "job", cluster.readAll(others[0], "job", 6), 6, 3)
+	checkResults(t, "job", cluster.readAll(others[0], "job", 6), 6, 3)
 }
 
-func TestDemandIsTheMeanWorkOfAModelsJobs(t *testing.T) {
+func TestDemandIsMeanOfJobs(t *testing.T) {
 	// Heartbeats contain open jobs only, so the jobs are kept open and the nodes know
 	// each other before. The first node runs the jobs itself, since the expected lengths
 	// are not in the payload.
-	engine := heldEngine(t)
+	engine := newHoldingEngine(t)
 	defer engine.release()
 	cluster := newCluster(t, 2, engine)
-	cluster.byRank()
+	cluster.nodesByRank()
 	for number, tokens := range []float64{100, 300} {
-		made, payload := submission(fmt.Sprintf("job-%d", number), 2)
-		for _, submitted := range made.Items {
+		created, payload := submission(fmt.Sprintf("job-%d", number), 2)
+		for _, submitted := range created.Items {
 			submitted.ExpectedTokens = tokens
 		}
-		if err := cluster.nodes[0].submitHere(context.Background(), &Arrival{ID: fmt.Sprintf("job-%d", number), Route: testRoute, Host: "drafts.example", Payload: payload, Submission: made}); err != nil {
+		if err := cluster.nodes[0].submitLocally(context.Background(), &Arrival{ID: fmt.Sprintf("job-%d", number), Route: testRoute, Host: "drafts.example", Payload: payload, Submission: created}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -155,28 +156,28 @@
 }
 
 // A node's rank for a job must be computed without the current owner.
-func TestRanksFollowTheOwner(t *testing.T) {
-	engine := heldEngine(t)
-	cluster, watching, _ := watchedCluster(t, engine)
+func TestCachedRankFollowsOwner(t *testing.T) {
+	engine := newHoldingEngine(t)
+	cluster, watching, _ := newWatchedCluster(t, engine)
 	defer engine.release()
 	node := watching[0]
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
-	standing := node.remoteJobs["job"]
-	for _, next := range cluster.nodes {
-		if next == node {
+	remote := node.remoteJobs["job"]
+	for _, owner := range cluster.nodes {
+		if owner == node {
 			continue
 		}
-		node.learnRemote("job", next.config.Self, 0, false)
-		if got, want := node.cachedRank("job", standing), node.rank("job", &remoteJob{owner: next.config.Self}); got != want {
-			t.Errorf("owned by %s: rank %d, want %d", next.config.Self.Node, got, want)
+		node.learnRemote("job", owner.config.Self, 0, false)
+		if got, want := node.cachedRank("job", remote), node.rank("job", &remoteJob{owner: owner.config.Self}); got != want {
+			t.Errorf("owner %s: rank %d, want %d", owner.config.Self.Node, got, want)
 		}
 	}
 }
 
 // A node whose entry the store rejects must still learn of the jobs.
-func TestANodeThatCannotJoinLearnsOfTheJobs(t *testing.T) {
-	engine := heldEngine(t)
+func TestUnjoinedNodeLearnsOfJobs(t *testing.T) {
+	engine := newHoldingEngine(t)
 	defer engine.release()
 	cluster := newCluster(t, 1, engine)
 	if err := cluster.submit(cluster.nodes[0], "job", 2); err != nil {
@@ -188,7 +189,7 @@
 		}
 		return metastore.Sound
 	})
-	outsider := cluster.addOutsider("outsider", []*testEngine{engine})
+	outsider := cluster.addUnjoinedNode("outsider", []*testEngine{engine})
 	eventually(t, "the job is known", func() bool {
 		_, known := outsider.knownOwner("job")
 		return known && outsider.Recovered()
@@ -198,8 +199,8 @@
 	}
 }
 
-// isUnwatched reports whether this node knows of a job and is not one of its watchers.
-func (s *Service) isUnwatched(id string) bool {
+// isNotWatcher reports whether this node knows of a job and is not one of its watchers.
+func (s *Service) isNotWatcher(id string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	remote := s.remoteJobs[id]
--- a/internal/jobs/batch/work.go
+++ b/internal/jobs/batch/work.go
@@ -25,8 +25,8 @@
 func (s *Service) workOf(held *job) wire.JobWork {
 	work := held.work()
 	if s.config.Directory.View().Configuration.RestrictsRegions() {
-		bound := originOf(held.record)
-		work.Routes, work.Entry = bound.routes, bound.entry
+		from := originOf(held.record)
+		work.Routes, work.Entry = from.routes, from.entry
 	}
 	return work
 }
