--- a/internal/jobs/batch/ended_owner_test.go
+++ b/internal/jobs/batch/ended_owner_test.go
@@ -26,7 +26,7 @@
 			held := former.jobs["job"]
 			former.mutex.Unlock()
 			if held == nil {
-				t.Fatal("the former owner knows of its successor before the test starts")
+				t.Fatal("the former owner knows of its successor already")
 			}
 			cluster.store.SetFault(func(call metastore.Call) metastore.Fault {
 				for _, verb := range test.down {
--- a/internal/jobs/batch/homes_test.go
+++ b/internal/jobs/batch/homes_test.go
@@ -186,7 +186,7 @@
 	err := c.submitFromRegion(c.nodes[0], "job", 2)
 	var notTaken *jobstore.NotAcceptedError
 	if !errors.As(err, &notTaken) || !errors.Is(err, forward.ErrNoHome) {
-		t.Errorf("error %v, want a NotTakenError with cause ErrNoHome", err)
+		t.Errorf("error %v, want a NotAcceptedError with cause ErrNoHome", err)
 	}
 	for _, kind := range []string{jobstore.KindJobs, jobstore.KindPayloads} {
 		if page, err := c.store.List(context.Background(), kind, "", objectstore.Linearizable); err != nil || len(page.Objects) > 0 {
--- a/internal/jobs/batch/recover.go
+++ b/internal/jobs/batch/recover.go
@@ -15,12 +15,12 @@
 	joinTimeout      = 1500 * time.Millisecond
 )
 
-// recoverJobs records the open jobs in the store when this node starts, so that those of
+// recover records the open jobs in the store when this node starts, so that those of
 // silent owners are taken over.
 //
 // A node that is new to the deployment owns no jobs, and the newest jobs of others have
 // watchers already. It reads a listing that may be some seconds old, which costs a tenth.
-func (s *Service) recoverJobs(ctx context.Context) {
+func (s *Service) recover(ctx context.Context) {
 	for began := time.Now(); !s.config.Table.Joined() && time.Since(began) < joinTimeout; {
 		if !objectstore.Sleep(ctx, joinPollInterval) {
 			return
--- a/internal/jobs/batch/runner_test.go
+++ b/internal/jobs/batch/runner_test.go
@@ -132,7 +132,7 @@
 	err := ranked[2].Submit(ctx, &Arrival{ID: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Submission: submitted})
 	var uncertain *jobstore.AcceptanceUnknownError
 	if err != nil && !errors.As(err, &uncertain) {
-		t.Errorf("error %v, want nil or an UncertainError", err)
+		t.Errorf("error %v, want nil or an AcceptanceUnknownError", err)
 	}
 	eventually(t, "the runner has the job", func() bool { return cluster.owner("job") == ranked[0] })
 	if err := cluster.submitAsCaller(ranked[1], "job", 2); err != nil {
--- a/internal/jobs/batch/service.go
+++ b/internal/jobs/batch/service.go
@@ -91,7 +91,7 @@
 // Run runs the service until the context ends.
 func (s *Service) Run(ctx context.Context) {
 	var duties sync.WaitGroup
-	for _, duty := range []func(context.Context){s.recoverJobs, s.scheduler.schedule, s.watchOwners, s.sendHeartbeats} {
+	for _, duty := range []func(context.Context){s.recover, s.scheduler.schedule, s.watchOwners, s.sendHeartbeats} {
 		duties.Go(func() { duty(ctx) })
 	}
 	duties.Wait()
--- a/internal/jobs/batch/stored_ends_test.go
+++ b/internal/jobs/batch/stored_ends_test.go
@@ -22,7 +22,7 @@
 		return former.jobs["job"] != nil
 	}
 	if !holds() {
-		t.Fatal("the former owner knows of its successor before the test starts")
+		t.Fatal("the former owner knows of its successor already")
 	}
 	cluster.store.SetFault(func(call metastore.Call) metastore.Fault {
 		if call.Verb == "status" {
--- a/internal/jobs/batch/takeover_test.go
+++ b/internal/jobs/batch/takeover_test.go
@@ -251,10 +251,10 @@
 	})
 	peer, _ := node.table.Get("node-1")
 	for _, test := range []struct {
-		name  string
-		owner jobstore.Owner
-		min   time.Duration
-		max   time.Duration
+		name     string
+		owner    jobstore.Owner
+		shortest time.Duration
+		longest  time.Duration
 	}{
 		{"this node's former process", jobstore.Owner{Node: "node-0", Incarnation: 1}, 0, 0},
 		{"a peer's former process", jobstore.Owner{Node: "node-1", Incarnation: 1}, ownership.RankDelay, 2 * ownership.RankDelay},
@@ -264,8 +264,8 @@
 		node.mutex.Lock()
 		wait := node.takeoverDelay("job", &remoteJob{owner: test.owner})
 		node.mutex.Unlock()
-		if wait < test.min || wait > test.max {
-			t.Errorf("%s: waits %s, want %s to %s", test.name, wait, test.min, test.max)
+		if wait < test.shortest || wait > test.longest {
+			t.Errorf("%s: waits %s, want %s to %s", test.name, wait, test.shortest, test.longest)
 		}
 	}
 }
