--- a/internal/jobs/batch/doc.go
+++ b/internal/jobs/batch/doc.go
@@ -30,7 +30,7 @@
 // The stored record says who owns a job and whether it has ended. A read of the record
 // reflects the time at which it was sent, not when the response came.
 //
-//	state       set by                            reads are answered    until
+//	state       set by                            reads are served      until
 //	open        a start                           from memory           the end, or all results
 //	                                                                    are listed
 //	unconfirmed a pause of this process, another  from the store        a read of the record
--- a/internal/jobs/batch/end.go
+++ b/internal/jobs/batch/end.go
@@ -59,7 +59,7 @@
 }
 
 // storeEnd stores the end of a job and applies the record that the store returns: if the
-// record names another owner, this node must no longer answer from memory.
+// record names another owner, this node must no longer serve reads from memory.
 func (s *Service) storeEnd(ctx context.Context, id string) error {
 	began := time.Now()
 	stored, err := s.writeEnd(ctx, id)
--- a/internal/jobs/batch/final_test.go
+++ b/internal/jobs/batch/final_test.go
@@ -19,36 +19,37 @@
 	failCreates, failOthers atomic.Bool
 }
 
-// failureDelay is the time after which a disconnected call fails.
+// failureDelay is the time until a failing call returns.
 const failureDelay = 50 * time.Millisecond
 
-func callError(ctx context.Context, cut *atomic.Bool) error {
-	if !cut.Load() {
+// callError returns an error, after a delay, if calls are to fail.
+func callError(ctx context.Context, fails *atomic.Bool) error {
+	if !fails.Load() {
 		return nil
 	}
 	objectstore.Sleep(ctx, failureDelay)
 	return &objectstore.UnansweredError{Cause: metastore.ErrFault}
 }
 
-func (w *nodeStore) List(ctx context.Context, kind, after string, freshness objectstore.Freshness) (objectstore.Page, error) {
-	if err := callError(ctx, &w.failOthers); err != nil {
+func (s *nodeStore) List(ctx context.Context, kind, after string, freshness objectstore.Freshness) (objectstore.Page, error) {
+	if err := callError(ctx, &s.failOthers); err != nil {
 		return objectstore.Page{}, err
 	}
-	return w.Store.List(ctx, kind, after, freshness)
+	return s.Store.List(ctx, kind, after, freshness)
 }
 
-func (w *nodeStore) Get(ctx context.Context, kind, name string, freshness objectstore.Freshness) (objectstore.Object, error) {
-	if err := callError(ctx, &w.failOthers); err != nil {
+func (s *nodeStore) Get(ctx context.Context, kind, name string, freshness objectstore.Freshness) (objectstore.Object, error) {
+	if err := callError(ctx, &s.failOthers); err != nil {
 		return objectstore.Object{}, err
 	}
-	return w.Store.Get(ctx, kind, name, freshness)
+	return s.Store.Get(ctx, kind, name, freshness)
 }
 
-func (w *nodeStore) Create(ctx context.Context, kind, name string, spec json.RawMessage) (objectstore.Object, error) {
-	if err := callError(ctx, &w.failCreates); err != nil {
+func (s *nodeStore) Create(ctx context.Context, kind, name string, spec json.RawMessage) (objectstore.Object, error) {
+	if err := callError(ctx, &s.failCreates); err != nil {
 		return objectstore.Object{}, err
 	}
-	return w.Store.Create(ctx, kind, name, spec)
+	return s.Store.Create(ctx, kind, name, spec)
 }
 
 // Guards against nodes that return different results of an ended job because an owner
--- a/internal/jobs/batch/harness_test.go
+++ b/internal/jobs/batch/harness_test.go
@@ -146,7 +146,7 @@
 type testPeers struct {
 	mutex    sync.Mutex
 	services map[string]*testNode
-	// disconnected are the addresses that are disconnected.
+	// disconnected are the addresses that can neither send nor receive.
 	disconnected map[string]bool
 	// lostReplies is the address of the node whose replies to submissions are lost.
 	lostReplies string
@@ -267,7 +267,7 @@
 	peers *testPeers
 	nodes []*testNode
 	// regions are the regions of nodes and engines, by name; each region has one zone of
-	// the same name. homes are the route's allowed regions.
+	// the same name. allowedRegions are the route's.
 	regions        map[string]string
 	allowedRegions []string
 	// maxBroadcastPeers is the number of peers up to which starts and ends are announced
@@ -367,10 +367,10 @@
 	return created
 }
 
-func (c *cluster) setDisconnected(name string, cut bool) {
+func (c *cluster) setDisconnected(name string, disconnected bool) {
 	c.peers.mutex.Lock()
 	defer c.peers.mutex.Unlock()
-	c.peers.disconnected[name] = cut
+	c.peers.disconnected[name] = disconnected
 }
 
 // submission returns a job with items in groups of two.
--- a/internal/jobs/batch/homes.go
+++ b/internal/jobs/batch/homes.go
@@ -82,7 +82,7 @@
 	return residency.WithBounds(ctx, s.regionBounds(originOf(record)))
 }
 
-// withHeldRegionBounds is like within, for a job that this node runs.
+// withHeldRegionBounds is like withRegionBounds, for a job that this node runs.
 func (s *Service) withHeldRegionBounds(ctx context.Context, id string) context.Context {
 	s.mutex.Lock()
 	held := s.jobs[id]
@@ -155,7 +155,7 @@
 	for _, name := range from.routes {
 		route := view.Configuration.RouteByName(name)
 		if route != nil && !view.HasReplica(route, view.Configuration.AllowedRegions(route, from.tenant)) {
-			s.metrics.withoutHome.Inc()
+			s.metrics.withoutReplica.Inc()
 			return &jobstore.NotAcceptedError{Cause: forward.ErrNoHome}
 		}
 	}
--- a/internal/jobs/batch/ownerwatch.go
+++ b/internal/jobs/batch/ownerwatch.go
@@ -57,7 +57,7 @@
 )
 
 // dueRecordChecks returns the jobs whose records are to be read now to confirm their
-// owner. After a pause of this process, no incomplete job is answered from memory before
+// owner. After a pause of this process, no incomplete job is served from memory before
 // that.
 func (s *Service) dueRecordChecks(paused bool) []*job {
 	s.mutex.Lock()
--- a/internal/jobs/batch/recover.go
+++ b/internal/jobs/batch/recover.go
@@ -19,7 +19,7 @@
 // silent owners are taken over.
 //
 // A node that is new to the deployment owns no jobs, and the newest jobs of others have
-// watchers already. It reads a listing that may be some seconds old, which costs a tenth.
+// watchers already. It may read a listing that is some seconds old, which is far cheaper.
 func (s *Service) recover(ctx context.Context) {
 	for began := time.Now(); !s.config.Table.Joined() && time.Since(began) < joinTimeout; {
 		if !objectstore.Sleep(ctx, joinPollInterval) {
--- a/internal/jobs/batch/retention.go
+++ b/internal/jobs/batch/retention.go
@@ -7,7 +7,7 @@
 )
 
 // endedJobRetention is how long the results of an ended job stay in memory. After that,
-// reads are answered from the store.
+// reads are served from the store.
 const endedJobRetention = 90 * time.Second
 
 // evict removes jobs that ended long ago and other outdated state.
--- a/internal/jobs/batch/service.go
+++ b/internal/jobs/batch/service.go
@@ -37,8 +37,8 @@
 	Registry prometheus.Registerer
 }
 
-// Service accepts batch jobs, runs those that this node owns, and answers reads of all.
-// It is safe for concurrent use.
+// Service accepts batch jobs, runs those that this node owns, and serves reads of all. It
+// is safe for concurrent use.
 type Service struct {
 	config  Config
 	metrics *metrics
--- a/internal/jobs/batch/texts_test.go
+++ b/internal/jobs/batch/texts_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// startHeldJob runs a job of six items whose texts stop after event made, and waits until
-// soFar holds for each item.
+// startHeldJob runs a job of six items whose texts stop after event holdAt, and waits
+// until reached is true for each item.
 func startHeldJob(t *testing.T, events, holdAt int, reached func(*item) bool) (*testEngine, *cluster) {
 	t.Helper()
 	engine := startEngine(t, events)
@@ -62,8 +62,8 @@
 	return engine, cluster
 }
 
-// checkContinued checks that the other node takes the job over, finishes it, and starts no
-// item before event made.
+// checkContinued checks that the other node takes the job over, finishes it, and starts
+// no item before event holdAt.
 func checkContinued(t *testing.T, engine *testEngine, cluster *cluster, events, holdAt int) {
 	t.Helper()
 	eventually(t, "the other node runs the job", func() bool { return cluster.owner("job") == cluster.nodes[1] })
@@ -97,11 +97,11 @@
 
 func TestUnsavedTexts(t *testing.T) {
 	text := func(events int) progress {
-		made := progress{}
+		p := progress{}
 		for range events {
-			made.add("e", 1)
+			p.add("e", 1)
 		}
-		return made
+		return p
 	}
 	held := &job{items: map[string]*item{
 		"short": {progress: text(minSavedEvents - 1)}, "long": {progress: text(3 * minSavedEvents)},
