--- a/internal/callers/dispatch/dispatcher.go
+++ b/internal/callers/dispatch/dispatcher.go
@@ -8,28 +8,28 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// Dispatcher sends calls to replicas. It is safe for use by many goroutines.
+// Dispatcher sends calls to replicas. It is safe for concurrent use.
 type Dispatcher struct {
 	pool    *exchange.Pool
-	headers Headers
+	headers HeaderCodec
 	metrics *Metrics
-	// guard is nil for none.
+	// guard may be nil.
 	guard Guard
 }
 
-// New returns a dispatcher over a pool of connections. Metrics may be nil.
-func New(pool *exchange.Pool, headers Headers, metrics *Metrics) *Dispatcher {
+// New returns a Dispatcher that uses a pool of connections. Metrics may be nil.
+func New(pool *exchange.Pool, headers HeaderCodec, metrics *Metrics) *Dispatcher {
 	return &Dispatcher{pool: pool, headers: headers, metrics: metrics}
 }
 
 // SetGuard sets the guard. It must be called before the first Send.
 func (d *Dispatcher) SetGuard(guard Guard) { d.guard = guard }
 
-// Send makes one attempt and returns the answer, whose body is still to be read. The
+// Send makes one attempt and returns the response, whose body has not been read yet. The
 // caller must Close or Discard it. The error is a *QuarantinedError, a *WithheldError, a
-// *NotRunError, an *exchange.NotSentError or an *exchange.BrokenError; MayHaveRun tells
-// them apart.
-func (d *Dispatcher) Send(ctx context.Context, endpoint *routing.Endpoint, call *Call) (*Answer, error) {
+// *NotRunError, an *exchange.NotSentError or an *exchange.BrokenError; MayHaveRun reports
+// whether the replica may have run the request.
+func (d *Dispatcher) Send(ctx context.Context, endpoint *routing.Endpoint, call *Call) (*Response, error) {
 	if d.guard != nil {
 		if err := d.guard.Admit(ctx, call); err != nil {
 			return nil, err
@@ -40,9 +40,9 @@
 		return nil, withheld
 	}
 	request := d.newRequest(endpoint, call)
-	run := &Run{Call: call, Endpoint: endpoint, guard: d.guard, sent: time.Now()}
+	run := &Attempt{Call: call, Endpoint: endpoint, guard: d.guard, sent: time.Now()}
 	endpoint.State.InFlight.Add(1)
-	response, err := d.pool.Send(ctx, endpoint.Address, request, call.Once)
+	response, err := d.pool.Send(ctx, endpoint.Address, request, call.AtMostOnce)
 	if err != nil {
 		endpoint.State.InFlight.Add(-1)
 		if ctx.Err() == nil {
@@ -51,7 +51,7 @@
 		}
 		return nil, err
 	}
-	answer := &Answer{Response: response, Verdict: d.headers.Judge(response.Status, response.Header), Endpoint: endpoint}
+	answer := &Response{Response: response, Metadata: d.headers.Decode(response.Status, response.Header), Endpoint: endpoint}
 	if err := answer.check(call); err != nil {
 		return nil, err
 	}
@@ -59,8 +59,8 @@
 	return answer, nil
 }
 
-// admit returns why a replica must get no request now, nil if it may. It takes the permit
-// of a replica that is warming up.
+// admit returns an error if the replica must not get a request now. If the replica is
+// warming up, admit takes one of its slow-start permits.
 func admit(endpoint *routing.Endpoint) *WithheldError {
 	if endpoint.State.Evacuated() {
 		return &WithheldError{Replica: endpoint.Name, Reason: routing.ReasonEvacuated}
@@ -71,12 +71,12 @@
 	return nil
 }
 
-// newRequest returns the request to a replica for a call.
+// newRequest returns the HTTP request that sends a call to a replica.
 func (d *Dispatcher) newRequest(endpoint *routing.Endpoint, call *Call) *exchange.Request {
 	header := call.Header.Clone()
-	d.headers.Prepare(header, Conditions{
-		Replica: endpoint.InstanceName(), Remaining: time.Until(call.Deadline), AfterEvent: call.AfterEvent, Version: call.Version,
-		Rank: call.Rank, Tenant: call.Tenant,
+	d.headers.Encode(header, RequestMetadata{
+		Replica: endpoint.InstanceName(), Remaining: time.Until(call.Deadline), LastEventID: call.LastEventID, Version: call.Version,
+		EnginePriority: call.EnginePriority, Tenant: call.Tenant,
 	})
 	return &exchange.Request{
 		Method: call.Method, Target: call.Target, Host: call.Host, Header: header, Body: call.Body, Purpose: call.Purpose,
--- a/internal/jobs/batch/homes.go
+++ b/internal/jobs/batch/homes.go
@@ -156,7 +156,7 @@
 		route := view.Configuration.RouteByName(name)
 		if route != nil && !view.HasReplica(route, view.Configuration.AllowedRegions(route, from.tenant)) {
 			s.metrics.withoutReplica.Inc()
-			return &jobstore.NotAcceptedError{Cause: forward.ErrNoHome}
+			return &jobstore.NotAcceptedError{Cause: forward.ErrNoReplicaInAllowedRegions}
 		}
 	}
 	return nil
--- a/internal/jobs/batch/homes_test.go
+++ b/internal/jobs/batch/homes_test.go
@@ -185,8 +185,8 @@
 	c := newRegionalCluster(t, []string{"atlantis"}, []string{"north", "south"}, []string{"south"}, engine)
 	err := c.submitFromRegion(c.nodes[0], "job", 2)
 	var notTaken *jobstore.NotAcceptedError
-	if !errors.As(err, &notTaken) || !errors.Is(err, forward.ErrNoHome) {
-		t.Errorf("error %v, want a NotAcceptedError with cause ErrNoHome", err)
+	if !errors.As(err, &notTaken) || !errors.Is(err, forward.ErrNoReplicaInAllowedRegions) {
+		t.Errorf("error %v, want a NotAcceptedError with cause ErrNoReplicaInAllowedRegions", err)
 	}
 	for _, kind := range []string{jobstore.KindJobs, jobstore.KindPayloads} {
 		if page, err := c.store.List(context.Background(), kind, "", objectstore.Linearizable); err != nil || len(page.Objects) > 0 {
--- a/internal/jobs/batch/itemrun.go
+++ b/internal/jobs/batch/itemrun.go
@@ -85,7 +85,7 @@
 	work := running.item
 	call := &dispatch.Call{
 		ID: work.ID, Method: http.MethodPost, Target: work.Target, Host: host, Header: work.Header, Body: work.Body,
-		Deadline: time.Now().Add(runTimeout), AfterEvent: len(work.progress.events), Resumable: true, Rank: dispatch.RankOf(running.priority),
+		Deadline: time.Now().Add(runTimeout), LastEventID: len(work.progress.events), Resumable: true, EnginePriority: dispatch.EnginePriorityOf(running.priority),
 		Tenant: work.job.record.Tenant, Purpose: exchange.PurposeItem,
 	}
 	response, err := s.config.Dispatcher.Send(ctx, running.endpoint, call)
@@ -97,7 +97,7 @@
 		response.Discard()
 		return &ItemStatusError{Status: response.Status}
 	}
-	version := response.Verdict.Version
+	version := response.Metadata.Version
 	s.learnVersion(running.endpoint.Name, work.job.submission.Model, version)
 	// A replica that has nothing to add to a complete text names no version. Treating
 	// that as old weights would retry the item forever.
@@ -111,7 +111,7 @@
 
 // receiveEvents reads the events of a response until the stream ends. version is the
 // weight version of the response, which applies until an event names another one.
-func (s *scheduler) receiveEvents(running *itemRun, response *dispatch.Answer, version int64, singleVersion bool) error {
+func (s *scheduler) receiveEvents(running *itemRun, response *dispatch.Response, version int64, singleVersion bool) error {
 	work := running.item
 	events := eventstream.NewReader(response, s.config.Codec.VersionField(), len(work.progress.events))
 	for {
--- a/internal/jobs/batch/refusal.go
+++ b/internal/jobs/batch/refusal.go
@@ -34,7 +34,7 @@
 	switch {
 	case errors.Is(err, ErrOtherTenant):
 		return refusal{status: http.StatusConflict}
-	case errors.Is(err, forward.ErrNoHome):
+	case errors.Is(err, forward.ErrNoReplicaInAllowedRegions):
 		return refusal{status: http.StatusServiceUnavailable, retryAfter: noReplicaRetryDelay}
 	case errors.As(err, &notTaken):
 		return refusal{status: http.StatusServiceUnavailable, retryAfter: retryDelay}
--- a/internal/jobs/batch/refusal_test.go
+++ b/internal/jobs/batch/refusal_test.go
@@ -18,7 +18,7 @@
 		want refusal
 	}{
 		{"submission of another tenant's job", submissionRefusal(ErrOtherTenant), refusal{http.StatusConflict, 0}},
-		{"submission without a replica", submissionRefusal(&jobstore.NotAcceptedError{Cause: forward.ErrNoHome}), refusal{http.StatusServiceUnavailable, 2 * time.Second}},
+		{"submission without a replica", submissionRefusal(&jobstore.NotAcceptedError{Cause: forward.ErrNoReplicaInAllowedRegions}), refusal{http.StatusServiceUnavailable, 2 * time.Second}},
 		{"submission not accepted", submissionRefusal(&jobstore.NotAcceptedError{Cause: broken}), refusal{http.StatusServiceUnavailable, 200 * time.Millisecond}},
 		{"submission with unknown outcome", submissionRefusal(&jobstore.AcceptanceUnknownError{Cause: broken}), refusal{http.StatusGatewayTimeout, 0}},
 		{"submission with another error", submissionRefusal(broken), refusal{http.StatusGatewayTimeout, 0}},
--- a/internal/jobs/batch/reward.go
+++ b/internal/jobs/batch/reward.go
@@ -54,8 +54,8 @@
 			response, err := s.callScorer(work.job.ctx, route, call)
 			if err == nil {
 				failures += response.Failures
-				if response.Answer.Status >= http.StatusOK && response.Answer.Status < http.StatusMultipleChoices {
-					return s.config.Codec.Signature(response.Answer.Header), false, true
+				if response.Response.Status >= http.StatusOK && response.Response.Status < http.StatusMultipleChoices {
+					return s.config.Codec.Signature(response.Response.Header), false, true
 				}
 				if failures >= attempts() {
 					return "", true, false
@@ -71,7 +71,7 @@
 }
 
 // callScorer calls a scorer once the limit of its route allows another call.
-func (s *scorer) callScorer(ctx context.Context, route *directory.Route, call *dispatch.Call) (*forward.BufferedAnswer, error) {
+func (s *scorer) callScorer(ctx context.Context, route *directory.Route, call *dispatch.Call) (*forward.BufferedResponse, error) {
 	limiter := s.rewardLimiter(route)
 	if err := limiter.Enter(ctx); err != nil {
 		return nil, err
@@ -80,7 +80,7 @@
 	response, err := s.config.Forwarder.Do(ctx, route, call)
 	var refused *forward.RefusedError
 	isOverloaded := errors.As(err, &refused) && refused.Reason != forward.ReasonQuarantined
-	limiter.Leave(isOverloaded || (err == nil && response.Refusals > 0))
+	limiter.Leave(isOverloaded || (err == nil && response.Rejections > 0))
 	return response, err
 }
 
--- a/internal/jobs/batch/runerror.go
+++ b/internal/jobs/batch/runerror.go
@@ -48,7 +48,7 @@
 	case errors.As(err, &withheld):
 		// The item was not sent: another replica may take it, or this one later.
 		work.retryAt = time.Now().Add(brokenRunDelay)
-	case errors.As(err, &notRun) && notRun.OtherReplica:
+	case errors.As(err, &notRun) && notRun.AddressReassigned:
 		state.BlockedUntil = time.Now().Add(wrongIncarnationBlock)
 	case errors.As(err, &notRun):
 		state.Block(refusedBlock)
