--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -40,7 +40,7 @@
 	jobJournal.ReadByNameWhile(func() bool { return p.directory.View().Configuration.RestrictsRegions() })
 	p.jobs = batch.NewService(ctx, batch.Config{
 		Self: p.self, JobStore: jobJournal, Codec: p.adapter.Jobs, Directory: p.directory, Dispatcher: dispatcher,
-		Forwarder: p.forwarder, Peers: p.transport, Table: p.peers, Region: p.settings.Region, Clock: p.clock, Logger: p.logger, Registry: p.registry,
+		Forwarder: p.forwarder, Peers: p.transport, PeerTable: p.peers, Region: p.settings.Region, Clock: p.clock, Logger: p.logger, Registry: p.registry,
 	})
 	p.assembleDuties(duties)
 	p.assembleIngress()
@@ -113,7 +113,7 @@
 	})
 	p.weights = weightorders.NewCoordinator(weightorders.Config{
 		Elector: p.keeper, Directory: p.directory, Replicas: p.adapter.Orders(p.pool), Logger: p.logger, Registry: p.registry,
-		RunningItems: p.jobs.Load, Tolerance: p.jobs.Tolerance, Demand: p.jobs.Demand, OnChange: p.jobs.LearnVersion, Announce: p.peers.ScheduleHeartbeat,
+		RunningItems: p.jobs.RunningItems, Tolerance: p.jobs.VersionTolerance, Demand: p.jobs.Demand, OnChange: p.jobs.LearnVersion, Announce: p.peers.ScheduleHeartbeat,
 	})
 	if duties.Usage != nil {
 		p.usage = p.newUsage(duties.Usage)
@@ -121,7 +121,7 @@
 	if policy := autoscale.Policy(p.settings.ReplicaPolicy); duties.Replicas != nil && policy != autoscale.PolicyNone {
 		p.autoscale = autoscale.NewService(autoscale.Config{
 			Policy: policy, Elector: p.keeper, Store: p.store, Platform: duties.Replicas, Directory: p.directory, Logger: p.logger,
-			Registry: p.registry, Work: p.jobs.OpenWork,
+			Registry: p.registry, Work: p.jobs.ItemCounts,
 		})
 	}
 	if p.settings.WarmUpOverage > 0 {
--- a/internal/instance/stop.go
+++ b/internal/instance/stop.go
@@ -64,7 +64,7 @@
 func (p *parts) awaitCallers(begun, handOver, limit time.Time) {
 	given := false
 	for time.Now().Before(limit) {
-		if !given && (p.jobs.OpenJobs() == 0 || time.Now().After(handOver)) {
+		if !given && (p.jobs.OpenJobCount() == 0 || time.Now().After(handOver)) {
 			p.jobs.Leave()
 			given = true
 		}
--- a/internal/jobs/batch/accept.go
+++ b/internal/jobs/batch/accept.go
@@ -25,18 +25,18 @@
 // It returns nil once the job is stored, a *jobstore.NotAcceptedError if the job is not
 // stored and will not run, ErrOtherTenant if another tenant's job has the id, and a
 // *jobstore.AcceptanceUnknownError if the outcome is unknown.
-func (s *Service) Submit(ctx context.Context, arrival *Arrival) error {
-	if s.isKnown(arrival.ID) {
-		return s.authorizeArrival(ctx, arrival)
+func (s *Service) Submit(ctx context.Context, request *SubmitRequest) error {
+	if s.isKnown(request.ID) {
+		return s.authorizeResubmission(ctx, request)
 	}
-	if err := s.checkReplicas(originOf(s.recordOf(arrival))); err != nil {
+	if err := s.checkReplicas(originOf(s.recordOf(request))); err != nil {
 		return err
 	}
-	accepted, runnerErr := s.submitToRunner(ctx, arrival)
+	accepted, runnerErr := s.submitToRunner(ctx, request)
 	if accepted {
 		return nil
 	}
-	err := s.submitLocally(ctx, arrival)
+	err := s.submitLocally(ctx, request)
 	if _, notTaken := err.(*jobstore.NotAcceptedError); notTaken && runnerErr != nil {
 		return &jobstore.AcceptanceUnknownError{Cause: runnerErr}
 	}
@@ -51,12 +51,12 @@
 }
 
 // submitLocally stores a batch job and runs it on this node.
-func (s *Service) submitLocally(ctx context.Context, arrival *Arrival) error {
-	if s.isKnown(arrival.ID) {
-		return s.authorizeArrival(ctx, arrival)
+func (s *Service) submitLocally(ctx context.Context, request *SubmitRequest) error {
+	if s.isKnown(request.ID) {
+		return s.authorizeResubmission(ctx, request)
 	}
-	pending := s.startAcceptance(ctx, arrival)
-	if pending.tenant != arrival.Tenant {
+	pending := s.startAcceptance(ctx, request)
+	if pending.tenant != request.Tenant {
 		return ErrOtherTenant
 	}
 	select {
@@ -68,31 +68,31 @@
 }
 
 // startAcceptance returns the pending acceptance of a job, or starts one.
-func (s *Service) startAcceptance(ctx context.Context, arrival *Arrival) *acceptance {
+func (s *Service) startAcceptance(ctx context.Context, request *SubmitRequest) *acceptance {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if pending := s.acceptances[arrival.ID]; pending != nil {
+	if pending := s.acceptances[request.ID]; pending != nil {
 		return pending
 	}
-	pending := &acceptance{tenant: arrival.Tenant, done: make(chan struct{})}
-	s.acceptances[arrival.ID] = pending
+	pending := &acceptance{tenant: request.Tenant, done: make(chan struct{})}
+	s.acceptances[request.ID] = pending
 	deadline, bounded := ctx.Deadline()
 	if !bounded {
 		deadline = time.Now().Add(backgroundTimeout)
 	}
-	go s.accept(pending, deadline, arrival)
+	go s.accept(pending, deadline, request)
 	return pending
 }
 
 // accept writes a submission to the store. If the outcome is unknown at the caller's
 // deadline, the caller is answered and the write is retried in the background.
-func (s *Service) accept(pending *acceptance, deadline time.Time, arrival *Arrival) {
+func (s *Service) accept(pending *acceptance, deadline time.Time, request *SubmitRequest) {
 	ctx, cancel := context.WithDeadline(s.base, deadline)
 	defer cancel()
-	id, began := arrival.ID, time.Now()
-	record := s.recordOf(arrival)
+	id, began := request.ID, time.Now()
+	record := s.recordOf(request)
 	ctx = s.withRegionBounds(ctx, record)
-	stored, created, err := s.config.JobStore.Accept(ctx, id, record, arrival.Payload)
+	stored, created, err := s.config.JobStore.Accept(ctx, id, record, request.Payload)
 	if err == nil && stored.Tenant != record.Tenant {
 		err = ErrOtherTenant
 	}
@@ -102,17 +102,17 @@
 		close(pending.done)
 		longer, cancelLonger := context.WithTimeout(s.base, backgroundTimeout)
 		defer cancelLonger()
-		stored, created, err = s.config.JobStore.Accept(s.withRegionBounds(longer, record), id, record, arrival.Payload)
+		stored, created, err = s.config.JobStore.Accept(s.withRegionBounds(longer, record), id, record, request.Payload)
 	} else {
 		defer close(pending.done)
 	}
-	s.finishAcceptance(arrival, stored, created, began, err)
+	s.finishAcceptance(request, stored, created, began, err)
 }
 
 // finishAcceptance starts an accepted job if this process owns it, and otherwise records
 // its owner.
-func (s *Service) finishAcceptance(arrival *Arrival, stored jobstore.Record, created bool, began time.Time, err error) {
-	id := arrival.ID
+func (s *Service) finishAcceptance(request *SubmitRequest, stored jobstore.Record, created bool, began time.Time, err error) {
+	id := request.ID
 	s.mutex.Lock()
 	delete(s.acceptances, id)
 	own := err == nil && stored.Owner == s.config.Self
@@ -124,11 +124,11 @@
 		s.config.Logger.Info("batch job not accepted", "request", id, "error", err.Error())
 		return
 	}
-	s.config.Logger.Info("batch job accepted", "request", id, "owner", stored.Owner.Node, "items", len(arrival.Submission.Items),
-		"bytes", len(arrival.Payload), "tenant", stored.Tenant)
+	s.config.Logger.Info("batch job accepted", "request", id, "owner", stored.Owner.Node, "items", len(request.Submission.Items),
+		"bytes", len(request.Payload), "tenant", stored.Tenant)
 	switch {
 	case own && created && time.Since(began) < maxPromptAcceptance:
-		s.start(id, arrival.Submission, stored, jobstore.Listing{}, began)
+		s.start(id, request.Submission, stored, jobstore.Listing{}, began)
 	case own:
 		// The record is not known to be current: an earlier attempt created it, the job
 		// was run here and evicted, or it may have been taken over meanwhile.
@@ -137,10 +137,10 @@
 }
 
 // recordOf returns the record of a job that this node accepts.
-func (s *Service) recordOf(arrival *Arrival) jobstore.Record {
+func (s *Service) recordOf(request *SubmitRequest) jobstore.Record {
 	return jobstore.Record{
-		Owner: s.config.Self, Epoch: 1, Route: arrival.Route, Host: arrival.Host, Tenant: arrival.Tenant, EntryRegion: arrival.Entry,
-		ScorerRoutes: s.scorersOf(arrival.Submission), Items: len(arrival.Submission.Items), AcceptedMs: time.Now().UnixMilli(),
+		Owner: s.config.Self, Epoch: 1, Route: request.Route, Host: request.Host, Tenant: request.Tenant, EntryRegion: request.Entry,
+		ScorerRoutes: s.scorersOf(request.Submission), Items: len(request.Submission.Items), AcceptedMs: time.Now().UnixMilli(),
 	}
 }
 
--- a/internal/jobs/batch/authorize.go
+++ b/internal/jobs/batch/authorize.go
@@ -38,9 +38,10 @@
 	return nil
 }
 
-// authorizeArrival checks that a tenant may submit a job again that is stored already.
-func (s *Service) authorizeArrival(ctx context.Context, arrival *Arrival) error {
-	err := s.Authorize(ctx, arrival.ID, arrival.Tenant)
+// authorizeResubmission checks that a tenant may submit a job again that is stored
+// already.
+func (s *Service) authorizeResubmission(ctx context.Context, request *SubmitRequest) error {
+	err := s.Authorize(ctx, request.ID, request.Tenant)
 	switch {
 	case errors.Is(err, jobstore.ErrNoSuchJob):
 		return ErrOtherTenant
--- a/internal/jobs/batch/ends_test.go
+++ b/internal/jobs/batch/ends_test.go
@@ -229,8 +229,8 @@
 	}
 	node.ReceiveHeartbeat(&wire.NodeBeat{Node: "node-9", Address: "node-9", Incarnation: 1, Ended: []string{"job"}})
 	node.start("job", submitted, record, jobstore.Listing{}, time.Now())
-	if node.OpenJobs() != 0 || engine.runCount() != 0 {
-		t.Errorf("%d open jobs and %d runs of a job that has ended", node.OpenJobs(), engine.runCount())
+	if node.OpenJobCount() != 0 || engine.runCount() != 0 {
+		t.Errorf("%d open jobs and %d runs of a job that has ended", node.OpenJobCount(), engine.runCount())
 	}
 	eventually(t, "the store has the end", func() bool {
 		stored, err := jobstore.New(cluster.store).Read(context.Background(), "job")
--- a/internal/jobs/batch/errors.go
+++ b/internal/jobs/batch/errors.go
@@ -12,18 +12,19 @@
 	// ErrOtherTenant is returned for a submission whose id belongs to a batch job of
 	// another tenant.
 	ErrOtherTenant = merry.Sentinel("another tenant's batch job has this id")
-	// ErrCredentials is returned for a submission in which an item carries credentials.
-	ErrCredentials = merry.Sentinel("an item must not carry credentials: it runs for the tenant that hands the batch job in")
-	// ErrOutside means that this node is outside the regions that may hold the bodies of
-	// a batch job.
-	ErrOutside = merry.Sentinel("the node is outside the allowed regions")
+	// ErrItemCredentials is returned for a submission in which an item carries
+	// credentials.
+	ErrItemCredentials = merry.Sentinel("an item must not carry credentials: it runs for the tenant that hands the batch job in")
+	// ErrOutsideAllowedRegions means that this node is outside the regions that may hold
+	// the bodies of a batch job.
+	ErrOutsideAllowedRegions = merry.Sentinel("the node is outside the allowed regions")
 	// ErrNoSuchItem means that a batch job has no item with the given id.
 	ErrNoSuchItem = merry.Sentinel("no such item")
-	// ErrDisplaced means that the node asked does not run the batch job.
-	ErrDisplaced = merry.Sentinel("node does not run the batch job")
-	// ErrUnframed means that the connection closed before the end of the response was
-	// received.
-	ErrUnframed = merry.Sentinel("connection closed before the end of the response")
+	// ErrNotOwner means that the node asked does not run the batch job.
+	ErrNotOwner = merry.Sentinel("node does not run the batch job")
+	// ErrTruncatedStream means that the connection closed before the end of the response
+	// was received.
+	ErrTruncatedStream = merry.Sentinel("connection closed before the end of the response")
 	// ErrStalled is the cause of a run that was canceled because no events came.
 	ErrStalled = merry.Sentinel("run has stalled")
 	// ErrMoved is the cause of a run that was canceled to continue at a faster replica.
@@ -36,16 +37,17 @@
 	ErrOldWeights = merry.Sentinel("weights are older than allowed")
 )
 
-// CutError means that the scheduler canceled a run so that its item continues elsewhere.
-type CutError struct {
+// RescheduledError means that the scheduler canceled a run so that its item continues
+// elsewhere.
+type RescheduledError struct {
 	// Cause is ErrMoved or ErrStalled.
 	Cause  error
 	Reason placement.Reason
 }
 
-func (e *CutError) Error() string { return fmt.Sprintf("%v: %s", e.Cause, e.Reason) }
+func (e *RescheduledError) Error() string { return fmt.Sprintf("%v: %s", e.Cause, e.Reason) }
 
-func (e *CutError) Unwrap() error { return e.Cause }
+func (e *RescheduledError) Unwrap() error { return e.Cause }
 
 // ItemStatusError means that a replica responded to an item with a status other than 200.
 type ItemStatusError struct{ Status int }
--- a/internal/jobs/batch/handler.go
+++ b/internal/jobs/batch/handler.go
@@ -37,20 +37,20 @@
 // Submit implements ingress.Jobs.
 func (h *Handler) Submit(writer http.ResponseWriter, request *http.Request, submitted ingress.Submitted) {
 	id, route := submitted.ID, submitted.Route
-	submission, err := h.Service.config.Codec.Submission(submitted.Body)
+	submission, err := h.Service.config.Codec.DecodeSubmission(submitted.Body)
 	if err != nil {
 		h.refuse(writer, id, err, malformed)
 		return
 	}
 	if submission.HasCredentials {
-		h.refuse(writer, id, ErrCredentials, malformed)
+		h.refuse(writer, id, ErrItemCredentials, malformed)
 		return
 	}
 	// The request's context is not used: the job may be stored already when the caller
 	// disconnects.
 	ctx, cancel := context.WithTimeout(h.Service.base, h.submitTimeout(request, route.Timeout)-responseMargin)
 	defer cancel()
-	err = h.Service.Submit(ctx, &Arrival{
+	err = h.Service.Submit(ctx, &SubmitRequest{
 		ID: id, Route: route.Name, Host: route.Host, Tenant: submitted.Tenant, Entry: h.Service.config.Region, Payload: submitted.Body,
 		Submission: submission,
 	})
@@ -77,14 +77,14 @@
 
 // IsCall implements ingress.Jobs.
 func (h *Handler) IsCall(request *http.Request) bool {
-	_, isCall, _ := h.Service.config.Codec.Call(request)
+	_, isCall, _ := h.Service.config.Codec.DecodeCall(request)
 	return isCall
 }
 
 // ServeCall implements ingress.Jobs. It responds to a call about another tenant's batch
 // job as if the job did not exist.
 func (h *Handler) ServeCall(writer http.ResponseWriter, request *http.Request, tenant string) {
-	call, _, err := h.Service.config.Codec.Call(request)
+	call, _, err := h.Service.config.Codec.DecodeCall(request)
 	if err != nil {
 		h.refuse(writer, call.Job, err, malformed)
 		return
@@ -96,7 +96,7 @@
 	switch call.Kind {
 	case CallRead:
 		h.serveRead(writer, request, call)
-	case CallBody:
+	case CallItemBody:
 		h.serveBody(writer, request, call)
 	case CallEnd:
 		h.serveEnd(writer, request, call)
@@ -120,7 +120,7 @@
 		return
 	}
 	results := page.Results[:pageLength(page.Results)]
-	encoded, err := h.Service.config.Codec.Page(page.Total, call.After+len(results), results)
+	encoded, err := h.Service.config.Codec.EncodePage(page.Total, call.After+len(results), results)
 	if err != nil {
 		h.fail(writer, call, err)
 		return
@@ -145,7 +145,7 @@
 func (h *Handler) serveBody(writer http.ResponseWriter, request *http.Request, call Call) {
 	ctx, cancel := context.WithTimeout(request.Context(), 2*callTimeout)
 	defer cancel()
-	body, err := h.Service.Body(ctx, call.Job, call.Item)
+	body, err := h.Service.ItemBody(ctx, call.Job, call.Item)
 	if err != nil {
 		h.fail(writer, call, err)
 		return
--- a/internal/jobs/batch/harness_test.go
+++ b/internal/jobs/batch/harness_test.go
@@ -56,19 +56,19 @@
 // testCodec decodes submissions from the JSON encoding of Submission.
 type testCodec struct{}
 
-func (testCodec) Submission(body []byte) (*Submission, error) {
+func (testCodec) DecodeSubmission(body []byte) (*Submission, error) {
 	submission := &Submission{}
 	err := json.Unmarshal(body, submission)
 	return submission, err
 }
 
-func (testCodec) Page(int, int, []jobstore.Result) ([]byte, error) { return nil, nil }
+func (testCodec) EncodePage(int, int, []jobstore.Result) ([]byte, error) { return nil, nil }
 
-func (testCodec) Call(*http.Request) (Call, bool, error) { return Call{}, false, nil }
+func (testCodec) DecodeCall(*http.Request) (Call, bool, error) { return Call{}, false, nil }
 
 func (testCodec) VersionField() string { return versionField }
 
-func (testCodec) Signature(header http.Header) string { return header.Get("X-Signature") }
+func (testCodec) ScoreSignature(header http.Header) string { return header.Get("X-Signature") }
 
 // testEngine is a replica that streams a number of events. The text of each names the
 // item and the event's number.
@@ -339,7 +339,7 @@
 		Clock: clock.Steady,
 		Self:  self, JobStore: jobstore.New(gatedStore{c.store, &c.gate}), Codec: testCodec{}, Directory: table, Dispatcher: dispatcher,
 		Forwarder: forward.New(forward.Config{Directory: table, Dispatcher: dispatcher, Logger: logger, Metrics: forward.NewMetrics(prometheus.NewRegistry())}),
-		Peers:     link{c.peers, name}, Table: node.table, Region: c.regions[name], Logger: logger, Registry: prometheus.NewRegistry(),
+		Peers:     link{c.peers, name}, PeerTable: node.table, Region: c.regions[name], Logger: logger, Registry: prometheus.NewRegistry(),
 	})
 	c.peers.mutex.Lock()
 	c.peers.services[name] = node
@@ -394,7 +394,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	submitted, payload := submission(id, items)
-	return node.submitLocally(ctx, &Arrival{ID: id, Route: testRoute, Host: "drafts.example", Payload: payload, Submission: submitted})
+	return node.submitLocally(ctx, &SubmitRequest{ID: id, Route: testRoute, Host: "drafts.example", Payload: payload, Submission: submitted})
 }
 
 // eventually waits until a condition holds and fails the test after a timeout.
--- a/internal/jobs/batch/heartbeat.go
+++ b/internal/jobs/batch/heartbeat.go
@@ -22,7 +22,7 @@
 // FillHeartbeat adds this node's jobs, and what it knows from running them, to its
 // heartbeat.
 func (s *Service) FillHeartbeat(heartbeat *wire.NodeBeat) {
-	heartbeat.Uses = s.Uses()
+	heartbeat.Uses = s.SlotUse()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for id, held := range s.jobs {
@@ -167,13 +167,13 @@
 		} else if !objectstore.Sleep(ctx, heartbeatInterval) {
 			return
 		}
-		if s.OpenJobs() > 0 || s.hasEndsToAnnounce() {
+		if s.OpenJobCount() > 0 || s.hasEndsToAnnounce() {
 			idleCount = 0
 		} else {
 			idleCount++
 		}
 		if idleCount <= idleHeartbeats {
-			s.config.Table.SendHeartbeat()
+			s.config.PeerTable.SendHeartbeat()
 		}
 	}
 }
--- a/internal/jobs/batch/homes.go
+++ b/internal/jobs/batch/homes.go
@@ -111,7 +111,7 @@
 	if node == s.config.Self.Node {
 		return s.config.Region
 	}
-	peer, _ := s.config.Table.Get(node)
+	peer, _ := s.config.PeerTable.Get(node)
 	return s.config.Directory.RegionOf(peer.Zone)
 }
 
@@ -135,7 +135,7 @@
 // logJobsWithoutSuccessor logs the open jobs that no other known node may take over. They
 // wait until such a node joins. The mutex must be held.
 func (s *Service) logJobsWithoutSuccessor() {
-	nodes := s.config.Table.NodeNames()
+	nodes := s.config.PeerTable.NodeNames()
 	for id, held := range s.jobs {
 		from := originOf(held.record)
 		if held.open() && len(ownership.Successors(s.allowedNodes(&from, nodes), s.config.Self.Node)) == 0 {
@@ -164,10 +164,10 @@
 
 // checkOffered checks that this node may run a job that another node submits to it. The
 // two may have different configurations.
-func (s *Service) checkOffered(arrival *Arrival) error {
-	from := originOf(s.recordOf(arrival))
+func (s *Service) checkOffered(request *SubmitRequest) error {
+	from := originOf(s.recordOf(request))
 	if !s.regionBounds(from).AllowsNode(s.config.Region) {
-		return &jobstore.NotAcceptedError{Cause: ErrOutside}
+		return &jobstore.NotAcceptedError{Cause: ErrOutsideAllowedRegions}
 	}
 	return s.checkReplicas(from)
 }
--- a/internal/jobs/batch/homes_test.go
+++ b/internal/jobs/batch/homes_test.go
@@ -48,7 +48,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	submitted, payload := submission(id, items)
-	return node.Submit(ctx, &Arrival{ID: id, Route: testRoute, Host: "drafts.example", Entry: node.config.Region, Payload: payload, Submission: submitted})
+	return node.Submit(ctx, &SubmitRequest{ID: id, Route: testRoute, Host: "drafts.example", Entry: node.config.Region, Payload: payload, Submission: submitted})
 }
 
 // readCounter is a store that counts the reads of each kind.
@@ -158,8 +158,8 @@
 	defer cancel()
 	submitted, payload := submission("job", 2)
 	owner, watcher := c.nodes[0], c.nodes[7]
-	arrival := &Arrival{ID: "job", Route: testRoute, Host: "drafts.example", Entry: "north", Payload: payload, Submission: submitted}
-	if err := owner.submitLocally(ctx, arrival); err != nil {
+	request := &SubmitRequest{ID: "job", Route: testRoute, Host: "drafts.example", Entry: "north", Payload: payload, Submission: submitted}
+	if err := owner.submitLocally(ctx, request); err != nil {
 		t.Fatal(err)
 	}
 	if watchers := owner.Watchers(); len(watchers) != 1 || watchers[0] != "node-7" {
--- a/internal/jobs/batch/itemrun.go
+++ b/internal/jobs/batch/itemrun.go
@@ -118,7 +118,7 @@
 		event, err := events.Next()
 		if errors.Is(err, io.EOF) {
 			if !response.Framed {
-				return ErrUnframed
+				return ErrTruncatedStream
 			}
 			return nil
 		}
--- a/internal/jobs/batch/leave.go
+++ b/internal/jobs/batch/leave.go
@@ -20,7 +20,7 @@
 	s.leaving = true
 	s.logJobsWithoutSuccessor()
 	s.mutex.Unlock()
-	s.config.Table.Announce(s.locatorsOfOpenJobs())
+	s.config.PeerTable.Announce(s.locatorsOfOpenJobs())
 }
 
 // locatorsOfOpenJobs returns the locators of the open jobs of this node. Nodes that
--- a/internal/jobs/batch/locate.go
+++ b/internal/jobs/batch/locate.go
@@ -20,13 +20,13 @@
 
 // locatorsOf returns the nodes that receive the heartbeats about a job's start and end.
 func (s *Service) locatorsOf(id string) []string {
-	return ownership.LocatorsOf(id, s.config.Table.NodeNames())
+	return ownership.LocatorsOf(id, s.config.PeerTable.NodeNames())
 }
 
 // announce sends a heartbeat about a job's start or end to the job's locators and to
 // further nodes.
 func (s *Service) announce(id string, others ...string) {
-	s.config.Table.Announce(append(s.locatorsOf(id), others...))
+	s.config.PeerTable.Announce(append(s.locatorsOf(id), others...))
 }
 
 // ownerOf returns the other node that runs a job, as far as this node or a locator knows.
@@ -50,7 +50,7 @@
 
 // locate asks locators who runs a job. If heartbeats go to all nodes, it asks none.
 func (s *Service) locate(ctx context.Context, id string) (jobstore.Owner, bool) {
-	if s.config.Table.AnnouncesToAll() {
+	if s.config.PeerTable.AnnouncesToAll() {
 		return jobstore.Owner{}, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, locateTimeout)
@@ -58,7 +58,7 @@
 	answers := make(chan *wire.JobFound, maxLocatorsAsked)
 	asked := 0
 	for _, node := range s.locatorsOf(id) {
-		peer, known := s.config.Table.Get(node)
+		peer, known := s.config.PeerTable.Get(node)
 		if !known || asked == maxLocatorsAsked {
 			continue
 		}
--- a/internal/jobs/batch/rank.go
+++ b/internal/jobs/batch/rank.go
@@ -18,7 +18,7 @@
 	if remote.owner.Node == s.config.Self.Node {
 		return ownership.OwnerPreviousProcess
 	}
-	peer, known := s.config.Table.Get(remote.owner.Node)
+	peer, known := s.config.PeerTable.Get(remote.owner.Node)
 	switch {
 	case remote.leaving:
 		return ownership.OwnerLeaving
@@ -31,7 +31,7 @@
 // rank returns this node's rank among those that may take a job over, ownership.Unranked
 // if it may not. The mutex must be held.
 func (s *Service) rank(id string, remote *remoteJob) int {
-	nodes, owner := s.allowedNodes(remote.origin, s.config.Table.NodeNames()), remote.owner.Node
+	nodes, owner := s.allowedNodes(remote.origin, s.config.PeerTable.NodeNames()), remote.owner.Node
 	if owner == s.config.Self.Node {
 		owner = ""
 	}
@@ -45,7 +45,7 @@
 // cachedRank returns this node's rank for a job. It is computed again when the nodes, the
 // configuration, the owner or the job's origin change. The mutex must be held.
 func (s *Service) cachedRank(id string, remote *remoteJob) int {
-	membership, configuration := s.config.Table.MembershipVersion()+1, s.config.Directory.View().Configuration
+	membership, configuration := s.config.PeerTable.MembershipVersion()+1, s.config.Directory.View().Configuration
 	if remote.rankMembership != membership || remote.rankConfiguration != configuration {
 		remote.rank, remote.rankMembership, remote.rankConfiguration = s.rank(id, remote), membership, configuration
 	}
--- a/internal/jobs/batch/read.go
+++ b/internal/jobs/batch/read.go
@@ -135,15 +135,15 @@
 	}
 	page, ok := message.(*wire.JobPage)
 	if !ok || !page.Known {
-		return Page{}, ErrDisplaced
+		return Page{}, ErrNotOwner
 	}
 	read := Page{Total: int(page.Total)}
 	return read, json.Unmarshal(page.Results, &read.Results)
 }
 
-// Body returns the request body of an item. jobstore.ErrNoSuchJob and ErrNoSuchItem mean
-// that it does not exist; other errors mean that this node could not find out.
-func (s *Service) Body(ctx context.Context, id, itemID string) ([]byte, error) {
+// ItemBody returns the request body of an item. jobstore.ErrNoSuchJob and ErrNoSuchItem
+// mean that it does not exist; other errors mean that this node could not find out.
+func (s *Service) ItemBody(ctx context.Context, id, itemID string) ([]byte, error) {
 	s.mutex.Lock()
 	held := s.jobs[id]
 	s.mutex.Unlock()
@@ -167,7 +167,7 @@
 	if err != nil {
 		return nil, err
 	}
-	submission, err := s.config.Codec.Submission(payload)
+	submission, err := s.config.Codec.DecodeSubmission(payload)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/jobs/batch/recover.go
+++ b/internal/jobs/batch/recover.go
@@ -21,13 +21,13 @@
 // A node that is new to the deployment owns no jobs, and the newest jobs of others have
 // watchers already. It may read a listing that is some seconds old, which is far cheaper.
 func (s *Service) recover(ctx context.Context) {
-	for began := time.Now(); !s.config.Table.Joined() && time.Since(began) < joinTimeout; {
+	for began := time.Now(); !s.config.PeerTable.Joined() && time.Since(began) < joinTimeout; {
 		if !objectstore.Sleep(ctx, joinPollInterval) {
 			return
 		}
 	}
 	freshness := objectstore.Linearizable
-	if s.config.Table.IsNew() {
+	if s.config.PeerTable.IsNew() {
 		freshness = objectstore.MayBeStale
 	}
 	for ctx.Err() == nil {
--- a/internal/jobs/batch/replicas.go
+++ b/internal/jobs/batch/replicas.go
@@ -21,15 +21,15 @@
 	s.WakeScheduler()
 }
 
-// Uses returns the number of items that this node runs at each replica.
-func (s *Service) Uses() []wire.ReplicaUse {
+// SlotUse returns the number of items that this node runs at each replica.
+func (s *Service) SlotUse() []wire.ReplicaUse {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.replicas.Announced(time.Now())
 }
 
-// Load returns the number of items that run at a replica, from all nodes.
-func (s *Service) Load(id string) int {
+// RunningItems returns the number of items that run at a replica, from all nodes.
+func (s *Service) RunningItems(id string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.replicas.Load(id, time.Now())
--- a/internal/jobs/batch/retention.go
+++ b/internal/jobs/batch/retention.go
@@ -23,7 +23,7 @@
 	for id, remote := range s.remoteJobs {
 		// A node that gets no announcements about the job knows it only from having
 		// asked, and can ask again.
-		unannounced := !s.config.Table.AnnouncesToAll() && s.cachedRank(id, remote) >= ownership.Locators
+		unannounced := !s.config.PeerTable.AnnouncesToAll() && s.cachedRank(id, remote) >= ownership.Locators
 		if (remote.ended || unannounced) && time.Since(remote.lastHeartbeat) > endedJobRetention {
 			delete(s.remoteJobs, id)
 		}
--- a/internal/jobs/batch/reward.go
+++ b/internal/jobs/batch/reward.go
@@ -55,7 +55,7 @@
 			if err == nil {
 				failures += response.Failures
 				if response.Response.Status >= http.StatusOK && response.Response.Status < http.StatusMultipleChoices {
-					return s.config.Codec.Signature(response.Response.Header), false, true
+					return s.config.Codec.ScoreSignature(response.Response.Header), false, true
 				}
 				if failures >= attempts() {
 					return "", true, false
--- a/internal/jobs/batch/runerror.go
+++ b/internal/jobs/batch/runerror.go
@@ -41,7 +41,7 @@
 	var withheld *dispatch.WithheldError
 	var quarantined *dispatch.QuarantinedError
 	var status *ItemStatusError
-	var rescheduled *CutError
+	var rescheduled *RescheduledError
 	switch {
 	case errors.As(err, &quarantined):
 		work.retryAt = time.Now().Add(quarantineRetryDelay)
--- a/internal/jobs/batch/runner.go
+++ b/internal/jobs/batch/runner.go
@@ -38,13 +38,13 @@
 //
 // False means that this node is to accept the job itself. The error is then non-nil if
 // the other node may have accepted it already.
-func (s *Service) submitToRunner(ctx context.Context, arrival *Arrival) (bool, error) {
-	id := arrival.ID
-	address, found := s.findRunner(ctx, arrival)
+func (s *Service) submitToRunner(ctx context.Context, request *SubmitRequest) (bool, error) {
+	id := request.ID
+	address, found := s.findRunner(ctx, request)
 	if !found {
 		return false, nil
 	}
-	submit := &wire.JobSubmit{Job: id, Route: arrival.Route, Host: arrival.Host, Payload: arrival.Payload, Tenant: arrival.Tenant, Entry: arrival.Entry}
+	submit := &wire.JobSubmit{Job: id, Route: request.Route, Host: request.Host, Payload: request.Payload, Tenant: request.Tenant, Entry: request.Entry}
 	reply, err := environment.Ask(ctx, s.config.Peers, address, submit, time.Duration(runnerTimeShare*float64(remainingTime(ctx))))
 	if err != nil {
 		s.config.Logger.Info("no reply from batch job runner", "request", id, "runner", address, "error", err.Error())
@@ -65,23 +65,23 @@
 // findRunner returns the address of the first node, in rank for the jobs of a model, that
 // may have the job's bodies and accepts an offer. It returns false if that is this node
 // or no such node replies.
-func (s *Service) findRunner(ctx context.Context, arrival *Arrival) (string, bool) {
-	model := arrival.Submission.Model
+func (s *Service) findRunner(ctx context.Context, request *SubmitRequest) (string, bool) {
+	model := request.Submission.Model
 	if model == "" {
 		return "", false
 	}
 	asked := 0
-	from := originOf(s.recordOf(arrival))
+	from := originOf(s.recordOf(request))
 	for _, candidate := range s.allowedNodes(&from, s.rankedRunners(model)) {
 		if candidate == s.config.Self.Node || asked >= maxOffers {
 			return "", false
 		}
-		peer, known := s.config.Table.Get(candidate)
+		peer, known := s.config.PeerTable.Get(candidate)
 		if !known || s.unansweredOffers.has(candidate) {
 			continue
 		}
 		asked++
-		reply, err := environment.Ask(ctx, s.config.Peers, peer.Address, &wire.JobOffer{Job: arrival.ID}, offerTimeout)
+		reply, err := environment.Ask(ctx, s.config.Peers, peer.Address, &wire.JobOffer{Job: request.ID}, offerTimeout)
 		if _, willing := reply.(*wire.Done); willing && err == nil {
 			return peer.Address, true
 		}
@@ -94,7 +94,7 @@
 // processor capacity come first, since the start of a step uses most of what a small node
 // has.
 func (s *Service) rankedRunners(model string) []string {
-	capacities := s.config.Table.Capacities()
+	capacities := s.config.PeerTable.Capacities()
 	candidates := make([]rendezvous.Candidate, 0, len(capacities))
 	for node, capacity := range capacities {
 		candidates = append(candidates, rendezvous.Candidate{ID: node, Capacity: capacity})
@@ -129,22 +129,22 @@
 
 // answerSubmit accepts a batch job that another node received.
 func (s *Service) answerSubmit(request *wire.JobSubmit, reply func(wire.Message)) {
-	submission, err := s.config.Codec.Submission(request.Payload)
+	submission, err := s.config.Codec.DecodeSubmission(request.Payload)
 	if err != nil {
 		reply(&wire.JobSubmitted{Outcome: wire.OutcomeNotRun, Detail: err.Error()})
 		return
 	}
 	ctx, cancel := context.WithTimeout(s.base, submitTimeout)
 	defer cancel()
-	arrival := &Arrival{
+	submit := &SubmitRequest{
 		ID: request.Job, Route: request.Route, Host: request.Host, Tenant: request.Tenant, Entry: request.Entry, Payload: request.Payload,
 		Submission: submission,
 	}
-	if err := s.checkOffered(arrival); err != nil {
+	if err := s.checkOffered(submit); err != nil {
 		reply(&wire.JobSubmitted{Outcome: wire.OutcomeNotRun, Detail: err.Error()})
 		return
 	}
-	err = s.submitLocally(ctx, arrival)
+	err = s.submitLocally(ctx, submit)
 	var notTaken *jobstore.NotAcceptedError
 	switch {
 	case err == nil:
--- a/internal/jobs/batch/runner_test.go
+++ b/internal/jobs/batch/runner_test.go
@@ -38,7 +38,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	submitted, payload := submission(id, items)
-	return node.Submit(ctx, &Arrival{ID: id, Route: testRoute, Host: "drafts.example", Payload: payload, Submission: submitted})
+	return node.Submit(ctx, &SubmitRequest{ID: id, Route: testRoute, Host: "drafts.example", Payload: payload, Submission: submitted})
 }
 
 func TestOneRunnerPerModel(t *testing.T) {
@@ -129,7 +129,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 400*time.Millisecond)
 	defer cancel()
 	submitted, payload := submission("job", 2)
-	err := ranked[2].Submit(ctx, &Arrival{ID: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Submission: submitted})
+	err := ranked[2].Submit(ctx, &SubmitRequest{ID: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Submission: submitted})
 	var uncertain *jobstore.AcceptanceUnknownError
 	if err != nil && !errors.As(err, &uncertain) {
 		t.Errorf("error %v, want nil or an AcceptanceUnknownError", err)
--- a/internal/jobs/batch/scheduler.go
+++ b/internal/jobs/batch/scheduler.go
@@ -136,11 +136,11 @@
 		itemRuns = append(itemRuns, running)
 		switch {
 		case pool.view.Replicas[running.endpoint.Name] == nil && !placement.HasRecentEvent(run):
-			running.abort(&CutError{Cause: ErrMoved, Reason: placement.ReasonGone})
+			running.abort(&RescheduledError{Cause: ErrMoved, Reason: placement.ReasonGone})
 		case placement.Stalled(pool.paces, run):
 			state := s.replicas.GetOrCreate(running.endpoint.Name)
 			state.BlockedUntil, state.Unresponsive = time.Now().Add(stallBlock), true
-			running.abort(&CutError{Cause: ErrStalled, Reason: placement.ReasonStalled})
+			running.abort(&RescheduledError{Cause: ErrStalled, Reason: placement.ReasonStalled})
 		default:
 			runs = append(runs, run)
 		}
@@ -151,7 +151,7 @@
 // move cancels the runs that are to continue at other replicas.
 func move(runs []*itemRun, moves []placement.Move) {
 	for _, next := range moves {
-		runs[next.Run.Index].abort(&CutError{Cause: ErrMoved, Reason: next.Reason})
+		runs[next.Run.Index].abort(&RescheduledError{Cause: ErrMoved, Reason: next.Reason})
 	}
 }
 
--- a/internal/jobs/batch/service.go
+++ b/internal/jobs/batch/service.go
@@ -28,7 +28,7 @@
 	Dispatcher *dispatch.Dispatcher
 	Forwarder  *forward.Forwarder
 	Peers      environment.Peers
-	Table      *peering.Table
+	PeerTable  *peering.Table
 	// Region is the region of this node, "" if unknown.
 	Region string
 	// Clock also advances while the machine is suspended.
@@ -97,8 +97,8 @@
 	duties.Wait()
 }
 
-// OpenJobs returns the number of open jobs that this node runs.
-func (s *Service) OpenJobs() int {
+// OpenJobCount returns the number of open jobs that this node runs.
+func (s *Service) OpenJobCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	count := 0
--- a/internal/jobs/batch/service_test.go
+++ b/internal/jobs/batch/service_test.go
@@ -34,7 +34,7 @@
 			}
 		}
 	}
-	body, err := cluster.nodes[2].Body(context.Background(), "job", "job.3")
+	body, err := cluster.nodes[2].ItemBody(context.Background(), "job", "job.3")
 	if err != nil || string(body) != "body of job.3" {
 		t.Errorf("item body: %q, error %v", body, err)
 	}
@@ -127,7 +127,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	submitted, payload := submission("job", 2)
-	err := cluster.nodes[0].Submit(ctx, &Arrival{ID: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Submission: submitted})
+	err := cluster.nodes[0].Submit(ctx, &SubmitRequest{ID: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Submission: submitted})
 	var notTaken *jobstore.NotAcceptedError
 	var uncertain *jobstore.AcceptanceUnknownError
 	if !errors.As(err, &notTaken) && !errors.As(err, &uncertain) {
@@ -152,7 +152,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	submitted, payload := submission("job", 2)
-	err := cluster.nodes[0].Submit(ctx, &Arrival{ID: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Submission: submitted})
+	err := cluster.nodes[0].Submit(ctx, &SubmitRequest{ID: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Submission: submitted})
 	var uncertain *jobstore.AcceptanceUnknownError
 	if !errors.As(err, &uncertain) {
 		t.Fatalf("submit without a response: error %v", err)
--- a/internal/jobs/batch/stored.go
+++ b/internal/jobs/batch/stored.go
@@ -111,7 +111,7 @@
 	if err != nil {
 		return 0, err
 	}
-	submission, err := s.config.Codec.Submission(payload)
+	submission, err := s.config.Codec.DecodeSubmission(payload)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/jobs/batch/submission.go
+++ b/internal/jobs/batch/submission.go
@@ -12,10 +12,10 @@
 	Model string
 	// MinVersion is the oldest weight version that may generate text.
 	MinVersion int64
-	// Desired is the number of complete groups that the trainer waits for; 0 if not
+	// DesiredGroups is the number of complete groups that the trainer waits for; 0 if not
 	// given.
-	Desired int
-	Items   []*Item
+	DesiredGroups int
+	Items         []*Item
 	// HasCredentials reports that an item carried credentials. They are removed from the
 	// item's header, since jobs are stored and credentials must not be.
 	HasCredentials bool
@@ -45,17 +45,17 @@
 
 // Codec translates between batch jobs and the platform's HTTP API.
 type Codec interface {
-	// Submission decodes the body of a submission.
-	Submission(body []byte) (*Submission, error)
-	// Page encodes a part of a job's results. next is the position to read on from.
-	Page(total, next int, results []jobstore.Result) ([]byte, error)
-	// Call decodes a request about a batch job; isCall is false if it is not one. The
-	// error means that the request is invalid.
-	Call(request *http.Request) (call Call, isCall bool, err error)
+	// DecodeSubmission decodes the body of a submission.
+	DecodeSubmission(body []byte) (*Submission, error)
+	// EncodePage encodes a part of a job's results. next is the position to read on from.
+	EncodePage(total, next int, results []jobstore.Result) ([]byte, error)
+	// DecodeCall decodes a request about a batch job; isCall is false if it is not one.
+	// The error means that the request is invalid.
+	DecodeCall(request *http.Request) (call Call, isCall bool, err error)
 	// VersionField returns the name of the event field that has the weight version.
 	VersionField() string
-	// Signature returns the scorer's signature from the header of its response.
-	Signature(header http.Header) string
+	// ScoreSignature returns the scorer's signature from the header of its response.
+	ScoreSignature(header http.Header) string
 }
 
 // CallKind is the kind of a call about a batch job.
@@ -64,7 +64,7 @@
 // The kinds of calls.
 const (
 	CallRead CallKind = iota
-	CallBody
+	CallItemBody
 	CallEnd
 )
 
--- a/internal/jobs/batch/arrival.go
+++ b/internal/jobs/batch/submitrequest.go
@@ -1,7 +1,7 @@
 package batch
 
-// Arrival is a request to submit a batch job.
-type Arrival struct {
+// SubmitRequest is a request to submit a batch job.
+type SubmitRequest struct {
 	// ID is the job id that the caller chose.
 	ID string
 	// Route is the name of the route that matched the request, and Host the request's
--- a/internal/jobs/batch/takeover.go
+++ b/internal/jobs/batch/takeover.go
@@ -100,7 +100,7 @@
 	if err != nil {
 		return nil, jobstore.Listing{}, err
 	}
-	submission, err := s.config.Codec.Submission(payload)
+	submission, err := s.config.Codec.DecodeSubmission(payload)
 	if err != nil {
 		return nil, jobstore.Listing{}, err
 	}
--- a/internal/jobs/batch/takeover_test.go
+++ b/internal/jobs/batch/takeover_test.go
@@ -215,7 +215,7 @@
 	owner.jobs["job"].endedAt = time.Now().Add(-2 * endedJobRetention)
 	owner.mutex.Unlock()
 	owner.evict()
-	if owner.OpenJobs() != 0 || cluster.owner("job") != nil {
+	if owner.OpenJobCount() != 0 || cluster.owner("job") != nil {
 		t.Fatal("the job is still in memory")
 	}
 	// Submitting the job again must start nothing.
--- a/internal/jobs/batch/tolerance.go
+++ b/internal/jobs/batch/tolerance.go
@@ -7,9 +7,9 @@
 	s.tolerances.Observe(submission.Model, submission.MinVersion, newest)
 }
 
-// Tolerance returns by how many versions the weights of a model may be behind the newest
-// one, 0 if no job has shown it yet.
-func (s *Service) Tolerance(model string) int64 {
+// VersionTolerance returns by how many versions the weights of a model may be behind the
+// newest one, 0 if no job has shown it yet.
+func (s *Service) VersionTolerance(model string) int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.tolerances[model]
--- a/internal/jobs/batch/watchers.go
+++ b/internal/jobs/batch/watchers.go
@@ -15,7 +15,7 @@
 
 // Watchers returns the nodes that watch the open jobs of this node.
 func (s *Service) Watchers() []string {
-	nodes := s.config.Table.NodeNames()
+	nodes := s.config.PeerTable.NodeNames()
 	s.mutex.Lock()
 	open := map[string]origin{}
 	for id, held := range s.jobs {
--- a/internal/jobs/batch/watchers_test.go
+++ b/internal/jobs/batch/watchers_test.go
@@ -146,7 +146,7 @@
 		for _, submitted := range created.Items {
 			submitted.ExpectedTokens = tokens
 		}
-		if err := cluster.nodes[0].submitLocally(context.Background(), &Arrival{ID: fmt.Sprintf("job-%d", number), Route: testRoute, Host: "drafts.example", Payload: payload, Submission: created}); err != nil {
+		if err := cluster.nodes[0].submitLocally(context.Background(), &SubmitRequest{ID: fmt.Sprintf("job-%d", number), Route: testRoute, Host: "drafts.example", Payload: payload, Submission: created}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/jobs/batch/work.go
+++ b/internal/jobs/batch/work.go
@@ -39,9 +39,9 @@
 	return s.demand.Mean()
 }
 
-// OpenWork returns the number of items of batch jobs that run at a service's replicas,
+// ItemCounts returns the number of items of batch jobs that run at a service's replicas,
 // and of those that run or wait, on all nodes whose heartbeats are recent.
-func (s *Service) OpenWork(service string) (running, open int) {
+func (s *Service) ItemCounts(service string) (running, open int) {
 	view := s.config.Directory.View()
 	if view.Configuration == nil || view.Configuration.Services[service].Engine == nil {
 		return 0, 0
--- a/test/virtual_test.go
+++ b/test/virtual_test.go
@@ -91,7 +91,7 @@
 	day.jobs = batch.NewService(ctx, batch.Config{
 		Clock: clock.Steady,
 		Self:  jobstore.Owner{Node: "node", Address: "node", Incarnation: 1}, JobStore: jobstore.New(day.store), Codec: platform.Jobs{},
-		Directory: table, Dispatcher: dispatcher, Peers: alone{}, Table: peers, Logger: logger, Registry: registry,
+		Directory: table, Dispatcher: dispatcher, Peers: alone{}, PeerTable: peers, Logger: logger, Registry: registry,
 		Forwarder: forward.New(forward.Config{Directory: table, Dispatcher: dispatcher, Logger: logger, Metrics: forward.NewMetrics(registry)}),
 	})
 	keeper := lease.NewElector(lease.Config{
@@ -100,7 +100,7 @@
 	})
 	coordinator := weightorders.NewCoordinator(weightorders.Config{
 		Elector: keeper, Directory: table, Replicas: platform.NewOrders(pool), Logger: logger, Registry: registry,
-		RunningItems: day.jobs.Load, Tolerance: day.jobs.Tolerance, Demand: day.jobs.Demand, OnChange: day.jobs.LearnVersion, Announce: func() {},
+		RunningItems: day.jobs.RunningItems, Tolerance: day.jobs.VersionTolerance, Demand: day.jobs.Demand, OnChange: day.jobs.LearnVersion, Announce: func() {},
 	})
 	go day.jobs.Run(ctx)
 	go coordinator.Run(ctx)
@@ -121,11 +121,11 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	submission, err := platform.Jobs{}.Submission(payload)
+	submission, err := platform.Jobs{}.DecodeSubmission(payload)
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	if err := d.jobs.Submit(ctx, &batch.Arrival{ID: job, Route: "drafts", Host: draftHost, Payload: payload, Submission: submission}); err != nil {
+	if err := d.jobs.Submit(ctx, &batch.SubmitRequest{ID: job, Route: "drafts", Host: draftHost, Payload: payload, Submission: submission}); err != nil {
 		d.t.Fatalf("job %s: %v", job, err)
 	}
 	var results []listed
