--- a/internal/jobs/batch/listing.go
+++ b/internal/jobs/batch/listing.go
@@ -90,4 +90,4 @@
 
 // desiredGroups returns the number of complete groups that the trainer waits for, 1 if
 // the job names none.
-func (j *job) desiredGroups() int { return min(len(j.groups), max(j.submission.DesiredGroups, 1)) }
+func (j *job) desiredGroups() int { return min(len(j.groups), max(j.submission.Desired, 1)) }
--- a/internal/jobs/batch/publish_test.go
+++ b/internal/jobs/batch/publish_test.go
@@ -31,7 +31,7 @@
 		{"no desired number, none complete", 0, 10, 0, false},
 		{"no desired number, one complete", 0, 10, 1, true},
 	} {
-		held := &job{submission: &Submission{DesiredGroups: test.desired}, groups: map[string]*group{}}
+		held := &job{submission: &Submission{Desired: test.desired}, groups: map[string]*group{}}
 		for number := range test.groups {
 			open := 1
 			if number < test.complete {
@@ -56,7 +56,7 @@
 			JobStore: jobstore.New(store), Directory: directory.NewTable("node", "zone", nil, klog.Background()), Logger: klog.Background(), Registry: prometheus.NewRegistry(),
 		})
 		held := &job{
-			id: "job", submission: &Submission{DesiredGroups: 2}, items: map[string]*item{}, groups: map[string]*group{},
+			id: "job", submission: &Submission{Desired: 2}, items: map[string]*item{}, groups: map[string]*group{},
 			flush: make(chan struct{}, 1), changed: make(chan struct{}), ctx: ctx, cancel: cancel, appends: ctx, startedAt: time.Now(),
 		}
 		// Each group has one long item, which finishes last.
@@ -127,7 +127,7 @@
 		{"desired number complete, inherited group open", 10, now.Add(2 * time.Second), true, 80, false, coalesceDelay},
 		{"desired number complete, inherited group about to end", 10, now.Add(2 * time.Second), true, 140, false, coalesceDelay + endingTextCoalesceDelay},
 	} {
-		held := &job{submission: &Submission{DesiredGroups: 10}, deadline: test.due, flushSoon: true, groups: map[string]*group{}, items: map[string]*item{}}
+		held := &job{submission: &Submission{Desired: 10}, deadline: test.due, flushSoon: true, groups: map[string]*group{}, items: map[string]*item{}}
 		for number := range 12 {
 			name, counted := fmt.Sprint(number), &group{}
 			if number >= test.complete {
--- a/internal/jobs/batch/start.go
+++ b/internal/jobs/batch/start.go
@@ -43,7 +43,7 @@
 	delete(s.remoteJobs, id)
 	s.mutex.Unlock()
 	s.config.Logger.Info("batch job started", "request", id, "epoch", record.Epoch, "items", len(started.items), "listed", len(listed.Results), "texts", restored,
-		"step", submission.Step, "model", submission.Model, "minVersion", submission.MinVersion, "desired", submission.DesiredGroups)
+		"step", submission.Step, "model", submission.Model, "minVersion", submission.MinVersion, "desired", submission.Desired)
 	go s.publish(started)
 	s.WakeScheduler()
 	s.heartbeatWake.set()
@@ -96,7 +96,7 @@
 			lengths[submitted.ID] = length
 		}
 	}
-	return placement.RankItems(items, submission.DesiredGroups, lengths)
+	return placement.RankItems(items, submission.Desired, lengths)
 }
 
 // settle records that an item has a result.
--- a/internal/jobs/batch/submission.go
+++ b/internal/jobs/batch/submission.go
@@ -12,10 +12,10 @@
 	Model string
 	// MinVersion is the oldest weight version that may generate text.
 	MinVersion int64
-	// DesiredGroups is the number of complete groups that the trainer waits for; 0 if not
+	// Desired is the number of complete groups that the trainer waits for; 0 if not
 	// given.
-	DesiredGroups int
-	Items         []*Item
+	Desired int
+	Items   []*Item
 	// HasCredentials reports that an item carried credentials. They are removed from the
 	// item's header, since jobs are stored and credentials must not be.
 	HasCredentials bool
