--- a/internal/jobs/batch/accept.go
+++ b/internal/jobs/batch/accept.go
@@ -8,7 +8,7 @@
 )
 
 // backgroundTimeout bounds the retries of a submission, or of an end, after its caller
-// has been answered.
+// got a response.
 const backgroundTimeout = 30 * time.Second
 
 // acceptance is a submission that is being written to the store.
@@ -37,7 +37,7 @@
 		return nil
 	}
 	err := s.submitLocally(ctx, request)
-	if _, notTaken := err.(*jobstore.NotAcceptedError); notTaken && runnerErr != nil {
+	if _, notAccepted := err.(*jobstore.NotAcceptedError); notAccepted && runnerErr != nil {
 		return &jobstore.AcceptanceUnknownError{Cause: runnerErr}
 	}
 	return err
@@ -85,7 +85,7 @@
 }
 
 // accept writes a submission to the store. If the outcome is unknown at the caller's
-// deadline, the caller is answered and the write is retried in the background.
+// deadline, the caller gets this outcome and the write is retried in the background.
 func (s *Service) accept(pending *acceptance, deadline time.Time, request *SubmitRequest) {
 	ctx, cancel := context.WithDeadline(s.base, deadline)
 	defer cancel()
@@ -140,7 +140,7 @@
 func (s *Service) recordOf(request *SubmitRequest) jobstore.Record {
 	return jobstore.Record{
 		Owner: s.config.Self, Epoch: 1, Route: request.Route, Host: request.Host, Tenant: request.Tenant, EntryRegion: request.Entry,
-		ScorerRoutes: s.scorersOf(request.Submission), Items: len(request.Submission.Items), AcceptedMs: time.Now().UnixMilli(),
+		ScorerRoutes: s.scorerRoutesOf(request.Submission), Items: len(request.Submission.Items), AcceptedMs: time.Now().UnixMilli(),
 	}
 }
 
--- a/internal/jobs/batch/answers.go
+++ b/internal/jobs/batch/answers.go
@@ -12,24 +12,24 @@
 func (s *Service) Answer(message wire.Message, reply func(wire.Message)) bool {
 	switch request := message.(type) {
 	case *wire.JobRead:
-		reply(s.answerRead(request))
+		reply(s.handleRead(request))
 	case *wire.JobItem:
-		reply(s.answerItem(request))
+		reply(s.handleItem(request))
 	case *wire.JobFind:
-		reply(s.answerFind(request))
+		reply(s.handleFind(request))
 	case *wire.JobEnd:
-		s.answerEnd(request, reply)
+		s.handleEnd(request, reply)
 	case *wire.JobOffer:
-		s.answerOffer(reply)
+		s.handleOffer(reply)
 	case *wire.JobSubmit:
-		s.answerSubmit(request, reply)
+		s.handleSubmit(request, reply)
 	default:
 		return false
 	}
 	return true
 }
 
-func (s *Service) answerRead(request *wire.JobRead) *wire.JobPage {
+func (s *Service) handleRead(request *wire.JobRead) *wire.JobPage {
 	wait := time.Duration(request.WaitMs) * time.Millisecond
 	page, held := s.readHeld(s.base, request.Job, int(request.After), wait)
 	if !held {
@@ -46,7 +46,7 @@
 	return &wire.JobPage{Known: true, Total: uint32(page.Total), Results: results}
 }
 
-func (s *Service) answerItem(request *wire.JobItem) *wire.JobItemBody {
+func (s *Service) handleItem(request *wire.JobItem) *wire.JobItemBody {
 	s.mutex.Lock()
 	held := s.jobs[request.Job]
 	s.mutex.Unlock()
@@ -57,7 +57,7 @@
 	return &wire.JobItemBody{Known: true, Found: err == nil, Body: body}
 }
 
-func (s *Service) answerEnd(request *wire.JobEnd, reply func(wire.Message)) {
+func (s *Service) handleEnd(request *wire.JobEnd, reply func(wire.Message)) {
 	s.mutex.Lock()
 	held := s.jobs[request.Job]
 	s.mutex.Unlock()
--- a/internal/jobs/batch/errors.go
+++ b/internal/jobs/batch/errors.go
@@ -27,7 +27,7 @@
 	ErrTruncatedStream = merry.Sentinel("connection closed before the end of the response")
 	// ErrStalled is the cause of a run that was canceled because no events came.
 	ErrStalled = merry.Sentinel("run has stalled")
-	// ErrMoved is the cause of a run that was canceled to continue at a faster replica.
+	// ErrMoved is the cause of a run that was canceled to continue at another replica.
 	ErrMoved = merry.Sentinel("run was moved")
 	// ErrNoVersion means that a replica's response names no weight version.
 	ErrNoVersion = merry.Sentinel("response names no weight version")
--- a/internal/jobs/batch/heartbeat.go
+++ b/internal/jobs/batch/heartbeat.go
@@ -93,7 +93,7 @@
 		if remote := s.remoteJobs[work.Job]; remote != nil {
 			remote.tenant, remote.tenantKnown = work.Tenant, true
 			if len(work.Routes) > 0 {
-				remote.learnOrigin(origin{routes: work.Routes, tenant: work.Tenant, entry: work.Entry})
+				remote.learnOrigin(origin{routes: work.Routes, tenant: work.Tenant, entryRegion: work.Entry})
 			}
 		}
 	}
--- a/internal/jobs/batch/homes.go
+++ b/internal/jobs/batch/homes.go
@@ -17,12 +17,13 @@
 	// routes are the routes of the job's requests: its own, then those of its scorers.
 	routes []string
 	tenant string
-	// entry is the region of the node that the job's caller connected to, "" if unknown.
-	entry string
+	// entryRegion is the region of the node that the job's caller connected to, "" if
+	// unknown.
+	entryRegion string
 }
 
 func originOf(record jobstore.Record) origin {
-	return origin{routes: append([]string{record.Route}, record.ScorerRoutes...), tenant: record.Tenant, entry: record.EntryRegion}
+	return origin{routes: append([]string{record.Route}, record.ScorerRoutes...), tenant: record.Tenant, entryRegion: record.EntryRegion}
 }
 
 // learnOrigin records the origin of another node's job.
@@ -34,8 +35,8 @@
 	r.origin = &from
 }
 
-// scorersOf returns the names of the routes of a submission's reward calls.
-func (s *Service) scorersOf(submission *Submission) []string {
+// scorerRoutesOf returns the names of the routes of a submission's reward calls.
+func (s *Service) scorerRoutesOf(submission *Submission) []string {
 	var named []string
 	for _, submitted := range submission.Items {
 		if submitted.Reward == nil {
@@ -64,7 +65,7 @@
 	for _, name := range from.routes {
 		allowed = allowed.And(allowedRegionsOf(configuration, name, from.tenant))
 	}
-	return residency.NewBounds(allowed, from.entry)
+	return residency.NewBounds(allowed, from.entryRegion)
 }
 
 // allowedRegionsOf returns the allowed regions for the bodies of a tenant's requests on a
@@ -129,7 +130,7 @@
 	}
 	remote.noSuccessorLogged = true
 	s.config.Logger.Info("no possible successor for batch job: no other node is in its allowed regions", "request", id,
-		"owner", remote.owner.Node, "allowed", s.regionBounds(*remote.origin).Regions().Regions(), "entry", remote.origin.entry)
+		"owner", remote.owner.Node, "allowed", s.regionBounds(*remote.origin).Regions().Regions(), "entry", remote.origin.entryRegion)
 }
 
 // logJobsWithoutSuccessor logs the open jobs that no other known node may take over. They
@@ -140,7 +141,7 @@
 		from := originOf(held.record)
 		if held.open() && len(ownership.Successors(s.allowedNodes(&from, nodes), s.config.Self.Node)) == 0 {
 			s.config.Logger.Info("batch job not handed over: no other node is in its allowed regions", "request", id,
-				"allowed", s.regionBounds(from).Regions().Regions(), "entry", from.entry)
+				"allowed", s.regionBounds(from).Regions().Regions(), "entry", from.entryRegion)
 		}
 	}
 }
--- a/internal/jobs/batch/homes_test.go
+++ b/internal/jobs/batch/homes_test.go
@@ -20,10 +20,10 @@
 )
 
 // newRegionalCluster returns a cluster with a node in each region of nodes and an engine
-// in each region of engines. The route allows the regions in homes.
-func newRegionalCluster(t *testing.T, homes, nodes, engines []string, started ...*testEngine) *cluster {
+// in each region of engines.
+func newRegionalCluster(t *testing.T, allowedRegions, nodes, engines []string, started ...*testEngine) *cluster {
 	t.Helper()
-	c := &cluster{t: t, store: metastore.New(), peers: &testPeers{services: map[string]*testNode{}, disconnected: map[string]bool{}}, regions: map[string]string{}, allowedRegions: homes}
+	c := &cluster{t: t, store: metastore.New(), peers: &testPeers{services: map[string]*testNode{}, disconnected: map[string]bool{}}, regions: map[string]string{}, allowedRegions: allowedRegions}
 	for number, region := range engines {
 		c.regions[fmt.Sprintf("engine-%d", number)] = region
 	}
@@ -95,8 +95,8 @@
 // A job must be run by a node in its allowed regions or its entry region, and its items
 // by replicas in the allowed regions, whatever the nodes' ranks.
 func TestJobsStayInAllowedRegions(t *testing.T) {
-	outside, home := startEngine(t, 1), startEngine(t, 1)
-	c := newRegionalCluster(t, []string{"south"}, []string{"north", "west", "west", "west", "south"}, []string{"north", "south"}, outside, home)
+	outside, inside := startEngine(t, 1), startEngine(t, 1)
+	c := newRegionalCluster(t, []string{"south"}, []string{"north", "west", "west", "west", "south"}, []string{"north", "south"}, outside, inside)
 	for number := range 6 {
 		id := fmt.Sprintf("job-%d", number)
 		if err := c.submitFromRegion(c.nodes[0], id, 2); err != nil {
@@ -184,8 +184,8 @@
 	engine := startEngine(t, 1)
 	c := newRegionalCluster(t, []string{"atlantis"}, []string{"north", "south"}, []string{"south"}, engine)
 	err := c.submitFromRegion(c.nodes[0], "job", 2)
-	var notTaken *jobstore.NotAcceptedError
-	if !errors.As(err, &notTaken) || !errors.Is(err, forward.ErrNoReplicaInAllowedRegions) {
+	var notAccepted *jobstore.NotAcceptedError
+	if !errors.As(err, &notAccepted) || !errors.Is(err, forward.ErrNoReplicaInAllowedRegions) {
 		t.Errorf("error %v, want a NotAcceptedError with cause ErrNoReplicaInAllowedRegions", err)
 	}
 	for _, kind := range []string{jobstore.KindJobs, jobstore.KindPayloads} {
@@ -204,7 +204,7 @@
 	c := newRegionalCluster(t, []string{"south"}, []string{"west"}, []string{"south"}, startEngine(t, 1))
 	_, payload := submission("job", 2)
 	var reply wire.Message
-	c.nodes[0].answerSubmit(&wire.JobSubmit{Job: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Entry: "north"}, func(message wire.Message) { reply = message })
+	c.nodes[0].handleSubmit(&wire.JobSubmit{Job: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Entry: "north"}, func(message wire.Message) { reply = message })
 	if submitted := reply.(*wire.JobSubmitted); submitted.Outcome != wire.OutcomeNotRun || c.nodes[0].holds("job") {
 		t.Errorf("outcome %d, detail %s, want OutcomeNotRun and no job", submitted.Outcome, submitted.Detail)
 	}
@@ -247,7 +247,7 @@
 			t.Errorf("node in the %s allowed: %v", c.nodes[number].config.Region, got)
 		}
 	}
-	if c.nodes[0].regionBounds(origin{routes: []string{"dropped"}, entry: "north"}).AllowsNode("south") {
+	if c.nodes[0].regionBounds(origin{routes: []string{"dropped"}, entryRegion: "north"}).AllowsNode("south") {
 		t.Error("a job of a removed route may leave its entry region")
 	}
 }
--- a/internal/jobs/batch/locate.go
+++ b/internal/jobs/batch/locate.go
@@ -55,7 +55,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, locateTimeout)
 	defer cancel()
-	answers := make(chan *wire.JobFound, maxLocatorsAsked)
+	replies := make(chan *wire.JobFound, maxLocatorsAsked)
 	asked := 0
 	for _, node := range s.locatorsOf(id) {
 		peer, known := s.config.PeerTable.Get(node)
@@ -63,10 +63,10 @@
 			continue
 		}
 		asked++
-		go func() { answers <- s.askLocator(ctx, peer.Address, id) }()
+		go func() { replies <- s.askLocator(ctx, peer.Address, id) }()
 	}
 	for range asked {
-		if found := <-answers; found != nil && found.Known {
+		if found := <-replies; found != nil && found.Known {
 			return s.learnFound(id, found), true
 		}
 	}
@@ -98,8 +98,8 @@
 	return remote.owner
 }
 
-// answerFind handles another node's request for the owner of a job.
-func (s *Service) answerFind(request *wire.JobFind) *wire.JobFound {
+// handleFind handles another node's request for the owner of a job.
+func (s *Service) handleFind(request *wire.JobFind) *wire.JobFound {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if held := s.jobs[request.Job]; held != nil {
--- a/internal/jobs/batch/locate_test.go
+++ b/internal/jobs/batch/locate_test.go
@@ -100,7 +100,7 @@
 		t.Fatal(err)
 	}
 	eventually(t, "locators know of the job", func() bool { return len(large.nodesKnowing("job")) > ownership.Locators/2 })
-	outsider := large.nodeNotKnowing("job")
+	reader := large.nodeNotKnowing("job")
 	for _, node := range large.nodesKnowing("job") {
 		node.mutex.Lock()
 		runs := node.jobs["job"] != nil
@@ -110,7 +110,7 @@
 		}
 	}
 	began := time.Now()
-	checkResults(t, "job", large.readAll(outsider, "job", 4), 4, 3)
+	checkResults(t, "job", large.readAll(reader, "job", 4), 4, 3)
 	if took := time.Since(began); took > 5*time.Second {
 		t.Errorf("read took %s", took)
 	}
--- a/internal/jobs/batch/refusal.go
+++ b/internal/jobs/batch/refusal.go
@@ -30,13 +30,13 @@
 // submissionRefusal maps an error of a submission to its refusal. An unknown outcome is
 // a gateway timeout: the caller may retry, since the job is accepted once.
 func submissionRefusal(err error) refusal {
-	var notTaken *jobstore.NotAcceptedError
+	var notAccepted *jobstore.NotAcceptedError
 	switch {
 	case errors.Is(err, ErrOtherTenant):
 		return refusal{status: http.StatusConflict}
 	case errors.Is(err, forward.ErrNoReplicaInAllowedRegions):
 		return refusal{status: http.StatusServiceUnavailable, retryAfter: noReplicaRetryDelay}
-	case errors.As(err, &notTaken):
+	case errors.As(err, &notAccepted):
 		return refusal{status: http.StatusServiceUnavailable, retryAfter: retryDelay}
 	}
 	return refusal{status: http.StatusGatewayTimeout}
--- a/internal/jobs/batch/runner.go
+++ b/internal/jobs/batch/runner.go
@@ -82,7 +82,7 @@
 		}
 		asked++
 		reply, err := environment.Ask(ctx, s.config.Peers, peer.Address, &wire.JobOffer{Job: request.ID}, offerTimeout)
-		if _, willing := reply.(*wire.Done); willing && err == nil {
+		if _, accepted := reply.(*wire.Done); accepted && err == nil {
 			return peer.Address, true
 		}
 		s.unansweredOffers.add(candidate)
@@ -115,8 +115,8 @@
 	return backgroundTimeout
 }
 
-// answerOffer replies to another node whether this one would run a batch job.
-func (s *Service) answerOffer(reply func(wire.Message)) {
+// handleOffer replies to another node whether this one would run a batch job.
+func (s *Service) handleOffer(reply func(wire.Message)) {
 	s.mutex.Lock()
 	leaving := s.leaving || !s.recovered
 	s.mutex.Unlock()
@@ -127,8 +127,8 @@
 	reply(&wire.Done{})
 }
 
-// answerSubmit accepts a batch job that another node received.
-func (s *Service) answerSubmit(request *wire.JobSubmit, reply func(wire.Message)) {
+// handleSubmit accepts a batch job that another node received.
+func (s *Service) handleSubmit(request *wire.JobSubmit, reply func(wire.Message)) {
 	submission, err := s.config.Codec.DecodeSubmission(request.Payload)
 	if err != nil {
 		reply(&wire.JobSubmitted{Outcome: wire.OutcomeNotRun, Detail: err.Error()})
@@ -145,11 +145,11 @@
 		return
 	}
 	err = s.submitLocally(ctx, submit)
-	var notTaken *jobstore.NotAcceptedError
+	var notAccepted *jobstore.NotAcceptedError
 	switch {
 	case err == nil:
 		reply(&wire.JobSubmitted{Outcome: wire.OutcomeDone})
-	case errors.As(err, &notTaken), errors.Is(err, ErrOtherTenant):
+	case errors.As(err, &notAccepted), errors.Is(err, ErrOtherTenant):
 		reply(&wire.JobSubmitted{Outcome: wire.OutcomeNotRun, Detail: err.Error()})
 	default:
 		reply(&wire.JobSubmitted{Outcome: wire.OutcomeUnknown, Detail: err.Error()})
--- a/internal/jobs/batch/runner_test.go
+++ b/internal/jobs/batch/runner_test.go
@@ -145,11 +145,11 @@
 
 func TestInvalidSubmissionIsNotRun(t *testing.T) {
 	cluster := newCluster(t, 1, startEngine(t, 1))
-	var answer *wire.JobSubmitted
-	cluster.nodes[0].answerSubmit(&wire.JobSubmit{Job: "job", Payload: []byte("{")}, func(reply wire.Message) {
-		answer, _ = reply.(*wire.JobSubmitted)
+	var submitted *wire.JobSubmitted
+	cluster.nodes[0].handleSubmit(&wire.JobSubmit{Job: "job", Payload: []byte("{")}, func(reply wire.Message) {
+		submitted, _ = reply.(*wire.JobSubmitted)
 	})
-	if answer == nil || answer.Outcome != wire.OutcomeNotRun || answer.Detail == "" {
-		t.Errorf("reply %+v, want OutcomeNotRun with a detail", answer)
+	if submitted == nil || submitted.Outcome != wire.OutcomeNotRun || submitted.Detail == "" {
+		t.Errorf("reply %+v, want OutcomeNotRun with a detail", submitted)
 	}
 }
--- a/internal/jobs/batch/service_test.go
+++ b/internal/jobs/batch/service_test.go
@@ -128,9 +128,9 @@
 	defer cancel()
 	submitted, payload := submission("job", 2)
 	err := cluster.nodes[0].Submit(ctx, &SubmitRequest{ID: "job", Route: testRoute, Host: "drafts.example", Payload: payload, Submission: submitted})
-	var notTaken *jobstore.NotAcceptedError
+	var notAccepted *jobstore.NotAcceptedError
 	var uncertain *jobstore.AcceptanceUnknownError
-	if !errors.As(err, &notTaken) && !errors.As(err, &uncertain) {
+	if !errors.As(err, &notAccepted) && !errors.As(err, &uncertain) {
 		t.Fatalf("submit without a store: error %v", err)
 	}
 	cluster.store.SetFault(nil)
--- a/internal/jobs/batch/stored_test.go
+++ b/internal/jobs/batch/stored_test.go
@@ -185,14 +185,14 @@
 	cluster := newEndedCluster(t)
 	gate := cluster.setGate("list", jobstore.KindResults)
 	node := cluster.nodes[0]
-	type answer struct {
+	type outcome struct {
 		page Page
 		err  error
 	}
-	answers := make(chan answer)
+	outcomes := make(chan outcome)
 	go func() {
 		page, err := node.Read(context.Background(), "job", 0, 0)
-		answers <- answer{page, err}
+		outcomes <- outcome{page, err}
 	}()
 	eventually(t, "the load is in progress", func() bool {
 		node.mutex.Lock()
@@ -203,7 +203,7 @@
 	delete(node.remoteJobs, "job")
 	node.mutex.Unlock()
 	close(gate.open)
-	if got := <-answers; got.err != nil || got.page.Total != 4 || len(got.page.Results) != 4 {
+	if got := <-outcomes; got.err != nil || got.page.Total != 4 || len(got.page.Results) != 4 {
 		t.Errorf("%d results of %d, error %v", len(got.page.Results), got.page.Total, got.err)
 	}
 }
--- a/internal/jobs/batch/submission.go
+++ b/internal/jobs/batch/submission.go
@@ -7,6 +7,7 @@
 
 // Submission is a batch job as its caller submits it.
 type Submission struct {
+	// Step is the trainer's step number, for the log.
 	Step int
 	// Model is the model that MinVersion refers to.
 	Model string
--- a/internal/jobs/batch/watchers_test.go
+++ b/internal/jobs/batch/watchers_test.go
@@ -189,12 +189,12 @@
 		}
 		return metastore.Sound
 	})
-	outsider := cluster.addUnjoinedNode("outsider", []*testEngine{engine})
+	unjoined := cluster.addUnjoinedNode("outsider", []*testEngine{engine})
 	eventually(t, "the job is known", func() bool {
-		_, known := outsider.knownOwner("job")
-		return known && outsider.Recovered()
+		_, known := unjoined.knownOwner("job")
+		return known && unjoined.Recovered()
 	})
-	if outsider.table.Joined() {
+	if unjoined.table.Joined() {
 		t.Error("the node has joined")
 	}
 }
--- a/internal/jobs/batch/work.go
+++ b/internal/jobs/batch/work.go
@@ -26,7 +26,7 @@
 	work := held.work()
 	if s.config.Directory.View().Configuration.RestrictsRegions() {
 		from := originOf(held.record)
-		work.Routes, work.Entry = from.routes, from.entry
+		work.Routes, work.Entry = from.routes, from.entryRegion
 	}
 	return work
 }
