--- a/internal/jobs/endedjobs/register.go
+++ b/internal/jobs/endedjobs/register.go
@@ -26,7 +26,7 @@
 
 // end is the end of a batch job.
 type end struct {
-	learntAt time.Time
+	recordedAt time.Time
 	// announced is set if this node announces the end to the other nodes.
 	announced bool
 }
@@ -38,13 +38,13 @@
 // retention counts from the first call.
 func (r *Registry) Learn(job string, now time.Time) {
 	if _, known := r.byJob[job]; !known {
-		r.byJob[job] = end{learntAt: now}
+		r.byJob[job] = end{recordedAt: now}
 	}
 }
 
 // Announce records an end that this node announces from now on.
 func (r *Registry) Announce(job string, now time.Time) {
-	r.byJob[job] = end{learntAt: now, announced: true}
+	r.byJob[job] = end{recordedAt: now, announced: true}
 }
 
 // Has reports whether a job is known to have ended.
@@ -57,7 +57,7 @@
 func (r *Registry) Announced(now time.Time) []string {
 	var announced []string
 	for _, job := range slices.Sorted(maps.Keys(r.byJob)) {
-		if known := r.byJob[job]; known.announced && now.Sub(known.learntAt) <= announceTime {
+		if known := r.byJob[job]; known.announced && now.Sub(known.recordedAt) <= announceTime {
 			announced = append(announced, job)
 		}
 	}
@@ -66,7 +66,7 @@
 
 // Evict removes the ends whose retention has expired.
 func (r *Registry) Evict(now time.Time) {
-	maps.DeleteFunc(r.byJob, func(_ string, known end) bool { return now.Sub(known.learntAt) > retention })
+	maps.DeleteFunc(r.byJob, func(_ string, known end) bool { return now.Sub(known.recordedAt) > retention })
 }
 
 // Len returns the number of ends.
--- a/internal/jobs/jobstore/results.go
+++ b/internal/jobs/jobstore/results.go
@@ -15,7 +15,7 @@
 
 // Results reads the chunks of a job, starting at an index.
 func (s *Store) Results(ctx context.Context, id string, from int) (Listing, error) {
-	if from > 0 || (s.readApart != nil && s.readApart()) {
+	if from > 0 || (s.readByName != nil && s.readByName()) {
 		return s.readChunksByName(ctx, id, from)
 	}
 	return s.listChunks(ctx, id)
@@ -87,7 +87,7 @@
 // Append creates the chunk at an index, and retries until the store has a chunk there. It
 // returns the stored chunk, and whether it is the one from this call: another writer may have
 // been first.
-func (s *Store) Append(ctx context.Context, id string, index int, written Chunk) (stored Chunk, own bool, err error) {
+func (s *Store) Append(ctx context.Context, id string, index int, written Chunk) (stored Chunk, created bool, err error) {
 	spec, err := json.Marshal(written)
 	if err != nil {
 		return Chunk{}, false, err
@@ -107,26 +107,26 @@
 // previous owner of the job may append until it learns of its successor. Its next append
 // after the fence fails because the position is taken.
 func (s *Store) Fence(ctx context.Context, id string, stored Listing, writer string) (Listing, error) {
-	return s.appendBehind(ctx, id, stored, Chunk{Writer: writer})
+	return s.appendAfterAll(ctx, id, stored, Chunk{Writer: writer})
 }
 
 // Seal appends an empty chunk that marks the end of a job's results, and returns the complete
 // listing. The append of an owner that does not know of the end fails because the position is
 // taken.
 func (s *Store) Seal(ctx context.Context, id string, stored Listing, writer string) (Listing, error) {
-	return s.appendBehind(ctx, id, stored, Chunk{Writer: writer, Seal: true})
+	return s.appendAfterAll(ctx, id, stored, Chunk{Writer: writer, Seal: true})
 }
 
-// appendBehind appends an empty chunk after all stored chunks, and returns the complete
+// appendAfterAll appends an empty chunk after all stored chunks, and returns the complete
 // listing. It appends nothing after a seal.
-func (s *Store) appendBehind(ctx context.Context, id string, listing Listing, empty Chunk) (Listing, error) {
+func (s *Store) appendAfterAll(ctx context.Context, id string, listing Listing, empty Chunk) (Listing, error) {
 	for !listing.Sealed {
-		stored, own, err := s.Append(ctx, id, listing.Chunks, empty)
+		stored, created, err := s.Append(ctx, id, listing.Chunks, empty)
 		if err != nil {
 			return listing, err
 		}
 		listing.Add(stored)
-		if own {
+		if created {
 			break
 		}
 	}
--- a/internal/jobs/jobstore/results_test.go
+++ b/internal/jobs/jobstore/results_test.go
@@ -9,7 +9,7 @@
 
 // Guards against mistaking the results of another job for those of this one if its id starts
 // with this job's id and a hyphen.
-func TestResultsOfAJobWhoseIdBeginsAnothersAreRead(t *testing.T) {
+func TestResultsOfJobWithPrefixID(t *testing.T) {
 	jobs := New(metastore.New())
 	for _, id := range []string{"run", "run-a", "run-", "run-000000"} {
 		for index := range 2 {
@@ -26,7 +26,7 @@
 		}
 		for _, result := range listing.Results {
 			if result.ID != id {
-				t.Errorf("job %s shows a result of %s", id, result.ID)
+				t.Errorf("job %s lists a result of job %s", id, result.ID)
 			}
 		}
 	}
--- a/internal/jobs/jobstore/store.go
+++ b/internal/jobs/jobstore/store.go
@@ -9,16 +9,16 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// endRetryPause is the time between attempts to store the end of a job.
-const endRetryPause = 100 * time.Millisecond
+// endRetryInterval is the time between attempts to store the end of a job.
+const endRetryInterval = 100 * time.Millisecond
 
 // Store stores batch jobs in the metadata store. It is safe for concurrent use after its
 // setup.
 type Store struct {
 	store objectstore.Store
-	// readApart reports whether chunks are read by name, without those of other jobs. It is
+	// readByName reports whether chunks are read by name, without those of other jobs. It is
 	// nil for never.
-	readApart func() bool
+	readByName func() bool
 }
 
 // New returns a store of batch jobs in the given metadata store.
@@ -27,7 +27,7 @@
 // ReadByNameWhile makes Results read the chunks by name while the condition returns true. The pages
 // of a listing include results of other jobs, which may not be allowed in this region.
 // ReadByNameWhile must be called before the first read.
-func (s *Store) ReadByNameWhile(condition func() bool) { s.readApart = condition }
+func (s *Store) ReadByNameWhile(condition func() bool) { s.readByName = condition }
 
 // Read returns a batch job. It returns ErrNoSuchJob only if the job does not exist. After any
 // other error it is unknown whether the job exists.
@@ -94,7 +94,7 @@
 		if errors.Is(err, objectstore.ErrNotFound) {
 			return StoredJob{}, ErrNoSuchJob
 		}
-		if !objectstore.SleepWithJitter(ctx, endRetryPause) {
+		if !objectstore.SleepWithJitter(ctx, endRetryInterval) {
 			return StoredJob{}, err
 		}
 	}
--- a/internal/jobs/ownership/takeover_test.go
+++ b/internal/jobs/ownership/takeover_test.go
@@ -20,25 +20,25 @@
 	}{
 		{"ended", RemoteJob{Ended: true}, 0, time.Hour, Decision{Reason: ReasonEnded}},
 		{"being taken over", RemoteJob{TakingOver: true}, 0, time.Hour, Decision{Reason: ReasonTakingOver}},
-		{"just tried", RemoteJob{RetryAt: now.Add(1)}, 0, time.Hour, Decision{Reason: ReasonBackoff}},
-		{"to be tried again", RemoteJob{RetryAt: now}, 0, time.Hour, Decision{TakeOver: true, Reason: ReasonSilent}},
-		{"outside", RemoteJob{}, Unranked, time.Hour, Decision{Reason: ReasonOutside}},
-		{"outside, of a former process", RemoteJob{Owner: OwnerPreviousProcess}, Unranked, time.Hour, Decision{Reason: ReasonOutside}},
-		{"first, heard", RemoteJob{}, 0, OwnerTimeout, Decision{Reason: ReasonDelay}},
-		{"first, silent", RemoteJob{}, 0, OwnerTimeout + 1, Decision{TakeOver: true, Reason: ReasonSilent}},
-		{"second, silent", RemoteJob{}, 1, OwnerTimeout + 1, Decision{Reason: ReasonDelay}},
-		{"second, silent for longer", RemoteJob{}, 1, OwnerTimeout + RankDelay + 1, Decision{TakeOver: true, Reason: ReasonSilent}},
-		{"leaving", RemoteJob{Owner: OwnerLeaving}, 0, 1, Decision{TakeOver: true, Reason: ReasonSilent}},
-		{"leaving, second", RemoteJob{Owner: OwnerLeaving}, 1, RankDelay, Decision{Reason: ReasonDelay}},
-		{"restarted", RemoteJob{Owner: OwnerRestarted}, 0, RankDelay, Decision{Reason: ReasonDelay}},
-		{"restarted, not taken up", RemoteJob{Owner: OwnerRestarted}, 0, RankDelay + 1, Decision{TakeOver: true, Reason: ReasonSilent}},
-		{"of a former process", RemoteJob{Owner: OwnerPreviousProcess}, 3, 1, Decision{TakeOver: true, Reason: ReasonSilent}},
+		{"before the retry time", RemoteJob{RetryAt: now.Add(1)}, 0, time.Hour, Decision{Reason: ReasonBackoff}},
+		{"at the retry time", RemoteJob{RetryAt: now}, 0, time.Hour, Decision{TakeOver: true, Reason: ReasonSilent}},
+		{"unranked", RemoteJob{}, Unranked, time.Hour, Decision{Reason: ReasonOutside}},
+		{"unranked, owned by a previous process", RemoteJob{Owner: OwnerPreviousProcess}, Unranked, time.Hour, Decision{Reason: ReasonOutside}},
+		{"first rank, within the timeout", RemoteJob{}, 0, OwnerTimeout, Decision{Reason: ReasonDelay}},
+		{"first rank, timed out", RemoteJob{}, 0, OwnerTimeout + 1, Decision{TakeOver: true, Reason: ReasonSilent}},
+		{"second rank, within its delay", RemoteJob{}, 1, OwnerTimeout + 1, Decision{Reason: ReasonDelay}},
+		{"second rank, after its delay", RemoteJob{}, 1, OwnerTimeout + RankDelay + 1, Decision{TakeOver: true, Reason: ReasonSilent}},
+		{"owner leaving", RemoteJob{Owner: OwnerLeaving}, 0, 1, Decision{TakeOver: true, Reason: ReasonSilent}},
+		{"owner leaving, second rank", RemoteJob{Owner: OwnerLeaving}, 1, RankDelay, Decision{Reason: ReasonDelay}},
+		{"owner restarted, within the delay", RemoteJob{Owner: OwnerRestarted}, 0, RankDelay, Decision{Reason: ReasonDelay}},
+		{"owner restarted, after the delay", RemoteJob{Owner: OwnerRestarted}, 0, RankDelay + 1, Decision{TakeOver: true, Reason: ReasonSilent}},
+		{"owned by a previous process", RemoteJob{Owner: OwnerPreviousProcess}, 3, 1, Decision{TakeOver: true, Reason: ReasonSilent}},
 		{"last watcher", RemoteJob{}, Watchers - 1, OwnerTimeout + (Watchers-1)*RankDelay + 1, Decision{TakeOver: true, Reason: ReasonSilent}},
-		{"no watcher, as long", RemoteJob{}, Watchers, OwnerTimeout + (Watchers-1)*RankDelay + 1, Decision{Reason: ReasonDelay}},
-		{"no watcher, leaving", RemoteJob{Owner: OwnerLeaving}, Watchers, UnwatchedDelay, Decision{Reason: ReasonDelay}},
-		{"no watcher", RemoteJob{}, Watchers, UnwatchedDelay + 1, Decision{TakeOver: true, ProbeOwner: true, Reason: ReasonSilent}},
-		{"no watcher, later in rank", RemoteJob{}, Watchers + 2, UnwatchedDelay + 2*RankDelay, Decision{Reason: ReasonDelay}},
-		{"no watcher, of a former process", RemoteJob{Owner: OwnerPreviousProcess}, Watchers, 1, Decision{TakeOver: true, ProbeOwner: true, Reason: ReasonSilent}},
+		{"not a watcher, delay of a watcher", RemoteJob{}, Watchers, OwnerTimeout + (Watchers-1)*RankDelay + 1, Decision{Reason: ReasonDelay}},
+		{"not a watcher, owner leaving", RemoteJob{Owner: OwnerLeaving}, Watchers, UnwatchedDelay, Decision{Reason: ReasonDelay}},
+		{"not a watcher", RemoteJob{}, Watchers, UnwatchedDelay + 1, Decision{TakeOver: true, ProbeOwner: true, Reason: ReasonSilent}},
+		{"not a watcher, later rank", RemoteJob{}, Watchers + 2, UnwatchedDelay + 2*RankDelay, Decision{Reason: ReasonDelay}},
+		{"not a watcher, owned by a previous process", RemoteJob{Owner: OwnerPreviousProcess}, Watchers, 1, Decision{TakeOver: true, ProbeOwner: true, Reason: ReasonSilent}},
 	} {
 		test.job.LastHeartbeat = now.Add(-test.silence)
 		test.job.Rank = func() int { return test.rank }
@@ -48,15 +48,15 @@
 	}
 }
 
-func TestTheRankIsAskedForOnlyWhereItDecides(t *testing.T) {
+func TestDecideCallsRankLast(t *testing.T) {
 	now := time.Now()
 	for _, job := range []RemoteJob{{Ended: true}, {TakingOver: true}, {RetryAt: now.Add(1)}} {
-		job.Rank = func() int { t.Errorf("rank of %+v asked for", job); return 0 }
+		job.Rank = func() int { t.Errorf("rank of %+v was computed", job); return 0 }
 		Decide(job, now)
 	}
 }
 
-func TestRecordsDecideOnReplacesAndStarts(t *testing.T) {
+func TestDecideReplaceAndStart(t *testing.T) {
 	self, former := jobstore.Owner{Node: "self", Incarnation: 2}, jobstore.Owner{Node: "self", Incarnation: 1}
 	stored := func(owner jobstore.Owner, epoch int, ended bool) jobstore.StoredJob {
 		return jobstore.StoredJob{Record: jobstore.Record{Owner: owner, Epoch: epoch}, Ended: ended}
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestRanksAreOfSuccessorsAlone(t *testing.T) {
+func TestRankOfSuccessors(t *testing.T) {
 	var nodes []string
 	for number := range 2 * Locators {
 		nodes = append(nodes, fmt.Sprintf("node-%d", number))
@@ -96,10 +96,10 @@
 	}
 	for place, watcher := range watchers {
 		if got := Rank("job", successors, watcher); got != place {
-			t.Errorf("watcher %d has rank %d", place, got)
+			t.Errorf("watcher at index %d has rank %d", place, got)
 		}
 	}
 	if got := Rank("job", successors, owner); got != Unranked {
-		t.Errorf("the owner has rank %d", got)
+		t.Errorf("the owner has rank %d, want none", got)
 	}
 }
--- a/internal/jobs/placement/eventrate.go
+++ b/internal/jobs/placement/eventrate.go
@@ -24,10 +24,10 @@
 	if expectedTokens <= 0 {
 		return
 	}
-	const kept = 1 - 1.0/rateWindowTexts
+	const decay = 1 - 1.0/rateWindowTexts
 	r.texts++
-	r.events = r.events*kept + float64(events)
-	r.tokens = r.tokens*kept + expectedTokens
+	r.events = r.events*decay + float64(events)
+	r.tokens = r.tokens*decay + expectedTokens
 }
 
 // Longest returns the number of events of the longest text, or 0 without observations.
--- a/internal/jobs/placement/eventrate_test.go
+++ b/internal/jobs/placement/eventrate_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestEventsExpectedOfAText(t *testing.T) {
+func TestEventRateExpect(t *testing.T) {
 	var rate EventRate
 	observe := func(texts int, tokens float64, events int) {
 		for range texts {
@@ -19,11 +19,11 @@
 	if rate.Longest() != 40 {
 		t.Errorf("longest %d, want 40", rate.Longest())
 	}
-	expect("only texts of which no tokens were expected", 100, 0)
+	expect("only texts without expected tokens", 100, 0)
 	observe(minTexts-1, 100, 20)
 	expect("one text too few", 100, 0)
 	observe(1, 100, 20)
-	expect("a fifth of an event for each token", 50, 10)
+	expect("0.2 events per token", 50, 10)
 	expect("as long as the longest text", 200, 40)
 	expect("beyond the longest text", 1000, 40)
 }
--- a/internal/jobs/placement/item.go
+++ b/internal/jobs/placement/item.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// longShare is the fraction of a job's objective from which an item's expected run time
+	// longItemFraction is the fraction of a job's objective from which an item's expected run time
 	// counts as long. Texts often take twice the expected time.
-	longShare = 0.3
-	// lostMargin is how long after the deadline an item may be expected to end and still
+	longItemFraction = 0.3
+	// deadlineTolerance is how long after the deadline an item may be expected to end and still
 	// count as urgent. It covers the error of the estimate.
-	lostMargin = time.Second
+	deadlineTolerance = time.Second
 	// ageStep is the resolution at which jobs are ordered by age.
 	ageStep = 2 * time.Second
 )
@@ -81,16 +81,18 @@
 // progress from an earlier run, and it can still meet the deadline. Reserve items and items
 // of jobs without a deadline are never urgent.
 func (i Item) IsUrgent() bool {
-	if i.Deadline.IsZero() || i.Reserve || i.isLost() {
+	if i.Deadline.IsZero() || i.Reserve || i.missesDeadline() {
 		return false
 	}
 	return i.isLong() || i.HasProgress
 }
 
-func (i Item) isLong() bool { return float64(i.ExpectedRunTime) >= longShare*float64(i.Objective) }
+func (i Item) isLong() bool {
+	return float64(i.ExpectedRunTime) >= longItemFraction*float64(i.Objective)
+}
 
-// isLost reports whether the item is expected to miss the deadline even if it starts now.
-func (i Item) isLost() bool { return i.ExpectedRunTime > i.TimeLeft+lostMargin }
+// missesDeadline reports whether the item is expected to miss the deadline even if it starts now.
+func (i Item) missesDeadline() bool { return i.ExpectedRunTime > i.TimeLeft+deadlineTolerance }
 
 // latestStart returns the latest time at which the item can start and end by its deadline.
 func (i Item) latestStart() time.Time { return i.Deadline.Add(-i.ExpectedRunTime) }
--- a/internal/jobs/placement/item_test.go
+++ b/internal/jobs/placement/item_test.go
@@ -77,7 +77,7 @@
 
 // Guards against the short items of the first steps taking all slots before the long items of
 // later steps can start.
-func TestLongItemsBeginAtOnceWhereStepsCrowd(t *testing.T) {
+func TestCompareStartsLongItemsFirst(t *testing.T) {
 	steps := []step{{0, 464}, {300 * time.Millisecond, 272}, {900 * time.Millisecond, 272}, {1500 * time.Millisecond, 464}}
 	byAge := func(a, b Item) int {
 		a.Deadline, b.Deadline = time.Time{}, time.Time{}
@@ -86,30 +86,30 @@
 	before, _ := replay(steps, byAge)
 	long, other := replay(steps, Compare)
 	if most := slices.Max(long); most > 100*time.Millisecond {
-		t.Errorf("a long item began %s after its step came, by age alone %s", most, slices.Max(before))
+		t.Errorf("a long item waited %s after the start of its step, %s when ordered by age alone", most, slices.Max(before))
 	}
 	if slices.Max(before) < 4*slices.Max(long) {
-		t.Errorf("by age alone the last long item began after %s: the load does not crowd the slots", slices.Max(before))
+		t.Errorf("ordered by age alone, long items wait at most %s: the load does not fill the slots", slices.Max(before))
 	}
-	t.Logf("the last long item began %s after its step came, by age alone %s; the last other one %s", slices.Max(long), slices.Max(before), slices.Max(other))
+	t.Logf("longest wait of long items %s, %s when ordered by age alone; of other items %s", slices.Max(long), slices.Max(before), slices.Max(other))
 }
 
-func TestItemsThatCannotBeInTimeYieldToThoseThatCan(t *testing.T) {
+func TestCompareItemsPastDeadlineLast(t *testing.T) {
 	start := time.Unix(1000, 0)
 	older := Item{JobStarted: start, Deadline: start.Add(testObjective), TimeLeft: time.Second, Objective: testObjective, ExpectedRunTime: 5 * time.Second, HasProgress: true}
 	newer := Item{JobStarted: start.Add(6 * time.Second), Deadline: start.Add(13500 * time.Millisecond), TimeLeft: 7 * time.Second, Objective: testObjective, ExpectedRunTime: 5 * time.Second}
 	if Compare(newer, older) >= 0 {
-		t.Error("an item whose job is late in any case goes before one whose job can be whole in time")
+		t.Error("an item that cannot meet its deadline runs before one that can")
 	}
 	older.ExpectedRunTime = 1800 * time.Millisecond
 	if Compare(older, newer) >= 0 {
-		t.Error("an item that was cut and may be in time waits behind one with more slack")
+		t.Error("a cancelled item that can meet its deadline runs after one with more slack")
 	}
 }
 
-func TestUrgentItems(t *testing.T) {
+func TestItemIsUrgent(t *testing.T) {
 	deadline := time.Unix(1000, 0)
-	long := time.Duration(longShare * float64(testObjective))
+	long := time.Duration(longItemFraction * float64(testObjective))
 	for _, test := range []struct {
 		name string
 		item Item
@@ -118,21 +118,21 @@
 		{"long", Item{Deadline: deadline, TimeLeft: 7 * time.Second, ExpectedRunTime: long}, true},
 		{"short", Item{Deadline: deadline, TimeLeft: 7 * time.Second, ExpectedRunTime: long - time.Millisecond}, false},
 		{"short, of unknown length", Item{Deadline: deadline, TimeLeft: 7 * time.Second}, false},
-		{"cut", Item{Deadline: deadline, TimeLeft: 7 * time.Second, ExpectedRunTime: time.Second, HasProgress: true}, true},
-		{"long, a little late", Item{Deadline: deadline, TimeLeft: 4 * time.Second, ExpectedRunTime: 5 * time.Second}, true},
-		{"long, late in any case", Item{Deadline: deadline, TimeLeft: 4 * time.Second, ExpectedRunTime: 5001 * time.Millisecond}, false},
-		{"cut, late in any case", Item{Deadline: deadline, TimeLeft: -2 * time.Second, ExpectedRunTime: time.Second, HasProgress: true}, false},
+		{"has progress", Item{Deadline: deadline, TimeLeft: 7 * time.Second, ExpectedRunTime: time.Second, HasProgress: true}, true},
+		{"long, late within the tolerance", Item{Deadline: deadline, TimeLeft: 4 * time.Second, ExpectedRunTime: 5 * time.Second}, true},
+		{"long, cannot meet the deadline", Item{Deadline: deadline, TimeLeft: 4 * time.Second, ExpectedRunTime: 5001 * time.Millisecond}, false},
+		{"has progress, cannot meet the deadline", Item{Deadline: deadline, TimeLeft: -2 * time.Second, ExpectedRunTime: time.Second, HasProgress: true}, false},
 		{"long, in reserve", Item{Deadline: deadline, TimeLeft: 7 * time.Second, ExpectedRunTime: long, Reserve: true}, false},
 		{"long, no deadline", Item{ExpectedRunTime: long, HasProgress: true}, false},
 	} {
 		test.item.Objective = testObjective
 		if got := test.item.IsUrgent(); got != test.want {
-			t.Errorf("%s: %t", test.name, got)
+			t.Errorf("%s: urgent %t", test.name, got)
 		}
 	}
 }
 
-func TestOrderOfWaitingItems(t *testing.T) {
+func TestCompareOrder(t *testing.T) {
 	start := time.Unix(1000, 0)
 	item := func(priority int, age time.Duration, rank int) Item {
 		return Item{
@@ -150,13 +150,13 @@
 	}{
 		{"priority before urgency", item(0, 0, 9), urgent(item(1, 0, 0), 5*time.Second)},
 		{"urgency before age", urgent(item(0, 0, 9), 5*time.Second), item(0, 10*time.Second, 0)},
-		{"the least slack of two urgent ones", urgent(item(0, 0, 9), 6*time.Second), urgent(item(0, 10*time.Second, 0), 5*time.Second)},
-		{"urgent ones with the same slack by age", urgent(item(0, 10*time.Second, 9), 5*time.Second), urgent(item(0, 0, 0), 5*time.Second)},
+		{"urgent items by slack", urgent(item(0, 0, 9), 6*time.Second), urgent(item(0, 10*time.Second, 0), 5*time.Second)},
+		{"urgent items with equal slack by age", urgent(item(0, 10*time.Second, 9), 5*time.Second), urgent(item(0, 0, 0), 5*time.Second)},
 		{"age before rank", item(0, ageStep, 9), item(0, 0, 0)},
-		{"rank where ages differ by little", item(0, -time.Second, 0), item(0, 0, 9)},
+		{"rank if ages differ by less than a step", item(0, -time.Second, 0), item(0, 0, 9)},
 	} {
 		if Compare(test.first, test.second) >= 0 || Compare(test.second, test.first) <= 0 {
-			t.Errorf("%s: the first item doesn't run first", test.name)
+			t.Errorf("%s: the first item does not run first", test.name)
 		}
 	}
 }
--- a/internal/jobs/placement/lateness.go
+++ b/internal/jobs/placement/lateness.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// lateBegin is the wait before the first run above which an item began late.
-	lateBegin = 300 * time.Millisecond
-	// lateRatio is the multiple of the median interval between events above which the
+	// lateStartWait is the wait before the first run above which an item began late.
+	lateStartWait = 300 * time.Millisecond
+	// slowIntervalRatio is the multiple of the median interval between events above which the
 	// replica is the cause.
-	lateRatio = 1.05
+	slowIntervalRatio = 1.05
 )
 
 // ClassifyLateness returns the first cause that applies to a late job, given the history of the item
@@ -29,13 +29,13 @@
 	switch {
 	case history.Epoch > 1:
 		return LateOwnerChange
-	case history.Waited > lateBegin:
+	case history.Waited > lateStartWait:
 		return LateNoSlot
 	case history.Stalls > 0:
 		return LateStall
 	case history.BrokenRuns > 0:
 		return LateBrokenRuns
-	case paces.usual > 0 && float64(history.Interval) > lateRatio*float64(paces.usual):
+	case paces.median > 0 && float64(history.Interval) > slowIntervalRatio*float64(paces.median):
 		return LateSlowReplica
 	}
 	return LateLongText
--- a/internal/jobs/placement/lateness_test.go
+++ b/internal/jobs/placement/lateness_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestWhyAJobWasLate(t *testing.T) {
+func TestClassifyLateness(t *testing.T) {
 	paces := pacesOf(50, 50, 50)
 	for _, test := range []struct {
 		history History
--- a/internal/jobs/placement/length.go
+++ b/internal/jobs/placement/length.go
@@ -1,11 +1,11 @@
 package placement
 
 const (
-	// unseenEvents is the number of further events expected of an incomplete text.
-	unseenEvents = 20
-	// remainingShare is the expected number of remaining events per generated event for an
+	// expectedFurtherEvents is the number of further events expected of an incomplete text.
+	expectedFurtherEvents = 20
+	// remainingPerEvent is the expected number of remaining events per generated event for an
 	// item of unknown length. Texts that are already long tend to continue.
-	remainingShare = 0.6
+	remainingPerEvent = 0.6
 )
 
 // Length is the length of an item's text as far as earlier runs have shown it.
@@ -20,19 +20,19 @@
 	if l.Complete || l.Events == 0 {
 		return l.Events
 	}
-	return l.Events + unseenEvents
+	return l.Events + expectedFurtherEvents
 }
 
 // Remaining estimates how many events an item has left. expected is the expected total (0
-// if unknown), made is the number of events so far, and longest is the length of the longest
+// if unknown), generated is the number of events so far, and longest is the length of the longest
 // known text (0 for none), which bounds the estimate unless the item already exceeds it.
-func Remaining(expected, made, longest int) int {
-	remaining := int(remainingShare * float64(made))
-	if expected > made {
-		remaining = expected - made
+func Remaining(expected, generated, longest int) int {
+	remaining := int(remainingPerEvent * float64(generated))
+	if expected > generated {
+		remaining = expected - generated
 	}
-	if longest > made {
-		remaining = min(remaining, longest-made)
+	if longest > generated {
+		remaining = min(remaining, longest-generated)
 	}
 	return remaining
 }
--- a/internal/jobs/placement/move.go
+++ b/internal/jobs/placement/move.go
@@ -37,26 +37,26 @@
 // long as the faster replicas have free slots. It adds each moved run to the load of its new
 // replica.
 func Moves(paces Paces, runs []*Run) []Move {
-	var wanted, decided []Move
+	var candidates, moves []Move
 	for _, run := range runs {
 		if run.Events < minMovedEvents {
 			continue
 		}
 		if move, target := paces.bestMove(run); target != nil {
-			wanted = append(wanted, move)
+			candidates = append(candidates, move)
 		}
 	}
-	slices.SortStableFunc(wanted, func(a, b Move) int { return cmp.Compare(b.Gain, a.Gain) })
-	for _, next := range wanted[:min(len(wanted), maxMovesPerScan)] {
+	slices.SortStableFunc(candidates, func(a, b Move) int { return cmp.Compare(b.Gain, a.Gain) })
+	for _, candidate := range candidates[:min(len(candidates), maxMovesPerScan)] {
 		// Earlier moves have taken slots, so the target may have changed.
-		move, target := paces.bestMove(next.Run)
+		move, target := paces.bestMove(candidate.Run)
 		if target == nil {
 			continue
 		}
 		target.Load++
-		decided = append(decided, move)
+		moves = append(moves, move)
 	}
-	return decided
+	return moves
 }
 
 // bestMove returns the move of a run to the replica that Pick would choose for it, and that
@@ -76,16 +76,16 @@
 // moveTo returns the move of a run to a target replica, and whether it is worth its cost. A
 // move is not worth its cost if the pace of either replica is unknown.
 func (p Paces) moveTo(run *Run, target string) (Move, bool) {
-	here, there := p.intervals[run.Replica], p.expectedAt(target)
-	if here == 0 || there == 0 {
+	currentInterval, targetInterval := p.intervals[run.Replica], p.expectedAt(target)
+	if currentInterval == 0 || targetInterval == 0 {
 		return Move{}, false
 	}
-	gain := run.remainingTime(here) - run.remainingTime(there)
-	ratio := float64(here) / float64(there)
+	gain := run.remainingTime(currentInterval) - run.remainingTime(targetInterval)
+	ratio := float64(currentInterval) / float64(targetInterval)
 	switch {
 	case ratio >= minMoveRatio && gain > minMoveGain:
 		return Move{Run: run, Gain: gain, Reason: ReasonFaster}, true
-	case ratio >= minLateMoveRatio && gain > minLateMoveGain && !run.endsInTime(here, 0):
+	case ratio >= minLateMoveRatio && gain > minLateMoveGain && !run.endsInTime(currentInterval, 0):
 		return Move{Run: run, Gain: gain, Reason: ReasonLate}, true
 	}
 	return Move{}, false
--- a/internal/jobs/placement/move_test.go
+++ b/internal/jobs/placement/move_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestRunsThatWouldEndLateMoveForLess(t *testing.T) {
+func TestMovesLateRunsForSmallerGain(t *testing.T) {
 	paces, alike := pacesOf(56, 50, 50), pacesOf(54, 50, 50)
 	for _, test := range []struct {
 		name  string
@@ -14,18 +14,18 @@
 		due   bool
 		moved bool
 	}{
-		{"late here, sooner there", 100, 5400 * time.Millisecond, true, true},
-		{"in time here", 100, 6 * time.Second, true, false},
-		{"late wherever it runs, and sooner there", 100, 4 * time.Second, true, true},
-		{"late here, and hardly sooner there", 20, 1100 * time.Millisecond, true, false},
-		{"no time named", 100, 0, false, false},
+		{"late at current replica, earlier at target", 100, 5400 * time.Millisecond, true, true},
+		{"in time at current replica", 100, 6 * time.Second, true, false},
+		{"late at both replicas, earlier at target", 100, 4 * time.Second, true, true},
+		{"late at current replica, gain too small", 20, 1100 * time.Millisecond, true, false},
+		{"no deadline", 100, 0, false, false},
 	} {
 		run := &Run{Replica: "a", Replicas: replicas(0, 0, 0)[1:], Events: 10, RemainingEvents: test.rest, HasDeadline: test.due, TimeLeft: test.left}
 		if moves := Moves(paces, []*Run{run}); (len(moves) == 1) != test.moved {
 			t.Errorf("%s: %d moves", test.name, len(moves))
 		}
 		if moves := Moves(alike, []*Run{run}); len(moves) > 0 {
-			t.Errorf("%s: moved for a difference that comes and goes with the load", test.name)
+			t.Errorf("%s: moved although the replicas are similarly fast", test.name)
 		}
 	}
 }
--- a/internal/jobs/placement/paces.go
+++ b/internal/jobs/placement/paces.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// minPacedReplicas is the number of replicas with a known pace that are required to
+	// minKnownPaces is the number of replicas with a known pace that are required to
 	// compare paces.
-	minPacedReplicas = 3
+	minKnownPaces = 3
 	// slowRatio is the multiple of the median interval above which a replica is slow.
 	slowRatio = 1.7
-	// minUsualInterval is the lower bound of the interval that others are compared with.
+	// minReferenceInterval is the lower bound of the interval that others are compared with.
 	// Differences below it are negligible.
-	minUsualInterval = 10 * time.Millisecond
+	minReferenceInterval = 10 * time.Millisecond
 )
 
 // Paces holds the known intervals between events of a run by replica, with their median and
 // minimum.
 type Paces struct {
 	intervals map[string]time.Duration
-	// usual is the median interval and fastest the shortest, both at least
-	// minUsualInterval. Both are 0 if fewer than minPacedReplicas are known.
-	usual   time.Duration
+	// median is the median interval and fastest the shortest, both at least
+	// minReferenceInterval. Both are 0 if fewer than minKnownPaces are known.
+	median  time.Duration
 	fastest time.Duration
 }
 
@@ -33,17 +33,17 @@
 	for _, interval := range intervals {
 		sorted = append(sorted, interval)
 	}
-	if len(sorted) < minPacedReplicas {
+	if len(sorted) < minKnownPaces {
 		return paces
 	}
 	slices.Sort(sorted)
-	paces.usual = max(sorted[(len(sorted)-1)/2], minUsualInterval)
-	paces.fastest = max(sorted[0], minUsualInterval)
+	paces.median = max(sorted[(len(sorted)-1)/2], minReferenceInterval)
+	paces.fastest = max(sorted[0], minReferenceInterval)
 	return paces
 }
 
 // MedianInterval returns the median interval, 0 if too few intervals are known.
-func (p Paces) MedianInterval() time.Duration { return p.usual }
+func (p Paces) MedianInterval() time.Duration { return p.median }
 
 // expectedAt returns the expected interval at a replica: its own if known, else the median,
 // or 0 if neither is known.
@@ -51,12 +51,12 @@
 	if interval := p.intervals[replica]; interval > 0 {
 		return interval
 	}
-	return p.usual
+	return p.median
 }
 
 // isSlow reports whether the interval of a replica exceeds slowRatio times the median.
 func (p Paces) isSlow(replica string) bool {
-	return p.usual > 0 && float64(p.intervals[replica]) > slowRatio*float64(p.usual)
+	return p.median > 0 && float64(p.intervals[replica]) > slowRatio*float64(p.median)
 }
 
 // slowdown returns the excess of a replica's interval over the shortest one, as a fraction
--- a/internal/jobs/placement/paces_test.go
+++ b/internal/jobs/placement/paces_test.go
@@ -14,25 +14,25 @@
 	return NewPaces(known)
 }
 
-func TestSlowReplicasAreTheOnesFarAboveTheMedian(t *testing.T) {
+func TestPacesIsSlow(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		intervals []int
 		slow      bool
 	}{
-		{"alike", []int{50, 50, 50}, false},
+		{"equal", []int{50, 50, 50}, false},
 		{"below the ratio", []int{84, 50, 50}, false},
 		{"above the ratio", []int{86, 50, 50}, true},
-		{"too few known to compare", []int{200, 50}, false},
-		{"fast enough for the difference not to matter", []int{16, 2, 2}, false},
+		{"too few known paces", []int{200, 50}, false},
+		{"below the reference interval", []int{16, 2, 2}, false},
 	} {
 		if got := pacesOf(test.intervals...).isSlow("a"); got != test.slow {
-			t.Errorf("%s: %t", test.name, got)
+			t.Errorf("%s: slow %t", test.name, got)
 		}
 	}
 }
 
-func TestIntervalExpectedAtAReplica(t *testing.T) {
+func TestPacesExpectedAt(t *testing.T) {
 	paces := pacesOf(40, 50, 90)
 	for replica, want := range map[string]time.Duration{
 		"a": 40 * time.Millisecond, "c": 90 * time.Millisecond, "unknown": 50 * time.Millisecond,
@@ -42,6 +42,6 @@
 		}
 	}
 	if got := pacesOf(40, 50).expectedAt("unknown"); got != 0 {
-		t.Errorf("%s where too few paces are known", got)
+		t.Errorf("interval %s with too few known paces, want unknown", got)
 	}
 }
--- a/internal/jobs/placement/pick.go
+++ b/internal/jobs/placement/pick.go
@@ -2,37 +2,37 @@
 
 import "slices"
 
-// Pick returns the least used replica with a free slot, or nil if there is none. Replicas
+// Pick returns the least utilized replica with a free slot, or nil if there is none. Replicas
 // that have failed the item are excluded unless every candidate has failed it. An urgent item
 // goes to a replica that may be down only if no other has a free slot.
 func Pick(replicas []*Replica, preference Preference) *Replica {
-	failedEverywhere := hasFailedAll(replicas, preference.FailedReplicas)
-	var best, unproven *Replica
+	allCandidatesFailed := allFailed(replicas, preference.FailedReplicas)
+	var best, bestUnresponsive *Replica
 	for _, candidate := range replicas {
-		if !candidate.hasRoom() || (!failedEverywhere && slices.Contains(preference.FailedReplicas, candidate.Name)) {
+		if !candidate.hasCapacity() || (!allCandidatesFailed && slices.Contains(preference.FailedReplicas, candidate.Name)) {
 			continue
 		}
-		if preference.Urgent && candidate.unproven {
-			unproven = lessUsed(unproven, candidate)
+		if preference.Urgent && candidate.unresponsive {
+			bestUnresponsive = lessUtilized(bestUnresponsive, candidate)
 			continue
 		}
-		best = lessUsed(best, candidate)
+		best = lessUtilized(best, candidate)
 	}
 	if best == nil {
-		return unproven
+		return bestUnresponsive
 	}
 	return best
 }
 
-// hasFailedAll reports whether all candidates have failed the item.
-func hasFailedAll(replicas []*Replica, failed []string) bool {
+// allFailed reports whether all candidates have failed the item.
+func allFailed(replicas []*Replica, failed []string) bool {
 	return !slices.ContainsFunc(replicas, func(candidate *Replica) bool { return !slices.Contains(failed, candidate.Name) })
 }
 
-// lessUsed returns the less used of two replicas, or the first if they are equal. The first
+// lessUtilized returns the less utilized of two replicas, or the first if they are equal. The first
 // may be nil.
-func lessUsed(first, second *Replica) *Replica {
-	if first == nil || second.use() < first.use() {
+func lessUtilized(first, second *Replica) *Replica {
+	if first == nil || second.utilization() < first.utilization() {
 		return second
 	}
 	return first
--- a/internal/jobs/placement/rank_test.go
+++ b/internal/jobs/placement/rank_test.go
@@ -34,21 +34,21 @@
 	return made
 }
 
-func TestItemsThatCameBackGoFirstTheLongestInFront(t *testing.T) {
+func TestRankItemsInheritedFirst(t *testing.T) {
 	submission := submissionOf(0, 1, 1, 9, 8, 1, 1)
 	lengths := map[string]Length{"c0": {Events: 30, Complete: true}, "c1": {Events: 20}, "a0": {Events: 90, Complete: true}}
 	order := strings.Fields(ranked(submission, lengths))
 	// c1 was cancelled after 20 events and is expected to have 20 more. a1 is inherited
 	// because of its group, and its length is unknown.
 	if want := []string{"a0", "c1", "c0"}; !slices.Equal(order[:3], want) {
-		t.Errorf("order %v does not begin with %v", order, want)
+		t.Errorf("order %v does not start with %v", order, want)
 	}
 	if order[3] != "a1" {
-		t.Errorf("in %v an item that its group waits for comes after others", order)
+		t.Errorf("order %v has other items before an item of an inherited group", order)
 	}
 }
 
-func TestLongestGroupsThatNeedNotBeWaitedForGoLast(t *testing.T) {
+func TestRankItemsReserveLast(t *testing.T) {
 	order := ranked(submissionOf(3, 1, 1, 2, 2, 3, 3, 9, 9), nil)
 	if !strings.HasSuffix(order, "d0 d1") {
 		t.Errorf("order %s does not end with the reserve group", order)
@@ -57,11 +57,11 @@
 	// they are never in reserve.
 	order = ranked(submissionOf(3, 9, 9, 2, 2, 3, 3, 1, 1), nil)
 	if strings.HasSuffix(order, "a0 a1") {
-		t.Errorf("order %s has a group last that may be waited for", order)
+		t.Errorf("order %s has a group last that the trainer may wait for", order)
 	}
 }
 
-func TestTheLongestQuarterGoesFirstAndThenTheShortest(t *testing.T) {
+func TestRankItemsWantedOrder(t *testing.T) {
 	order := ranked(submissionOf(0, 5, 1, 9, 2, 8, 3, 7, 4), nil)
 	if want := "b0 c0 a1 b1 c1 d1 a0 d0"; order != want {
 		t.Errorf("order %s, want %s", order, want)
--- a/internal/jobs/placement/replica.go
+++ b/internal/jobs/placement/replica.go
@@ -10,19 +10,19 @@
 	// paceBias is multiplied by the slowdown of a replica, so that slower replicas are used
 	// once the faster ones are nearly full.
 	paceBias = 3
-	// warmBonus is subtracted for replicas to which this node has open connections.
-	warmBonus = 0.3
+	// connectionBonus is subtracted for replicas to which this node has open connections.
+	connectionBonus = 0.3
 )
 
 const (
-	// warmTime is how long after an event the connection to its replica is assumed to be
+	// connectionIdleTime is how long after an event the connection to its replica is assumed to be
 	// open.
-	warmTime = 4 * time.Second
+	connectionIdleTime = 4 * time.Second
 	// FailingRuns is the maximum number of items that run at a failing replica.
 	FailingRuns = 1
-	// unprovenRuns is the maximum number of items added at once to a replica that may be
+	// unresponsiveRuns is the maximum number of items added at once to a replica that may be
 	// down, since each may fail to connect.
-	unprovenRuns = 1
+	unresponsiveRuns = 1
 )
 
 // Replica is a view of a replica that items may be sent to.
@@ -34,51 +34,51 @@
 	Load int
 	// MaxLoad is the load at which the replica gets no further items.
 	MaxLoad int
-	// unproven is ReplicaHealth.Unresponsive.
-	unproven bool
+	// unresponsive is ReplicaHealth.Unresponsive.
+	unresponsive bool
 	// bias is added to the utilization when replicas are compared.
 	bias float64
 }
 
 // NewReplica returns a view of a replica with the given slots and load.
-func NewReplica(name string, slots, load int, paces Paces, condition ReplicaHealth) *Replica {
+func NewReplica(name string, slots, load int, paces Paces, health ReplicaHealth) *Replica {
 	return &Replica{
 		Name: name, Slots: slots, Load: load,
-		MaxLoad:  maxLoadOf(slots, load, condition),
-		unproven: condition.Unresponsive,
-		bias:     biasOf(paces.slowdown(name), paces.isSlow(name), condition),
+		MaxLoad:      maxLoadOf(slots, load, health),
+		unresponsive: health.Unresponsive,
+		bias:         biasOf(paces.slowdown(name), paces.isSlow(name), health),
 	}
 }
 
 // maxLoadOf returns the load at which a replica gets no further items: its slots, or fewer
 // while it is failing or may be down.
-func maxLoadOf(slots, load int, condition ReplicaHealth) int {
+func maxLoadOf(slots, load int, health ReplicaHealth) int {
 	limit := slots
-	if condition.Failing {
+	if health.Failing {
 		limit = min(limit, FailingRuns)
 	}
-	if condition.Unresponsive {
-		limit = min(limit, load+unprovenRuns)
+	if health.Unresponsive {
+		limit = min(limit, load+unresponsiveRuns)
 	}
 	return limit
 }
 
 // biasOf returns the bias of a replica: larger for slower and failing replicas, smaller for
 // one with open connections.
-func biasOf(slowdown float64, isSlow bool, condition ReplicaHealth) float64 {
+func biasOf(slowdown float64, isSlow bool, health ReplicaHealth) float64 {
 	bias := paceBias * slowdown
-	if condition.Failing || isSlow {
+	if health.Failing || isSlow {
 		bias += slowPenalty
 	}
-	if condition.SinceEvent < warmTime {
-		bias -= warmBonus
+	if health.SinceEvent < connectionIdleTime {
+		bias -= connectionBonus
 	}
 	return bias
 }
 
-// use returns the utilization of the slots plus the bias. Replicas with the lowest value are
+// utilization returns the utilization of the slots plus the bias. Replicas with the lowest value are
 // picked first.
-func (r *Replica) use() float64 { return float64(r.Load)/float64(r.Slots) + r.bias }
+func (r *Replica) utilization() float64 { return float64(r.Load)/float64(r.Slots) + r.bias }
 
-// hasRoom reports whether the replica may get another item.
-func (r *Replica) hasRoom() bool { return r.Load < r.MaxLoad }
+// hasCapacity reports whether the replica may get another item.
+func (r *Replica) hasCapacity() bool { return r.Load < r.MaxLoad }
--- a/internal/jobs/placement/stall_test.go
+++ b/internal/jobs/placement/stall_test.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-func TestTextsWithoutSlackAreCutAfterSomeIntervals(t *testing.T) {
+func TestStalled(t *testing.T) {
 	paces := pacesOf(50, 50, 50, 140)
 	for _, test := range []struct {
 		name    string
 		run     Run
 		stalled bool
 	}{
-		{"without slack", Run{Replica: "a", Events: 60, RemainingEvents: 80, HasDeadline: true, TimeLeft: 4 * time.Second, Idle: 220 * time.Millisecond}, true},
-		{"without slack, an interval or two", Run{Replica: "a", Events: 60, RemainingEvents: 80, HasDeadline: true, TimeLeft: 4 * time.Second, Idle: 150 * time.Millisecond}, false},
-		{"without slack where events are slow", Run{Replica: "d", Events: 60, RemainingEvents: 80, HasDeadline: true, TimeLeft: 4 * time.Second, Idle: 400 * time.Millisecond}, false},
-		{"with slack", Run{Replica: "a", Events: 60, RemainingEvents: 10, HasDeadline: true, TimeLeft: 4 * time.Second, Idle: 400 * time.Millisecond}, false},
-		{"with slack, for long", Run{Replica: "a", Events: 60, RemainingEvents: 10, HasDeadline: true, TimeLeft: 4 * time.Second, Idle: 600 * time.Millisecond}, true},
-		{"no time named", Run{Replica: "a", Events: 60, RemainingEvents: 80, Idle: 400 * time.Millisecond}, false},
-		{"not begun, without slack", Run{Replica: "a", RemainingEvents: 140, HasDeadline: true, TimeLeft: 7 * time.Second, Idle: 300 * time.Millisecond}, false},
-		{"not begun for long, without slack", Run{Replica: "a", RemainingEvents: 140, HasDeadline: true, TimeLeft: 7 * time.Second, Idle: 500 * time.Millisecond}, true},
-		{"not begun, with slack", Run{Replica: "a", RemainingEvents: 40, HasDeadline: true, TimeLeft: 7 * time.Second, Idle: 800 * time.Millisecond}, false},
-		{"weights change", Run{Replica: "a", Events: 60, RemainingEvents: 80, HasDeadline: true, TimeLeft: 4 * time.Second, Loading: true, Idle: 600 * time.Millisecond}, false},
+		{"no slack, beyond the timeout", Run{Replica: "a", Events: 60, RemainingEvents: 80, HasDeadline: true, TimeLeft: 4 * time.Second, Idle: 220 * time.Millisecond}, true},
+		{"no slack, within the timeout", Run{Replica: "a", Events: 60, RemainingEvents: 80, HasDeadline: true, TimeLeft: 4 * time.Second, Idle: 150 * time.Millisecond}, false},
+		{"no slack, slow replica", Run{Replica: "d", Events: 60, RemainingEvents: 80, HasDeadline: true, TimeLeft: 4 * time.Second, Idle: 400 * time.Millisecond}, false},
+		{"slack, within the timeout", Run{Replica: "a", Events: 60, RemainingEvents: 10, HasDeadline: true, TimeLeft: 4 * time.Second, Idle: 400 * time.Millisecond}, false},
+		{"slack, beyond the timeout", Run{Replica: "a", Events: 60, RemainingEvents: 10, HasDeadline: true, TimeLeft: 4 * time.Second, Idle: 600 * time.Millisecond}, true},
+		{"no deadline", Run{Replica: "a", Events: 60, RemainingEvents: 80, Idle: 400 * time.Millisecond}, false},
+		{"no event, no slack, within the timeout", Run{Replica: "a", RemainingEvents: 140, HasDeadline: true, TimeLeft: 7 * time.Second, Idle: 300 * time.Millisecond}, false},
+		{"no event, no slack, beyond the timeout", Run{Replica: "a", RemainingEvents: 140, HasDeadline: true, TimeLeft: 7 * time.Second, Idle: 500 * time.Millisecond}, true},
+		{"no event, slack, within the timeout", Run{Replica: "a", RemainingEvents: 40, HasDeadline: true, TimeLeft: 7 * time.Second, Idle: 800 * time.Millisecond}, false},
+		{"loading weights", Run{Replica: "a", Events: 60, RemainingEvents: 80, HasDeadline: true, TimeLeft: 4 * time.Second, Loading: true, Idle: 600 * time.Millisecond}, false},
 	} {
 		if got := Stalled(paces, &test.run); got != test.stalled {
 			t.Errorf("%s: %t", test.name, got)
@@ -29,13 +29,13 @@
 	}
 }
 
-func TestRunsAtALeavingReplicaStayWhileEventsCome(t *testing.T) {
+func TestHasRecentEvent(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		idle time.Duration
 		want bool
 	}{
-		{"events come", 100 * time.Millisecond, true},
+		{"recent event", 100 * time.Millisecond, true},
 		{"just before the event timeout", eventTimeout - time.Millisecond, true},
 		{"at the event timeout", eventTimeout, false},
 	} {
--- a/internal/jobs/replicastate/nodeuses.go
+++ b/internal/jobs/replicastate/nodeslotuse.go
@@ -23,17 +23,17 @@
 // isCurrent reports whether the slot use is still valid.
 func (u NodeSlotUse) isCurrent(now time.Time) bool { return now.Sub(u.ReceivedAt) < SlotUseTimeout }
 
-// usesFrom returns the slot use that a heartbeat announces.
-func usesFrom(heartbeat *wire.NodeBeat, now time.Time) NodeSlotUse {
-	uses := NodeSlotUse{ReceivedAt: now, Running: map[string]int{}, Intervals: map[string]time.Duration{}, Open: map[string]int{}}
+// slotUseFrom returns the slot use that a heartbeat announces.
+func slotUseFrom(heartbeat *wire.NodeBeat, now time.Time) NodeSlotUse {
+	slotUse := NodeSlotUse{ReceivedAt: now, Running: map[string]int{}, Intervals: map[string]time.Duration{}, Open: map[string]int{}}
 	for _, work := range heartbeat.Work {
-		uses.Open[work.Model] += int(work.Open)
+		slotUse.Open[work.Model] += int(work.Open)
 	}
 	for _, use := range heartbeat.Uses {
-		uses.Running[use.Replica] = int(use.Running)
+		slotUse.Running[use.Replica] = int(use.Running)
 		if use.IntervalUs > 0 {
-			uses.Intervals[use.Replica] = time.Duration(use.IntervalUs) * time.Microsecond
+			slotUse.Intervals[use.Replica] = time.Duration(use.IntervalUs) * time.Microsecond
 		}
 	}
-	return uses
+	return slotUse
 }
--- a/internal/jobs/replicastate/state.go
+++ b/internal/jobs/replicastate/state.go
@@ -46,9 +46,9 @@
 	if now.Before(s.BlockedUntil) {
 		return
 	}
-	length := min(first<<min(s.Blocks, maxDoublings), MaxBlock)
+	duration := min(first<<min(s.Blocks, maxDoublings), MaxBlock)
 	s.Blocks++
-	s.BlockedUntil = now.Add(length)
+	s.BlockedUntil = now.Add(duration)
 }
 
 // IsLoading reports whether the replica is loading weights of a model.
--- a/internal/jobs/replicastate/state_test.go
+++ b/internal/jobs/replicastate/state_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against retrying an unavailable replica at a constant rate.
-func TestReplicaThatGivesNothingIsLeftAloneEverLonger(t *testing.T) {
+func TestBlockBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const firstBlock = 80 * time.Millisecond
 		state := &State{}
@@ -24,18 +24,18 @@
 			}
 		}
 		if tries < 10 || tries > 16 {
-			t.Errorf("%d tries in ten seconds", tries)
+			t.Errorf("%d attempts in ten seconds, want 10 to 16", tries)
 		}
 		state.Blocks = 0
 		time.Sleep(MaxBlock)
 		state.Block(firstBlock)
 		if left := time.Until(state.BlockedUntil); left != firstBlock {
-			t.Errorf("after it gave something, it is left alone for %s", left)
+			t.Errorf("after a reset, the replica is blocked for %s", left)
 		}
 	})
 }
 
-func TestFailingReplicasAreTold(t *testing.T) {
+func TestFailureRateIsFailing(t *testing.T) {
 	start := time.Now()
 	for _, test := range []struct {
 		name string
@@ -47,12 +47,12 @@
 	}{
 		{"none", "", 0, false},
 		{"one failure", "....F", 0, false},
-		{"two in a row", "....FF", 0, true},
+		{"two consecutive", "....FF", 0, true},
 		{"one in ten", "F.........F.........F", 0, false},
 		{"half", "F.F.F.F.F.F.F.F", 0, true},
-		{"all, some time ago", "FFFFFFFFFFFF", 5 * time.Second, false},
-		{"all, a moment ago", "FFFFFFFFFFFF", 2 * time.Second, true},
-		{"all, then well", "FFFFFFFF.....", 0, false},
+		{"all, decayed", "FFFFFFFFFFFF", 5 * time.Second, false},
+		{"all, not yet decayed", "FFFFFFFFFFFF", 2 * time.Second, true},
+		{"all, then successes", "FFFFFFFF.....", 0, false},
 	} {
 		var failures FailureRate
 		now := start
@@ -61,23 +61,23 @@
 			failures.Observe(run == 'F', now)
 		}
 		if got := failures.IsFailing(now.Add(test.after)); got != test.want {
-			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+			t.Errorf("%s: failing %v, want %v", test.name, got, test.want)
 		}
 	}
 }
 
 // Guards against moving runs away from a replica because of an outdated slow pace.
-func TestPaceIsLearntAnewAfterAWhileWithoutRuns(t *testing.T) {
+func TestObserveDiscardsOldPace(t *testing.T) {
 	now := time.Now()
 	state := &State{Pace: placement.NewPace(140 * time.Millisecond), ObservedAt: now, Running: 1}
 	state.Observe(50*time.Millisecond, now.Add(time.Second))
 	if got := state.Pace.Interval(); got < 130*time.Millisecond {
-		t.Errorf("%s after one event a second later", got)
+		t.Errorf("interval %s after one event a second later", got)
 	}
 	for number := range 6 {
 		state.Observe(50*time.Millisecond, now.Add(2*FreshPaceAge+time.Duration(number)*50*time.Millisecond))
 	}
 	if got := state.Pace.Interval(); got != 50*time.Millisecond {
-		t.Errorf("%s after six events a while later", got)
+		t.Errorf("interval %s after six events once the old pace has expired", got)
 	}
 }
--- a/internal/jobs/replicastate/table.go
+++ b/internal/jobs/replicastate/table.go
@@ -41,18 +41,18 @@
 
 // LearnSlotUse records the slot use in a heartbeat of another node.
 func (t *Table) LearnSlotUse(heartbeat *wire.NodeBeat, now time.Time) {
-	t.SlotUse[heartbeat.Node] = usesFrom(heartbeat, now)
+	t.SlotUse[heartbeat.Node] = slotUseFrom(heartbeat, now)
 }
 
 // Announced returns the slot use of this node for its heartbeats.
 func (t *Table) Announced(now time.Time) []wire.ReplicaUse {
-	var uses []wire.ReplicaUse
+	var slotUse []wire.ReplicaUse
 	for replica, state := range t.States {
 		if state.Running > 0 {
-			uses = append(uses, wire.ReplicaUse{Replica: replica, Running: uint32(state.Running), IntervalUs: state.announcedMicroseconds(now)})
+			slotUse = append(slotUse, wire.ReplicaUse{Replica: replica, Running: uint32(state.Running), IntervalUs: state.announcedMicroseconds(now)})
 		}
 	}
-	return uses
+	return slotUse
 }
 
 // Version returns the newest known weight version of a model at a replica, 0 if unknown.
--- a/internal/jobs/statistics/demand.go
+++ b/internal/jobs/statistics/demand.go
@@ -22,8 +22,8 @@
 	model  string
 	tokens float64
 	// items is the number of the job's items, 0 for unknown.
-	items    int
-	learntAt time.Time
+	items      int
+	recordedAt time.Time
 }
 
 // NewDemand returns a Demand without jobs.
@@ -34,7 +34,7 @@
 	if _, known := d.byJob[work.Job]; known || work.Model == "" {
 		return
 	}
-	d.byJob[work.Job] = jobWork{model: work.Model, tokens: float64(work.ExpectedTokens), items: int(work.Items), learntAt: now}
+	d.byJob[work.Job] = jobWork{model: work.Model, tokens: float64(work.ExpectedTokens), items: int(work.Items), recordedAt: now}
 }
 
 // Mean returns, by model, the mean work of the recent jobs in expected tokens, and the number
@@ -55,7 +55,7 @@
 
 // Evict removes the jobs whose retention has expired.
 func (d *Demand) Evict(now time.Time) {
-	maps.DeleteFunc(d.byJob, func(_ string, work jobWork) bool { return now.Sub(work.learntAt) > demandRetention })
+	maps.DeleteFunc(d.byJob, func(_ string, work jobWork) bool { return now.Sub(work.recordedAt) > demandRetention })
 }
 
 // Len returns the number of recorded jobs.
--- a/internal/jobs/statistics/lengths.go
+++ b/internal/jobs/statistics/lengths.go
@@ -27,7 +27,7 @@
 // knownLength is a length and the time at which it was recorded.
 type knownLength struct {
 	placement.Length
-	learntAt time.Time
+	recordedAt time.Time
 }
 
 // announcedLength is a length from this node's own runs.
@@ -50,7 +50,7 @@
 
 // Observe records a length from this node's own runs and announces it to the other nodes.
 func (l *Lengths) Observe(item string, length placement.Length, now time.Time) {
-	known := knownLength{Length: length, learntAt: now}
+	known := knownLength{Length: length, recordedAt: now}
 	l.byItem[item] = known
 	l.announced = append(l.announced, announcedLength{item: item, length: known})
 }
@@ -59,7 +59,7 @@
 func (l *Lengths) Learn(announced []wire.ItemLength, now time.Time) {
 	for _, length := range announced {
 		known := placement.Length{Events: int(length.Events), Complete: length.Whole}
-		l.byItem[length.Item] = knownLength{Length: known, learntAt: now}
+		l.byItem[length.Item] = knownLength{Length: known, recordedAt: now}
 	}
 }
 
@@ -69,7 +69,7 @@
 	var recent []wire.ItemLength
 	kept := l.announced[:0]
 	for _, next := range l.announced {
-		if now.Sub(next.length.learntAt) < lengthAnnounceTime {
+		if now.Sub(next.length.recordedAt) < lengthAnnounceTime {
 			kept = append(kept, next)
 			recent = append(recent, wire.ItemLength{Item: next.item, Events: uint32(next.length.Events), Whole: next.length.Complete})
 		}
@@ -80,7 +80,7 @@
 
 // Evict removes the lengths whose retention has expired.
 func (l *Lengths) Evict(now time.Time) {
-	maps.DeleteFunc(l.byItem, func(_ string, known knownLength) bool { return now.Sub(known.learntAt) > lengthRetention })
+	maps.DeleteFunc(l.byItem, func(_ string, known knownLength) bool { return now.Sub(known.recordedAt) > lengthRetention })
 }
 
 // Len returns the number of items with a known length.
--- a/internal/jobs/statistics/statistics_test.go
+++ b/internal/jobs/statistics/statistics_test.go
@@ -8,7 +8,7 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-func TestLengthsAreAnnouncedThenKeptThenForgotten(t *testing.T) {
+func TestLengthsExpiry(t *testing.T) {
 	began := time.Now()
 	for _, test := range []struct {
 		name      string
@@ -16,7 +16,7 @@
 		announced int
 		known     int
 	}{
-		{"at once", 0, 1, 2},
+		{"immediately", 0, 1, 2},
 		{"just before the last announcement", lengthAnnounceTime - 1, 1, 2},
 		{"after the last announcement", lengthAnnounceTime, 0, 2},
 		{"at the end of the retention", lengthRetention, 0, 2},
@@ -33,12 +33,12 @@
 			t.Errorf("%s: %d lengths known, want %d", test.name, lengths.Len(), test.known)
 		}
 		if _, known := lengths.Get("other"); known != (test.known > 0) {
-			t.Errorf("%s: the length of another node is known: %v", test.name, known)
+			t.Errorf("%s: a length from another node is known: %v", test.name, known)
 		}
 	}
 }
 
-func TestTolerancesOnlyFall(t *testing.T) {
+func TestTolerancesOnlyDecrease(t *testing.T) {
 	tolerances := Tolerances{}
 	for _, test := range []struct {
 		name       string
@@ -47,7 +47,7 @@
 		want       int64
 		known      bool
 	}{
-		{"the first version tells nothing", 1, 5, 0, false},
+		{"the first version is ignored", 1, 5, 0, false},
 		{"two behind", 3, 5, 2, true},
 		{"three behind changes nothing", 2, 5, 2, true},
 		{"one behind", 4, 5, 1, true},
@@ -60,17 +60,17 @@
 	}
 }
 
-func TestDemandIsForgotten(t *testing.T) {
+func TestDemandExpiry(t *testing.T) {
 	began, demand := time.Now(), NewDemand()
 	demand.Learn(wire.JobWork{Job: "a", Model: "m", ExpectedTokens: 100, Items: 8}, began)
 	demand.Learn(wire.JobWork{Job: "a", Model: "m", ExpectedTokens: 900, Items: 80}, began.Add(time.Second))
 	demand.Learn(wire.JobWork{Job: "b", Model: "m", ExpectedTokens: 300, Items: 16}, began.Add(time.Second))
 	demand.Learn(wire.JobWork{Job: "of no model"}, began)
 	if got := demand.Mean(); got.Tokens["m"] != 200 || got.Items["m"] != 16 {
-		t.Errorf("mean of %v tokens, largest of %d items", got.Tokens["m"], got.Items["m"])
+		t.Errorf("mean of %v tokens, largest job of %d items", got.Tokens["m"], got.Items["m"])
 	}
 	demand.Evict(began.Add(demandRetention + time.Millisecond))
 	if got := demand.Mean(); got.Tokens["m"] != 300 || demand.Len() != 1 {
-		t.Errorf("mean of %v tokens of %d jobs after the first is forgotten", got.Tokens["m"], demand.Len())
+		t.Errorf("mean of %v tokens over %d jobs after the first has expired", got.Tokens["m"], demand.Len())
 	}
 }
--- a/internal/replicas/directory/configuration.go
+++ b/internal/replicas/directory/configuration.go
@@ -20,18 +20,18 @@
 	TenantFindings []*tenancy.DeclarationError
 
 	byHost map[string][]*Route
-	// declaresHomes is set if any route or tenant has allowed regions.
-	declaresHomes bool
+	// restrictsRegions is set if any route or tenant has allowed regions.
+	restrictsRegions bool
 }
 
 // Index builds the lookup tables for routes and allowed regions. It must be called once
 // before any lookup.
 func (c *Configuration) Index() {
 	c.byHost = map[string][]*Route{}
-	c.declaresHomes = c.Tenants.RestrictsRegions()
+	c.restrictsRegions = c.Tenants.RestrictsRegions()
 	for i := range c.Routes {
 		route := &c.Routes[i]
-		c.declaresHomes = c.declaresHomes || len(route.AllowedRegions) > 0
+		c.restrictsRegions = c.restrictsRegions || len(route.AllowedRegions) > 0
 		host := strings.ToLower(route.Host)
 		c.byHost[host] = append(c.byHost[host], route)
 	}
--- a/internal/replicas/directory/configuration_sink.go
+++ b/internal/replicas/directory/configuration_sink.go
@@ -12,21 +12,21 @@
 
 // Replace implements Sink.
 func (s ConfigurationSink) Replace(objects []objectstore.Object, _ bool) {
-	takeAll(objects, s.take)
+	forEach(objects, s.applyObject)
 }
 
 // Apply implements Sink.
 func (s ConfigurationSink) Apply(changes []objectstore.Change, _ bool) {
-	takePresent(changes, s.take)
+	forEachPresent(changes, s.applyObject)
 }
 
-func (s ConfigurationSink) take(object objectstore.Object) {
+func (s ConfigurationSink) applyObject(object objectstore.Object) {
 	if object.Name != s.Name {
 		return
 	}
 	configuration, err := s.Decoder.Configuration(object.Spec)
 	if err != nil {
-		s.Table.logger.Error(err, "configuration is not readable", "revision", object.Revision)
+		s.Table.logger.Error(err, "cannot decode configuration", "revision", object.Revision)
 		return
 	}
 	s.Table.SetConfiguration(configuration, object.Revision)
--- a/internal/replicas/directory/doc.go
+++ b/internal/replicas/directory/doc.go
@@ -12,6 +12,6 @@
 //   - The requests to a warming replica are limited before the view that lists it is
 //     published.
 //
-// usable.go decides which replicas are used, entry_book.go applies these decisions to the
+// usable.go decides which replicas are used, entry_tracker.go applies these decisions to the
 // entries in the store, and listing.go and plans.go publish the result.
 package directory
--- a/internal/replicas/directory/entries_test.go
+++ b/internal/replicas/directory/entries_test.go
@@ -9,44 +9,44 @@
 )
 
 // Guards against watching and listing nodes treating the same unreadable entry differently.
-func TestAnEntryThatCannotBeReadNamesNoReplicaWhicheverWayItCame(t *testing.T) {
+func TestUnreadableEntryListAndWatch(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "one", ready("s"))
 		store.Write("servers", "two", ready("s"))
 		watching := informed(ctx, store)
 		settle(time.Second)
-		store.Write("servers", "one", "bytes of another writer")
+		store.Write("servers", "one", "invalid entry")
 		settle(time.Second)
 		listing := informed(ctx, store)
 		settle(time.Second)
 		for way, table := range map[string]*Table{"watch": watching, "listing": listing} {
 			if table.View().Replicas["one"] != nil {
-				t.Errorf("a replica whose entry cannot be read is used after a %s", way)
+				t.Errorf("a replica with an unreadable entry is used after a %s", way)
 			}
 			if table.View().Replicas["two"] == nil {
-				t.Errorf("the other replica is not used after a %s", way)
+				t.Errorf("the replica with a valid entry is not used after a %s", way)
 			}
 		}
 		store.Write("servers", "one", ready("s"))
 		settle(time.Second)
 		if watching.View().Replicas["one"] == nil || listing.View().Replicas["one"] == nil {
-			t.Error("a replica that has written its entry again is not used")
+			t.Error("a replica is not used after its entry was corrected")
 		}
 	})
 }
 
 // Guards against an unreadable entry being treated like a missing one, whose replica is
 // kept after an outage.
-func TestAnEntryThatCannotBeReadIsNotKeptAfterAnOutage(t *testing.T) {
+func TestUnreadableEntryAfterOutage(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "one", ready("s"))
 		table := informed(ctx, store)
 		settle(time.Second)
 		passOutage(store)
-		store.Write("servers", "one", "bytes of another writer")
+		store.Write("servers", "one", "invalid entry")
 		settle(keepMissing / 2)
 		if table.View().Replicas["one"] != nil {
-			t.Error("a replica whose entry cannot be read is used after an outage")
+			t.Error("a replica with an unreadable entry is used after an outage")
 		}
 	})
 }
--- a/internal/replicas/directory/evacuation.go
+++ b/internal/replicas/directory/evacuation.go
@@ -10,9 +10,9 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// evacuationEndMemory is how long the end of an evacuation is remembered. It must be longer
+// evacuationEndRetention is how long the end of an evacuation is remembered. It must be longer
 // than any warm-up time.
-const evacuationEndMemory = 10 * time.Minute
+const evacuationEndRetention = 10 * time.Minute
 
 // AssumeAllEvacuated treats every zone as evacuated until the evacuations have been listed
 // once. It must be called before the replicas are listed.
@@ -58,7 +58,7 @@
 func (t *Table) changeEvacuations(next *View, changes []EvacuationChange) {
 	next.Evacuated = cloneTimes(next.Evacuated)
 	next.EvacuationEnded = cloneTimes(next.EvacuationEnded)
-	maps.DeleteFunc(next.EvacuationEnded, func(_ string, at time.Time) bool { return t.clock.Since(at) > evacuationEndMemory })
+	maps.DeleteFunc(next.EvacuationEnded, func(_ string, at time.Time) bool { return t.clock.Since(at) > evacuationEndRetention })
 	for _, change := range changes {
 		if change.Ended {
 			endEvacuation(next, change.Zone, t.clock(), t.logger)
@@ -78,10 +78,10 @@
 	delete(next.EvacuationEnded, zone)
 	replicas := next.EndpointsIn(zone)
 	if len(replicas) == 0 && next.ReplicasKnown {
-		logger.Info("evacuation of a zone without replicas", "evacuated", zone)
+		logger.Info("evacuated zone has no replicas", "evacuated", zone)
 		return
 	}
-	logger.Info("zone evacuated", "evacuated", zone, "replicas", len(replicas), "inFlight", next.InFlightIn(zone))
+	logger.Info("zone evacuation started", "evacuated", zone, "replicas", len(replicas), "inFlight", next.InFlightIn(zone))
 }
 
 // endEvacuation records that a zone is no longer evacuated.
@@ -92,7 +92,7 @@
 	}
 	delete(next.Evacuated, zone)
 	next.EvacuationEnded[zone] = now
-	logger.Info("evacuation ended", "evacuated", zone, "replicas", len(next.EndpointsIn(zone)), "lastedMs", now.Sub(since).Milliseconds(),
+	logger.Info("zone evacuation ended", "evacuated", zone, "replicas", len(next.EndpointsIn(zone)), "lastedMs", now.Sub(since).Milliseconds(),
 		"inFlight", next.InFlightIn(zone))
 }
 
--- a/internal/replicas/directory/evacuation_sink.go
+++ b/internal/replicas/directory/evacuation_sink.go
@@ -19,9 +19,9 @@
 
 // Apply implements Sink.
 func (s EvacuationSink) Apply(changes []objectstore.Change, _ bool) {
-	taken := make([]EvacuationChange, 0, len(changes))
+	applied := make([]EvacuationChange, 0, len(changes))
 	for _, change := range changes {
-		taken = append(taken, EvacuationChange{Zone: change.Object.Name, Ended: change.Deleted})
+		applied = append(applied, EvacuationChange{Zone: change.Object.Name, Ended: change.Deleted})
 	}
-	s.Table.ApplyEvacuations(taken)
+	s.Table.ApplyEvacuations(applied)
 }
--- a/internal/replicas/directory/evacuation_test.go
+++ b/internal/replicas/directory/evacuation_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestEvacuationIsHeardOfByWatch(t *testing.T) {
+func TestEvacuationByWatch(t *testing.T) {
 	withZones(t, func(e *evacuations) {
 		e.begin("a")
 		e.want(time.Second, "a")
@@ -70,7 +70,7 @@
 	})
 }
 
-func TestEvacuationIsListedAfterForgottenHistory(t *testing.T) {
+func TestEvacuationRelistedAfterCompaction(t *testing.T) {
 	withZones(t, func(e *evacuations) {
 		e.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Silent })
 		settle(time.Second)
@@ -81,7 +81,7 @@
 	})
 }
 
-func TestEvacuationTakenBackDuringACutEndsAfterIt(t *testing.T) {
+func TestEvacuationEndedDuringOutage(t *testing.T) {
 	withZones(t, func(e *evacuations) {
 		e.begin("a")
 		settle(time.Second)
@@ -94,26 +94,26 @@
 	})
 }
 
-func TestEndOfAnEvacuationIsRemembered(t *testing.T) {
+func TestEvacuationEndRemembered(t *testing.T) {
 	withZones(t, func(e *evacuations) {
 		e.begin("a")
 		settle(time.Second)
 		e.end("a")
 		settle(time.Second)
 		if ended := e.table.View().EvacuationEnded["a"]; time.Since(ended) > time.Second {
-			t.Errorf("the end is known as of %v", ended)
+			t.Errorf("end of the evacuation recorded at %v", ended)
 		}
 	})
 }
 
-func TestEvacuationOfAnUnknownZoneHasNoEffect(t *testing.T) {
+func TestEvacuationOfUnknownZone(t *testing.T) {
 	withZones(t, func(e *evacuations) {
 		e.begin("elsewhere")
 		e.want(time.Second)
 	})
 }
 
-func TestReplicaThatAppearsInAnEvacuatedZoneGetsNothing(t *testing.T) {
+func TestEvacuationAppliesToNewReplica(t *testing.T) {
 	withZones(t, func(e *evacuations) {
 		e.begin("c")
 		settle(time.Second)
@@ -122,7 +122,7 @@
 	})
 }
 
-func TestReplicaThatMovesOutOfAnEvacuatedZoneIsUsed(t *testing.T) {
+func TestEvacuationReplicaChangesZone(t *testing.T) {
 	withZones(t, func(e *evacuations) {
 		e.begin("a")
 		settle(time.Second)
@@ -132,14 +132,14 @@
 }
 
 // Guards against a starting node using replicas before it knows which zones are evacuated.
-func TestNothingIsSentBeforeEvacuationsAreListed(t *testing.T) {
+func TestAssumeAllEvacuated(t *testing.T) {
 	table := NewTable("node", "a", nil, klog.Background())
 	table.AssumeAllEvacuated()
 	replica := inZone("a")
 	replica.ID = "a"
 	table.SetReplicas([]*Replica{replica}, 0)
 	if !table.View().Endpoints["a"].State.Evacuated() {
-		t.Error("a replica is used although it is not known whether its zone is evacuated")
+		t.Error("a replica is used before the evacuations are known")
 	}
 	table.SetEvacuations(nil)
 	if table.View().Endpoints["a"].State.Evacuated() {
@@ -162,7 +162,7 @@
 
 // Replicas may be cold when an evacuation ends. Guards against opening them before their
 // slow-start limits are set.
-func TestReplicasAreBoundedBeforeTheirEvacuationEnds(t *testing.T) {
+func TestSlowStartBeforeEvacuationEnds(t *testing.T) {
 	table := NewTable("node", "a", nil, klog.Background())
 	bounded := &evacuatedWhenBounded{table: table}
 	table.SetSlowStart(bounded)
@@ -172,6 +172,6 @@
 	table.SetEvacuations([]string{"a"})
 	table.SetEvacuations(nil)
 	if !bounded.closed || table.View().Endpoints["a"].State.Evacuated() {
-		t.Errorf("closed when bounded: %v", bounded.closed)
+		t.Errorf("evacuated when its slow-start limit was set: %v, want true, and not evacuated afterwards", bounded.closed)
 	}
 }
--- a/internal/replicas/directory/homes.go
+++ b/internal/replicas/directory/homes.go
@@ -8,7 +8,7 @@
 )
 
 // RestrictsRegions reports whether any route or tenant has allowed regions.
-func (c *Configuration) RestrictsRegions() bool { return c != nil && c.declaresHomes }
+func (c *Configuration) RestrictsRegions() bool { return c != nil && c.restrictsRegions }
 
 // AllowedRegions returns the allowed regions for a tenant's requests on a route. The route may be
 // from an earlier configuration: its allowed regions apply if this configuration has no route
@@ -17,7 +17,7 @@
 	if c == nil {
 		return residency.Of(route.AllowedRegions, nil)
 	}
-	if c.declaresHomes || len(route.AllowedRegions) > 0 {
+	if c.restrictsRegions || len(route.AllowedRegions) > 0 {
 		if current := c.RouteByName(route.Name); current != nil {
 			route = current
 		}
@@ -58,9 +58,9 @@
 // RegionOf returns the region of a zone, or "" if unknown.
 func (t *Table) RegionOf(zone string) string { return t.regions[zone] }
 
-// logUnknownHomes logs the allowed regions of a configuration that are not in the settings.
+// logUnknownRegions logs the allowed regions of a configuration that are not in the settings.
 // No replica matches such a region.
-func (t *Table) logUnknownHomes(configuration *Configuration) {
+func (t *Table) logUnknownRegions(configuration *Configuration) {
 	known := map[string]bool{}
 	for _, region := range t.regions {
 		known[region] = true
@@ -68,13 +68,13 @@
 	isUnknown := func(region string) bool { return !known[region] }
 	for _, route := range configuration.Routes {
 		if i := slices.IndexFunc(route.AllowedRegions, isUnknown); i >= 0 {
-			t.logger.Error(nil, "allowed region of a route is not known", "route", route.Name, "region", route.AllowedRegions[i], "version", configuration.Version)
+			t.logger.Error(nil, "unknown allowed region of route", "route", route.Name, "region", route.AllowedRegions[i], "version", configuration.Version)
 		}
 	}
 	declared := configuration.Tenants.AllowedRegionsByTenant()
 	for _, tenant := range slices.Sorted(maps.Keys(declared)) {
 		if i := slices.IndexFunc(declared[tenant], isUnknown); i >= 0 {
-			t.logger.Error(nil, "allowed region of a tenant is not known", "tenant", tenant, "region", declared[tenant][i], "version", configuration.Version)
+			t.logger.Error(nil, "unknown allowed region of tenant", "tenant", tenant, "region", declared[tenant][i], "version", configuration.Version)
 		}
 	}
 }
--- a/internal/replicas/directory/homes_test.go
+++ b/internal/replicas/directory/homes_test.go
@@ -18,7 +18,7 @@
 func (c errorCount) WithValues(...any) klog.LogSink { return c }
 func (c errorCount) WithName(string) klog.LogSink   { return c }
 
-func TestHomesThatNoRegionHasAreLoggedOnceForEachConfiguration(t *testing.T) {
+func TestUnknownAllowedRegionsLoggedOnce(t *testing.T) {
 	errors := 0
 	table := NewTable("node", "n1", map[string]string{"n1": "north", "s1": "south"}, klog.New(errorCount{&errors}))
 	tenants, _ := tenancy.NewTable([]tenancy.Declared{{Tenant: tenancy.Tenant{Name: "one", AllowedRegions: []string{"nowhere"}}}})
@@ -29,11 +29,11 @@
 		table.SetConfiguration(configuration, 1)
 	}
 	if errors != 2 {
-		t.Errorf("%d lines, want one of the route and one of the tenant", errors)
+		t.Errorf("%d errors logged, want one for the route and one for the tenant", errors)
 	}
 }
 
-func TestRequestsObeyTheHomesOfTheConfigurationInForce(t *testing.T) {
+func TestAllowedRegionsOfActiveConfiguration(t *testing.T) {
 	former := &Route{Name: "moved", AllowedRegions: []string{"north"}}
 	configuration := &Configuration{Routes: []Route{{Name: "moved", AllowedRegions: []string{"south"}}}}
 	configuration.Index()
@@ -41,6 +41,6 @@
 		t.Errorf("allowed in %v, want south", homes.Regions())
 	}
 	if homes := configuration.AllowedRegions(&Route{Name: "dropped", AllowedRegions: []string{"west"}}, ""); !homes.Allows("west") || homes.Allows("south") {
-		t.Errorf("a route that is dropped: allowed in %v, want west", homes.Regions())
+		t.Errorf("removed route: allowed in %v, want west", homes.Regions())
 	}
 }
--- a/internal/replicas/directory/listing.go
+++ b/internal/replicas/directory/listing.go
@@ -14,10 +14,10 @@
 	current := next.Replicas
 	next.Replicas = map[string]*Replica{}
 	for _, replica := range replicas {
-		if t.entries.take(next.Replicas, replica) == dispositionLate {
+		if t.entries.applyEntry(next.Replicas, replica) == dispositionStale {
 			// The listing has one entry per name, and it is of an earlier incarnation than
 			// the one in use.
-			if id := t.entries.startOf(replica.InstanceName()); current[id] != nil {
+			if id := t.entries.latestID(replica.InstanceName()); current[id] != nil {
 				next.Replicas[id] = current[id]
 			}
 			continue
@@ -26,7 +26,7 @@
 	}
 	for id, replica := range current {
 		if next.Replicas[id] == nil {
-			t.entries.takeMissing(next.Replicas, replica, keepMissing)
+			t.entries.applyMissing(next.Replicas, replica, keepMissing)
 		}
 	}
 	next.ReplicasKnown = true
@@ -45,20 +45,20 @@
 	next.Replicas = maps.Clone(next.Replicas)
 	touched := map[string]bool{}
 	for _, change := range changes {
-		touched[t.entries.startOf(change.Name)] = true
+		touched[t.entries.latestID(change.Name)] = true
 		if t.entries.apply(next.Replicas, change, keepMissing) {
 			t.unreadable.forget(change.Name)
 		}
-		touched[t.entries.startOf(change.Name)] = true
+		touched[t.entries.latestID(change.Name)] = true
 	}
 	t.publishTouched(&next, touched)
 }
 
-// endKeeping removes a replica whose keep time has ended.
-func (t *Table) endKeeping(id string) {
+// expireKept removes a replica whose keep time has ended.
+func (t *Table) expireKept(id string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if !t.entries.endKeeping(id) {
+	if !t.entries.expireKept(id) {
 		return
 	}
 	next := *t.view.Load()
@@ -67,10 +67,10 @@
 	t.publishTouched(&next, map[string]bool{id: true})
 }
 
-// applyLateEntry applies a stale entry if it is still the last one read for its name.
-func (t *Table) applyLateEntry(known *start, late *Replica) {
+// applyStaleEntry applies a stale entry if it is still the last one read for its name.
+func (t *Table) applyStaleEntry(known *incarnation, late *Replica) {
 	t.mutex.Lock()
-	admitted := t.entries.admitLate(known, late)
+	admitted := t.entries.acceptStale(known, late)
 	t.mutex.Unlock()
 	if admitted {
 		t.ApplyReplicas([]ReplicaChange{{Name: late.InstanceName(), Replica: late}}, 0)
--- a/internal/replicas/directory/plans.go
+++ b/internal/replicas/directory/plans.go
@@ -27,7 +27,7 @@
 // or removed. The cost is proportional to their number, plus a copy of the listing.
 func (t *Table) publishTouched(next *View, touched map[string]bool) {
 	current := t.view.Load()
-	t.entries.forget(current.Replicas)
+	t.entries.evictExpired(current.Replicas)
 	t.unreadable.trim()
 	next.Endpoints = maps.Clone(current.Endpoints)
 	if next.Endpoints == nil {
@@ -40,7 +40,7 @@
 		switch {
 		case replica == nil && endpoint == nil:
 		case replica == nil:
-			revisions.drop(endpoint)
+			revisions.remove(endpoint)
 			delete(next.Endpoints, id)
 			delete(t.states, id)
 		case endpoint == nil:
@@ -48,32 +48,32 @@
 			next.Endpoints[id] = t.newEndpoint(replica)
 			revisions.add(next.Endpoints[id])
 		case !sameEndpoint(endpoint, replica):
-			revisions.drop(endpoint)
+			revisions.remove(endpoint)
 			next.Endpoints[id] = t.newEndpoint(replica)
 			revisions.add(next.Endpoints[id])
 		}
 	}
 	logAdded(added, t.logger)
-	next.Plans = revisions.apply(t.place, current.Plans)
+	next.Plans = revisions.apply(t.locality, current.Plans)
 	closeEvacuatedZones(next, touched)
 	t.publish(next, touched)
 	openOtherZones(next, touched)
 }
 
-// maxNamedReplicas is how many replicas of a batch are named in the log. A line for each
+// maxLoggedReplicas is how many replicas of a batch are named in the log. A line for each
 // replica on each node would flood the log when a large deployment starts.
-const maxNamedReplicas = 3
+const maxLoggedReplicas = 3
 
 // logAdded logs a batch of added replicas in one line.
 func logAdded(added []*Replica, logger klog.Logger) {
 	if len(added) == 0 {
 		return
 	}
-	named := make([]string, 0, maxNamedReplicas)
-	for _, replica := range added[:min(maxNamedReplicas, len(added))] {
-		named = append(named, replica.ID+" "+replica.Service+" "+replica.Address+" "+replica.Zone)
+	described := make([]string, 0, maxLoggedReplicas)
+	for _, replica := range added[:min(maxLoggedReplicas, len(added))] {
+		described = append(described, replica.ID+" "+replica.Service+" "+replica.Address+" "+replica.Zone)
 	}
-	logger.Info("replicas added", "replicas", len(added), "first", named)
+	logger.Info("replicas added", "replicas", len(added), "first", described)
 }
 
 // sameEndpoint reports whether an endpoint matches a replica's entry.
@@ -100,34 +100,34 @@
 type planRevisions map[string]*planRevision
 
 type planRevision struct {
-	gone  map[*routing.Endpoint]bool
-	added []*routing.Endpoint
+	removed map[*routing.Endpoint]bool
+	added   []*routing.Endpoint
 }
 
-func (r planRevisions) of(service string) *planRevision {
+func (r planRevisions) get(service string) *planRevision {
 	if r[service] == nil {
-		r[service] = &planRevision{gone: map[*routing.Endpoint]bool{}}
+		r[service] = &planRevision{removed: map[*routing.Endpoint]bool{}}
 	}
 	return r[service]
 }
 
-func (r planRevisions) drop(endpoint *routing.Endpoint) {
-	r.of(endpoint.Model).gone[endpoint] = true
+func (r planRevisions) remove(endpoint *routing.Endpoint) {
+	r.get(endpoint.Model).removed[endpoint] = true
 }
 
 func (r planRevisions) add(endpoint *routing.Endpoint) {
-	revision := r.of(endpoint.Model)
+	revision := r.get(endpoint.Model)
 	revision.added = append(revision.added, endpoint)
 }
 
 // apply returns the plans of all services. Plans without a revision are reused.
-func (r planRevisions) apply(place routing.Locality, current map[string]*routing.Plan) map[string]*routing.Plan {
+func (r planRevisions) apply(locality routing.Locality, current map[string]*routing.Plan) map[string]*routing.Plan {
 	if len(r) == 0 {
 		return current
 	}
 	plans := maps.Clone(current)
 	for service, revision := range r {
-		if next := revision.apply(place, current[service]); next != nil {
+		if next := revision.apply(locality, current[service]); next != nil {
 			plans[service] = next
 		} else {
 			delete(plans, service)
@@ -137,11 +137,11 @@
 }
 
 // apply returns the revised plan, or nil if no endpoint remains.
-func (r *planRevision) apply(place routing.Locality, current *routing.Plan) *routing.Plan {
+func (r *planRevision) apply(locality routing.Locality, current *routing.Plan) *routing.Plan {
 	if current == nil {
-		current = routing.NewRankedPlan(place, nil)
+		current = routing.NewRankedPlan(locality, nil)
 	}
-	revised := current.Revised(place, r.gone, r.added)
+	revised := current.Revised(locality, r.removed, r.added)
 	if len(revised.Endpoints()) == 0 {
 		return nil
 	}
--- a/internal/replicas/directory/replica_sink.go
+++ b/internal/replicas/directory/replica_sink.go
@@ -21,7 +21,7 @@
 	replicas := make([]*Replica, 0, len(objects))
 	var unreadable []ReplicaChange
 	for _, object := range objects {
-		replica, isUnreadable := s.read(object)
+		replica, isUnreadable := s.decode(object)
 		if isUnreadable {
 			unreadable = append(unreadable, ReplicaChange{Name: object.Name, Unreadable: true})
 			continue
@@ -40,16 +40,16 @@
 	for _, change := range changes {
 		next := ReplicaChange{Name: change.Object.Name}
 		if !change.Deleted {
-			next.Replica, next.Unreadable = s.read(change.Object)
+			next.Replica, next.Unreadable = s.decode(change.Object)
 		}
 		changed = append(changed, next)
 	}
 	s.Table.ApplyReplicas(changed, s.keepFor(afterOutage))
 }
 
-// read decodes an entry. Entries may be written by other programs, so unreadable ones are
+// decode decodes an entry. Entries may be written by other programs, so unreadable ones are
 // reported and not fatal.
-func (s ReplicaSink) read(object objectstore.Object) (replica *Replica, unreadable bool) {
+func (s ReplicaSink) decode(object objectstore.Object) (replica *Replica, unreadable bool) {
 	replica, err := s.Decoder.Replica(object.Name, object.Spec)
 	if err != nil {
 		s.Table.recordUnreadable(object, err)
--- a/internal/replicas/directory/restarts_test.go
+++ b/internal/replicas/directory/restarts_test.go
@@ -28,7 +28,7 @@
 	return nil
 }
 
-func TestAReplicaThatStartsAgainUnderItsIDBeginsAnew(t *testing.T) {
+func TestRestartedReplicaHasNewState(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "one", startedAt(1000, ReplicaReady))
 		table := informed(ctx, store)
@@ -39,31 +39,31 @@
 		settle(time.Second)
 		second := endpointOf(table, "one")
 		if second == nil || second.State == first.State || second.State.Failures.Load() != 0 {
-			t.Error("what was learnt of the one before is held against it")
+			t.Error("a restarted replica has the state of its previous incarnation")
 		}
 		store.Write("servers", "one", startedAt(2000, ReplicaDraining))
 		settle(time.Second)
 		if endpointOf(table, "one") != nil {
-			t.Error("a replica that has said it leaves is used")
+			t.Error("a draining replica is used")
 		}
 		store.Write("servers", "one", startedAt(3000, ReplicaReady))
 		settle(time.Second)
 		if endpointOf(table, "one") == nil {
-			t.Error("a replica that said it leaves before it started again is not used")
+			t.Error("a replica that drained before its restart is not used")
 		}
 		if len(table.View().Endpoints) > 1 {
-			t.Error("the one before is used as well")
+			t.Error("the previous incarnation is also used")
 		}
 		store.Remove("servers", "one")
 		settle(time.Second)
 		if endpointOf(table, "one") != nil {
-			t.Error("a replica whose entry is gone is used")
+			t.Error("a replica without an entry is used")
 		}
 	})
 }
 
 // Guards against an entry of an earlier incarnation that arrives after one of the later.
-func TestALateWordOfAnEarlierStartIsNotTaken(t *testing.T) {
+func TestStaleEntryIgnored(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "one", startedAt(2000, ReplicaReady))
 		table := informed(ctx, store)
@@ -71,19 +71,19 @@
 		store.Write("servers", "one", startedAt(1000, ReplicaDraining))
 		settle(time.Second)
 		if endpointOf(table, "one") == nil {
-			t.Error("an entry of the earlier start takes the replica out of use")
+			t.Error("a stale entry removed the replica")
 		}
 		store.Write("servers", "one", startedAt(2000, ReplicaReady))
 		settle(time.Minute)
 		if endpointOf(table, "one") == nil {
-			t.Error("the late word counts although the replica has spoken since")
+			t.Error("a stale entry was applied although a current one followed")
 		}
 	})
 }
 
 // Guards against an entry with a start time far in the future making all entries of the replica
 // count as stale forever.
-func TestAStartTimeFarAheadKeepsNoReplicaOut(t *testing.T) {
+func TestStartTimeInFuture(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "one", startedAt(1<<50, ReplicaDraining))
 		table := informed(ctx, store)
@@ -91,13 +91,13 @@
 		store.Write("servers", "one", startedAt(2000, ReplicaReady))
 		settle(time.Minute)
 		if endpointOf(table, "one") == nil {
-			t.Error("the replica is not used although its own word stands")
+			t.Error("the replica is not used although its entry has not been replaced")
 		}
 	})
 }
 
 // Guards against dropping the latest incarnation when a listing has a stale entry instead.
-func TestAListingWithALateWordKeepsTheLaterStart(t *testing.T) {
+func TestStaleEntryInListing(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "one", startedAt(2000, ReplicaReady))
 		table := informed(ctx, store)
@@ -106,14 +106,14 @@
 		store.Forget()
 		settle(2 * time.Second)
 		if endpoint := endpointOf(table, "one"); endpoint == nil || endpoint.Name != IncarnationID("one", 2000) {
-			t.Errorf("after the listing %+v is used", endpoint)
+			t.Errorf("after the listing, endpoint %+v is used", endpoint)
 		}
 	})
 }
 
 // Guards against restoring a draining incarnation when a stale entry follows in the same batch
 // of changes.
-func TestALateEntryInTheBatchOfALeavingStartDoesNotBringItBack(t *testing.T) {
+func TestStaleEntryAfterDrainInBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := NewTable("node", "zone", nil, klog.Background())
 		entry := func(born int64, state ReplicaState) *Replica {
@@ -125,7 +125,7 @@
 			{Name: "one", Replica: entry(1000, ReplicaReady)},
 		}, 0)
 		if endpointOf(table, "one") != nil {
-			t.Error("a replica that has said it leaves is used")
+			t.Error("a draining replica is used")
 		}
 	})
 }
--- a/internal/replicas/directory/scale_test.go
+++ b/internal/replicas/directory/scale_test.go
@@ -25,7 +25,7 @@
 }
 
 // Measures the cost for one node of adding one replica and removing another.
-func BenchmarkReplicaComesAndAnotherGoes(b *testing.B) {
+func BenchmarkReplaceReplica(b *testing.B) {
 	for _, count := range []int{3000, 10000, 20000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			table := tableOf(count)
@@ -43,7 +43,7 @@
 }
 
 // Guards against revised plans diverging from the plans of a listing of the same replicas.
-func TestRevisedPlansAreThoseOfAListing(t *testing.T) {
+func TestRevisedPlansMatchListing(t *testing.T) {
 	all := listOf(400)
 	listed := NewTable("node", "zone-1", nil, klog.Background())
 	listed.SetReplicas(all[50:], 0)
@@ -63,14 +63,14 @@
 		}
 		for place, endpoint := range plan.Endpoints() {
 			if revised[place].Name != endpoint.Name {
-				t.Fatalf("%s: %s in place %d, want %s", service, revised[place].Name, place, endpoint.Name)
+				t.Fatalf("%s: %s at position %d, want %s", service, revised[place].Name, place, endpoint.Name)
 			}
 		}
 	}
 }
 
 // Measures the cost of adding 500 replicas in one batch, as when a large deployment starts.
-func BenchmarkFiveHundredReplicasCome(b *testing.B) {
+func BenchmarkAdd500Replicas(b *testing.B) {
 	all := listOf(5500)
 	changes := make([]ReplicaChange, 500)
 	for i, replica := range all[5000:] {
--- a/internal/replicas/directory/sink.go
+++ b/internal/replicas/directory/sink.go
@@ -2,18 +2,18 @@
 
 import "github.com/pathtally/pathtally/internal/store/objectstore"
 
-// takeAll calls take for each object.
-func takeAll(objects []objectstore.Object, take func(objectstore.Object)) {
+// forEach calls apply for each object.
+func forEach(objects []objectstore.Object, apply func(objectstore.Object)) {
 	for _, object := range objects {
-		take(object)
+		apply(object)
 	}
 }
 
-// takePresent calls take for each changed object that was not removed.
-func takePresent(changes []objectstore.Change, take func(objectstore.Object)) {
+// forEachPresent calls apply for each changed object that was not removed.
+func forEachPresent(changes []objectstore.Change, apply func(objectstore.Object)) {
 	for _, change := range changes {
 		if !change.Deleted {
-			take(change.Object)
+			apply(change.Object)
 		}
 	}
 }
--- a/internal/replicas/directory/slowstart.go
+++ b/internal/replicas/directory/slowstart.go
@@ -41,7 +41,7 @@
 		return nil
 	}
 	var warming []slowstart.WarmingReplica
-	for _, replica := range w.mayWarm(view) {
+	for _, replica := range w.mayBeWarming(view) {
 		service := view.Configuration.Services[replica.Service]
 		if service.WarmUpRate <= 0 {
 			continue
--- a/internal/replicas/directory/table.go
+++ b/internal/replicas/directory/table.go
@@ -15,7 +15,7 @@
 // Table applies changes of the metadata store and publishes views. It is safe for concurrent
 // use.
 type Table struct {
-	place routing.Locality
+	locality routing.Locality
 	// regions maps zones to regions.
 	regions map[string]string
 	logger  klog.Logger
@@ -23,7 +23,7 @@
 	clock clock.Clock
 
 	mutex      sync.Mutex
-	entries    *entryBook
+	entries    *entryTracker
 	unreadable *unreadableEntries
 	states     map[string]*routing.EndpointState
 	warmUps    warmUps
@@ -36,12 +36,12 @@
 // NewTable returns an empty table for a node. regions maps zones to regions.
 func NewTable(node, zone string, regions map[string]string, logger klog.Logger) *Table {
 	table := &Table{
-		place: routing.Locality{Node: node, Zone: zone, Region: regions[zone]}, regions: regions, logger: logger, clock: clock.Steady,
-		entries:    newEntryBook(logger, clock.Steady),
+		locality: routing.Locality{Node: node, Zone: zone, Region: regions[zone]}, regions: regions, logger: logger, clock: clock.Steady,
+		entries:    newEntryTracker(logger, clock.Steady),
 		unreadable: &unreadableEntries{logger: logger, revisions: map[string]uint64{}, report: func(string) {}},
 		states:     map[string]*routing.EndpointState{}, warmUps: warmUps{}, changed: make(chan struct{}),
 	}
-	table.entries.onKeptEnd, table.entries.onLateEntry = table.endKeeping, table.applyLateEntry
+	table.entries.onKeepExpired, table.entries.onStaleEntry = table.expireKept, table.applyStaleEntry
 	table.view.Store(&View{Replicas: map[string]*Replica{}, NamedVersions: map[string]int64{}, Plans: map[string]*routing.Plan{}})
 	return table
 }
@@ -76,12 +76,12 @@
 	configuration.Index()
 	next := *current
 	next.Configuration, next.ConfigurationRevision = configuration, revision
-	t.logger.Info("configuration in force", "version", configuration.Version, "revision", revision, "routes", len(configuration.Routes),
+	t.logger.Info("configuration activated", "version", configuration.Version, "revision", revision, "routes", len(configuration.Routes),
 		"tenants", configuration.Tenants.Len())
 	for _, finding := range configuration.TenantFindings {
-		t.logger.Error(finding, "tenant declaration passed over in part", "version", configuration.Version)
+		t.logger.Error(finding, "ignoring invalid part of tenant declaration", "version", configuration.Version)
 	}
-	t.logUnknownHomes(configuration)
+	t.logUnknownRegions(configuration)
 	t.publish(&next, nil)
 }
 
--- a/internal/replicas/directory/table_test.go
+++ b/internal/replicas/directory/table_test.go
@@ -85,13 +85,13 @@
 	settle(time.Second)
 }
 
-func TestDrainingReplicaStaysOutUnderItsID(t *testing.T) {
+func TestDrainingReplicaStaysExcluded(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "one", ready("s"))
 		table := informed(ctx, store)
 		settle(time.Second)
 		if table.View().Plans["s"] == nil {
-			t.Fatal("a listed replica is not known")
+			t.Fatal("a listed replica has no plan")
 		}
 		leaving := ready("s")
 		leaving.State = ReplicaDraining
@@ -100,12 +100,12 @@
 		store.Write("servers", "one", ready("s"))
 		settle(time.Second)
 		if table.View().Replicas["one"] != nil {
-			t.Error("a replica that said it leaves is used again")
+			t.Error("a draining replica is used again")
 		}
 	})
 }
 
-func TestVanishedEntryMayComeBack(t *testing.T) {
+func TestRemovedEntryMayReturn(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "one", ready("s"))
 		table := informed(ctx, store)
@@ -113,19 +113,19 @@
 		store.Remove("servers", "one")
 		settle(time.Second)
 		if table.View().Replicas["one"] != nil {
-			t.Error("a replica whose entry vanished while the store was sound is used")
+			t.Error("a replica is used after its entry was removed")
 		}
 		store.Write("servers", "one", ready("s"))
 		settle(time.Second)
 		if table.View().Replicas["one"] == nil {
-			t.Error("a replica whose entry came back is not used")
+			t.Error("a replica is not used after its entry was added again")
 		}
 	})
 }
 
 // Guards against keeping a replica that stopped during an outage for longer than it may get
 // requests.
-func TestReplicaThatVanishesAroundAnOutageIsKeptForAWhileOnly(t *testing.T) {
+func TestMissingEntryKeptAfterOutage(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "one", ready("s"))
 		table := informed(ctx, store)
@@ -134,16 +134,16 @@
 		store.Remove("servers", "one")
 		settle(keepMissing / 2)
 		if table.View().Replicas["one"] == nil {
-			t.Error("a replica is dropped at once although the store had just been away")
+			t.Error("a replica with a missing entry is dropped right after an outage")
 		}
 		settle(keepMissing)
 		if table.View().Replicas["one"] != nil {
-			t.Error("a replica is kept beyond its time")
+			t.Error("a replica with a missing entry is kept for too long")
 		}
 	})
 }
 
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		table := informed(ctx, store)
 		for _, version := range []uint64{3, 7, 5} {
@@ -151,12 +151,12 @@
 			settle(time.Second)
 		}
 		if version := table.View().Configuration.Version; version != 7 {
-			t.Errorf("version %d is in force, want 7", version)
+			t.Errorf("version %d is active, want 7", version)
 		}
 	})
 }
 
-func TestForgottenHistoryIsListedAnew(t *testing.T) {
+func TestRelistAfterCompaction(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "one", ready("s"))
 		table := informed(ctx, store)
@@ -174,12 +174,12 @@
 		settle(3 * time.Second)
 		view := table.View()
 		if view.Replicas["two"] == nil || view.NamedVersions["m"] != 4 {
-			t.Errorf("after the history was forgotten: replica %v, named version %d", view.Replicas["two"], view.NamedVersions["m"])
+			t.Errorf("after the compaction: replica %v, named version %d", view.Replicas["two"], view.NamedVersions["m"])
 		}
 	})
 }
 
-func TestLookupTakesTheLongestPrefixOfTheHost(t *testing.T) {
+func TestLookupLongestPrefix(t *testing.T) {
 	configuration := &Configuration{Routes: []Route{
 		{Name: "short", Host: "a.example", Prefix: "/x/"}, {Name: "long", Host: "a.example", Prefix: "/x/y/"}, {Name: "other", Host: "b.example", Prefix: "/"},
 	}}
@@ -216,7 +216,7 @@
 
 // Guards against waiting for the timeout of a watch whose response was lost in an outage, while
 // a draining replica still gets requests.
-func TestWatchWhoseAnswerIsLostIsBegunAnewAfterAnOutage(t *testing.T) {
+func TestWatchRestartedAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -237,36 +237,36 @@
 		store.Write("servers", "one", leaving)
 		settle(time.Second)
 		if table.View().Replicas["one"] != nil {
-			t.Error("a replica that leaves is not known to, because an old watch is still waited for")
+			t.Error("a draining replica is still used because the old watch was not restarted")
 		}
 	})
 }
 
 // Guards against a memory leak of ids of drained replicas.
-func TestReplicasThatLeftLongAgoAreForgotten(t *testing.T) {
+func TestDrainingReplicasExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := NewTable("node", "zone", nil, klog.Background())
 		leaving := ready("s")
 		leaving.ID, leaving.State = "one", ReplicaDraining
 		table.ApplyReplicas([]ReplicaChange{{Name: "one", Replica: leaving}}, 0)
-		time.Sleep(leftMemory / 2)
+		time.Sleep(drainingRetention / 2)
 		table.ApplyReplicas([]ReplicaChange{{Name: "one", Replica: leaving}}, 0)
-		time.Sleep(leftMemory * 3 / 4)
+		time.Sleep(drainingRetention * 3 / 4)
 		table.SetReplicas(nil, 0)
-		if !table.entries.hasLeft("one") {
-			t.Error("a replica that was listed lately is forgotten")
+		if !table.entries.isDraining("one") {
+			t.Error("a recently listed draining replica was removed")
 		}
-		time.Sleep(leftMemory)
+		time.Sleep(drainingRetention)
 		table.SetReplicas(nil, 0)
-		if table.entries.hasLeft("one") {
-			t.Error("a replica that left long ago is still remembered")
+		if table.entries.isDraining("one") {
+			t.Error("a draining replica was not removed after the retention time")
 		}
 	})
 }
 
 // Guards against rebuilding plans for changes that they do not depend on, which is expensive
 // with thousands of replicas.
-func TestChangesThatNoPlanDependsOnLeaveThePlans(t *testing.T) {
+func TestPlansReusedIfUnaffected(t *testing.T) {
 	table := NewTable("node", "zone", nil, klog.Background())
 	replica := func(id, service, address string, version int64) ReplicaChange {
 		return ReplicaChange{Name: id, Replica: &Replica{
@@ -278,18 +278,18 @@
 	table.ApplyReplicas([]ReplicaChange{replica("a", "s", "1", 2)}, 0)
 	after := table.View()
 	if after.Plans["s"] != before.Plans["s"] || after.Replicas["a"].Versions["m"] != 2 {
-		t.Errorf("a change of weights made another plan, or was not taken: %v", after.Replicas["a"].Versions)
+		t.Errorf("a new weight version changed the plan, or was not applied: %v", after.Replicas["a"].Versions)
 	}
 	table.ApplyReplicas([]ReplicaChange{replica("a", "s", "9", 2), {Name: "b"}}, 0)
 	moved := table.View()
 	if moved.Plans["other"] != before.Plans["other"] {
-		t.Error("the plan of another service was made anew")
+		t.Error("the plan of an unaffected service was rebuilt")
 	}
 	if endpoints := moved.Plans["s"].Endpoints(); len(endpoints) != 1 || endpoints[0].Address != "9" {
-		t.Errorf("the plan has %d endpoints after a move and a loss", len(endpoints))
+		t.Errorf("the plan has %d endpoints after an address change and a removal, want 1 with address 9", len(endpoints))
 	}
 	table.ApplyReplicas([]ReplicaChange{replica("a", "other", "9", 2)}, 0)
 	if table.View().Plans["s"] != nil || len(table.View().Plans["other"].Endpoints()) != 2 {
-		t.Error("a replica that changed its service is not where it belongs")
+		t.Error("a replica that changed its service is not in the plan of the new service only")
 	}
 }
--- a/internal/replicas/directory/unreadable.go
+++ b/internal/replicas/directory/unreadable.go
@@ -32,7 +32,7 @@
 	}
 	u.revisions[object.Name] = object.Revision
 	u.report(reasonOf(err))
-	u.logger.Error(err, "replica entry names no replica, none is used under its id", "replica", object.Name, "revision", object.Revision)
+	u.logger.Error(err, "invalid replica entry, replica is not used", "replica", object.Name, "revision", object.Revision)
 }
 
 // forget removes an entry that is readable again.
--- a/internal/replicas/directory/usable.go
+++ b/internal/replicas/directory/usable.go
@@ -6,10 +6,10 @@
 // disposeMissing) and the evacuations of their zones (IsEvacuated), and until when they warm
 // up (warmUntil).
 
-// lateEntryPeriod is how long after the last entry of a later incarnation an entry of an
+// staleEntryPeriod is how long after the last entry of a later incarnation an entry of an
 // earlier one counts as stale. It covers several heartbeats. Afterwards the entry in the store
 // is accepted, so that a wrong start time does not exclude a replica forever.
-const lateEntryPeriod = 10 * time.Second
+const staleEntryPeriod = 10 * time.Second
 
 // disposition is what happens to a replica after a change of its entry.
 type disposition int
@@ -17,12 +17,12 @@
 const (
 	// dispositionUse means that the replica may get requests.
 	dispositionUse disposition = iota
-	// dispositionLeave means that this incarnation gets no more requests, whatever its later
+	// dispositionDrain means that this incarnation gets no more requests, whatever its later
 	// entries say.
-	dispositionLeave
-	// dispositionLate means that the entry is stale: it is of an earlier incarnation than
+	dispositionDrain
+	// dispositionStale means that the entry is stale: it is of an earlier incarnation than
 	// the one in use, which remains in use.
-	dispositionLate
+	dispositionStale
 	// dispositionKeep means that the entry is missing and the replica is kept for a
 	// limited time.
 	dispositionKeep
@@ -33,29 +33,29 @@
 // entryFacts are the inputs of disposeEntry.
 type entryFacts struct {
 	state ReplicaState
-	// hasLeft is set if an earlier entry of this incarnation said that it drains.
-	hasLeft bool
-	// isEarlierStart is set if an entry of a later incarnation was read.
-	isEarlierStart bool
-	// sinceLaterStart is the time since the last entry of that later incarnation.
-	sinceLaterStart time.Duration
+	// wasDraining is set if an earlier entry of this incarnation said that it drains.
+	wasDraining bool
+	// isEarlierIncarnation is set if an entry of a later incarnation was read.
+	isEarlierIncarnation bool
+	// sinceLaterIncarnation is the time since the last entry of that later incarnation.
+	sinceLaterIncarnation time.Duration
 }
 
 // disposeEntry decides what happens to a replica whose entry was read.
 func disposeEntry(known entryFacts) disposition {
 	switch {
-	case known.isEarlierStart && known.sinceLaterStart < lateEntryPeriod:
-		return dispositionLate
-	case known.hasLeft || known.state != ReplicaReady:
-		return dispositionLeave
+	case known.isEarlierIncarnation && known.sinceLaterIncarnation < staleEntryPeriod:
+		return dispositionStale
+	case known.wasDraining || known.state != ReplicaReady:
+		return dispositionDrain
 	}
 	return dispositionUse
 }
 
 // missingFacts are the inputs of disposeMissing.
 type missingFacts struct {
-	// hasLeft is set if an entry of the replica said that it drains.
-	hasLeft bool
+	// isDraining is set if an entry of the replica said that it drains.
+	isDraining bool
 	// isSuperseded is set if another incarnation of the same name is the latest.
 	isSuperseded bool
 	// isKept is set if the replica is already kept without an entry.
@@ -68,7 +68,7 @@
 // live replicas expire while the store is down, so these may be kept for a limited time.
 func disposeMissing(known missingFacts) disposition {
 	switch {
-	case known.hasLeft || known.isSuperseded:
+	case known.isDraining || known.isSuperseded:
 		return dispositionDrop
 	case known.isKept || known.keepFor > 0:
 		return dispositionKeep
--- a/internal/replicas/directory/usable_test.go
+++ b/internal/replicas/directory/usable_test.go
@@ -10,16 +10,16 @@
 		known entryFacts
 		want  disposition
 	}{
-		"ready":                         {entryFacts{state: ReplicaReady}, dispositionUse},
-		"draining":                      {entryFacts{state: ReplicaDraining}, dispositionLeave},
-		"unknown state":                 {entryFacts{state: "boiling"}, dispositionLeave},
-		"ready again after it left":     {entryFacts{state: ReplicaReady, hasLeft: true}, dispositionLeave},
-		"earlier start, a moment after": {entryFacts{state: ReplicaReady, isEarlierStart: true, sinceLaterStart: lateEntryPeriod - 1}, dispositionLate},
-		"earlier start, long after":     {entryFacts{state: ReplicaReady, isEarlierStart: true, sinceLaterStart: lateEntryPeriod}, dispositionUse},
-		"earlier start that leaves":     {entryFacts{state: ReplicaDraining, isEarlierStart: true}, dispositionLate},
+		"ready":                                  {entryFacts{state: ReplicaReady}, dispositionUse},
+		"draining":                               {entryFacts{state: ReplicaDraining}, dispositionDrain},
+		"unknown state":                          {entryFacts{state: "boiling"}, dispositionDrain},
+		"ready after draining":                   {entryFacts{state: ReplicaReady, wasDraining: true}, dispositionDrain},
+		"earlier incarnation, within the period": {entryFacts{state: ReplicaReady, isEarlierIncarnation: true, sinceLaterIncarnation: staleEntryPeriod - 1}, dispositionStale},
+		"earlier incarnation, after the period":  {entryFacts{state: ReplicaReady, isEarlierIncarnation: true, sinceLaterIncarnation: staleEntryPeriod}, dispositionUse},
+		"draining earlier incarnation":           {entryFacts{state: ReplicaDraining, isEarlierIncarnation: true}, dispositionStale},
 	} {
 		if outcome := disposeEntry(test.known); outcome != test.want {
-			t.Errorf("%s: %d, want %d", name, outcome, test.want)
+			t.Errorf("%s: disposition %d, want %d", name, outcome, test.want)
 		}
 	}
 }
@@ -29,15 +29,15 @@
 		known missingFacts
 		want  disposition
 	}{
-		"store was sound":        {missingFacts{}, dispositionDrop},
-		"store was down":         {missingFacts{keepFor: time.Second}, dispositionKeep},
-		"kept already":           {missingFacts{isKept: true}, dispositionKeep},
-		"has left":               {missingFacts{hasLeft: true, keepFor: time.Second}, dispositionDrop},
-		"started again":          {missingFacts{isSuperseded: true, keepFor: time.Second}, dispositionDrop},
-		"started again, is kept": {missingFacts{isSuperseded: true, isKept: true}, dispositionDrop},
+		"store was available":     {missingFacts{}, dispositionDrop},
+		"store was down":          {missingFacts{keepFor: time.Second}, dispositionKeep},
+		"kept already":            {missingFacts{isKept: true}, dispositionKeep},
+		"draining":                {missingFacts{isDraining: true, keepFor: time.Second}, dispositionDrop},
+		"restarted":               {missingFacts{isSuperseded: true, keepFor: time.Second}, dispositionDrop},
+		"restarted, kept already": {missingFacts{isSuperseded: true, isKept: true}, dispositionDrop},
 	} {
 		if outcome := disposeMissing(test.known); outcome != test.want {
-			t.Errorf("%s: %d, want %d", name, outcome, test.want)
+			t.Errorf("%s: disposition %d, want %d", name, outcome, test.want)
 		}
 	}
 }
@@ -49,11 +49,11 @@
 		evacuationEnded time.Time
 		want            time.Time
 	}{
-		"nothing known":        {want: time.Time{}},
-		"by its entry":         {known: warmUp{announcedUntil: at(105)}, want: at(105)},
-		"appeared":             {known: warmUp{appeared: at(100)}, want: at(110)},
-		"entry says longer":    {known: warmUp{appeared: at(100), announcedUntil: at(120)}, want: at(120)},
-		"its zone opens again": {known: warmUp{announcedUntil: at(105)}, evacuationEnded: at(104), want: at(114)},
+		"nothing known":                {want: time.Time{}},
+		"announced by its entry":       {known: warmUp{announcedUntil: at(105)}, want: at(105)},
+		"appeared":                     {known: warmUp{appeared: at(100)}, want: at(110)},
+		"entry announces a later time": {known: warmUp{appeared: at(100), announcedUntil: at(120)}, want: at(120)},
+		"evacuation of its zone ended": {known: warmUp{announcedUntil: at(105)}, evacuationEnded: at(104), want: at(114)},
 	} {
 		if until := warmUntil(test.known, test.evacuationEnded, 10*time.Second); !until.Equal(test.want) {
 			t.Errorf("%s: %s, want %s", name, until, test.want)
--- a/internal/replicas/directory/version_sink.go
+++ b/internal/replicas/directory/version_sink.go
@@ -10,18 +10,18 @@
 
 // Replace implements Sink.
 func (s VersionSink) Replace(objects []objectstore.Object, _ bool) {
-	takeAll(objects, s.take)
+	forEach(objects, s.applyObject)
 }
 
 // Apply implements Sink.
 func (s VersionSink) Apply(changes []objectstore.Change, _ bool) {
-	takePresent(changes, s.take)
+	forEachPresent(changes, s.applyObject)
 }
 
-func (s VersionSink) take(object objectstore.Object) {
+func (s VersionSink) applyObject(object objectstore.Object) {
 	model, version, err := s.Decoder.Version(object.Spec)
 	if err != nil {
-		s.Table.logger.Error(err, "named version is not readable", "object", object.Name)
+		s.Table.logger.Error(err, "cannot decode named weight version", "object", object.Name)
 		return
 	}
 	s.Table.SetVersion(model, version)
--- a/internal/replicas/directory/view.go
+++ b/internal/replicas/directory/view.go
@@ -23,7 +23,7 @@
 	Evacuated map[string]time.Time
 	// EvacuationEnded holds the zones whose evacuation has ended, with the times at which
 	// this node observed it. Their replicas may be cold. Entries expire after
-	// evacuationEndMemory.
+	// evacuationEndRetention.
 	EvacuationEnded map[string]time.Time
 	// EvacuationsUnknown is set until the evacuations have been listed once, if the node
 	// watches them. Until then every zone counts as evacuated.
--- a/internal/replicas/directory/warmups.go
+++ b/internal/replicas/directory/warmups.go
@@ -37,19 +37,19 @@
 // recordEntry records the remaining warm-up time in a replica's entry. It is counted from
 // now, which is after the entry was written. Warm replicas of the first listing are not
 // stored, to keep the map small.
-func (w warmUps) recordEntry(now time.Time, id string, left time.Duration) {
+func (w warmUps) recordEntry(now time.Time, id string, remaining time.Duration) {
 	known := w[id]
-	if left <= 0 && known.appeared.IsZero() {
+	if remaining <= 0 && known.appeared.IsZero() {
 		delete(w, id)
 		return
 	}
-	known.announcedUntil = now.Add(left)
+	known.announcedUntil = now.Add(remaining)
 	w[id] = known
 }
 
-// mayWarm returns the replicas of a view that may be warming up: those in w, or all replicas
+// mayBeWarming returns the replicas of a view that may be warming up: those in w, or all replicas
 // while the end of an evacuation is remembered.
-func (w warmUps) mayWarm(view *View) []*Replica {
+func (w warmUps) mayBeWarming(view *View) []*Replica {
 	var replicas []*Replica
 	if len(view.EvacuationEnded) > 0 {
 		for _, replica := range view.Replicas {
--- a/internal/replicas/directory/warmups_test.go
+++ b/internal/replicas/directory/warmups_test.go
@@ -46,11 +46,11 @@
 	t.Helper()
 	until, warms := w[id]
 	if warms != (left > 0) || (warms && time.Until(until) != left) {
-		t.Errorf("%s warms up: %v, for %v; want %v", id, warms, time.Until(until), left)
+		t.Errorf("%s warming up: %v, remaining %v; want %v", id, warms, time.Until(until), left)
 	}
 }
 
-func TestTheEntryTellsHowLongAReplicaWarmsUp(t *testing.T) {
+func TestWarmUpFromEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, warming := warmingTable(7)
 		warming.expect(t, "old", 0)
@@ -65,7 +65,7 @@
 	})
 }
 
-func TestAReplicaThatAppearsWarmsUp(t *testing.T) {
+func TestWarmUpOfNewReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, warming := warmingTable(7)
 		change(table, warmReplica("new", 0))
@@ -76,7 +76,7 @@
 	})
 }
 
-func TestAReplicaThatCameBackWarmsUp(t *testing.T) {
+func TestWarmUpOfReturningReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, warming := warmingTable(7)
 		table.ApplyReplicas([]ReplicaChange{{Name: "old"}}, 0)
@@ -86,7 +86,7 @@
 	})
 }
 
-func TestAZoneWhoseEvacuationHasEndedWarmsUp(t *testing.T) {
+func TestWarmUpAfterEvacuation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, warming := warmingTable(7)
 		table.mutex.Lock()
@@ -98,7 +98,7 @@
 	})
 }
 
-func TestReplicasWithoutARateAreNotBounded(t *testing.T) {
+func TestNoWarmUpWithoutRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, warming := warmingTable(0)
 		change(table, warmReplica("new", time.Second))
--- a/internal/replicas/residency/bounds_test.go
+++ b/internal/replicas/residency/bounds_test.go
@@ -5,22 +5,22 @@
 	"testing"
 )
 
-func TestNodesOfTheEntryRegionMayHaveABodyThatReplicasMayNot(t *testing.T) {
+func TestBoundsEntryRegion(t *testing.T) {
 	for _, test := range []struct {
 		name          string
 		homes         Set
 		entry, region string
 		replica, node bool
 	}{
-		{"not bound", Set{}, "north", "south", true, true},
-		{"not bound, region unknown", Set{}, "", "", true, true},
-		{"a home", Of([]string{"south"}, nil), "north", "south", true, true},
-		{"the entry region", Of([]string{"south"}, nil), "north", "north", false, true},
-		{"neither", Of([]string{"south"}, nil), "north", "west", false, false},
-		{"no home at all", Of([]string{"south"}, []string{"west"}), "north", "north", false, true},
+		{"unrestricted", Set{}, "north", "south", true, true},
+		{"unrestricted, region unknown", Set{}, "", "", true, true},
+		{"allowed region", Of([]string{"south"}, nil), "north", "south", true, true},
+		{"entry region", Of([]string{"south"}, nil), "north", "north", false, true},
+		{"neither allowed nor entry region", Of([]string{"south"}, nil), "north", "west", false, false},
+		{"no allowed region", Of([]string{"south"}, []string{"west"}), "north", "north", false, true},
 		{"entry region unknown", Of([]string{"south"}, nil), "", "north", false, false},
 		{"both unknown", Of([]string{"south"}, nil), "", "", false, false},
-		{"homes of two requests", Of([]string{"south", "west"}, nil).And(Of(nil, []string{"west"})), "north", "south", false, false},
+		{"intersection of two requests", Of([]string{"south", "west"}, nil).And(Of(nil, []string{"west"})), "north", "south", false, false},
 	} {
 		bounds := NewBounds(test.homes, test.entry)
 		if replica, node := bounds.AllowsReplica(test.region), bounds.AllowsNode(test.region); replica != test.replica || node != test.node {
--- a/internal/replicas/residency/context.go
+++ b/internal/replicas/residency/context.go
@@ -8,7 +8,7 @@
 // WithBounds returns a context for calls that carry a body with the given bounds in the
 // request or the response. Bounds that allow every region are not stored.
 func WithBounds(ctx context.Context, bounds Bounds) context.Context {
-	if !bounds.homes.IsRestricted() {
+	if !bounds.regions.IsRestricted() {
 		return ctx
 	}
 	return context.WithValue(ctx, boundsKey{}, bounds)
--- a/internal/replicas/routing/chain.go
+++ b/internal/replicas/routing/chain.go
@@ -4,16 +4,18 @@
 type Chain []Filter
 
 // Allow reports whether every filter allows the endpoint.
-func (c Chain) Allow(query *Query, endpoint *Endpoint) bool { return c.refusedAt(query, endpoint) < 0 }
+func (c Chain) Allow(query *Query, endpoint *Endpoint) bool {
+	return c.firstRefusal(query, endpoint) < 0
+}
 
 // Refuse returns the reason of the first filter that refuses the endpoint, and false if no
 // filter does.
 func (c Chain) Refuse(query *Query, endpoint *Endpoint) (Reason, bool) {
-	place := c.refusedAt(query, endpoint)
-	if place < 0 {
+	index := c.firstRefusal(query, endpoint)
+	if index < 0 {
 		return "", false
 	}
-	return c[place].Reason(), true
+	return c[index].Reason(), true
 }
 
 // Explain returns the reason why none of the endpoints is allowed: that of the last filter
@@ -22,7 +24,7 @@
 func (c Chain) Explain(query *Query, endpoints []*Endpoint) Reason {
 	last := -1
 	for _, endpoint := range endpoints {
-		last = max(last, c.refusedAt(query, endpoint))
+		last = max(last, c.firstRefusal(query, endpoint))
 	}
 	if last < 0 {
 		return ReasonUnavailable
@@ -30,11 +32,11 @@
 	return c[last].Reason()
 }
 
-// refusedAt returns the index of the first filter that refuses the endpoint, or -1.
-func (c Chain) refusedAt(query *Query, endpoint *Endpoint) int {
-	for place, filter := range c {
+// firstRefusal returns the index of the first filter that refuses the endpoint, or -1.
+func (c Chain) firstRefusal(query *Query, endpoint *Endpoint) int {
+	for index, filter := range c {
 		if !filter.Allow(query, endpoint) {
-			return place
+			return index
 		}
 	}
 	return -1
--- a/internal/replicas/routing/endpoint.go
+++ b/internal/replicas/routing/endpoint.go
@@ -43,9 +43,9 @@
 // Load estimates the current number of requests at the endpoint: the reported number plus
 // the change of this node's in-flight requests since the report.
 func (e *Endpoint) Load() int64 {
-	view := e.State.Report()
-	since := e.State.InFlight.Load() - e.State.reportedInFlight.Load()
-	return max(0, int64(view.Running+view.Waiting)+since)
+	report := e.State.Report()
+	sentSince := e.State.InFlight.Load() - e.State.inFlightAtReport.Load()
+	return max(0, int64(report.Running+report.Waiting)+sentSince)
 }
 
 // NewReplicaEndpoint returns the endpoint of a replica that takes live requests and items of
--- a/internal/replicas/routing/endpoint_state.go
+++ b/internal/replicas/routing/endpoint_state.go
@@ -7,8 +7,8 @@
 	"github.com/pathtally/pathtally/internal/replicas/slowstart"
 )
 
-// targetRetryPercent limits the retries to an endpoint, as a percentage of its successes.
-const targetRetryPercent = 20
+// endpointRetryPercent limits the retries to an endpoint, as a percentage of its successes.
+const endpointRetryPercent = 20
 
 // EndpointReport is the most recent report of an endpoint. It is immutable; a new report
 // replaces it.
@@ -38,28 +38,28 @@
 	SlowStart slowstart.Gate
 	evacuated atomic.Bool
 
-	view atomic.Pointer[EndpointReport]
-	// reportedInFlight is InFlight at the time of the most recent report, so that requests
+	report atomic.Pointer[EndpointReport]
+	// inFlightAtReport is InFlight at the time of the most recent report, so that requests
 	// that the report includes are not counted twice.
-	reportedInFlight atomic.Int64
+	inFlightAtReport atomic.Int64
 }
 
 // NewEndpointState returns the state of an endpoint without a report. The endpoint is
 // excluded until the first report.
 func NewEndpointState() *EndpointState {
-	state := &EndpointState{Retries: admission.NewRetryBudget(targetRetryPercent)}
-	state.view.Store(&EndpointReport{Excluded: true})
+	state := &EndpointState{Retries: admission.NewRetryBudget(endpointRetryPercent)}
+	state.report.Store(&EndpointReport{Excluded: true})
 	return state
 }
 
 // SetReport replaces the most recent report.
-func (s *EndpointState) SetReport(view EndpointReport) {
-	s.reportedInFlight.Store(s.InFlight.Load())
-	s.view.Store(&view)
+func (s *EndpointState) SetReport(report EndpointReport) {
+	s.inFlightAtReport.Store(s.InFlight.Load())
+	s.report.Store(&report)
 }
 
 // Report returns the most recent report.
-func (s *EndpointState) Report() *EndpointReport { return s.view.Load() }
+func (s *EndpointState) Report() *EndpointReport { return s.report.Load() }
 
 // SetEvacuated sets whether the endpoint's zone is evacuated. No requests are sent to
 // endpoints in evacuated zones.
--- a/internal/replicas/routing/latency.go
+++ b/internal/replicas/routing/latency.go
@@ -16,7 +16,7 @@
 // LatencyAverage is a moving average of an endpoint's response times to this node. It is
 // safe for concurrent use.
 type LatencyAverage struct {
-	newest atomic.Pointer[latencySample]
+	latest atomic.Pointer[latencySample]
 }
 
 // latencySample is an average and the time at which it was computed.
@@ -28,10 +28,10 @@
 // Observe adds a response time. One of two concurrent observations may be lost.
 func (l *LatencyAverage) Observe(took time.Duration) {
 	average := took
-	if last := l.newest.Load(); last != nil && time.Since(last.at) < latencyLifetime {
+	if last := l.latest.Load(); last != nil && time.Since(last.at) < latencyLifetime {
 		average = last.average + time.Duration(latencyGain*float64(took-last.average))
 	}
-	l.newest.Store(&latencySample{average: average, at: time.Now()})
+	l.latest.Store(&latencySample{average: average, at: time.Now()})
 }
 
 // ObserveAtLeast adds a lower bound of a response time, for a request that has no response
@@ -44,10 +44,10 @@
 
 // Estimate returns the average, or 0 without observations.
 func (l *LatencyAverage) Estimate() time.Duration {
-	last := l.newest.Load()
+	last := l.latest.Load()
 	if last == nil {
 		return 0
 	}
-	faded := float64(time.Since(last.at)-latencyLifetime) / float64(latencyLifetime)
-	return time.Duration(float64(last.average) * (1 - min(1, max(0, faded))))
+	decay := float64(time.Since(last.at)-latencyLifetime) / float64(latencyLifetime)
+	return time.Duration(float64(last.average) * (1 - min(1, max(0, decay))))
 }
--- a/internal/replicas/routing/latency_test.go
+++ b/internal/replicas/routing/latency_test.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-func TestLatencyAverageFollowsAndFades(t *testing.T) {
+func TestLatencyAverageDecays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		average := &LatencyAverage{}
 		if average.Estimate() != 0 {
-			t.Error("a latency is known before any answer")
+			t.Error("estimate without observations")
 		}
 		for range 20 {
 			average.Observe(100 * time.Millisecond)
 		}
 		average.ObserveAtLeast(10 * time.Millisecond)
 		if average.Estimate() != 100*time.Millisecond {
-			t.Errorf("average %s of answers in 100ms", average.Estimate())
+			t.Errorf("average %s of response times of 100ms", average.Estimate())
 		}
 		average.ObserveAtLeast(500 * time.Millisecond)
 		if average.Estimate() <= 200*time.Millisecond {
-			t.Errorf("average %s after 500ms were waited in vain", average.Estimate())
+			t.Errorf("average %s after 500ms without a response", average.Estimate())
 		}
 		time.Sleep(latencyLifetime * 2)
 		if average.Estimate() != 0 {
-			t.Errorf("average %s long after the last answer", average.Estimate())
+			t.Errorf("average %s long after the last response", average.Estimate())
 		}
 	})
 }
 
 // Guards against slow replicas getting as many requests as fast ones while each node has few
 // requests in flight.
-func TestSlowEngineGetsFewRequestsOfPlans(t *testing.T) {
+func TestPickAvoidsSlowEndpoint(t *testing.T) {
 	plan := testPlan(3)
 	for number, endpoint := range plan.Endpoints() {
 		endpoint.State.SetReport(EndpointReport{})
@@ -52,6 +52,6 @@
 		}
 	}
 	if slow > 30 {
-		t.Errorf("%d of 300 requests went to the slow engine", slow)
+		t.Errorf("%d of 300 requests went to the slow endpoint", slow)
 	}
 }
--- a/internal/replicas/routing/plan.go
+++ b/internal/replicas/routing/plan.go
@@ -57,7 +57,7 @@
 	}
 	best := p.best(query)
 	if best == nil {
-		p.requestAllotments()
+		p.requestPermits()
 		return nil, &NoEligibleEndpointError{Reason: p.filters.Explain(query, p.endpoints)}
 	}
 	return best, nil
@@ -66,34 +66,34 @@
 // best returns the endpoint to pick, or nil.
 func (p *Plan) best(query *Query) *Endpoint {
 	if p.ranked {
-		return p.bestInRank(query)
+		return p.bestRanked(query)
 	}
-	if drawn := p.bestDrawn(query); drawn != nil {
-		return drawn
+	if sampled := p.bestSampled(query); sampled != nil {
+		return sampled
 	}
 	return p.bestOfAll(query)
 }
 
-// requestAllotments records demand for a permit at each closed slow-start gate.
-func (p *Plan) requestAllotments() {
+// requestPermits records demand for a permit at each closed slow-start gate.
+func (p *Plan) requestPermits() {
 	for _, endpoint := range p.endpoints {
 		endpoint.State.SlowStart.CheckPermit()
 	}
 }
 
-// bestDrawn returns the best of the prompt's cache home, localDraws random endpoints of the
-// node's zone and anyDraws random endpoints of any zone.
-func (p *Plan) bestDrawn(query *Query) *Endpoint {
+// bestSampled returns the best of the prompt's cache home, localSamples random endpoints of the
+// node's zone and globalSamples random endpoints of any zone.
+func (p *Plan) bestSampled(query *Query) *Endpoint {
 	best := p.cacheHome(query)
 	random := query.Random
-	for range localDraws {
+	for range localSamples {
 		if p.local > 0 {
-			random = rendezvous.Weight(random, hashStep)
+			random = rendezvous.Weight(random, randomStep)
 			p.consider(&best, query, p.endpoints[random%uint64(p.local)])
 		}
 	}
-	for range anyDraws {
-		random = rendezvous.Weight(random, hashStep)
+	for range globalSamples {
+		random = rendezvous.Weight(random, randomStep)
 		p.consider(&best, query, p.endpoints[random%uint64(len(p.endpoints))])
 	}
 	return best.endpoint
@@ -108,5 +108,5 @@
 	return best.endpoint
 }
 
-// hashStep is hashed with the query's random number to derive the next one.
-const hashStep = 0x9e3779b97f4a7c15
+// randomStep is hashed with the query's random number to derive the next one.
+const randomStep = 0x9e3779b97f4a7c15
--- a/internal/replicas/routing/plan_ranked.go
+++ b/internal/replicas/routing/plan_ranked.go
@@ -43,23 +43,23 @@
 // NewRankedPlan returns a plan of replicas that report no load. Its picks compare the first
 // endpoints in the node's order of preference. The orders of the nodes differ, so that the
 // replicas get similar load while each node uses few connections.
-func NewRankedPlan(place Locality, endpoints []*Endpoint) *Plan {
-	plan := NewPlan(place.Zone, endpoints)
+func NewRankedPlan(locality Locality, endpoints []*Endpoint) *Plan {
+	plan := NewPlan(locality.Zone, endpoints)
 	plan.ranked = true
-	slices.SortFunc(plan.endpoints, place.preference())
+	slices.SortFunc(plan.endpoints, locality.preference())
 	return plan
 }
 
 // Revised returns a copy of a ranked plan with some endpoints removed and others added. It
 // merges instead of sorting, since plans may have thousands of endpoints and are revised at
 // every change.
-func (p *Plan) Revised(place Locality, gone map[*Endpoint]bool, added []*Endpoint) *Plan {
-	preference := place.preference()
+func (p *Plan) Revised(locality Locality, removed map[*Endpoint]bool, added []*Endpoint) *Plan {
+	preference := locality.preference()
 	slices.SortFunc(added, preference)
 	revised := *p
 	revised.endpoints = make([]*Endpoint, 0, len(p.endpoints)+len(added))
 	for _, endpoint := range p.endpoints {
-		if gone[endpoint] {
+		if removed[endpoint] {
 			continue
 		}
 		for len(added) > 0 && preference(added[0], endpoint) < 0 {
@@ -69,20 +69,20 @@
 	}
 	revised.endpoints = append(revised.endpoints, added...)
 	revised.local = 0
-	for revised.local < len(revised.endpoints) && revised.endpoints[revised.local].Zone == place.Zone {
+	for revised.local < len(revised.endpoints) && revised.endpoints[revised.local].Zone == locality.Zone {
 		revised.local++
 	}
 	return &revised
 }
 
-// bestInRank returns the best of the prompt's cache home and the first subsetSize endpoints
+// bestRanked returns the best of the prompt's cache home and the first subsetSize endpoints
 // that the filters allow. Of equal scores, the first wins. It compares further endpoints
-// while the utilization of the best is at least subsetMaxUse.
-func (p *Plan) bestInRank(query *Query) *Endpoint {
+// while the utilization of the best is at least subsetMaxUtilization.
+func (p *Plan) bestRanked(query *Query) *Endpoint {
 	best := p.cacheHome(query)
 	compared := 0
 	for _, endpoint := range p.endpoints {
-		if compared >= subsetSize && best.endpoint.use() < subsetMaxUse {
+		if compared >= subsetSize && best.endpoint.utilization() < subsetMaxUtilization {
 			break
 		}
 		if p.consider(&best, query, endpoint) {
@@ -92,5 +92,5 @@
 	return best.endpoint
 }
 
-// use returns the estimated utilization of the endpoint's slots.
-func (e *Endpoint) use() float64 { return float64(e.Load()) / float64(e.Slots) }
+// utilization returns the estimated utilization of the endpoint's slots.
+func (e *Endpoint) utilization() float64 { return float64(e.Load()) / float64(e.Slots) }
--- a/internal/replicas/routing/plan_ranked_test.go
+++ b/internal/replicas/routing/plan_ranked_test.go
@@ -29,7 +29,7 @@
 
 // Guards against consecutive requests switching replicas because of small latency differences,
 // or using distant replicas while a nearer one is available.
-func TestRankedPlanKeepsToTheNearestReplica(t *testing.T) {
+func TestRankedPlanPrefersNearestReplica(t *testing.T) {
 	plan := NewRankedPlan(Locality{Node: "node", Zone: "e1", Region: "e"}, replicasOf(6, "w1", "e2", "e1"))
 	for _, zones := range [][]string{{"e1", "e1"}, {"e2", "e2"}, {"w1", "w1"}} {
 		for _, zone := range zones {
@@ -40,7 +40,7 @@
 			for number := range 20 {
 				picked.State.Latency.Observe(time.Duration(20+number) * time.Millisecond)
 				if again := pickOne(t, plan); again != picked {
-					t.Fatalf("went from %s to %s", picked.Name, again.Name)
+					t.Fatalf("consecutive requests went to %s and %s", picked.Name, again.Name)
 				}
 			}
 			picked.State.SetReport(EndpointReport{Excluded: true})
@@ -48,22 +48,22 @@
 	}
 }
 
-func TestRankedPlanLeavesAReplicaThatFailsOrIsSlow(t *testing.T) {
+func TestRankedPlanAvoidsFailingAndSlow(t *testing.T) {
 	plan := NewRankedPlan(Locality{Node: "node", Zone: "e1"}, replicasOf(6, "e1"))
 	failing := pickOne(t, plan)
 	failing.State.Failures.Add(1)
 	slow := pickOne(t, plan)
 	if slow == failing {
-		t.Fatal("a failing replica is picked")
+		t.Fatal("a failing replica was picked")
 	}
 	slow.State.Latency.Observe(300 * time.Millisecond)
 	if third := pickOne(t, plan); third == failing || third == slow {
-		t.Error("a slow replica is picked")
+		t.Error("a failing or slow replica was picked")
 	}
 }
 
 // Guards against all nodes of a zone preferring the same replicas.
-func TestRankedPlansOfManyNodesUseAllReplicasAlike(t *testing.T) {
+func TestRankedPlansSpreadAcrossReplicas(t *testing.T) {
 	replicas := replicasOf(8, "e1")
 	counts := map[string]int{}
 	for number := range 400 {
@@ -71,13 +71,13 @@
 	}
 	for _, replica := range replicas {
 		if counts[replica.Name] < 25 || counts[replica.Name] > 80 {
-			t.Errorf("%s is the first of %d of 400 nodes", replica.Name, counts[replica.Name])
+			t.Errorf("%s is the first replica of %d of 400 nodes", replica.Name, counts[replica.Name])
 		}
 	}
 }
 
 // Guards against overloading the first replicas when a node has many concurrent requests.
-func TestRankedPlanGrowsWithTheLoad(t *testing.T) {
+func TestRankedPlanWidensUnderLoad(t *testing.T) {
 	replicas := replicasOf(12, "e1", "w1")
 	plan := NewRankedPlan(Locality{Node: "node", Zone: "e1", Region: "e"}, replicas)
 	for range 48 {
@@ -85,7 +85,7 @@
 	}
 	for _, replica := range replicas {
 		if count := replica.State.InFlight.Load(); count < 3 || count > 5 {
-			t.Errorf("%s in %s got %d of 48", replica.Name, replica.Zone, count)
+			t.Errorf("%s in %s got %d of 48 requests", replica.Name, replica.Zone, count)
 		}
 	}
 }
--- a/internal/replicas/routing/plan_test.go
+++ b/internal/replicas/routing/plan_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestPickFiltersAndFindsTheOnlyOneLeft(t *testing.T) {
+func TestPickAppliesFilters(t *testing.T) {
 	plan := testPlan(50)
 	exclude(plan, func(endpoint *Endpoint) bool { return endpoint.Name == "engine-37" })
 	picked, err := plan.Pick(&Query{Zone: "zone-0", PrefixHash: 5, Random: 9})
@@ -43,7 +43,7 @@
 		{"too old", Query{MinVersion: 4}, nil},
 		{"full", Query{MaxLoadShare: 1}, func(endpoint *Endpoint) { endpoint.State.InFlight.Store(20) }},
 		{"cordoned", Query{}, func(endpoint *Endpoint) { endpoint.Cordoned = true }},
-		{"of another role", Query{Rollout: true}, func(endpoint *Endpoint) { endpoint.TakesRollouts = false }},
+		{"other role", Query{Rollout: true}, func(endpoint *Endpoint) { endpoint.TakesRollouts = false }},
 	}
 	for _, test := range cases {
 		if test.spoil != nil {
@@ -55,11 +55,11 @@
 		picked.State.InFlight.Store(0)
 	}
 	if _, err := NewPlan("z", nil).Pick(&Query{}); !errors.Is(err, ErrNoEngineDeclared) {
-		t.Errorf("an empty plan gave %v", err)
+		t.Errorf("an empty plan returned %v", err)
 	}
 }
 
-func TestSamePrefixGoesToItsHomeUntilThatIsLoaded(t *testing.T) {
+func TestPickPrefixAffinity(t *testing.T) {
 	plan := testPlan(40)
 	exclude(plan, func(*Endpoint) bool { return true })
 	for _, endpoint := range plan.Endpoints() {
@@ -71,12 +71,12 @@
 	}
 	for random := range uint64(20) {
 		if picked, _ := plan.Pick(&Query{PrefixHash: 77, Random: random}); picked != home {
-			t.Errorf("the prefix moved from %s to %s", home.Name, picked.Name)
+			t.Errorf("requests with the same prefix went to %s and %s", home.Name, picked.Name)
 		}
 	}
 	home.State.InFlight.Store(64)
 	if picked, _ := plan.Pick(&Query{PrefixHash: 77, Random: 3}); picked == home {
-		t.Error("the prefix stayed on an overloaded engine")
+		t.Error("a request went to its cache home although that is overloaded")
 	}
 }
 
@@ -87,7 +87,7 @@
 	}
 	random := uint64(1)
 	for range 2000 {
-		random = rendezvous.Weight(random, hashStep)
+		random = rendezvous.Weight(random, randomStep)
 		picked, err := plan.Pick(&Query{Random: random})
 		if err != nil {
 			t.Fatal(err)
@@ -96,7 +96,7 @@
 	}
 	for _, endpoint := range plan.Endpoints() {
 		if count := endpoint.State.InFlight.Load(); count < 60 || count > 140 {
-			t.Errorf("%s got %d of 2000", endpoint.Name, count)
+			t.Errorf("%s got %d of 2000 requests", endpoint.Name, count)
 		}
 	}
 }
--- a/internal/replicas/routing/policy.go
+++ b/internal/replicas/routing/policy.go
@@ -35,28 +35,28 @@
 	// failureWeight is subtracted for each consecutive failure.
 	failureWeight = 0.5
 	// latencyWeight is subtracted for each multiple of the objective by which the response
-	// time exceeds toleratedLatency.
+	// time exceeds toleratedLatencyFraction.
 	latencyWeight = 0.5
 )
 
 const (
-	// toleratedLatency is the fraction of the objective up to which all replicas count as
+	// toleratedLatencyFraction is the fraction of the objective up to which all replicas count as
 	// equally fast. Smaller differences are noise, and switching replicas may cost a new
 	// connection.
-	toleratedLatency = 0.25
-	// maxLatency bounds the latency in the score, as a multiple of the objective.
-	maxLatency = 2.0
+	toleratedLatencyFraction = 0.25
+	// maxLatencyRatio bounds the latency in the score, as a multiple of the objective.
+	maxLatencyRatio = 2.0
 )
 
 const (
 	// subsetSize is how many of the first allowed replicas of a ranked plan are compared.
 	// It is small so that requests reuse connections.
 	subsetSize = 4
-	// subsetMaxUse is the utilization, between 0 and 1, of the best replica so far from
+	// subsetMaxUtilization is the utilization, between 0 and 1, of the best replica so far from
 	// which further replicas are compared.
-	subsetMaxUse = 0.25
-	// localDraws and anyDraws are how many candidates of an unranked plan are chosen at
+	subsetMaxUtilization = 0.25
+	// localSamples and globalSamples are how many candidates of an unranked plan are chosen at
 	// random from the node's zone and from all zones.
-	localDraws = 2
-	anyDraws   = 2
+	localSamples  = 2
+	globalSamples = 2
 )
--- a/internal/replicas/routing/policy_test.go
+++ b/internal/replicas/routing/policy_test.go
@@ -9,7 +9,7 @@
 
 // Each step makes one more filter refuse, from the last to the first, so that the reason must
 // always be that of the added one.
-func TestFiltersRefuseInOrder(t *testing.T) {
+func TestRequestChainRefusalOrder(t *testing.T) {
 	endpoint := testPlan(1).Endpoints()[0]
 	endpoint.Region = "north"
 	query := &Query{}
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestChainsAreInOrder(t *testing.T) {
+func TestChainOrder(t *testing.T) {
 	reasons := func(chain Chain) (order []Reason) {
 		for _, filter := range chain {
 			order = append(order, filter.Reason())
--- a/internal/replicas/routing/score.go
+++ b/internal/replicas/routing/score.go
@@ -43,5 +43,5 @@
 		return 0
 	}
 	took := float64(endpoint.State.Latency.Estimate()) / float64(query.Objective)
-	return -latencyWeight * max(0, min(maxLatency, took)-toleratedLatency)
+	return -latencyWeight * max(0, min(maxLatencyRatio, took)-toleratedLatencyFraction)
 }
--- a/internal/replicas/routing/slowstart_test.go
+++ b/internal/replicas/routing/slowstart_test.go
@@ -13,7 +13,7 @@
 
 // Guards against live requests requesting permits while a warm replica is available. There is
 // no allotter.
-func TestLiveRequestsGoToWarmReplicasFirst(t *testing.T) {
+func TestPickPrefersWarmReplicas(t *testing.T) {
 	plan := testPlan(3)
 	var warming []slowstart.WarmingReplica
 	for _, endpoint := range plan.Endpoints() {
@@ -25,14 +25,14 @@
 	for random := range uint64(50) {
 		picked, err := plan.Pick(&Query{Random: random})
 		if err != nil || picked.Name != warming[0].Replica {
-			t.Fatalf("picked %v, %v, want the one that is warm", picked, err)
+			t.Fatalf("picked %v, %v, want the warm replica", picked, err)
 		}
 	}
 	if warming[1].Gate.HasDemand() {
-		t.Error("an allotment is wanted although a replica is warm")
+		t.Error("permits are requested although a replica is warm")
 	}
 	client.SetWarming(warming, isListed)
 	if _, err := plan.Pick(&Query{}); !errors.Is(err, ErrNoEngineAvailable) || !warming[1].Gate.HasDemand() {
-		t.Errorf("%v with all replicas warming; an allotment is wanted: %v", err, warming[1].Gate.HasDemand())
+		t.Errorf("%v with all replicas warming up; permits requested: %v", err, warming[1].Gate.HasDemand())
 	}
 }
--- a/internal/replicas/slowstart/allotment.go
+++ b/internal/replicas/slowstart/allotment.go
@@ -8,14 +8,14 @@
 // allotment is a number of permits for one replica that this node may use until the given
 // time of its boot-time clock.
 type allotment struct {
-	until time.Time
-	left  atomic.Int64
+	until   time.Time
+	permits atomic.Int64
 }
 
 // newAllotment returns an allotment with the given number of unused permits.
 func newAllotment(count int, until time.Time) *allotment {
 	made := &allotment{until: until}
-	made.left.Store(int64(count))
+	made.permits.Store(int64(count))
 	return made
 }
 
@@ -25,11 +25,11 @@
 		return false
 	}
 	for {
-		left := a.left.Load()
+		left := a.permits.Load()
 		if left <= 0 {
 			return false
 		}
-		if a.left.CompareAndSwap(left, left-1) {
+		if a.permits.CompareAndSwap(left, left-1) {
 			return true
 		}
 	}
@@ -40,5 +40,5 @@
 	if !now.Before(a.until) {
 		return 0
 	}
-	return int(a.left.Load())
+	return int(a.permits.Load())
 }
--- a/internal/replicas/slowstart/allotter.go
+++ b/internal/replicas/slowstart/allotter.go
@@ -16,9 +16,9 @@
 	dutyName = "slow-start"
 	// leaseCheckInterval is the time between checks of whether the lease is due for renewal.
 	leaseCheckInterval = 100 * time.Millisecond
-	// leaseKeepTime is how long the lease is held after the last request for permits. It is
+	// leaseIdleTimeout is how long the lease is held after the last request for permits. It is
 	// a multiple of requestInterval.
-	leaseKeepTime = time.Second
+	leaseIdleTimeout = time.Second
 )
 
 // AllotterConfig holds the dependencies of an Allotter.
@@ -84,7 +84,7 @@
 // record adds the permits requested and allotted for one replica to the summary and the
 // metrics. The mutex must be held.
 func (a *Allotter) record(wanted, allotted int) {
-	a.summary.questions++
+	a.summary.requested++
 	a.summary.allotted += allotted
 	a.summary.refused += wanted - allotted
 	a.metrics.allotted.Add(float64(allotted))
@@ -98,29 +98,29 @@
 		case <-ctx.Done():
 			return
 		case <-a.requested:
-			a.keepLease(ctx)
+			a.holdLease(ctx)
 		}
 	}
 }
 
-// keepLease holds the lease until no request has arrived for leaseKeepTime.
-func (a *Allotter) keepLease(ctx context.Context) {
+// holdLease holds the lease until no request has arrived for leaseIdleTimeout.
+func (a *Allotter) holdLease(ctx context.Context) {
 	defer a.config.Lease.Idle(dutyName)
-	for ctx.Err() == nil && a.wasRequested() {
+	for ctx.Err() == nil && a.hasRecentRequest() {
 		pause := leaseCheckInterval
 		if ready, again := a.config.Lease.Ready(ctx, dutyName); !ready {
-			pause = min(max(again, leaseCheckInterval), leaseKeepTime)
+			pause = min(max(again, leaseCheckInterval), leaseIdleTimeout)
 		}
 		wait(ctx, pause)
 	}
 	a.report()
 }
 
-// wasRequested reports whether a request has arrived within leaseKeepTime.
-func (a *Allotter) wasRequested() bool {
+// hasRecentRequest reports whether a request has arrived within leaseIdleTimeout.
+func (a *Allotter) hasRecentRequest() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return a.config.Clock().Sub(a.requestedAt) < leaseKeepTime
+	return a.config.Clock().Sub(a.requestedAt) < leaseIdleTimeout
 }
 
 // report logs the permits allotted since the last report.
@@ -130,10 +130,10 @@
 	a.summary = summary{}
 	a.ledger.Prune(a.config.Clock())
 	a.mutex.Unlock()
-	if reported.questions == 0 {
+	if reported.requested == 0 {
 		return
 	}
-	a.config.Logger.Info("requests to warming replicas allotted", "questions", reported.questions, "allotted", reported.allotted, "refused", reported.refused)
+	a.config.Logger.Info("permits for warming replicas allotted", "questions", reported.requested, "allotted", reported.allotted, "refused", reported.refused)
 }
 
 // wait waits for the given time or until the context ends.
--- a/internal/replicas/slowstart/client.go
+++ b/internal/replicas/slowstart/client.go
@@ -20,9 +20,9 @@
 	// requestTimeout bounds the wait for a reply. Permits of a later reply would be valid
 	// for little of PermitLifetime.
 	requestTimeout = 350 * time.Millisecond
-	// maxWanted is the maximum number of permits per replica in one request. It is one more
+	// maxPermitsPerRequest is the maximum number of permits per replica in one request. It is one more
 	// than a node uses in requestInterval, so that permits remain for other nodes.
-	maxWanted = 2
+	maxPermitsPerRequest = 2
 )
 
 // ClientConfig holds the dependencies of a Client.
@@ -43,7 +43,7 @@
 type Client struct {
 	config  ClientConfig
 	metrics *clientMetrics
-	wanted  chan struct{}
+	demand  chan struct{}
 	// failures counts consecutive failed requests for permits. Only the first is logged. It
 	// is used only by Run.
 	failures int
@@ -55,13 +55,13 @@
 
 // NewClient returns a client. It requests permits only in Run.
 func NewClient(config ClientConfig) *Client {
-	return &Client{config: config, metrics: newClientMetrics(config.Registry), wanted: make(chan struct{}, 1), gates: map[string]*warmingGate{}}
+	return &Client{config: config, metrics: newClientMetrics(config.Registry), demand: make(chan struct{}, 1), gates: map[string]*warmingGate{}}
 }
 
 // wake makes Run check for demand. It does not block.
 func (c *Client) wake() {
 	select {
-	case c.wanted <- struct{}{}:
+	case c.demand <- struct{}{}:
 	default:
 	}
 }
@@ -74,19 +74,19 @@
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
-			c.releaseWarm()
-		case <-c.wanted:
-			c.releaseWarm()
-			c.ask(ctx)
+			c.openWarmGates()
+		case <-c.demand:
+			c.openWarmGates()
+			c.requestPermits(ctx)
 			wait(ctx, requestInterval)
 		}
 		timer.Stop()
 	}
 }
 
-// ask requests permits for the current demand.
-func (c *Client) ask(ctx context.Context) {
-	wanted := c.takeWanted()
+// requestPermits requests permits for the current demand.
+func (c *Client) requestPermits(ctx context.Context) {
+	wanted := c.takeDemand()
 	if len(wanted) == 0 {
 		return
 	}
@@ -97,7 +97,7 @@
 	if err != nil {
 		c.failures++
 		if c.failures == 1 {
-			c.config.Logger.Info("no answer about warming replicas", "replicas", len(wanted), "error", err.Error())
+			c.config.Logger.Info("request for slow-start permits failed", "replicas", len(wanted), "error", err.Error())
 		}
 		return
 	}
@@ -105,8 +105,8 @@
 	c.addAllotments(sent, span, allotted)
 }
 
-// takeWanted returns the permits to request, sorted by replica, and resets the demand.
-func (c *Client) takeWanted() []wire.ReplicaCount {
+// takeDemand returns the permits to request, sorted by replica, and resets the demand.
+func (c *Client) takeDemand() []wire.ReplicaCount {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var wanted []wire.ReplicaCount
@@ -114,10 +114,10 @@
 		if !entry.gate.HasDemand() {
 			continue
 		}
-		demand := min(int(entry.counts.demand.Swap(0)), maxWanted) - entry.gate.PermitsLeft()
+		demand := min(int(entry.counts.demand.Swap(0)), maxPermitsPerRequest) - entry.gate.PermitsLeft()
 		if demand > 0 {
 			wanted = append(wanted, wire.ReplicaCount{Replica: replica, Count: uint32(demand)})
-			c.metrics.asked.Add(float64(demand))
+			c.metrics.requested.Add(float64(demand))
 		}
 	}
 	slices.SortFunc(wanted, func(x, y wire.ReplicaCount) int { return strings.Compare(x.Replica, y.Replica) })
@@ -136,8 +136,8 @@
 		if entry == nil {
 			continue
 		}
-		c.metrics.got.Add(float64(part.Count))
-		entry.gate.bounds.Store(entry.gate.bounds.Load().withAllotment(newAllotment(int(part.Count), sent.Add(span))))
+		c.metrics.received.Add(float64(part.Count))
+		entry.gate.closed.Store(entry.gate.closed.Load().withAllotment(newAllotment(int(part.Count), sent.Add(span))))
 	}
 	c.mutex.Unlock()
 	c.config.Allotted()
--- a/internal/replicas/slowstart/client_gates.go
+++ b/internal/replicas/slowstart/client_gates.go
@@ -19,19 +19,19 @@
 func (c *Client) SetWarming(warming []WarmingReplica, isListed func(replica string) bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	named := make(map[string]bool, len(warming))
+	isWarming := make(map[string]bool, len(warming))
 	for _, replica := range warming {
-		named[replica.Replica] = true
+		isWarming[replica.Replica] = true
 		c.closeGate(replica)
 	}
 	for replica, entry := range c.gates {
-		if named[replica] {
+		if isWarming[replica] {
 			continue
 		}
 		if isListed(replica) {
-			entry.gate.bounds.Store(nil)
+			entry.gate.closed.Store(nil)
 		}
-		c.dropGate(replica, entry)
+		c.removeGate(replica, entry)
 	}
 	c.metrics.warming.Set(float64(len(c.gates)))
 	if len(c.gates) > 0 {
@@ -45,29 +45,29 @@
 func (c *Client) closeGate(replica WarmingReplica) {
 	entry := c.gates[replica.Replica]
 	if entry != nil && entry.gate != replica.Gate {
-		c.dropGate(replica.Replica, entry)
+		c.removeGate(replica.Replica, entry)
 		entry = nil
 	}
 	if entry == nil {
 		entry = &warmingGate{gate: replica.Gate, counts: &gateCounts{}}
 		c.gates[replica.Replica] = entry
-		entry.gate.bounds.Store(&bounds{until: replica.Until, clock: c.config.Clock, counts: entry.counts, wake: c.wake})
-		c.config.Logger.Info("replica warms up", "replica", replica.Replica, "forMs", replica.Until.Sub(c.config.Clock()).Milliseconds())
+		entry.gate.closed.Store(&closedGate{until: replica.Until, clock: c.config.Clock, counts: entry.counts, wake: c.wake})
+		c.config.Logger.Info("replica is warming up", "replica", replica.Replica, "forMs", replica.Until.Sub(c.config.Clock()).Milliseconds())
 		return
 	}
-	if current := entry.gate.bounds.Load(); !current.until.Equal(replica.Until) {
+	if current := entry.gate.closed.Load(); !current.until.Equal(replica.Until) {
 		next := *current
 		next.until = replica.Until
-		entry.gate.bounds.Store(&next)
+		entry.gate.closed.Store(&next)
 	}
 }
 
-// dropGate removes a gate from the client. The mutex must be held.
-func (c *Client) dropGate(replica string, entry *warmingGate) {
+// removeGate removes a gate from the client. The mutex must be held.
+func (c *Client) removeGate(replica string, entry *warmingGate) {
 	delete(c.gates, replica)
 	used := entry.counts.used.Load()
 	c.metrics.used.Add(float64(used))
-	c.config.Logger.Info("replica is warm or gone", "replica", replica, "sentMeanwhile", used)
+	c.config.Logger.Info("replica is no longer warming up", "replica", replica, "sentMeanwhile", used)
 }
 
 // untilNextWarm returns the time until the next replica is warm, at most idleCheckInterval.
@@ -77,20 +77,20 @@
 	now := c.config.Clock()
 	next := idleCheckInterval
 	for _, entry := range c.gates {
-		next = min(next, entry.gate.bounds.Load().until.Sub(now))
+		next = min(next, entry.gate.closed.Load().until.Sub(now))
 	}
 	return max(0, next)
 }
 
-// releaseWarm opens the gates of the replicas whose warm-up has ended.
-func (c *Client) releaseWarm() {
+// openWarmGates opens the gates of the replicas whose warm-up has ended.
+func (c *Client) openWarmGates() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.config.Clock()
 	for replica, entry := range c.gates {
-		if !now.Before(entry.gate.bounds.Load().until) {
-			entry.gate.bounds.Store(nil)
-			c.dropGate(replica, entry)
+		if !now.Before(entry.gate.closed.Load().until) {
+			entry.gate.closed.Store(nil)
+			c.removeGate(replica, entry)
 		}
 	}
 	c.metrics.warming.Set(float64(len(c.gates)))
--- a/internal/replicas/slowstart/gate_bounds.go
+++ b/internal/replicas/slowstart/closed_gate.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// bounds is the state of a closed gate. It is immutable except for the counts.
-type bounds struct {
+// closedGate is the state of a closed gate. It is immutable except for the counts.
+type closedGate struct {
 	// until is when the gate opens, in the node's boot-time clock.
 	until      time.Time
 	allotments []*allotment
@@ -17,7 +17,7 @@
 	wake func()
 }
 
-// gateCounts holds the counters of one gate. They outlive its bounds.
+// gateCounts holds the counters of one gate. They outlive a closedGate.
 type gateCounts struct {
 	// demand counts the requests refused since the Client last requested permits.
 	demand atomic.Int64
@@ -25,17 +25,17 @@
 	used atomic.Int64
 }
 
-// open reports whether a request may be sent now. If not, it records demand.
-func (b *bounds) open() bool {
-	if b.left() > 0 {
+// checkPermit reports whether a request may be sent now. If not, it records demand.
+func (b *closedGate) checkPermit() bool {
+	if b.permitsLeft() > 0 {
 		return true
 	}
 	b.recordDemand()
 	return false
 }
 
-// take uses one permit. If there is none, it records demand and returns false.
-func (b *bounds) take() bool {
+// takePermit uses one permit. If there is none, it records demand and returns false.
+func (b *closedGate) takePermit() bool {
 	now := b.clock()
 	if !now.Before(b.until) {
 		return true
@@ -50,8 +50,8 @@
 	return false
 }
 
-// left returns how many requests may be sent now, or math.MaxInt once the warm-up has ended.
-func (b *bounds) left() int {
+// permitsLeft returns how many requests may be sent now, or math.MaxInt once the warm-up has ended.
+func (b *closedGate) permitsLeft() int {
 	now := b.clock()
 	if !now.Before(b.until) {
 		return math.MaxInt
@@ -64,14 +64,14 @@
 }
 
 // recordDemand records a refused request and wakes the Client.
-func (b *bounds) recordDemand() {
+func (b *closedGate) recordDemand() {
 	b.counts.demand.Add(1)
 	b.wake()
 }
 
-// withAllotment returns a copy of the bounds with one more allotment and without those that
+// withAllotment returns a copy of the gate with one more allotment and without those that
 // are used up or expired.
-func (b *bounds) withAllotment(further *allotment) *bounds {
+func (b *closedGate) withAllotment(further *allotment) *closedGate {
 	next := *b
 	now := b.clock()
 	next.allotments = []*allotment{further}
--- a/internal/replicas/slowstart/gate_test.go
+++ b/internal/replicas/slowstart/gate_test.go
@@ -15,7 +15,7 @@
 
 func isListed(string) bool { return true }
 
-var errNobody = merry.New("nobody is there")
+var errNobody = merry.New("no allotter")
 
 // runClient runs a client with one warming replica. answer replies to its requests.
 func runClient(ctx context.Context, answer func([]wire.ReplicaCount) ([]wire.ReplicaCount, error)) (*Client, *Gate) {
@@ -32,7 +32,7 @@
 	return client, gate
 }
 
-func TestWithoutAnAllotterTheGateStaysClosedUntilTheReplicaIsWarm(t *testing.T) {
+func TestGateClosedWithoutAllotter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -44,22 +44,22 @@
 		began := time.Now()
 		for time.Since(began) < 2990*time.Millisecond {
 			if gate.TakePermit() || gate.CheckPermit() {
-				t.Fatal("a request passed without an allotment")
+				t.Fatal("a request passed without a permit")
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 		synctest.Wait()
 		if most := int(3*time.Second/requestInterval) + 1; questions == 0 || questions > most {
-			t.Errorf("%d questions, want 1 to %d", questions, most)
+			t.Errorf("%d requests for permits, want 1 to %d", questions, most)
 		}
 		time.Sleep(20 * time.Millisecond)
 		if !gate.TakePermit() {
-			t.Error("a warm replica gets nothing")
+			t.Error("a request to a warm replica was refused")
 		}
 	})
 }
 
-func TestAllotmentsRunOut(t *testing.T) {
+func TestPermitsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -74,52 +74,52 @@
 		gate.CheckPermit()
 		synctest.Wait()
 		if left := gate.PermitsLeft(); left != 2 || !gate.TakePermit() {
-			t.Errorf("%d requests may be sent, want 2", left)
+			t.Errorf("%d permits left, want 2", left)
 		}
 		time.Sleep(PermitLifetime)
 		if gate.TakePermit() {
-			t.Error("what has run out was used")
+			t.Error("an expired permit was used")
 		}
 	})
 }
 
-func TestAReplicaWithoutARateIsAllottedNothing(t *testing.T) {
+func TestLimitsPerWindow(t *testing.T) {
 	if most := worldLimits.perWindow(0); most != 0 {
-		t.Errorf("%d requests may be allotted", most)
+		t.Errorf("%d permits for a replica without a rate, want 0", most)
 	}
 	// perSecond is 7.7 * 1.5 + 5 and perWindow is 7.7 * 1.75, both rounded down.
 	if most, bound := worldLimits.perWindow(worldRate), worldLimits.perSecond(worldRate); most != 13 || bound != 16 {
-		t.Errorf("%d requests may be allotted of %d, want 13 of 16", most, bound)
+		t.Errorf("%d permits per window, %d requests per second, want 13 and 16", most, bound)
 	}
 }
 
-func TestASlowRateIsAllottedNoMoreThanTheBound(t *testing.T) {
+func TestLimitsPerWindowLowRate(t *testing.T) {
 	limits := Limits{Overage: 1, Slack: reservedRequests}
 	if most := limits.perWindow(0.1); most != 0 {
-		t.Errorf("%d requests may be allotted where %d may come, less %d", most, limits.perSecond(0.1), reservedRequests)
+		t.Errorf("%d permits per window, want 0: %d requests per second are allowed, %d are reserved", most, limits.perSecond(0.1), reservedRequests)
 	}
 }
 
-func TestTheGateOfAReplicaThatIsGoneStaysClosed(t *testing.T) {
+func TestGateOfRemovedReplicaStaysClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		client, gate := runClient(ctx, func([]wire.ReplicaCount) ([]wire.ReplicaCount, error) { return nil, errNobody })
 		client.SetWarming(nil, func(string) bool { return false })
 		if gate.TakePermit() {
-			t.Error("a request passed to a replica that has left while it warmed up")
+			t.Error("a request passed to a replica that was removed during its warm-up")
 		}
 	})
 }
 
-func TestAReplicaThatSaysItIsWarmIsUsedAtOnce(t *testing.T) {
+func TestGateOpensWhenListedAsWarm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		client, gate := runClient(ctx, func([]wire.ReplicaCount) ([]wire.ReplicaCount, error) { return nil, errNobody })
 		client.SetWarming(nil, isListed)
 		if !gate.TakePermit() {
-			t.Error("a warm replica gets nothing")
+			t.Error("a request to a warm replica was refused")
 		}
 	})
 }
--- a/internal/replicas/slowstart/ledger.go
+++ b/internal/replicas/slowstart/ledger.go
@@ -19,10 +19,10 @@
 // NewLedger returns an empty ledger whose entries count for Window.
 func NewLedger() *Ledger { return &Ledger{window: Window, entries: map[string][]ledgerEntry{}} }
 
-// Allot records up to wanted permits for a replica and returns their number. At most most
+// Allot records up to wanted permits for a replica and returns their number. At most limit
 // permits are recorded in any window. Successive times must not decrease.
-func (l *Ledger) Allot(replica string, at time.Time, wanted, most int) int {
-	allotted := min(wanted, most-l.inWindow(replica, at))
+func (l *Ledger) Allot(replica string, at time.Time, wanted, limit int) int {
+	allotted := min(wanted, limit-l.inWindow(replica, at))
 	if allotted <= 0 {
 		return 0
 	}
--- a/internal/replicas/slowstart/limits.go
+++ b/internal/replicas/slowstart/limits.go
@@ -8,16 +8,16 @@
 const (
 	// PermitLifetime is how long permits are valid, counted from when the client sent the request for
 	// them. It covers several round trips between zones, and is short relative to
-	// boundPeriod because unused permits count too.
+	// limitPeriod because unused permits count too.
 	PermitLifetime = 500 * time.Millisecond
 	// sendAllowance covers clock rates that differ by up to 5%, and the time from a gate to
 	// the network.
 	sendAllowance = 250 * time.Millisecond
-	// boundPeriod is the period to which Limits apply.
-	boundPeriod = time.Second
+	// limitPeriod is the period to which Limits apply.
+	limitPeriod = time.Second
 	// Window is how long a permit counts in the ledger. All requests sent within one
-	// boundPeriod use permits that were requested within this time.
-	Window = boundPeriod + PermitLifetime + sendAllowance
+	// limitPeriod use permits that were requested within this time.
+	Window = limitPeriod + PermitLifetime + sendAllowance
 	// reservedRequests is subtracted from the limit, for requests that are delayed between
 	// the gate and the network because their node was paused.
 	reservedRequests = 2
--- a/internal/replicas/slowstart/metrics.go
+++ b/internal/replicas/slowstart/metrics.go
@@ -19,19 +19,19 @@
 
 // clientMetrics count the permits that this node requested, received and used.
 type clientMetrics struct {
-	warming prometheus.Gauge
-	asked   prometheus.Counter
-	got     prometheus.Counter
-	used    prometheus.Counter
+	warming   prometheus.Gauge
+	requested prometheus.Counter
+	received  prometheus.Counter
+	used      prometheus.Counter
 }
 
 func newClientMetrics(registry prometheus.Registerer) *clientMetrics {
 	made := &clientMetrics{
-		warming: prometheus.NewGauge(prometheus.GaugeOpts{Name: "pathtally_warming_replicas", Help: "Replicas that warm up, as this node knows."}),
-		asked:   prometheus.NewCounter(prometheus.CounterOpts{Name: "pathtally_warmup_asked_total", Help: "Requests to warming replicas that this node has asked for."}),
-		got:     prometheus.NewCounter(prometheus.CounterOpts{Name: "pathtally_warmup_got_total", Help: "Requests to warming replicas that this node was allotted."}),
-		used:    prometheus.NewCounter(prometheus.CounterOpts{Name: "pathtally_warmup_used_total", Help: "Requests that this node has sent to warming replicas."}),
+		warming:   prometheus.NewGauge(prometheus.GaugeOpts{Name: "pathtally_warming_replicas", Help: "Replicas that warm up, as this node knows."}),
+		requested: prometheus.NewCounter(prometheus.CounterOpts{Name: "pathtally_warmup_asked_total", Help: "Requests to warming replicas that this node has asked for."}),
+		received:  prometheus.NewCounter(prometheus.CounterOpts{Name: "pathtally_warmup_got_total", Help: "Requests to warming replicas that this node was allotted."}),
+		used:      prometheus.NewCounter(prometheus.CounterOpts{Name: "pathtally_warmup_used_total", Help: "Requests that this node has sent to warming replicas."}),
 	}
-	registry.MustRegister(made.warming, made.asked, made.got, made.used)
+	registry.MustRegister(made.warming, made.requested, made.received, made.used)
 	return made
 }
--- a/internal/replicas/slowstart/model_test.go
+++ b/internal/replicas/slowstart/model_test.go
@@ -42,42 +42,42 @@
 
 // Simulates several nodes with real ledgers, clients and gates. Guards against exceeding the
 // limit under message delays, losses, and changes of the lease holder.
-func TestNoSecondHasMoreThanTheBound(t *testing.T) {
+func TestModelKeepsLimit(t *testing.T) {
 	seed, most, total := overrun(planted{})
 	if most > 0 {
-		t.Errorf("seed %d: %d requests in a second", seed, most)
+		t.Errorf("seed %d: %d requests in one second", seed, most)
 	}
 	t.Logf("%d requests", total)
 }
 
 // Guards against keeping the limit by sending almost nothing.
-func TestACalmDeploymentUsesMostOfTheRate(t *testing.T) {
+func TestModelUsesRateWithoutFaults(t *testing.T) {
 	const leastShare = 0.8
 	played := newWorld(1, planted{})
 	played.calm = true
 	played.run(modelSpan)
 	for replica, sent := range played.sent {
 		if possible := worldRate * modelSpan.Seconds(); float64(len(sent)) < leastShare*possible {
-			t.Errorf("replica %s got %d requests of %.0f", replica, len(sent), possible)
+			t.Errorf("replica %s got %d requests, %.0f are possible", replica, len(sent), possible)
 		}
 	}
 }
 
-func TestTheModelFindsPlantedFaults(t *testing.T) {
+func TestModelDetectsInjectedFaults(t *testing.T) {
 	for _, fault := range []planted{
-		{name: "span counted from the answer", fromAnswer: true},
-		{name: "new holder allots at once", atOnce: true},
-		{name: "ledger is lost while the lease is held", forgets: true},
-		{name: "former holders go on", twice: true},
-		{name: "allotments that have run out are used", unused: true},
-		{name: "ledger counts one second alone", short: true},
+		{name: "permit lifetime counted from the reply", fromAnswer: true},
+		{name: "new holder allots immediately", atOnce: true},
+		{name: "ledger lost while the lease is held", forgets: true},
+		{name: "previous holders continue to allot", twice: true},
+		{name: "expired permits are used", unused: true},
+		{name: "ledger window too short", short: true},
 	} {
 		t.Run(fault.name, func(t *testing.T) {
 			seed, most, _ := overrun(fault)
 			if most == 0 {
-				t.Error("was not found")
+				t.Error("fault was not detected")
 			}
-			t.Logf("seed %d: %d requests in a second", seed, most)
+			t.Logf("seed %d: %d requests in one second", seed, most)
 		})
 	}
 }
--- a/internal/replicas/slowstart/model_world_test.go
+++ b/internal/replicas/slowstart/model_world_test.go
@@ -34,7 +34,7 @@
 	// With fromAnswer, clients count PermitLifetime from the reply. With atOnce, new lease holders allot
 	// immediately. With forgets, allotters lose their ledger while they hold the lease. With
 	// twice, previous holders continue to allot. With unused, clients use expired permits.
-	// With short, ledgers count only the permits requested within boundPeriod.
+	// With short, ledgers count only the permits requested within limitPeriod.
 	fromAnswer, atOnce, forgets, twice, unused, short bool
 }
 
@@ -107,7 +107,7 @@
 		Limits: worldLimits, Lease: made, Rate: func(string) float64 { return worldRate }, Clock: clock, Logger: quiet, Registry: prometheus.NewRegistry(),
 	})
 	if w.fault.short {
-		made.allotter.ledger.window = boundPeriod
+		made.allotter.ledger.window = limitPeriod
 	}
 	made.client = NewClient(ClientConfig{Clock: clock, Allotted: func() {}, Logger: quiet, Registry: prometheus.NewRegistry()})
 	var warming []WarmingReplica
@@ -221,7 +221,7 @@
 
 // ask sends a request for permits to the lease holder, or sometimes to another node.
 func (w *world) ask(from *process) {
-	wanted := from.client.takeWanted()
+	wanted := from.client.takeDemand()
 	if len(wanted) == 0 {
 		return
 	}
--- a/internal/replicas/slowstart/summary.go
+++ b/internal/replicas/slowstart/summary.go
@@ -2,8 +2,8 @@
 
 // summary counts the permits requested and allotted since the last log line.
 type summary struct {
-	// questions counts the replicas over all requests.
-	questions int
+	// requested counts the replicas over all requests.
+	requested int
 	allotted  int
 	refused   int
 }
--- a/test/tenants_test.go
+++ b/test/tenants_test.go
@@ -148,7 +148,7 @@
 			}
 		}
 	}
-	if d.nodes[0].find("tenant declaration passed over in part", `\"two\"`) == nil {
+	if d.nodes[0].find("ignoring invalid part of tenant declaration", `\"two\"`) == nil {
 		t.Error("the shared key is not told")
 	}
 	d.submitAs(d.nodes[0], bearing(keyOfOne), "kept", 4, 1)
