--- a/internal/jobs/jobstore/errors.go
+++ b/internal/jobs/jobstore/errors.go
@@ -13,8 +13,8 @@
 	ErrTruncated = merry.Sentinel("stored batch job lacks a part")
 )
 
-// AcceptanceUnknownError means that it is unknown whether the record of a batch job was or will be
-// stored.
+// AcceptanceUnknownError means that it is unknown whether the record of a batch job was or
+// will be stored.
 type AcceptanceUnknownError struct{ Cause error }
 
 // Error implements error.
--- a/internal/jobs/jobstore/store.go
+++ b/internal/jobs/jobstore/store.go
@@ -24,9 +24,9 @@
 // New returns a store of batch jobs in the given metadata store.
 func New(store objectstore.Store) *Store { return &Store{store: store} }
 
-// ReadByNameWhile makes Results read the chunks by name while the condition returns true. The pages
-// of a listing include results of other jobs, which may not be allowed in this region.
-// ReadByNameWhile must be called before the first read.
+// ReadByNameWhile makes Results read the chunks by name while the condition returns true.
+// The pages of a listing include results of other jobs, which may not be allowed in this
+// region. ReadByNameWhile must be called before the first read.
 func (s *Store) ReadByNameWhile(condition func() bool) { s.readByName = condition }
 
 // Read returns a batch job. It returns ErrNoSuchJob only if the job does not exist. After any
--- a/internal/jobs/ownership/record.go
+++ b/internal/jobs/ownership/record.go
@@ -3,15 +3,15 @@
 import "github.com/pathtally/pathtally/internal/jobs/jobstore"
 
 // DecideReplace reports whether a node may replace the owner in a job's record that it has
-// just read. former is the owner from which it takes the job over. outside is set if the node
-// is outside the regions that may hold the job's bodies.
-func DecideReplace(stored jobstore.StoredJob, former jobstore.Owner, outside bool) (may bool, reason Reason) {
+// just read. previous is the owner from which it takes the job over. outsideRegions is set
+// if the node is outside the regions that may hold the job's bodies.
+func DecideReplace(stored jobstore.StoredJob, previous jobstore.Owner, outsideRegions bool) (allowed bool, reason Reason) {
 	switch {
 	case stored.Ended:
 		return false, ReasonEnded
-	case stored.Record.Owner != former:
+	case stored.Record.Owner != previous:
 		return false, ReasonOtherOwner
-	case outside:
+	case outsideRegions:
 		return false, ReasonOutside
 	}
 	return true, ReasonOwned
@@ -20,7 +20,7 @@
 // DecideStart reports whether a process may start a job. The record must be read after the
 // payload and the results: reading these may take seconds, during which the job may end or
 // another node may take it over.
-func DecideStart(stored jobstore.StoredJob, self jobstore.Owner, epoch int) (may bool, reason Reason) {
+func DecideStart(stored jobstore.StoredJob, self jobstore.Owner, epoch int) (allowed bool, reason Reason) {
 	switch {
 	case stored.Ended:
 		return false, ReasonEnded
--- a/internal/jobs/placement/item.go
+++ b/internal/jobs/placement/item.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// longItemFraction is the fraction of a job's objective from which an item's expected run time
-	// counts as long. Texts often take twice the expected time.
+	// longItemFraction is the fraction of a job's objective from which an item's expected
+	// run time counts as long. Texts often take twice the expected time.
 	longItemFraction = 0.3
-	// deadlineTolerance is how long after the deadline an item may be expected to end and still
-	// count as urgent. It covers the error of the estimate.
+	// deadlineTolerance is how long after the deadline an item may be expected to end and
+	// still count as urgent. It covers the error of the estimate.
 	deadlineTolerance = time.Second
 	// ageStep is the resolution at which jobs are ordered by age.
 	ageStep = 2 * time.Second
@@ -91,7 +91,8 @@
 	return float64(i.ExpectedRunTime) >= longItemFraction*float64(i.Objective)
 }
 
-// missesDeadline reports whether the item is expected to miss the deadline even if it starts now.
+// missesDeadline reports whether the item is expected to miss the deadline even if it
+// starts now.
 func (i Item) missesDeadline() bool { return i.ExpectedRunTime > i.TimeLeft+deadlineTolerance }
 
 // latestStart returns the latest time at which the item can start and end by its deadline.
--- a/internal/jobs/placement/item_test.go
+++ b/internal/jobs/placement/item_test.go
@@ -36,25 +36,25 @@
 	return exp(known + source.NormFloat64()*error), exp(known)
 }
 
-// replay runs the items of the steps on testSlots slots in the order of compare. It returns the
-// waiting times of the items expected to be long and of the others.
+// replay runs the items of the steps on testSlots slots in the order of compare. It returns
+// the waiting times of the items expected to be long and of the others.
 func replay(steps []step, compare func(a, b Item) int) (long, other []time.Duration) {
 	source := rand.New(rand.NewPCG(1, 2))
 	start := time.Unix(1000, 0)
-	var coming, waiting []*timedItem
+	var arriving, waiting []*timedItem
 	for _, next := range steps {
 		for rank := range next.items {
 			events, expected := lengthOf(source)
-			coming = append(coming, &timedItem{at: next.at, events: events, view: Item{
+			arriving = append(arriving, &timedItem{at: next.at, events: events, view: Item{
 				JobStarted: start.Add(next.at), Rank: rank, Deadline: start.Add(next.at + testObjective), Objective: testObjective,
 				ExpectedRunTime: time.Duration(expected) * testInterval,
 			}})
 		}
 	}
 	var running []time.Duration
-	for now := time.Duration(0); len(coming)+len(waiting) > 0; now += 10 * time.Millisecond {
-		for len(coming) > 0 && coming[0].at <= now {
-			waiting, coming = append(waiting, coming[0]), coming[1:]
+	for now := time.Duration(0); len(arriving)+len(waiting) > 0; now += 10 * time.Millisecond {
+		for len(arriving) > 0 && arriving[0].at <= now {
+			waiting, arriving = append(waiting, arriving[0]), arriving[1:]
 		}
 		running = slices.DeleteFunc(running, func(end time.Duration) bool { return end <= now })
 		for _, next := range waiting {
@@ -83,15 +83,15 @@
 		a.Deadline, b.Deadline = time.Time{}, time.Time{}
 		return Compare(a, b)
 	}
-	before, _ := replay(steps, byAge)
+	longByAge, _ := replay(steps, byAge)
 	long, other := replay(steps, Compare)
-	if most := slices.Max(long); most > 100*time.Millisecond {
-		t.Errorf("a long item waited %s after the start of its step, %s when ordered by age alone", most, slices.Max(before))
+	if longest := slices.Max(long); longest > 100*time.Millisecond {
+		t.Errorf("a long item waited %s after the start of its step, %s when ordered by age alone", longest, slices.Max(longByAge))
 	}
-	if slices.Max(before) < 4*slices.Max(long) {
-		t.Errorf("ordered by age alone, long items wait at most %s: the load does not fill the slots", slices.Max(before))
+	if slices.Max(longByAge) < 4*slices.Max(long) {
+		t.Errorf("ordered by age alone, long items wait at most %s: the load does not fill the slots", slices.Max(longByAge))
 	}
-	t.Logf("longest wait of long items %s, %s when ordered by age alone; of other items %s", slices.Max(long), slices.Max(before), slices.Max(other))
+	t.Logf("longest wait of long items %s, %s when ordered by age alone; of other items %s", slices.Max(long), slices.Max(longByAge), slices.Max(other))
 }
 
 func TestCompareItemsPastDeadlineLast(t *testing.T) {
--- a/internal/jobs/placement/lateness.go
+++ b/internal/jobs/placement/lateness.go
@@ -23,8 +23,8 @@
 	slowIntervalRatio = 1.05
 )
 
-// ClassifyLateness returns the first cause that applies to a late job, given the history of the item
-// that completed last. It returns LateLongText if no other cause applies.
+// ClassifyLateness returns the first cause that applies to a late job, given the history of
+// the item that completed last. It returns LateLongText if no other cause applies.
 func ClassifyLateness(paces Paces, history History) LatenessCause {
 	switch {
 	case history.Epoch > 1:
--- a/internal/jobs/placement/length.go
+++ b/internal/jobs/placement/length.go
@@ -24,8 +24,9 @@
 }
 
 // Remaining estimates how many events an item has left. expected is the expected total (0
-// if unknown), generated is the number of events so far, and longest is the length of the longest
-// known text (0 for none), which bounds the estimate unless the item already exceeds it.
+// if unknown), generated is the number of events so far, and longest is the length of the
+// longest known text (0 for none), which bounds the estimate unless the item already
+// exceeds it.
 func Remaining(expected, generated, longest int) int {
 	remaining := int(remainingPerEvent * float64(generated))
 	if expected > generated {
--- a/internal/jobs/placement/pace.go
+++ b/internal/jobs/placement/pace.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// averagingPeriod is the period over which a pace is averaged. It is long enough to smooth the
-	// prefill of another item's prompt, which delays all runs of a replica by one or two
-	// events, and short enough to detect soon that a replica has become slow.
+	// averagingPeriod is the period over which a pace is averaged. It is long enough to
+	// smooth the prefill of another item's prompt, which delays all runs of a replica by
+	// one or two events, and short enough to detect soon that a replica has become slow.
 	averagingPeriod = time.Second
-	// minObservedTime is how long runs must have been observed before a pace is used. The first
-	// events are delayed by the prefill of prompts.
+	// minObservedTime is how long runs must have been observed before a pace is used. The
+	// first events are delayed by the prefill of prompts.
 	minObservedTime = 250 * time.Millisecond
 )
 
--- a/internal/jobs/placement/pick.go
+++ b/internal/jobs/placement/pick.go
@@ -29,10 +29,10 @@
 	return !slices.ContainsFunc(replicas, func(candidate *Replica) bool { return !slices.Contains(failed, candidate.Name) })
 }
 
-// lessUtilized returns the less utilized of two replicas, or the first if they are equal. The first
-// may be nil.
+// lessUtilized returns the less utilized of two replicas, or the first if they are equal.
+// The first may be nil.
 func lessUtilized(first, second *Replica) *Replica {
-	if first == nil || second.utilization() < first.utilization() {
+	if first == nil || second.biasedUtilization() < first.biasedUtilization() {
 		return second
 	}
 	return first
--- a/internal/jobs/placement/rank_test.go
+++ b/internal/jobs/placement/rank_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// ranked returns the ids of a submission's items in the order in which they run.
-func ranked(submission submission, lengths map[string]Length) string {
+// runOrder returns the ids of a submission's items in the order in which they run.
+func runOrder(submission submission, lengths map[string]Length) string {
 	ranks := RankItems(submission.items, submission.desired, lengths)
 	ids := make([]string, len(ranks))
 	for id, rank := range ranks {
@@ -37,7 +37,7 @@
 func TestRankItemsInheritedFirst(t *testing.T) {
 	submission := submissionOf(0, 1, 1, 9, 8, 1, 1)
 	lengths := map[string]Length{"c0": {Events: 30, Complete: true}, "c1": {Events: 20}, "a0": {Events: 90, Complete: true}}
-	order := strings.Fields(ranked(submission, lengths))
+	order := strings.Fields(runOrder(submission, lengths))
 	// c1 was cancelled after 20 events and is expected to have 20 more. a1 is inherited
 	// because of its group, and its length is unknown.
 	if want := []string{"a0", "c1", "c0"}; !slices.Equal(order[:3], want) {
@@ -49,20 +49,20 @@
 }
 
 func TestRankItemsReserveLast(t *testing.T) {
-	order := ranked(submissionOf(3, 1, 1, 2, 2, 3, 3, 9, 9), nil)
+	order := runOrder(submissionOf(3, 1, 1, 2, 2, 3, 3, 9, 9), nil)
 	if !strings.HasSuffix(order, "d0 d1") {
 		t.Errorf("order %s does not end with the reserve group", order)
 	}
 	// Groups in the first half of the desired number may have been requested before, so
 	// they are never in reserve.
-	order = ranked(submissionOf(3, 9, 9, 2, 2, 3, 3, 1, 1), nil)
+	order = runOrder(submissionOf(3, 9, 9, 2, 2, 3, 3, 1, 1), nil)
 	if strings.HasSuffix(order, "a0 a1") {
 		t.Errorf("order %s has a group last that the trainer may wait for", order)
 	}
 }
 
 func TestRankItemsWantedOrder(t *testing.T) {
-	order := ranked(submissionOf(0, 5, 1, 9, 2, 8, 3, 7, 4), nil)
+	order := runOrder(submissionOf(0, 5, 1, 9, 2, 8, 3, 7, 4), nil)
 	if want := "b0 c0 a1 b1 c1 d1 a0 d0"; order != want {
 		t.Errorf("order %s, want %s", order, want)
 	}
--- a/internal/jobs/placement/replica.go
+++ b/internal/jobs/placement/replica.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// connectionIdleTime is how long after an event the connection to its replica is assumed to be
-	// open.
+	// connectionIdleTime is how long after an event the connection to its replica is
+	// assumed to be open.
 	connectionIdleTime = 4 * time.Second
 	// FailingRuns is the maximum number of items that run at a failing replica.
 	FailingRuns = 1
@@ -76,9 +76,9 @@
 	return bias
 }
 
-// utilization returns the utilization of the slots plus the bias. Replicas with the lowest value are
-// picked first.
-func (r *Replica) utilization() float64 { return float64(r.Load)/float64(r.Slots) + r.bias }
+// biasedUtilization returns the utilization of the slots plus the bias. Replicas with
+// the lowest value are picked first.
+func (r *Replica) biasedUtilization() float64 { return float64(r.Load)/float64(r.Slots) + r.bias }
 
 // hasCapacity reports whether the replica may get another item.
 func (r *Replica) hasCapacity() bool { return r.Load < r.MaxLoad }
--- a/internal/jobs/placement/stall.go
+++ b/internal/jobs/placement/stall.go
@@ -26,8 +26,9 @@
 // restarted at another replica.
 func Stalled(paces Paces, run *Run) bool { return run.Idle > run.timeout(paces) }
 
-// HasRecentEvent reports whether a run has received an event within eventTimeout. A replica whose
-// entry was removed may continue serving for a while, so its runs stay while this holds.
+// HasRecentEvent reports whether a run has received an event within eventTimeout. A replica
+// whose entry was removed may continue serving for a while, so its runs stay while this
+// holds.
 func HasRecentEvent(run *Run) bool { return run.Idle < eventTimeout }
 
 // timeout returns how long the run may go without an event.
--- a/internal/jobs/replicastate/failurerate.go
+++ b/internal/jobs/replicastate/failurerate.go
@@ -20,8 +20,8 @@
 // reports as failed, between 0 and 1. The zero value is the rate of a replica without
 // failures.
 type FailureRate struct {
-	rate       float64
-	observedAt time.Time
+	rate      float64
+	updatedAt time.Time
 }
 
 // Observe records the outcome of a run.
@@ -30,12 +30,12 @@
 	if failed {
 		rate += newestRunWeight
 	}
-	f.rate, f.observedAt = rate, now
+	f.rate, f.updatedAt = rate, now
 }
 
 // At returns the decayed rate at the given time.
 func (f *FailureRate) At(now time.Time) float64 {
-	return f.rate * math.Exp2(-float64(now.Sub(f.observedAt))/float64(failureHalfLife))
+	return f.rate * math.Exp2(-float64(now.Sub(f.updatedAt))/float64(failureHalfLife))
 }
 
 // IsFailing reports whether the rate is so high that the cause is likely the replica and not
--- a/internal/jobs/replicastate/state_test.go
+++ b/internal/jobs/replicastate/state_test.go
@@ -13,18 +13,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		const firstBlock = 80 * time.Millisecond
 		state := &State{}
-		tries := 0
+		attempts := 0
 		for began := time.Now(); time.Since(began) < 10*time.Second; time.Sleep(10 * time.Millisecond) {
 			if time.Now().Before(state.BlockedUntil) {
 				continue
 			}
-			tries++
+			attempts++
 			for range 6 {
 				state.Block(firstBlock)
 			}
 		}
-		if tries < 10 || tries > 16 {
-			t.Errorf("%d attempts in ten seconds, want 10 to 16", tries)
+		if attempts < 10 || attempts > 16 {
+			t.Errorf("%d attempts in ten seconds, want 10 to 16", attempts)
 		}
 		state.Blocks = 0
 		time.Sleep(MaxBlock)
--- a/internal/replicas/directory/entries_test.go
+++ b/internal/replicas/directory/entries_test.go
@@ -10,14 +10,14 @@
 
 // Guards against watching and listing nodes treating the same unreadable entry differently.
 func TestUnreadableEntryListAndWatch(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
+	runInBubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "one", ready("s"))
 		store.Write("servers", "two", ready("s"))
-		watching := informed(ctx, store)
+		watching := newInformedTable(ctx, store)
 		settle(time.Second)
 		store.Write("servers", "one", "invalid entry")
 		settle(time.Second)
-		listing := informed(ctx, store)
+		listing := newInformedTable(ctx, store)
 		settle(time.Second)
 		for way, table := range map[string]*Table{"watch": watching, "listing": listing} {
 			if table.View().Replicas["one"] != nil {
@@ -38,11 +38,11 @@
 // Guards against an unreadable entry being treated like a missing one, whose replica is
 // kept after an outage.
 func TestUnreadableEntryAfterOutage(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
+	runInBubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "one", ready("s"))
-		table := informed(ctx, store)
+		table := newInformedTable(ctx, store)
 		settle(time.Second)
-		passOutage(store)
+		simulateOutage(store)
 		store.Write("servers", "one", "invalid entry")
 		settle(keepMissing / 2)
 		if table.View().Replicas["one"] != nil {
--- a/internal/replicas/directory/evacuation_test.go
+++ b/internal/replicas/directory/evacuation_test.go
@@ -12,8 +12,8 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// evacuations is a directory with replica a in zone a and replica b in zone b.
-type evacuations struct {
+// evacuationTest is a directory with replica a in zone a and replica b in zone b.
+type evacuationTest struct {
 	*testing.T
 	store *metastore.Store
 	table *Table
@@ -25,21 +25,21 @@
 	return replica
 }
 
-func withZones(t *testing.T, test func(e *evacuations)) {
-	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
+func withZones(t *testing.T, test func(e *evacuationTest)) {
+	runInBubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "a", inZone("a"))
 		store.Write("servers", "b", inZone("b"))
-		e := &evacuations{T: t, store: store, table: informed(ctx, store)}
+		e := &evacuationTest{T: t, store: store, table: newInformedTable(ctx, store)}
 		settle(time.Second)
 		test(e)
 	})
 }
 
-func (e *evacuations) begin(zone string) { e.store.Write("evacuations", zone, struct{}{}) }
-func (e *evacuations) end(zone string)   { e.store.Remove("evacuations", zone) }
+func (e *evacuationTest) begin(zone string) { e.store.Write("evacuations", zone, struct{}{}) }
+func (e *evacuationTest) end(zone string)   { e.store.Remove("evacuations", zone) }
 
-// want waits for the given time and checks which replicas are evacuated.
-func (e *evacuations) want(within time.Duration, evacuated ...string) {
+// expectEvacuated waits for the given time and checks which replicas are evacuated.
+func (e *evacuationTest) expectEvacuated(within time.Duration, evacuated ...string) {
 	e.Helper()
 	settle(within)
 	var found []string
@@ -55,47 +55,47 @@
 }
 
 func TestEvacuationByWatch(t *testing.T) {
-	withZones(t, func(e *evacuations) {
+	withZones(t, func(e *evacuationTest) {
 		e.begin("a")
-		e.want(time.Second, "a")
+		e.expectEvacuated(time.Second, "a")
 	})
 }
 
 func TestEvacuationsOverlap(t *testing.T) {
-	withZones(t, func(e *evacuations) {
+	withZones(t, func(e *evacuationTest) {
 		e.begin("a")
 		e.begin("b")
 		e.end("a")
-		e.want(time.Second, "b")
+		e.expectEvacuated(time.Second, "b")
 	})
 }
 
 func TestEvacuationRelistedAfterCompaction(t *testing.T) {
-	withZones(t, func(e *evacuations) {
+	withZones(t, func(e *evacuationTest) {
 		e.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Silent })
 		settle(time.Second)
 		e.begin("a")
 		e.store.Forget()
 		e.store.SetFault(nil)
-		e.want(3*time.Second, "a")
+		e.expectEvacuated(3*time.Second, "a")
 	})
 }
 
 func TestEvacuationEndedDuringOutage(t *testing.T) {
-	withZones(t, func(e *evacuations) {
+	withZones(t, func(e *evacuationTest) {
 		e.begin("a")
 		settle(time.Second)
 		e.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Silent })
 		settle(time.Second)
 		e.end("a")
-		e.want(time.Second, "a")
+		e.expectEvacuated(time.Second, "a")
 		e.store.SetFault(nil)
-		e.want(3 * time.Second)
+		e.expectEvacuated(3 * time.Second)
 	})
 }
 
 func TestEvacuationEndRemembered(t *testing.T) {
-	withZones(t, func(e *evacuations) {
+	withZones(t, func(e *evacuationTest) {
 		e.begin("a")
 		settle(time.Second)
 		e.end("a")
@@ -107,27 +107,27 @@
 }
 
 func TestEvacuationOfUnknownZone(t *testing.T) {
-	withZones(t, func(e *evacuations) {
+	withZones(t, func(e *evacuationTest) {
 		e.begin("elsewhere")
-		e.want(time.Second)
+		e.expectEvacuated(time.Second)
 	})
 }
 
 func TestEvacuationAppliesToNewReplica(t *testing.T) {
-	withZones(t, func(e *evacuations) {
+	withZones(t, func(e *evacuationTest) {
 		e.begin("c")
 		settle(time.Second)
 		e.store.Write("servers", "c", inZone("c"))
-		e.want(time.Second, "c")
+		e.expectEvacuated(time.Second, "c")
 	})
 }
 
 func TestEvacuationReplicaChangesZone(t *testing.T) {
-	withZones(t, func(e *evacuations) {
+	withZones(t, func(e *evacuationTest) {
 		e.begin("a")
 		settle(time.Second)
 		e.store.Write("servers", "a", inZone("b"))
-		e.want(time.Second)
+		e.expectEvacuated(time.Second)
 	})
 }
 
@@ -147,14 +147,14 @@
 	}
 }
 
-// evacuatedWhenBounded is a SlowStart that records whether replica a was evacuated at the last
+// recordingSlowStart is a SlowStart that records whether replica a was evacuated at the last
 // call of SetWarming.
-type evacuatedWhenBounded struct {
+type recordingSlowStart struct {
 	table  *Table
 	closed bool
 }
 
-func (b *evacuatedWhenBounded) SetWarming([]slowstart.WarmingReplica, func(string) bool) {
+func (b *recordingSlowStart) SetWarming([]slowstart.WarmingReplica, func(string) bool) {
 	if endpoint := b.table.View().Endpoints["a"]; endpoint != nil {
 		b.closed = endpoint.State.Evacuated()
 	}
@@ -164,7 +164,7 @@
 // slow-start limits are set.
 func TestSlowStartBeforeEvacuationEnds(t *testing.T) {
 	table := NewTable("node", "a", nil, klog.Background())
-	bounded := &evacuatedWhenBounded{table: table}
+	bounded := &recordingSlowStart{table: table}
 	table.SetSlowStart(bounded)
 	replica := inZone("a")
 	replica.ID = "a"
--- a/internal/replicas/directory/homes.go
+++ b/internal/replicas/directory/homes.go
@@ -10,9 +10,9 @@
 // RestrictsRegions reports whether any route or tenant has allowed regions.
 func (c *Configuration) RestrictsRegions() bool { return c != nil && c.restrictsRegions }
 
-// AllowedRegions returns the allowed regions for a tenant's requests on a route. The route may be
-// from an earlier configuration: its allowed regions apply if this configuration has no route
-// of that name.
+// AllowedRegions returns the allowed regions for a tenant's requests on a route. The route
+// may be from an earlier configuration: its allowed regions apply if this configuration has
+// no route of that name.
 func (c *Configuration) AllowedRegions(route *Route, tenant string) residency.Set {
 	if c == nil {
 		return residency.Of(route.AllowedRegions, nil)
--- a/internal/replicas/directory/homes_test.go
+++ b/internal/replicas/directory/homes_test.go
@@ -8,19 +8,19 @@
 	"github.com/pathtally/pathtally/internal/callers/tenancy"
 )
 
-// errorCount is a log sink that counts errors.
-type errorCount struct{ errors *int }
+// errorCounter is a log sink that counts errors.
+type errorCounter struct{ errors *int }
 
-func (errorCount) Init(klog.RuntimeInfo)            {}
-func (errorCount) Enabled(int) bool                 { return true }
-func (errorCount) Info(int, string, ...any)         {}
-func (c errorCount) Error(error, string, ...any)    { *c.errors++ }
-func (c errorCount) WithValues(...any) klog.LogSink { return c }
-func (c errorCount) WithName(string) klog.LogSink   { return c }
+func (errorCounter) Init(klog.RuntimeInfo)            {}
+func (errorCounter) Enabled(int) bool                 { return true }
+func (errorCounter) Info(int, string, ...any)         {}
+func (c errorCounter) Error(error, string, ...any)    { *c.errors++ }
+func (c errorCounter) WithValues(...any) klog.LogSink { return c }
+func (c errorCounter) WithName(string) klog.LogSink   { return c }
 
 func TestUnknownAllowedRegionsLoggedOnce(t *testing.T) {
 	errors := 0
-	table := NewTable("node", "n1", map[string]string{"n1": "north", "s1": "south"}, klog.New(errorCount{&errors}))
+	table := NewTable("node", "n1", map[string]string{"n1": "north", "s1": "south"}, klog.New(errorCounter{&errors}))
 	tenants, _ := tenancy.NewTable([]tenancy.Declared{{Tenant: tenancy.Tenant{Name: "one", AllowedRegions: []string{"nowhere"}}}})
 	configuration := &Configuration{
 		Version: 1, Tenants: tenants, Routes: []Route{{Name: "bound", AllowedRegions: []string{"south", "atlantis"}}, {Name: "known", AllowedRegions: []string{"north"}}},
@@ -37,8 +37,8 @@
 	former := &Route{Name: "moved", AllowedRegions: []string{"north"}}
 	configuration := &Configuration{Routes: []Route{{Name: "moved", AllowedRegions: []string{"south"}}}}
 	configuration.Index()
-	if homes := configuration.AllowedRegions(former, "gone"); homes.Allows("north") || !homes.Allows("south") {
-		t.Errorf("allowed in %v, want south", homes.Regions())
+	if allowed := configuration.AllowedRegions(former, "gone"); allowed.Allows("north") || !allowed.Allows("south") {
+		t.Errorf("allowed in %v, want south", allowed.Regions())
 	}
 	if homes := configuration.AllowedRegions(&Route{Name: "dropped", AllowedRegions: []string{"west"}}, ""); !homes.Allows("west") || homes.Allows("south") {
 		t.Errorf("removed route: allowed in %v, want west", homes.Regions())
--- a/internal/replicas/directory/listing.go
+++ b/internal/replicas/directory/listing.go
@@ -68,11 +68,11 @@
 }
 
 // applyStaleEntry applies a stale entry if it is still the last one read for its name.
-func (t *Table) applyStaleEntry(known *incarnation, late *Replica) {
+func (t *Table) applyStaleEntry(known *incarnation, stale *Replica) {
 	t.mutex.Lock()
-	admitted := t.entries.acceptStale(known, late)
+	accepted := t.entries.acceptStale(known, stale)
 	t.mutex.Unlock()
-	if admitted {
-		t.ApplyReplicas([]ReplicaChange{{Name: late.InstanceName(), Replica: late}}, 0)
+	if accepted {
+		t.ApplyReplicas([]ReplicaChange{{Name: stale.InstanceName(), Replica: stale}}, 0)
 	}
 }
--- a/internal/replicas/directory/restarts_test.go
+++ b/internal/replicas/directory/restarts_test.go
@@ -13,8 +13,8 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// startedAt returns the entry of a replica with the given start time in milliseconds.
-func startedAt(born int64, state ReplicaState) map[string]any {
+// entryStartedAt returns the entry of a replica with the given start time in milliseconds.
+func entryStartedAt(born int64, state ReplicaState) map[string]any {
 	return map[string]any{"Service": "s", "Address": "127.0.0.1:1", "Slots": 4, "State": state, "StartedMs": born}
 }
 
@@ -29,24 +29,24 @@
 }
 
 func TestRestartedReplicaHasNewState(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
-		store.Write("servers", "one", startedAt(1000, ReplicaReady))
-		table := informed(ctx, store)
+	runInBubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
+		store.Write("servers", "one", entryStartedAt(1000, ReplicaReady))
+		table := newInformedTable(ctx, store)
 		settle(time.Second)
 		first := endpointOf(table, "one")
 		first.State.Failures.Add(7)
-		store.Write("servers", "one", startedAt(2000, ReplicaReady))
+		store.Write("servers", "one", entryStartedAt(2000, ReplicaReady))
 		settle(time.Second)
 		second := endpointOf(table, "one")
 		if second == nil || second.State == first.State || second.State.Failures.Load() != 0 {
 			t.Error("a restarted replica has the state of its previous incarnation")
 		}
-		store.Write("servers", "one", startedAt(2000, ReplicaDraining))
+		store.Write("servers", "one", entryStartedAt(2000, ReplicaDraining))
 		settle(time.Second)
 		if endpointOf(table, "one") != nil {
 			t.Error("a draining replica is used")
 		}
-		store.Write("servers", "one", startedAt(3000, ReplicaReady))
+		store.Write("servers", "one", entryStartedAt(3000, ReplicaReady))
 		settle(time.Second)
 		if endpointOf(table, "one") == nil {
 			t.Error("a replica that drained before its restart is not used")
@@ -64,16 +64,16 @@
 
 // Guards against an entry of an earlier incarnation that arrives after one of the later.
 func TestStaleEntryIgnored(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
-		store.Write("servers", "one", startedAt(2000, ReplicaReady))
-		table := informed(ctx, store)
+	runInBubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
+		store.Write("servers", "one", entryStartedAt(2000, ReplicaReady))
+		table := newInformedTable(ctx, store)
 		settle(time.Second)
-		store.Write("servers", "one", startedAt(1000, ReplicaDraining))
+		store.Write("servers", "one", entryStartedAt(1000, ReplicaDraining))
 		settle(time.Second)
 		if endpointOf(table, "one") == nil {
 			t.Error("a stale entry removed the replica")
 		}
-		store.Write("servers", "one", startedAt(2000, ReplicaReady))
+		store.Write("servers", "one", entryStartedAt(2000, ReplicaReady))
 		settle(time.Minute)
 		if endpointOf(table, "one") == nil {
 			t.Error("a stale entry was applied although a current one followed")
@@ -81,14 +81,14 @@
 	})
 }
 
-// Guards against an entry with a start time far in the future making all entries of the replica
-// count as stale forever.
+// Guards against an entry with a start time far in the future making all entries of the
+// replica count as stale forever.
 func TestStartTimeInFuture(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
-		store.Write("servers", "one", startedAt(1<<50, ReplicaDraining))
-		table := informed(ctx, store)
+	runInBubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
+		store.Write("servers", "one", entryStartedAt(1<<50, ReplicaDraining))
+		table := newInformedTable(ctx, store)
 		settle(time.Second)
-		store.Write("servers", "one", startedAt(2000, ReplicaReady))
+		store.Write("servers", "one", entryStartedAt(2000, ReplicaReady))
 		settle(time.Minute)
 		if endpointOf(table, "one") == nil {
 			t.Error("the replica is not used although its entry has not been replaced")
@@ -98,11 +98,11 @@
 
 // Guards against dropping the latest incarnation when a listing has a stale entry instead.
 func TestStaleEntryInListing(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
-		store.Write("servers", "one", startedAt(2000, ReplicaReady))
-		table := informed(ctx, store)
+	runInBubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
+		store.Write("servers", "one", entryStartedAt(2000, ReplicaReady))
+		table := newInformedTable(ctx, store)
 		settle(time.Second)
-		store.Write("servers", "one", startedAt(1000, ReplicaReady))
+		store.Write("servers", "one", entryStartedAt(1000, ReplicaReady))
 		store.Forget()
 		settle(2 * time.Second)
 		if endpoint := endpointOf(table, "one"); endpoint == nil || endpoint.Name != IncarnationID("one", 2000) {
--- a/internal/replicas/directory/scale_test.go
+++ b/internal/replicas/directory/scale_test.go
@@ -7,7 +7,7 @@
 	"k8s.io/klog/v2"
 )
 
-func listOf(count int) []*Replica {
+func newReplicas(count int) []*Replica {
 	replicas := make([]*Replica, count)
 	for i := range replicas {
 		replicas[i] = &Replica{
@@ -18,9 +18,9 @@
 	return replicas
 }
 
-func tableOf(count int) *Table {
+func newFilledTable(count int) *Table {
 	table := NewTable("node", "zone-1", nil, klog.Background())
-	table.SetReplicas(listOf(count), 0)
+	table.SetReplicas(newReplicas(count), 0)
 	return table
 }
 
@@ -28,7 +28,7 @@
 func BenchmarkReplaceReplica(b *testing.B) {
 	for _, count := range []int{3000, 10000, 20000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			table := tableOf(count)
+			table := newFilledTable(count)
 			next := *table.View().Replicas["replica-1"]
 			round := 0
 			for b.Loop() {
@@ -44,7 +44,7 @@
 
 // Guards against revised plans diverging from the plans of a listing of the same replicas.
 func TestRevisedPlansMatchListing(t *testing.T) {
-	all := listOf(400)
+	all := newReplicas(400)
 	listed := NewTable("node", "zone-1", nil, klog.Background())
 	listed.SetReplicas(all[50:], 0)
 	changed := NewTable("node", "zone-1", nil, klog.Background())
@@ -71,14 +71,14 @@
 
 // Measures the cost of adding 500 replicas in one batch, as when a large deployment starts.
 func BenchmarkAdd500Replicas(b *testing.B) {
-	all := listOf(5500)
+	all := newReplicas(5500)
 	changes := make([]ReplicaChange, 500)
 	for i, replica := range all[5000:] {
 		changes[i] = ReplicaChange{Name: replica.ID, Replica: replica}
 	}
 	for b.Loop() {
 		b.StopTimer()
-		table := tableOf(5000)
+		table := newFilledTable(5000)
 		b.StartTimer()
 		table.ApplyReplicas(changes, 0)
 	}
--- a/internal/replicas/directory/table.go
+++ b/internal/replicas/directory/table.go
@@ -49,10 +49,10 @@
 // SetClock sets the clock. It must be the boot-time clock that the slow-start gates use,
 // which does not stop while the machine is suspended. SetClock must be called before the
 // first listing.
-func (t *Table) SetClock(counting clock.Clock) {
+func (t *Table) SetClock(bootClock clock.Clock) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.clock, t.entries.clock = counting, counting
+	t.clock, t.entries.clock = bootClock, bootClock
 }
 
 // View returns the current view.
--- a/internal/replicas/directory/table_test.go
+++ b/internal/replicas/directory/table_test.go
@@ -42,8 +42,9 @@
 
 const keepMissing = 1300 * time.Millisecond
 
-// informed returns a table that is updated by informers. They run until the context ends.
-func informed(ctx context.Context, store *metastore.Store) *Table {
+// newInformedTable returns a table that is updated by informers. They run until the context
+// ends.
+func newInformedTable(ctx context.Context, store *metastore.Store) *Table {
 	table := NewTable("node", "zone", nil, klog.Background())
 	sinks := map[string]watchcache.Sink{
 		"config":      ConfigurationSink{Table: table, Decoder: jsonDecoder{}, Name: "main"},
@@ -61,9 +62,9 @@
 	return &Replica{Service: service, Address: "127.0.0.1:1", Slots: 4, State: ReplicaReady}
 }
 
-// bubble runs a test in a synctest bubble with an empty store, and cancels the context at its
-// end.
-func bubble(t *testing.T, test func(t *testing.T, ctx context.Context, store *metastore.Store)) {
+// runInBubble runs a test in a synctest bubble with an empty store, and cancels the
+// context at its end.
+func runInBubble(t *testing.T, test func(t *testing.T, ctx context.Context, store *metastore.Store)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -76,8 +77,8 @@
 	synctest.Wait()
 }
 
-// passOutage makes the store unresponsive for a second, then waits for another second.
-func passOutage(store *metastore.Store) {
+// simulateOutage makes the store unresponsive for a second, then waits for another second.
+func simulateOutage(store *metastore.Store) {
 	store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Silent })
 	store.Write("config", "other", struct{}{})
 	settle(time.Second)
@@ -86,9 +87,9 @@
 }
 
 func TestDrainingReplicaStaysExcluded(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
+	runInBubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "one", ready("s"))
-		table := informed(ctx, store)
+		table := newInformedTable(ctx, store)
 		settle(time.Second)
 		if table.View().Plans["s"] == nil {
 			t.Fatal("a listed replica has no plan")
@@ -106,9 +107,9 @@
 }
 
 func TestRemovedEntryMayReturn(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
+	runInBubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "one", ready("s"))
-		table := informed(ctx, store)
+		table := newInformedTable(ctx, store)
 		settle(time.Second)
 		store.Remove("servers", "one")
 		settle(time.Second)
@@ -126,11 +127,11 @@
 // Guards against keeping a replica that stopped during an outage for longer than it may get
 // requests.
 func TestMissingEntryKeptAfterOutage(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
+	runInBubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "one", ready("s"))
-		table := informed(ctx, store)
+		table := newInformedTable(ctx, store)
 		settle(time.Second)
-		passOutage(store)
+		simulateOutage(store)
 		store.Remove("servers", "one")
 		settle(keepMissing / 2)
 		if table.View().Replicas["one"] == nil {
@@ -144,8 +145,8 @@
 }
 
 func TestConfigurationVersionNeverDecreases(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
-		table := informed(ctx, store)
+	runInBubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
+		table := newInformedTable(ctx, store)
 		for _, version := range []uint64{3, 7, 5} {
 			store.Write("config", "main", &Configuration{Version: version})
 			settle(time.Second)
@@ -157,9 +158,9 @@
 }
 
 func TestRelistAfterCompaction(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
+	runInBubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "one", ready("s"))
-		table := informed(ctx, store)
+		table := newInformedTable(ctx, store)
 		settle(time.Second)
 		store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Silent })
 		store.Write("servers", "one", ready("s2"))
@@ -198,38 +199,38 @@
 	}
 }
 
-// deafStore is a store that does not respond to watches of a kind that start while deaf is
-// set.
-type deafStore struct {
+// unresponsiveStore is a store that does not respond to watches of a kind that start while
+// unresponsive is set.
+type unresponsiveStore struct {
 	*metastore.Store
-	kind string
-	deaf atomic.Bool
+	kind         string
+	unresponsive atomic.Bool
 }
 
-func (s *deafStore) Watch(ctx context.Context, kind string, from uint64, wait time.Duration) (objectstore.Changes, error) {
-	if kind == s.kind && s.deaf.Load() {
+func (s *unresponsiveStore) Watch(ctx context.Context, kind string, from uint64, wait time.Duration) (objectstore.Changes, error) {
+	if kind == s.kind && s.unresponsive.Load() {
 		objectstore.Sleep(ctx, wait)
 		return objectstore.Changes{}, &objectstore.UnansweredError{Cause: metastore.ErrFault}
 	}
 	return s.Store.Watch(ctx, kind, from, wait)
 }
 
-// Guards against waiting for the timeout of a watch whose response was lost in an outage, while
-// a draining replica still gets requests.
+// Guards against waiting for the timeout of a watch whose response was lost in an outage,
+// while a draining replica still gets requests.
 func TestWatchRestartedAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		store := &deafStore{Store: metastore.New(), kind: "servers"}
+		store := &unresponsiveStore{Store: metastore.New(), kind: "servers"}
 		store.Write("servers", "one", ready("s"))
-		store.deaf.Store(true)
+		store.unresponsive.Store(true)
 		table := NewTable("node", "zone", nil, klog.Background())
 		regained := make(chan struct{})
 		informer := watchcache.NewInformer(store, "servers", ReplicaSink{Table: table, Decoder: jsonDecoder{}, KeepMissing: func() time.Duration { return keepMissing }}, klog.Background())
 		informer.Recovered = func() <-chan struct{} { return regained }
 		go informer.Run(ctx)
 		settle(time.Second)
-		store.deaf.Store(false)
+		store.unresponsive.Store(false)
 		close(regained)
 		regained = make(chan struct{})
 		leaving := ready("s")
--- a/internal/replicas/directory/usable.go
+++ b/internal/replicas/directory/usable.go
@@ -33,7 +33,8 @@
 // entryFacts are the inputs of disposeEntry.
 type entryFacts struct {
 	state ReplicaState
-	// wasDraining is set if an earlier entry of this incarnation said that it drains.
+	// wasDraining is set if an earlier entry of this incarnation had a state other than
+	// ready.
 	wasDraining bool
 	// isEarlierIncarnation is set if an entry of a later incarnation was read.
 	isEarlierIncarnation bool
@@ -54,7 +55,7 @@
 
 // missingFacts are the inputs of disposeMissing.
 type missingFacts struct {
-	// isDraining is set if an entry of the replica said that it drains.
+	// isDraining is set if an entry of the replica had a state other than ready.
 	isDraining bool
 	// isSuperseded is set if another incarnation of the same name is the latest.
 	isSuperseded bool
--- a/internal/replicas/directory/warmups.go
+++ b/internal/replicas/directory/warmups.go
@@ -47,8 +47,8 @@
 	w[id] = known
 }
 
-// mayBeWarming returns the replicas of a view that may be warming up: those in w, or all replicas
-// while the end of an evacuation is remembered.
+// mayBeWarming returns the replicas of a view that may be warming up: those in w, or all
+// replicas while the end of an evacuation is remembered.
 func (w warmUps) mayBeWarming(view *View) []*Replica {
 	var replicas []*Replica
 	if len(view.EvacuationEnded) > 0 {
--- a/internal/replicas/directory/warmups_test.go
+++ b/internal/replicas/directory/warmups_test.go
@@ -12,11 +12,11 @@
 
 const testWarmUp = 3 * time.Second
 
-// warmingNames is a SlowStart that records when the warm-up of each replica ends.
-type warmingNames map[string]time.Time
+// recordedWarmUps is a SlowStart that records when the warm-up of each replica ends.
+type recordedWarmUps map[string]time.Time
 
 // SetWarming implements SlowStart.
-func (w warmingNames) SetWarming(warming []slowstart.WarmingReplica, _ func(string) bool) {
+func (w recordedWarmUps) SetWarming(warming []slowstart.WarmingReplica, _ func(string) bool) {
 	clear(w)
 	for _, replica := range warming {
 		w[replica.Replica] = replica.Until
@@ -25,9 +25,9 @@
 
 // warmingTable returns a table with one service with a warm-up rate, and a replica in the
 // first listing.
-func warmingTable(rate float64) (*Table, warmingNames) {
+func warmingTable(rate float64) (*Table, recordedWarmUps) {
 	table := NewTable("node", "zone", nil, klog.Background())
-	warming := warmingNames{}
+	warming := recordedWarmUps{}
 	table.SetSlowStart(warming)
 	table.SetConfiguration(&Configuration{Version: 1, Services: map[string]Service{"s": {Name: "s", WarmUp: testWarmUp, WarmUpRate: rate}}}, 1)
 	table.SetReplicas([]*Replica{warmReplica("old", 0)}, 0)
@@ -38,11 +38,11 @@
 	return &Replica{ID: id, Service: "s", Zone: "z", Slots: 1, State: ReplicaReady, WarmUpRemaining: left}
 }
 
-func change(table *Table, replica *Replica) {
+func applyChange(table *Table, replica *Replica) {
 	table.ApplyReplicas([]ReplicaChange{{Name: replica.ID, Replica: replica}}, 0)
 }
 
-func (w warmingNames) expect(t *testing.T, id string, left time.Duration) {
+func (w recordedWarmUps) expect(t *testing.T, id string, left time.Duration) {
 	t.Helper()
 	until, warms := w[id]
 	if warms != (left > 0) || (warms && time.Until(until) != left) {
@@ -54,13 +54,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		table, warming := warmingTable(7)
 		warming.expect(t, "old", 0)
-		change(table, warmReplica("old", 2*time.Second))
+		applyChange(table, warmReplica("old", 2*time.Second))
 		warming.expect(t, "old", 2*time.Second)
 		time.Sleep(time.Second)
 		// An unchanged warm-up time must not restart the warm-up.
-		change(table, warmReplica("old", 2*time.Second))
+		applyChange(table, warmReplica("old", 2*time.Second))
 		warming.expect(t, "old", time.Second)
-		change(table, warmReplica("old", 0))
+		applyChange(table, warmReplica("old", 0))
 		warming.expect(t, "old", 0)
 	})
 }
@@ -68,8 +68,8 @@
 func TestWarmUpOfNewReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, warming := warmingTable(7)
-		change(table, warmReplica("new", 0))
-		change(table, warmReplica("told", time.Second))
+		applyChange(table, warmReplica("new", 0))
+		applyChange(table, warmReplica("told", time.Second))
 		warming.expect(t, "new", testWarmUp)
 		warming.expect(t, "told", time.Second)
 		warming.expect(t, "old", 0)
@@ -81,7 +81,7 @@
 		table, warming := warmingTable(7)
 		table.ApplyReplicas([]ReplicaChange{{Name: "old"}}, 0)
 		warming.expect(t, "old", 0)
-		change(table, warmReplica("old", 0))
+		applyChange(table, warmReplica("old", 0))
 		warming.expect(t, "old", testWarmUp)
 	})
 }
@@ -101,7 +101,7 @@
 func TestNoWarmUpWithoutRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, warming := warmingTable(0)
-		change(table, warmReplica("new", time.Second))
+		applyChange(table, warmReplica("new", time.Second))
 		warming.expect(t, "new", 0)
 	})
 }
--- a/internal/replicas/routing/endpoint.go
+++ b/internal/replicas/routing/endpoint.go
@@ -18,7 +18,8 @@
 	Slots  int
 	// Hash is the hash of Name for rendezvous hashing.
 	Hash uint64
-	// TakesRequests is set if the endpoint takes live requests, TakesRollouts if it takes rollouts.
+	// TakesRequests is set if the endpoint takes live requests, TakesRollouts if it takes
+	// rollouts.
 	TakesRequests bool
 	TakesRollouts bool
 	// Cordoned is set if the configuration excludes the endpoint from new work.
--- a/internal/replicas/routing/latency.go
+++ b/internal/replicas/routing/latency.go
@@ -48,6 +48,6 @@
 	if last == nil {
 		return 0
 	}
-	decay := float64(time.Since(last.at)-latencyLifetime) / float64(latencyLifetime)
-	return time.Duration(float64(last.average) * (1 - min(1, max(0, decay))))
+	decayed := float64(time.Since(last.at)-latencyLifetime) / float64(latencyLifetime)
+	return time.Duration(float64(last.average) * (1 - min(1, max(0, decayed))))
 }
--- a/internal/replicas/routing/plan.go
+++ b/internal/replicas/routing/plan.go
@@ -49,8 +49,8 @@
 func (p *Plan) Endpoints() []*Endpoint { return p.endpoints }
 
 // Pick returns the endpoint for a request. The error is ErrNoEngineDeclared or a
-// *NoEligibleEndpointError. If no endpoint is eligible, this node requests permits for the replicas
-// that are warming up.
+// *NoEligibleEndpointError. If no endpoint is eligible, this node requests permits for the
+// replicas that are warming up.
 func (p *Plan) Pick(query *Query) (*Endpoint, error) {
 	if len(p.endpoints) == 0 {
 		return nil, ErrNoEngineDeclared
@@ -81,8 +81,8 @@
 	}
 }
 
-// bestSampled returns the best of the prompt's cache home, localSamples random endpoints of the
-// node's zone and globalSamples random endpoints of any zone.
+// bestSampled returns the best of the prompt's cache home, localSamples random endpoints of
+// the node's zone and globalSamples random endpoints of any zone.
 func (p *Plan) bestSampled(query *Query) *Endpoint {
 	best := p.cacheHome(query)
 	random := query.Random
--- a/internal/replicas/routing/plan_ranked.go
+++ b/internal/replicas/routing/plan_ranked.go
@@ -17,11 +17,11 @@
 
 // distance returns 0 for endpoints in the same zone, 1 for those in the same region, and 2
 // for others.
-func (p Locality) distance(endpoint *Endpoint) int {
+func (l Locality) distance(endpoint *Endpoint) int {
 	switch {
-	case endpoint.Zone == p.Zone:
+	case endpoint.Zone == l.Zone:
 		return 0
-	case endpoint.Region == p.Region && p.Region != "":
+	case endpoint.Region == l.Region && l.Region != "":
 		return 1
 	}
 	return 2
@@ -29,11 +29,11 @@
 
 // preference returns the comparison that orders endpoints by distance, and by rendezvous
 // hashing with the node's name at the same distance.
-func (p Locality) preference() func(a, b *Endpoint) int {
-	node := hashOf(p.Node)
+func (l Locality) preference() func(a, b *Endpoint) int {
+	node := hashOf(l.Node)
 	return func(a, b *Endpoint) int {
 		return cmp.Or(
-			cmp.Compare(p.distance(a), p.distance(b)),
+			cmp.Compare(l.distance(a), l.distance(b)),
 			cmp.Compare(rendezvous.Weight(node, b.Hash), rendezvous.Weight(node, a.Hash)),
 			cmp.Compare(a.Name, b.Name),
 		)
--- a/internal/replicas/routing/policy.go
+++ b/internal/replicas/routing/policy.go
@@ -40,9 +40,9 @@
 )
 
 const (
-	// toleratedLatencyFraction is the fraction of the objective up to which all replicas count as
-	// equally fast. Smaller differences are noise, and switching replicas may cost a new
-	// connection.
+	// toleratedLatencyFraction is the fraction of the objective up to which all replicas
+	// count as equally fast. Smaller differences are noise, and switching replicas may cost
+	// a new connection.
 	toleratedLatencyFraction = 0.25
 	// maxLatencyRatio bounds the latency in the score, as a multiple of the objective.
 	maxLatencyRatio = 2.0
@@ -52,8 +52,8 @@
 	// subsetSize is how many of the first allowed replicas of a ranked plan are compared.
 	// It is small so that requests reuse connections.
 	subsetSize = 4
-	// subsetMaxUtilization is the utilization, between 0 and 1, of the best replica so far from
-	// which further replicas are compared.
+	// subsetMaxUtilization is the utilization, between 0 and 1, of the best replica so far
+	// from which further replicas are compared.
 	subsetMaxUtilization = 0.25
 	// localSamples and globalSamples are how many candidates of an unranked plan are chosen at
 	// random from the node's zone and from all zones.
--- a/internal/replicas/slowstart/allotment.go
+++ b/internal/replicas/slowstart/allotment.go
@@ -25,11 +25,11 @@
 		return false
 	}
 	for {
-		left := a.permits.Load()
-		if left <= 0 {
+		permits := a.permits.Load()
+		if permits <= 0 {
 			return false
 		}
-		if a.permits.CompareAndSwap(left, left-1) {
+		if a.permits.CompareAndSwap(permits, permits-1) {
 			return true
 		}
 	}
--- a/internal/replicas/slowstart/allotter.go
+++ b/internal/replicas/slowstart/allotter.go
@@ -17,7 +17,7 @@
 	// leaseCheckInterval is the time between checks of whether the lease is due for renewal.
 	leaseCheckInterval = 100 * time.Millisecond
 	// leaseIdleTimeout is how long the lease is held after the last request for permits. It is
-	// a multiple of requestInterval.
+	// several times requestInterval, so that the lease is held while clients request permits.
 	leaseIdleTimeout = time.Second
 )
 
@@ -84,7 +84,7 @@
 // record adds the permits requested and allotted for one replica to the summary and the
 // metrics. The mutex must be held.
 func (a *Allotter) record(wanted, allotted int) {
-	a.summary.requested++
+	a.summary.replicaRequests++
 	a.summary.allotted += allotted
 	a.summary.refused += wanted - allotted
 	a.metrics.allotted.Add(float64(allotted))
@@ -130,15 +130,15 @@
 	a.summary = summary{}
 	a.ledger.Prune(a.config.Clock())
 	a.mutex.Unlock()
-	if reported.requested == 0 {
+	if reported.replicaRequests == 0 {
 		return
 	}
-	a.config.Logger.Info("permits for warming replicas allotted", "questions", reported.requested, "allotted", reported.allotted, "refused", reported.refused)
+	a.config.Logger.Info("permits for warming replicas allotted", "questions", reported.replicaRequests, "allotted", reported.allotted, "refused", reported.refused)
 }
 
 // wait waits for the given time or until the context ends.
-func wait(ctx context.Context, span time.Duration) {
-	timer := time.NewTimer(span)
+func wait(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/replicas/slowstart/client.go
+++ b/internal/replicas/slowstart/client.go
@@ -20,15 +20,16 @@
 	// requestTimeout bounds the wait for a reply. Permits of a later reply would be valid
 	// for little of PermitLifetime.
 	requestTimeout = 350 * time.Millisecond
-	// maxPermitsPerRequest is the maximum number of permits per replica in one request. It is one more
-	// than a node uses in requestInterval, so that permits remain for other nodes.
+	// maxPermitsPerRequest is the maximum number of permits per replica in one request. It
+	// is one more than a node uses in requestInterval, so that permits remain for other
+	// nodes.
 	maxPermitsPerRequest = 2
 )
 
 // ClientConfig holds the dependencies of a Client.
 type ClientConfig struct {
-	// RequestPermits requests permits from the allotter. It returns the allotted permits and how long
-	// they are valid, counted from the call. An empty result is not an error.
+	// RequestPermits requests permits from the allotter. It returns the allotted permits
+	// and how long they are valid, counted from the call. An empty result is not an error.
 	RequestPermits func(ctx context.Context, wanted []wire.ReplicaCount) ([]wire.ReplicaCount, time.Duration, error)
 	// Clock is the boot-time clock.
 	Clock func() time.Time
@@ -93,7 +94,7 @@
 	sent := c.config.Clock()
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	allotted, span, err := c.config.RequestPermits(ctx, wanted)
+	allotted, lifetime, err := c.config.RequestPermits(ctx, wanted)
 	if err != nil {
 		c.failures++
 		if c.failures == 1 {
@@ -102,7 +103,7 @@
 		return
 	}
 	c.failures = 0
-	c.addAllotments(sent, span, allotted)
+	c.addAllotments(sent, lifetime, allotted)
 }
 
 // takeDemand returns the permits to request, sorted by replica, and resets the demand.
@@ -126,7 +127,7 @@
 
 // addAllotments adds the permits allotted for a request that was sent at the given time. They
 // are valid for span from that time, not from the reply, as the allotter's ledger assumes.
-func (c *Client) addAllotments(sent time.Time, span time.Duration, allotted []wire.ReplicaCount) {
+func (c *Client) addAllotments(sent time.Time, lifetime time.Duration, allotted []wire.ReplicaCount) {
 	if len(allotted) == 0 {
 		return
 	}
@@ -137,7 +138,7 @@
 			continue
 		}
 		c.metrics.received.Add(float64(part.Count))
-		entry.gate.closed.Store(entry.gate.closed.Load().withAllotment(newAllotment(int(part.Count), sent.Add(span))))
+		entry.gate.closed.Store(entry.gate.closed.Load().withAllotment(newAllotment(int(part.Count), sent.Add(lifetime))))
 	}
 	c.mutex.Unlock()
 	c.config.Allotted()
--- a/internal/replicas/slowstart/closed_gate.go
+++ b/internal/replicas/slowstart/closed_gate.go
@@ -26,56 +26,57 @@
 }
 
 // checkPermit reports whether a request may be sent now. If not, it records demand.
-func (b *closedGate) checkPermit() bool {
-	if b.permitsLeft() > 0 {
+func (c *closedGate) checkPermit() bool {
+	if c.permitsLeft() > 0 {
 		return true
 	}
-	b.recordDemand()
+	c.recordDemand()
 	return false
 }
 
 // takePermit uses one permit. If there is none, it records demand and returns false.
-func (b *closedGate) takePermit() bool {
-	now := b.clock()
-	if !now.Before(b.until) {
+func (c *closedGate) takePermit() bool {
+	now := c.clock()
+	if !now.Before(c.until) {
 		return true
 	}
-	for _, granted := range b.allotments {
+	for _, granted := range c.allotments {
 		if granted.take(now) {
-			b.counts.used.Add(1)
+			c.counts.used.Add(1)
 			return true
 		}
 	}
-	b.recordDemand()
+	c.recordDemand()
 	return false
 }
 
-// permitsLeft returns how many requests may be sent now, or math.MaxInt once the warm-up has ended.
-func (b *closedGate) permitsLeft() int {
-	now := b.clock()
-	if !now.Before(b.until) {
+// permitsLeft returns how many requests may be sent now, or math.MaxInt once the warm-up
+// has ended.
+func (c *closedGate) permitsLeft() int {
+	now := c.clock()
+	if !now.Before(c.until) {
 		return math.MaxInt
 	}
 	total := 0
-	for _, granted := range b.allotments {
+	for _, granted := range c.allotments {
 		total += granted.remaining(now)
 	}
 	return total
 }
 
 // recordDemand records a refused request and wakes the Client.
-func (b *closedGate) recordDemand() {
-	b.counts.demand.Add(1)
-	b.wake()
+func (c *closedGate) recordDemand() {
+	c.counts.demand.Add(1)
+	c.wake()
 }
 
 // withAllotment returns a copy of the gate with one more allotment and without those that
 // are used up or expired.
-func (b *closedGate) withAllotment(further *allotment) *closedGate {
-	next := *b
-	now := b.clock()
+func (c *closedGate) withAllotment(further *allotment) *closedGate {
+	next := *c
+	now := c.clock()
 	next.allotments = []*allotment{further}
-	for _, granted := range b.allotments {
+	for _, granted := range c.allotments {
 		if granted.remaining(now) > 0 {
 			next.allotments = append(next.allotments, granted)
 		}
--- a/internal/replicas/slowstart/doc.go
+++ b/internal/replicas/slowstart/doc.go
@@ -14,7 +14,7 @@
 // time, and on boot-time clocks, which do not stop while a machine is suspended. The clocks of
 // the nodes need not be synchronized.
 //
-// The number of permits used at a replica in any second stays within Limits: a permit is used
-// between the receipt of the request for it and PermitLifetime after that request was sent, and the
-// ledger counts it for all of that time. See docs/design/slow-start.md.
+// The number of permits used at a replica in any second stays within Limits: a permit is
+// used between the receipt of the request for it and PermitLifetime after that request was
+// sent, and the ledger counts it for all of that time. See docs/design/slow-start.md.
 package slowstart
--- a/internal/replicas/slowstart/gate.go
+++ b/internal/replicas/slowstart/gate.go
@@ -12,15 +12,15 @@
 	closed atomic.Pointer[closedGate]
 }
 
-// CheckPermit reports whether a request may be sent now. If not, it records demand, so that the
-// Client requests a permit.
+// CheckPermit reports whether a request may be sent now. If not, it records demand, so that
+// the Client requests a permit.
 func (g *Gate) CheckPermit() bool {
 	closed := g.closed.Load()
 	return closed == nil || closed.checkPermit()
 }
 
-// TakePermit uses a permit for a request that is sent immediately. If there is none, it records
-// demand and returns false, and the request must not be sent.
+// TakePermit uses a permit for a request that is sent immediately. If there is none, it
+// records demand and returns false, and the request must not be sent.
 func (g *Gate) TakePermit() bool {
 	closed := g.closed.Load()
 	return closed == nil || closed.takePermit()
--- a/internal/replicas/slowstart/gate_test.go
+++ b/internal/replicas/slowstart/gate_test.go
@@ -15,7 +15,7 @@
 
 func isListed(string) bool { return true }
 
-var errNobody = merry.New("no allotter")
+var errNoAllotter = merry.New("no allotter")
 
 // runClient runs a client with one warming replica. answer replies to its requests.
 func runClient(ctx context.Context, answer func([]wire.ReplicaCount) ([]wire.ReplicaCount, error)) (*Client, *Gate) {
@@ -39,7 +39,7 @@
 		questions := 0
 		_, gate := runClient(ctx, func([]wire.ReplicaCount) ([]wire.ReplicaCount, error) {
 			questions++
-			return nil, errNobody
+			return nil, errNoAllotter
 		})
 		began := time.Now()
 		for time.Since(began) < 2990*time.Millisecond {
@@ -84,11 +84,11 @@
 }
 
 func TestLimitsPerWindow(t *testing.T) {
-	if most := worldLimits.perWindow(0); most != 0 {
+	if most := modelLimits.perWindow(0); most != 0 {
 		t.Errorf("%d permits for a replica without a rate, want 0", most)
 	}
 	// perSecond is 7.7 * 1.5 + 5 and perWindow is 7.7 * 1.75, both rounded down.
-	if most, bound := worldLimits.perWindow(worldRate), worldLimits.perSecond(worldRate); most != 13 || bound != 16 {
+	if most, bound := modelLimits.perWindow(modelRate), modelLimits.perSecond(modelRate); most != 13 || bound != 16 {
 		t.Errorf("%d permits per window, %d requests per second, want 13 and 16", most, bound)
 	}
 }
@@ -104,7 +104,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		client, gate := runClient(ctx, func([]wire.ReplicaCount) ([]wire.ReplicaCount, error) { return nil, errNobody })
+		client, gate := runClient(ctx, func([]wire.ReplicaCount) ([]wire.ReplicaCount, error) { return nil, errNoAllotter })
 		client.SetWarming(nil, func(string) bool { return false })
 		if gate.TakePermit() {
 			t.Error("a request passed to a replica that was removed during its warm-up")
@@ -116,7 +116,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		client, gate := runClient(ctx, func([]wire.ReplicaCount) ([]wire.ReplicaCount, error) { return nil, errNobody })
+		client, gate := runClient(ctx, func([]wire.ReplicaCount) ([]wire.ReplicaCount, error) { return nil, errNoAllotter })
 		client.SetWarming(nil, isListed)
 		if !gate.TakePermit() {
 			t.Error("a request to a warm replica was refused")
--- a/internal/replicas/slowstart/limits.go
+++ b/internal/replicas/slowstart/limits.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// PermitLifetime is how long permits are valid, counted from when the client sent the request for
-	// them. It covers several round trips between zones, and is short relative to
-	// limitPeriod because unused permits count too.
+	// PermitLifetime is how long permits are valid, counted from when the client sent the
+	// request for them. It covers several round trips between zones, and is short relative
+	// to limitPeriod because unused permits count too.
 	PermitLifetime = 500 * time.Millisecond
 	// sendAllowance covers clock rates that differ by up to 5%, and the time from a gate to
 	// the network.
--- a/internal/replicas/slowstart/model_world_test.go
+++ b/internal/replicas/slowstart/model_world_test.go
@@ -12,49 +12,50 @@
 )
 
 const (
-	worldTick  = 5 * time.Millisecond
-	worldNodes = 6
-	// worldTerm is how long the lease has no holder after it expires. It is the shortest time
+	modelTick  = 5 * time.Millisecond
+	modelNodes = 6
+	// leaseGap is how long the lease has no holder after it expires. It is the shortest time
 	// that package duty leaves between the last use by one holder and the first by the next.
-	worldTerm = 3 * time.Second
-	// longestWay is the maximum latency of a message.
-	longestWay = 900 * time.Millisecond
-	// longestSend is the maximum time from a gate to the network.
-	longestSend = 100 * time.Millisecond
-	worldRate   = 7.7
-	// mostAsked is the maximum number of permits in a request of a simulated client.
-	mostAsked = 8
+	leaseGap = 3 * time.Second
+	// maxMessageLatency is the maximum latency of a message.
+	maxMessageLatency = 900 * time.Millisecond
+	// maxSendDelay is the maximum time from a gate to the network.
+	maxSendDelay = 100 * time.Millisecond
+	modelRate    = 7.7
+	// maxRequestedPermits is the maximum number of permits in a request of a simulated client.
+	maxRequestedPermits = 8
 )
 
-var worldLimits = Limits{Overage: 1.5, Slack: 5}
+var modelLimits = Limits{Overage: 1.5, Slack: 5}
 
-// planted is an injected fault that the simulation must detect.
-type planted struct {
+// injectedFault is an injected fault that the simulation must detect.
+type injectedFault struct {
 	name string
-	// With fromAnswer, clients count PermitLifetime from the reply. With atOnce, new lease holders allot
-	// immediately. With forgets, allotters lose their ledger while they hold the lease. With
-	// twice, previous holders continue to allot. With unused, clients use expired permits.
-	// With short, ledgers count only the permits requested within limitPeriod.
-	fromAnswer, atOnce, forgets, twice, unused, short bool
+	// With lifetimeFromReply, clients count PermitLifetime from the reply. With
+	// allotsImmediately, new lease holders allot immediately. With losesLedger, allotters
+	// lose their ledger while they hold the lease. With previousHolderAllots, previous
+	// holders continue to allot. With usesExpired, clients use expired permits. With
+	// shortWindow, ledgers count only the permits requested within limitPeriod.
+	lifetimeFromReply, allotsImmediately, losesLedger, previousHolderAllots, usesExpired, shortWindow bool
 }
 
-// world simulates nodes that send requests to warming replicas. Its times are the simulated
-// time since the start.
-type world struct {
-	fault  planted
+// simulation simulates nodes that send requests to warming replicas. Its times are the
+// simulated time since the start.
+type simulation struct {
+	fault  injectedFault
 	random *rand.Rand
 	now    time.Duration
 	nodes  []*modelNode
 	due    []event
-	// holder holds the lease since the time since. If it is nil, no process acquires the
-	// lease before the time free.
-	holder *process
-	since  time.Duration
-	valid  bool
-	free   time.Duration
-	// slow makes all messages slow. hoarding makes all nodes save their permits and use them
+	// leaseHolder holds the lease since heldSince. If it is nil, no process acquires the
+	// lease before leaseFreeAt.
+	leaseHolder *process
+	heldSince   time.Duration
+	leaseValid  bool
+	leaseFreeAt time.Duration
+	// slow makes all messages slow. bursty makes all nodes save their permits and use them
 	// at the same time.
-	slow, hoarding bool
+	slow, bursty bool
 	// calm disables all disturbances of the lease, processes and messages.
 	calm bool
 	// sent holds the send times of the requests to each replica.
@@ -68,24 +69,24 @@
 
 // modelNode is a simulated node with its own clock.
 type modelNode struct {
-	rate    float64
-	offset  time.Duration
-	process *process
-	nextAsk time.Duration
+	rate        float64
+	offset      time.Duration
+	process     *process
+	nextRequest time.Duration
 }
 
 // process is one process of a simulated node.
 type process struct {
-	world    *world
-	node     *modelNode
-	allotter *Allotter
-	client   *Client
-	gates    map[string]*Gate
+	simulation *simulation
+	node       *modelNode
+	allotter   *Allotter
+	client     *Client
+	gates      map[string]*Gate
 }
 
-func newWorld(seed uint64, fault planted) *world {
-	made := &world{fault: fault, random: rand.New(rand.NewPCG(seed, 1)), sent: map[string][]time.Duration{}}
-	for range worldNodes {
+func newSimulation(seed uint64, fault injectedFault) *simulation {
+	made := &simulation{fault: fault, random: rand.New(rand.NewPCG(seed, 1)), sent: map[string][]time.Duration{}}
+	for range modelNodes {
 		node := &modelNode{rate: 0.97 + 0.06*made.random.Float64(), offset: time.Duration(made.random.Int64N(int64(time.Hour)))}
 		made.nodes = append(made.nodes, node)
 		made.start(node)
@@ -99,14 +100,14 @@
 }
 
 // start replaces the process of a node by a new one.
-func (w *world) start(node *modelNode) {
-	made := &process{world: w, node: node, gates: map[string]*Gate{"a": {}, "b": {}}}
-	clock := func() time.Time { return node.at(w.now) }
+func (s *simulation) start(node *modelNode) {
+	made := &process{simulation: s, node: node, gates: map[string]*Gate{"a": {}, "b": {}}}
+	clock := func() time.Time { return node.at(s.now) }
 	quiet := klog.LoggerWithValues(klog.Background()).V(9)
 	made.allotter = NewAllotter(AllotterConfig{
-		Limits: worldLimits, Lease: made, Rate: func(string) float64 { return worldRate }, Clock: clock, Logger: quiet, Registry: prometheus.NewRegistry(),
+		Limits: modelLimits, Lease: made, Rate: func(string) float64 { return modelRate }, Clock: clock, Logger: quiet, Registry: prometheus.NewRegistry(),
 	})
-	if w.fault.short {
+	if s.fault.shortWindow {
 		made.allotter.ledger.window = limitPeriod
 	}
 	made.client = NewClient(ClientConfig{Clock: clock, Allotted: func() {}, Logger: quiet, Registry: prometheus.NewRegistry()})
@@ -115,170 +116,171 @@
 		warming = append(warming, WarmingReplica{Replica: replica, Gate: gate, Until: clock().Add(time.Hour)})
 	}
 	made.client.SetWarming(warming, isListed)
-	if w.holder != nil && w.holder == node.process {
+	if s.leaseHolder != nil && s.leaseHolder == node.process {
 		// A node does not wait for its own lease to expire.
-		w.holder, w.since = made, w.now
+		s.leaseHolder, s.heldSince = made, s.now
 	}
 	node.process = made
 }
 
 // Held implements Lease.
 func (p *process) Held() (time.Time, bool) {
-	if p.world.fault.atOnce {
-		return time.Time{}, p.holds()
+	if p.simulation.fault.allotsImmediately {
+		return time.Time{}, p.holdsLease()
 	}
-	return p.node.at(p.world.since), p.holds()
+	return p.node.at(p.simulation.heldSince), p.holdsLease()
 }
 
-func (p *process) holds() bool { return p.world.holder == p && p.world.valid }
+func (p *process) holdsLease() bool { return p.simulation.leaseHolder == p && p.simulation.leaseValid }
 
 // Ready implements Lease. The simulation assigns the lease itself.
-func (p *process) Ready(context.Context, string) (bool, time.Duration) { return p.holds(), 0 }
+func (p *process) Ready(context.Context, string) (bool, time.Duration) { return p.holdsLease(), 0 }
 
 // Idle implements Lease.
 func (p *process) Idle(string) {}
 
 // run advances the simulation until the time span.
-func (w *world) run(span time.Duration) {
-	for ; w.now < span; w.now += worldTick {
-		w.disrupt()
-		w.deliver()
-		burst := w.random.IntN(150) == 0
-		for _, node := range w.nodes {
-			w.send(node.process, burst)
-			if w.now >= node.nextAsk {
-				node.nextAsk = w.now + requestInterval
-				w.ask(node.process)
+func (s *simulation) run(span time.Duration) {
+	for ; s.now < span; s.now += modelTick {
+		s.disrupt()
+		s.deliver()
+		burst := s.random.IntN(150) == 0
+		for _, node := range s.nodes {
+			s.send(node.process, burst)
+			if s.now >= node.nextRequest {
+				node.nextRequest = s.now + requestInterval
+				s.requestPermits(node.process)
 			}
 		}
 	}
 }
 
 // disrupt disturbs the lease, a process or the messages, about once a second.
-func (w *world) disrupt() {
-	if w.holder == nil && w.now >= w.free {
-		w.holder, w.since, w.valid = w.anyNode().process, w.now, true
+func (s *simulation) disrupt() {
+	if s.leaseHolder == nil && s.now >= s.leaseFreeAt {
+		s.leaseHolder, s.heldSince, s.leaseValid = s.randomNode().process, s.now, true
 	}
-	if w.calm || w.random.IntN(200) > 0 {
+	if s.calm || s.random.IntN(200) > 0 {
 		return
 	}
-	switch w.random.IntN(8) {
+	switch s.random.IntN(8) {
 	case 0:
-		w.start(w.anyNode())
+		s.start(s.randomNode())
 	case 1:
 		// The lease is released: the next holder does not wait.
-		w.holder, w.free = nil, w.now
+		s.leaseHolder, s.leaseFreeAt = nil, s.now
 	case 2:
-		w.holder, w.free = nil, w.now+worldTerm
+		s.leaseHolder, s.leaseFreeAt = nil, s.now+leaseGap
 	case 3:
-		if w.holder != nil {
-			w.start(w.holder.node)
+		if s.leaseHolder != nil {
+			s.start(s.leaseHolder.node)
 		}
 	case 4:
 		// A renewal is late, but the lease has not expired.
-		w.valid = !w.valid
+		s.leaseValid = !s.leaseValid
 	case 5:
-		if w.fault.forgets && w.holder != nil {
-			w.holder.allotter.ledger = NewLedger()
+		if s.fault.losesLedger && s.leaseHolder != nil {
+			s.leaseHolder.allotter.ledger = NewLedger()
 		}
 	case 6:
-		w.slow = !w.slow
+		s.slow = !s.slow
 	case 7:
-		w.hoarding = !w.hoarding
+		s.bursty = !s.bursty
 	}
 }
 
-func (w *world) anyNode() *modelNode { return w.nodes[w.random.IntN(len(w.nodes))] }
+func (s *simulation) randomNode() *modelNode { return s.nodes[s.random.IntN(len(s.nodes))] }
 
 // deliver runs the events that are due.
-func (w *world) deliver() {
+func (s *simulation) deliver() {
 	var later []event
-	due := w.due
-	w.due = nil
+	due := s.due
+	s.due = nil
 	for _, next := range due {
-		if next.at > w.now {
+		if next.at > s.now {
 			later = append(later, next)
 			continue
 		}
 		next.act()
 	}
-	w.due = append(w.due, later...)
+	s.due = append(s.due, later...)
 }
 
-func (w *world) after(span time.Duration, act func()) {
-	w.due = append(w.due, event{at: w.now + span, act: act})
+func (s *simulation) after(span time.Duration, act func()) {
+	s.due = append(s.due, event{at: s.now + span, act: act})
 }
 
-// way returns the random latency of a message.
-func (w *world) way() time.Duration {
-	if w.slow || (!w.calm && w.random.IntN(10) == 0) {
-		return time.Duration(w.random.Int64N(int64(longestWay)))
+// messageLatency returns the random latency of a message.
+func (s *simulation) messageLatency() time.Duration {
+	if s.slow || (!s.calm && s.random.IntN(10) == 0) {
+		return time.Duration(s.random.Int64N(int64(maxMessageLatency)))
 	}
-	return time.Duration(w.random.Int64N(int64(10 * time.Millisecond)))
+	return time.Duration(s.random.Int64N(int64(10 * time.Millisecond)))
 }
 
-func (w *world) isLost() bool { return !w.calm && w.random.IntN(10) == 0 }
+func (s *simulation) isLost() bool { return !s.calm && s.random.IntN(10) == 0 }
 
-// ask sends a request for permits to the lease holder, or sometimes to another node.
-func (w *world) ask(from *process) {
+// requestPermits sends a request for permits to the lease holder, or sometimes to another
+// node.
+func (s *simulation) requestPermits(from *process) {
 	wanted := from.client.takeDemand()
 	if len(wanted) == 0 {
 		return
 	}
 	for i := range wanted {
 		// The allotter must keep the limit for any number of requested permits.
-		wanted[i].Count = 1 + uint32(w.random.IntN(mostAsked))
+		wanted[i].Count = 1 + uint32(s.random.IntN(maxRequestedPermits))
 	}
-	sent := from.node.at(w.now)
-	to := w.anyNode()
-	if w.holder != nil && (w.calm || w.random.IntN(5) > 0) {
-		to = w.holder.node
+	sent := from.node.at(s.now)
+	to := s.randomNode()
+	if s.leaseHolder != nil && (s.calm || s.random.IntN(5) > 0) {
+		to = s.leaseHolder.node
 	}
-	if w.isLost() {
+	if s.isLost() {
 		return
 	}
-	w.after(w.way(), func() {
+	s.after(s.messageLatency(), func() {
 		allotted := to.process.allotter.Allot(wanted)
-		if w.fault.twice && len(allotted) > 0 {
-			to.process.allotter.config.Lease = forever{to.process}
+		if s.fault.previousHolderAllots && len(allotted) > 0 {
+			to.process.allotter.config.Lease = permanentLease{to.process}
 		}
-		if w.isLost() {
+		if s.isLost() {
 			return
 		}
-		w.after(w.way(), func() { w.answer(from, sent, allotted) })
+		s.after(s.messageLatency(), func() { s.handleReply(from, sent, allotted) })
 	})
 }
 
-func (w *world) answer(from *process, sent time.Time, allotted []wire.ReplicaCount) {
+func (s *simulation) handleReply(from *process, sent time.Time, allotted []wire.ReplicaCount) {
 	if from.node.process != from {
 		return
 	}
 	span := PermitLifetime
-	if w.fault.fromAnswer {
-		sent = from.node.at(w.now)
+	if s.fault.lifetimeFromReply {
+		sent = from.node.at(s.now)
 	}
-	if w.fault.unused {
+	if s.fault.usesExpired {
 		span = time.Minute
 	}
 	from.client.addAllotments(sent, span, allotted)
 }
 
-// forever is a lease that is always held.
-type forever struct{ *process }
+// permanentLease is a lease that is always held.
+type permanentLease struct{ *process }
 
 // Held implements Lease.
-func (forever) Held() (time.Time, bool) { return time.Time{}, true }
+func (permanentLease) Held() (time.Time, bool) { return time.Time{}, true }
 
 // send makes a process use all its permits at random times, so that they are used in bursts.
-func (w *world) send(from *process, burst bool) {
+func (s *simulation) send(from *process, burst bool) {
 	for _, replica := range []string{"a", "b"} {
 		gate := from.gates[replica]
-		if !gate.CheckPermit() || (w.hoarding && !burst) || (!w.hoarding && w.random.IntN(8) > 0) {
+		if !gate.CheckPermit() || (s.bursty && !burst) || (!s.bursty && s.random.IntN(8) > 0) {
 			continue
 		}
 		for gate.TakePermit() {
-			delay := time.Duration(w.random.Int64N(int64(longestSend)))
-			w.sent[replica] = append(w.sent[replica], w.now+delay)
+			delay := time.Duration(s.random.Int64N(int64(maxSendDelay)))
+			s.sent[replica] = append(s.sent[replica], s.now+delay)
 		}
 	}
 }
--- a/internal/replicas/slowstart/summary.go
+++ b/internal/replicas/slowstart/summary.go
@@ -2,8 +2,8 @@
 
 // summary counts the permits requested and allotted since the last log line.
 type summary struct {
-	// requested counts the replicas over all requests.
-	requested int
-	allotted  int
-	refused   int
+	// replicaRequests counts each replica of each request.
+	replicaRequests int
+	allotted        int
+	refused         int
 }
