--- a/internal/jobs/jobstore/accept.go
+++ b/internal/jobs/jobstore/accept.go
@@ -16,7 +16,7 @@
 // Accept stores a batch job: first the payload, then the record. It returns the record in the
 // store, which belongs to another caller if the id was already in use, and whether this call
 // created it. The error is a *NotAcceptedError or an *AcceptanceUnknownError.
-func (s *Store) Accept(ctx context.Context, id string, record Record, payload []byte) (stored Record, made bool, err error) {
+func (s *Store) Accept(ctx context.Context, id string, record Record, payload []byte) (stored Record, created bool, err error) {
 	record.Parts = (len(payload) + maxPartBytes - 1) / maxPartBytes
 	if err := s.createPayload(ctx, id, record.Parts, payload); err != nil {
 		// A payload without a record has no effect.
--- a/internal/jobs/ownership/takeover_test.go
+++ b/internal/jobs/ownership/takeover_test.go
@@ -57,7 +57,7 @@
 }
 
 func TestDecideReplaceAndStart(t *testing.T) {
-	self, former := jobstore.Owner{Node: "self", Incarnation: 2}, jobstore.Owner{Node: "self", Incarnation: 1}
+	self, previous := jobstore.Owner{Node: "self", Incarnation: 2}, jobstore.Owner{Node: "self", Incarnation: 1}
 	stored := func(owner jobstore.Owner, epoch int, ended bool) jobstore.StoredJob {
 		return jobstore.StoredJob{Record: jobstore.Record{Owner: owner, Epoch: epoch}, Ended: ended}
 	}
@@ -67,14 +67,14 @@
 		replace Reason
 		start   Reason
 	}{
-		{stored(former, 1, false), false, ReasonOwned, ReasonOtherOwner},
-		{stored(former, 1, false), true, ReasonOutside, ReasonOtherOwner},
-		{stored(former, 1, true), false, ReasonEnded, ReasonEnded},
+		{stored(previous, 1, false), false, ReasonOwned, ReasonOtherOwner},
+		{stored(previous, 1, false), true, ReasonOutside, ReasonOtherOwner},
+		{stored(previous, 1, true), false, ReasonEnded, ReasonEnded},
 		{stored(self, 2, false), false, ReasonOtherOwner, ReasonOwned},
 		{stored(self, 3, false), false, ReasonOtherOwner, ReasonOtherEpoch},
 		{stored(jobstore.Owner{Node: "other"}, 2, false), false, ReasonOtherOwner, ReasonOtherOwner},
 	} {
-		if may, reason := DecideReplace(test.stored, former, test.outside); reason != test.replace || may != (reason == ReasonOwned) {
+		if may, reason := DecideReplace(test.stored, previous, test.outside); reason != test.replace || may != (reason == ReasonOwned) {
 			t.Errorf("replace %+v: %v, %s", test.stored, may, reason)
 		}
 		if may, reason := DecideStart(test.stored, self, 2); reason != test.start || may != (reason == ReasonOwned) {
--- a/internal/replicas/directory/homes_test.go
+++ b/internal/replicas/directory/allowed_regions_test.go
@@ -34,13 +34,13 @@
 }
 
 func TestAllowedRegionsOfActiveConfiguration(t *testing.T) {
-	former := &Route{Name: "moved", AllowedRegions: []string{"north"}}
+	previous := &Route{Name: "moved", AllowedRegions: []string{"north"}}
 	configuration := &Configuration{Routes: []Route{{Name: "moved", AllowedRegions: []string{"south"}}}}
 	configuration.Index()
-	if allowed := configuration.AllowedRegions(former, "gone"); allowed.Allows("north") || !allowed.Allows("south") {
+	if allowed := configuration.AllowedRegions(previous, "gone"); allowed.Allows("north") || !allowed.Allows("south") {
 		t.Errorf("allowed in %v, want south", allowed.Regions())
 	}
-	if homes := configuration.AllowedRegions(&Route{Name: "dropped", AllowedRegions: []string{"west"}}, ""); !homes.Allows("west") || homes.Allows("south") {
-		t.Errorf("removed route: allowed in %v, want west", homes.Regions())
+	if allowed := configuration.AllowedRegions(&Route{Name: "dropped", AllowedRegions: []string{"west"}}, ""); !allowed.Allows("west") || allowed.Allows("south") {
+		t.Errorf("removed route: allowed in %v, want west", allowed.Regions())
 	}
 }
--- a/internal/replicas/directory/scale_test.go
+++ b/internal/replicas/directory/scale_test.go
@@ -33,10 +33,10 @@
 			round := 0
 			for b.Loop() {
 				round++
-				joining := next
-				joining.ID = fmt.Sprintf("joined-%d", round)
-				leaving := fmt.Sprintf("joined-%d", round-1)
-				table.ApplyReplicas([]ReplicaChange{{Name: joining.ID, Replica: &joining}, {Name: leaving}}, 0)
+				added := next
+				added.ID = fmt.Sprintf("joined-%d", round)
+				removed := fmt.Sprintf("joined-%d", round-1)
+				table.ApplyReplicas([]ReplicaChange{{Name: added.ID, Replica: &added}, {Name: removed}}, 0)
 			}
 		})
 	}
@@ -51,8 +51,8 @@
 	changed.SetReplicas(all[:300], 0)
 	for i := range 50 {
 		changes := []ReplicaChange{{Name: all[i].ID}}
-		for _, joining := range all[300+2*i : 302+2*i] {
-			changes = append(changes, ReplicaChange{Name: joining.ID, Replica: joining})
+		for _, added := range all[300+2*i : 302+2*i] {
+			changes = append(changes, ReplicaChange{Name: added.ID, Replica: added})
 		}
 		changed.ApplyReplicas(changes, 0)
 	}
--- a/internal/replicas/directory/table_test.go
+++ b/internal/replicas/directory/table_test.go
@@ -94,9 +94,9 @@
 		if table.View().Plans["s"] == nil {
 			t.Fatal("a listed replica has no plan")
 		}
-		leaving := ready("s")
-		leaving.State = ReplicaDraining
-		store.Write("servers", "one", leaving)
+		draining := ready("s")
+		draining.State = ReplicaDraining
+		store.Write("servers", "one", draining)
 		settle(time.Second)
 		store.Write("servers", "one", ready("s"))
 		settle(time.Second)
@@ -233,9 +233,9 @@
 		store.unresponsive.Store(false)
 		close(regained)
 		regained = make(chan struct{})
-		leaving := ready("s")
-		leaving.State = ReplicaDraining
-		store.Write("servers", "one", leaving)
+		draining := ready("s")
+		draining.State = ReplicaDraining
+		store.Write("servers", "one", draining)
 		settle(time.Second)
 		if table.View().Replicas["one"] != nil {
 			t.Error("a draining replica is still used because the old watch was not restarted")
@@ -247,11 +247,11 @@
 func TestDrainingReplicasExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := NewTable("node", "zone", nil, klog.Background())
-		leaving := ready("s")
-		leaving.ID, leaving.State = "one", ReplicaDraining
-		table.ApplyReplicas([]ReplicaChange{{Name: "one", Replica: leaving}}, 0)
+		draining := ready("s")
+		draining.ID, draining.State = "one", ReplicaDraining
+		table.ApplyReplicas([]ReplicaChange{{Name: "one", Replica: draining}}, 0)
 		time.Sleep(drainingRetention / 2)
-		table.ApplyReplicas([]ReplicaChange{{Name: "one", Replica: leaving}}, 0)
+		table.ApplyReplicas([]ReplicaChange{{Name: "one", Replica: draining}}, 0)
 		time.Sleep(drainingRetention * 3 / 4)
 		table.SetReplicas(nil, 0)
 		if !table.entries.isDraining("one") {
--- a/internal/replicas/residency/bounds_test.go
+++ b/internal/replicas/residency/bounds_test.go
@@ -8,7 +8,7 @@
 func TestBoundsEntryRegion(t *testing.T) {
 	for _, test := range []struct {
 		name          string
-		homes         Set
+		allowed       Set
 		entry, region string
 		replica, node bool
 	}{
@@ -22,7 +22,7 @@
 		{"both unknown", Of([]string{"south"}, nil), "", "", false, false},
 		{"intersection of two requests", Of([]string{"south", "west"}, nil).And(Of(nil, []string{"west"})), "north", "south", false, false},
 	} {
-		bounds := NewBounds(test.homes, test.entry)
+		bounds := NewBounds(test.allowed, test.entry)
 		if replica, node := bounds.AllowsReplica(test.region), bounds.AllowsNode(test.region); replica != test.replica || node != test.node {
 			t.Errorf("%s: replica %v, node %v, want %v, %v", test.name, replica, node, test.replica, test.node)
 		}
--- a/internal/replicas/routing/plan_test.go
+++ b/internal/replicas/routing/plan_test.go
@@ -21,9 +21,9 @@
 // exclude excludes the endpoints for which keep returns false.
 func exclude(plan *Plan, keep func(*Endpoint) bool) {
 	for _, endpoint := range plan.Endpoints() {
-		view := *endpoint.State.Report()
-		view.Excluded = !keep(endpoint)
-		endpoint.State.SetReport(view)
+		report := *endpoint.State.Report()
+		report.Excluded = !keep(endpoint)
+		endpoint.State.SetReport(report)
 	}
 }
 
@@ -35,9 +35,9 @@
 		t.Fatalf("picked %v, %v", picked, err)
 	}
 	cases := []struct {
-		name  string
-		query Query
-		spoil func(*Endpoint)
+		name   string
+		query  Query
+		modify func(*Endpoint)
 	}{
 		{"avoided", Query{Avoid: "engine-37"}, nil},
 		{"too old", Query{MinVersion: 4}, nil},
@@ -46,8 +46,8 @@
 		{"other role", Query{Rollout: true}, func(endpoint *Endpoint) { endpoint.TakesRollouts = false }},
 	}
 	for _, test := range cases {
-		if test.spoil != nil {
-			test.spoil(picked)
+		if test.modify != nil {
+			test.modify(picked)
 		}
 		if _, err := plan.Pick(&test.query); !errors.Is(err, ErrNoEngineAvailable) {
 			t.Errorf("%s: got %v", test.name, err)
--- a/internal/replicas/routing/policy_test.go
+++ b/internal/replicas/routing/policy_test.go
@@ -14,7 +14,7 @@
 	endpoint.Region = "north"
 	query := &Query{}
 	for _, step := range []struct {
-		spoil  func()
+		modify func()
 		reason Reason
 	}{
 		{func() {}, ""},
@@ -25,7 +25,7 @@
 		{func() { query.Tried = []string{endpoint.Name} }, ReasonUnavailable},
 		{func() { endpoint.TakesRequests = false }, ReasonRole},
 	} {
-		step.spoil()
+		step.modify()
 		if reason, refused := RequestChain.Refuse(query, endpoint); reason != step.reason || refused != (step.reason != "") {
 			t.Errorf("refused by %q, want %q", reason, step.reason)
 		}
--- a/internal/replicas/slowstart/gate_test.go
+++ b/internal/replicas/slowstart/gate_test.go
@@ -17,11 +17,11 @@
 
 var errNoAllotter = merry.New("no allotter")
 
-// runClient runs a client with one warming replica. answer replies to its requests.
-func runClient(ctx context.Context, answer func([]wire.ReplicaCount) ([]wire.ReplicaCount, error)) (*Client, *Gate) {
+// runClient runs a client with one warming replica. reply replies to its requests.
+func runClient(ctx context.Context, reply func([]wire.ReplicaCount) ([]wire.ReplicaCount, error)) (*Client, *Gate) {
 	client := NewClient(ClientConfig{
 		RequestPermits: func(_ context.Context, wanted []wire.ReplicaCount) ([]wire.ReplicaCount, time.Duration, error) {
-			allotted, err := answer(wanted)
+			allotted, err := reply(wanted)
 			return allotted, PermitLifetime, err
 		},
 		Clock: time.Now, Allotted: func() {}, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
@@ -36,9 +36,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		questions := 0
+		requests := 0
 		_, gate := runClient(ctx, func([]wire.ReplicaCount) ([]wire.ReplicaCount, error) {
-			questions++
+			requests++
 			return nil, errNoAllotter
 		})
 		began := time.Now()
@@ -49,8 +49,8 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		synctest.Wait()
-		if most := int(3*time.Second/requestInterval) + 1; questions == 0 || questions > most {
-			t.Errorf("%d requests for permits, want 1 to %d", questions, most)
+		if most := int(3*time.Second/requestInterval) + 1; requests == 0 || requests > most {
+			t.Errorf("%d requests for permits, want 1 to %d", requests, most)
 		}
 		time.Sleep(20 * time.Millisecond)
 		if !gate.TakePermit() {
@@ -63,12 +63,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		once := false
+		replied := false
 		_, gate := runClient(ctx, func(wanted []wire.ReplicaCount) ([]wire.ReplicaCount, error) {
-			if once {
+			if replied {
 				return nil, nil
 			}
-			once = true
+			replied = true
 			return []wire.ReplicaCount{{Replica: "r", Count: 2}}, nil
 		})
 		gate.CheckPermit()
