--- a/internal/jobs/ownership/takeover.go
+++ b/internal/jobs/ownership/takeover.go
@@ -43,7 +43,7 @@
 	LastHeartbeat time.Time
 	Owner         OwnerCondition
 	// Rank returns this node's rank for the job. It may be expensive, so it is called only
-	// if no other field decides.
+	// if Ended, TakingOver and RetryAt do not decide.
 	Rank func() int
 }
 
--- a/internal/jobs/replicastate/table.go
+++ b/internal/jobs/replicastate/table.go
@@ -71,9 +71,9 @@
 // Load returns the number of items that a replica runs for all nodes.
 func (t *Table) Load(replica string, now time.Time) int {
 	load := t.GetOrCreate(replica).Running
-	for _, uses := range t.SlotUse {
-		if uses.isCurrent(now) {
-			load += uses.Running[replica]
+	for _, slotUse := range t.SlotUse {
+		if slotUse.isCurrent(now) {
+			load += slotUse.Running[replica]
 		}
 	}
 	return load
@@ -85,9 +85,9 @@
 	for replica, state := range t.States {
 		loads[replica] = state.Running
 	}
-	for _, uses := range t.SlotUse {
-		if uses.isCurrent(now) {
-			for replica, running := range uses.Running {
+	for _, slotUse := range t.SlotUse {
+		if slotUse.isCurrent(now) {
+			for replica, running := range slotUse.Running {
 				loads[replica] += running
 			}
 		}
@@ -99,12 +99,12 @@
 // nodes.
 func (t *Table) OpenItems(models []string, now time.Time) int {
 	open := 0
-	for _, uses := range t.SlotUse {
-		if !uses.isCurrent(now) {
+	for _, slotUse := range t.SlotUse {
+		if !slotUse.isCurrent(now) {
 			continue
 		}
 		for _, model := range models {
-			open += uses.Open[model]
+			open += slotUse.Open[model]
 		}
 	}
 	return open
@@ -113,8 +113,8 @@
 // RunningNodes returns the number of nodes that run items. It always counts this node.
 func (t *Table) RunningNodes(now time.Time) int {
 	count := 1
-	for _, uses := range t.SlotUse {
-		if len(uses.Running) > 0 && uses.isCurrent(now) {
+	for _, slotUse := range t.SlotUse {
+		if len(slotUse.Running) > 0 && slotUse.isCurrent(now) {
 			count++
 		}
 	}
@@ -142,8 +142,8 @@
 	if own > 0 && age < FreshPaceAge {
 		return own
 	}
-	for _, uses := range t.SlotUse {
-		if interval := uses.Intervals[replica]; interval > 0 && uses.isCurrent(now) {
+	for _, slotUse := range t.SlotUse {
+		if interval := slotUse.Intervals[replica]; interval > 0 && slotUse.isCurrent(now) {
 			return interval
 		}
 	}
@@ -157,5 +157,5 @@
 // expired slot use of other nodes.
 func (t *Table) Evict(listed map[string]*directory.Replica, now time.Time) {
 	maps.DeleteFunc(t.States, func(replica string, state *State) bool { return listed[replica] == nil && state.Running == 0 })
-	maps.DeleteFunc(t.SlotUse, func(_ string, uses NodeSlotUse) bool { return now.Sub(uses.ReceivedAt) > SlotUseTimeout })
+	maps.DeleteFunc(t.SlotUse, func(_ string, slotUse NodeSlotUse) bool { return now.Sub(slotUse.ReceivedAt) > SlotUseTimeout })
 }
--- a/internal/replicas/directory/replica.go
+++ b/internal/replicas/directory/replica.go
@@ -47,11 +47,11 @@
 
 // IncarnationID returns the ID of the incarnation of a replica that started at the given
 // time, in Unix milliseconds. The ID is the name if the time is 0, unknown.
-func IncarnationID(name string, born int64) string {
-	if born == 0 {
+func IncarnationID(name string, startedMs int64) string {
+	if startedMs == 0 {
 		return name
 	}
-	return name + incarnationMark + strconv.FormatInt(born, 10)
+	return name + incarnationMark + strconv.FormatInt(startedMs, 10)
 }
 
 // InstanceName returns the name of the replica's entry and in requests to it.
--- a/internal/replicas/directory/restarts_test.go
+++ b/internal/replicas/directory/restarts_test.go
@@ -14,8 +14,8 @@
 )
 
 // entryStartedAt returns the entry of a replica with the given start time in milliseconds.
-func entryStartedAt(born int64, state ReplicaState) map[string]any {
-	return map[string]any{"Service": "s", "Address": "127.0.0.1:1", "Slots": 4, "State": state, "StartedMs": born}
+func entryStartedAt(startedMs int64, state ReplicaState) map[string]any {
+	return map[string]any{"Service": "s", "Address": "127.0.0.1:1", "Slots": 4, "State": state, "StartedMs": startedMs}
 }
 
 // endpointOf returns the endpoint of any incarnation of a replica, or nil.
@@ -116,8 +116,8 @@
 func TestStaleEntryAfterDrainInBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := NewTable("node", "zone", nil, klog.Background())
-		entry := func(born int64, state ReplicaState) *Replica {
-			return &Replica{ID: IncarnationID("one", born), Name: "one", StartedMs: born, Service: "s", Address: "127.0.0.1:1", State: state}
+		entry := func(startedMs int64, state ReplicaState) *Replica {
+			return &Replica{ID: IncarnationID("one", startedMs), Name: "one", StartedMs: startedMs, Service: "s", Address: "127.0.0.1:1", State: state}
 		}
 		table.SetReplicas([]*Replica{entry(2000, ReplicaReady)}, 0)
 		table.ApplyReplicas([]ReplicaChange{
