--- a/internal/jobs/ownership/takeover_test.go
+++ b/internal/jobs/ownership/takeover_test.go
@@ -94,9 +94,9 @@
 	if len(successors) != len(nodes)-1 || len(watchers) != Watchers || len(LocatorsOf("job", nodes)) != Locators {
 		t.Fatalf("%d successors, %d watchers", len(successors), len(watchers))
 	}
-	for place, watcher := range watchers {
-		if got := Rank("job", successors, watcher); got != place {
-			t.Errorf("watcher at index %d has rank %d", place, got)
+	for index, watcher := range watchers {
+		if got := Rank("job", successors, watcher); got != index {
+			t.Errorf("watcher at index %d has rank %d", index, got)
 		}
 	}
 	if got := Rank("job", successors, owner); got != Unranked {
--- a/internal/jobs/placement/pick_test.go
+++ b/internal/jobs/placement/pick_test.go
@@ -7,12 +7,12 @@
 
 // replicas returns replicas a, b, ... with six slots and the given loads.
 func replicas(loads ...int) []*Replica {
-	var made []*Replica
+	var created []*Replica
 	for number, load := range loads {
 		name := string(rune('a' + number))
-		made = append(made, NewReplica(name, 6, load, Paces{}, ReplicaHealth{SinceEvent: time.Minute}))
+		created = append(created, NewReplica(name, 6, load, Paces{}, ReplicaHealth{SinceEvent: time.Minute}))
 	}
-	return made
+	return created
 }
 
 // A replica that is down has no load, so it would be picked first. Guards against urgent items
--- a/internal/jobs/placement/rank_test.go
+++ b/internal/jobs/placement/rank_test.go
@@ -26,12 +26,12 @@
 // submissionOf returns a submission of groups a, b, ... of two items each, with the given
 // expected lengths.
 func submissionOf(desired int, lengths ...float64) submission {
-	made := submission{desired: desired}
-	for place, length := range lengths {
-		group := string(rune('a' + place/2))
-		made.items = append(made.items, SubmittedItem{ID: fmt.Sprintf("%s%d", group, place%2), Group: group, ExpectedTokens: length})
+	created := submission{desired: desired}
+	for index, length := range lengths {
+		group := string(rune('a' + index/2))
+		created.items = append(created.items, SubmittedItem{ID: fmt.Sprintf("%s%d", group, index%2), Group: group, ExpectedTokens: length})
 	}
-	return made
+	return created
 }
 
 func TestRankItemsInheritedFirst(t *testing.T) {
--- a/internal/jobs/placement/replica_test.go
+++ b/internal/jobs/placement/replica_test.go
@@ -9,7 +9,7 @@
 	for _, test := range []struct {
 		name        string
 		slots, load int
-		condition   ReplicaHealth
+		health      ReplicaHealth
 		want        int
 	}{
 		{"healthy", 6, 2, ReplicaHealth{}, 6},
@@ -19,7 +19,7 @@
 		{"unresponsive and full", 6, 6, ReplicaHealth{Unresponsive: true}, 6},
 		{"failing and unresponsive", 6, 2, ReplicaHealth{Failing: true, Unresponsive: true}, FailingRuns},
 	} {
-		if got := maxLoadOf(test.slots, test.load, test.condition); got != test.want {
+		if got := maxLoadOf(test.slots, test.load, test.health); got != test.want {
 			t.Errorf("%s: max load %d, want %d", test.name, got, test.want)
 		}
 	}
@@ -33,7 +33,7 @@
 		name        string
 		interval    int
 		load, other int
-		condition   ReplicaHealth
+		health      ReplicaHealth
 		want        string
 	}{
 		{"less load", 50, 2, 3, ReplicaHealth{SinceEvent: cold}, "a"},
@@ -47,7 +47,7 @@
 		{"slow, the other full", 90, 0, 6, ReplicaHealth{SinceEvent: cold}, "a"},
 	} {
 		paces := pacesOf(test.interval, 50, 50, 50)
-		first := NewReplica("a", 6, test.load, paces, test.condition)
+		first := NewReplica("a", 6, test.load, paces, test.health)
 		second := NewReplica("b", 6, test.other, paces, ReplicaHealth{SinceEvent: cold})
 		if got := Pick([]*Replica{second, first}, Preference{}); got.Name != test.want {
 			t.Errorf("%s: picked %s, want %s", test.name, got.Name, test.want)
--- a/internal/replicas/directory/plans.go
+++ b/internal/replicas/directory/plans.go
@@ -91,9 +91,9 @@
 		state.SetReport(routing.EndpointReport{})
 		t.states[replica.ID] = state
 	}
-	made := routing.NewReplicaEndpoint(replica.ID, replica.Address, replica.Zone, t.regions[replica.Zone], replica.Service, replica.Slots, state)
-	made.Instance = replica.InstanceName()
-	return made
+	endpoint := routing.NewReplicaEndpoint(replica.ID, replica.Address, replica.Zone, t.regions[replica.Zone], replica.Service, replica.Slots, state)
+	endpoint.Instance = replica.InstanceName()
+	return endpoint
 }
 
 // planRevisions are the endpoints to remove from and add to plans, by service.
--- a/internal/replicas/directory/scale_test.go
+++ b/internal/replicas/directory/scale_test.go
@@ -61,9 +61,9 @@
 		if len(revised) != len(plan.Endpoints()) {
 			t.Fatalf("%s: %d endpoints, want %d", service, len(revised), len(plan.Endpoints()))
 		}
-		for place, endpoint := range plan.Endpoints() {
-			if revised[place].Name != endpoint.Name {
-				t.Fatalf("%s: %s at position %d, want %s", service, revised[place].Name, place, endpoint.Name)
+		for index, endpoint := range plan.Endpoints() {
+			if revised[index].Name != endpoint.Name {
+				t.Fatalf("%s: %s at position %d, want %s", service, revised[index].Name, index, endpoint.Name)
 			}
 		}
 	}
--- a/internal/replicas/slowstart/allotment.go
+++ b/internal/replicas/slowstart/allotment.go
@@ -14,9 +14,9 @@
 
 // newAllotment returns an allotment with the given number of unused permits.
 func newAllotment(count int, until time.Time) *allotment {
-	made := &allotment{until: until}
-	made.permits.Store(int64(count))
-	return made
+	granted := &allotment{until: until}
+	granted.permits.Store(int64(count))
+	return granted
 }
 
 // take uses one permit. It returns false if none is left or the allotment has expired.
--- a/internal/replicas/slowstart/metrics.go
+++ b/internal/replicas/slowstart/metrics.go
@@ -9,12 +9,12 @@
 }
 
 func newAllotterMetrics(registry prometheus.Registerer) *allotterMetrics {
-	made := &allotterMetrics{
+	metrics := &allotterMetrics{
 		allotted: prometheus.NewCounter(prometheus.CounterOpts{Name: "pathtally_warmup_allotted_total", Help: "Requests to warming replicas that this node has allotted."}),
 		refused:  prometheus.NewCounter(prometheus.CounterOpts{Name: "pathtally_warmup_refused_total", Help: "Requests to warming replicas that this node was asked for and has not allotted."}),
 	}
-	registry.MustRegister(made.allotted, made.refused)
-	return made
+	registry.MustRegister(metrics.allotted, metrics.refused)
+	return metrics
 }
 
 // clientMetrics count the permits that this node requested, received and used.
@@ -26,12 +26,12 @@
 }
 
 func newClientMetrics(registry prometheus.Registerer) *clientMetrics {
-	made := &clientMetrics{
+	metrics := &clientMetrics{
 		warming:   prometheus.NewGauge(prometheus.GaugeOpts{Name: "pathtally_warming_replicas", Help: "Replicas that warm up, as this node knows."}),
 		requested: prometheus.NewCounter(prometheus.CounterOpts{Name: "pathtally_warmup_asked_total", Help: "Requests to warming replicas that this node has asked for."}),
 		received:  prometheus.NewCounter(prometheus.CounterOpts{Name: "pathtally_warmup_got_total", Help: "Requests to warming replicas that this node was allotted."}),
 		used:      prometheus.NewCounter(prometheus.CounterOpts{Name: "pathtally_warmup_used_total", Help: "Requests that this node has sent to warming replicas."}),
 	}
-	registry.MustRegister(made.warming, made.requested, made.received, made.used)
-	return made
+	registry.MustRegister(metrics.warming, metrics.requested, metrics.received, metrics.used)
+	return metrics
 }
--- a/internal/replicas/slowstart/model_test.go
+++ b/internal/replicas/slowstart/model_test.go
@@ -28,9 +28,9 @@
 // the limit with its number of requests, and the total number of requests.
 func firstViolation(fault injectedFault) (seed uint64, most, total int) {
 	for seed := range uint64(modelSeeds) {
-		played := newSimulation(seed, fault)
-		played.run(modelDuration)
-		for _, sent := range played.sent {
+		sim := newSimulation(seed, fault)
+		sim.run(modelDuration)
+		for _, sent := range sim.sent {
 			total += len(sent)
 			if most := maxPerSecond(sent); most > modelLimits.perSecond(modelRate) {
 				return seed, most, total
@@ -53,10 +53,10 @@
 // Guards against keeping the limit by sending almost nothing.
 func TestModelUsesRateWithoutFaults(t *testing.T) {
 	const leastShare = 0.8
-	played := newSimulation(1, injectedFault{})
-	played.calm = true
-	played.run(modelDuration)
-	for replica, sent := range played.sent {
+	sim := newSimulation(1, injectedFault{})
+	sim.calm = true
+	sim.run(modelDuration)
+	for replica, sent := range sim.sent {
 		if possible := modelRate * modelDuration.Seconds(); float64(len(sent)) < leastShare*possible {
 			t.Errorf("replica %s got %d requests, %.0f are possible", replica, len(sent), possible)
 		}
--- a/internal/replicas/slowstart/model_world_test.go
+++ b/internal/replicas/slowstart/model_world_test.go
@@ -85,13 +85,13 @@
 }
 
 func newSimulation(seed uint64, fault injectedFault) *simulation {
-	made := &simulation{fault: fault, random: rand.New(rand.NewPCG(seed, 1)), sent: map[string][]time.Duration{}}
+	created := &simulation{fault: fault, random: rand.New(rand.NewPCG(seed, 1)), sent: map[string][]time.Duration{}}
 	for range modelNodes {
-		node := &modelNode{rate: 0.97 + 0.06*made.random.Float64(), offset: time.Duration(made.random.Int64N(int64(time.Hour)))}
-		made.nodes = append(made.nodes, node)
-		made.start(node)
+		node := &modelNode{rate: 0.97 + 0.06*created.random.Float64(), offset: time.Duration(created.random.Int64N(int64(time.Hour)))}
+		created.nodes = append(created.nodes, node)
+		created.start(node)
 	}
-	return made
+	return created
 }
 
 // at returns the time of the node's clock at a simulated time.
@@ -101,26 +101,26 @@
 
 // start replaces the process of a node by a new one.
 func (s *simulation) start(node *modelNode) {
-	made := &process{simulation: s, node: node, gates: map[string]*Gate{"a": {}, "b": {}}}
+	started := &process{simulation: s, node: node, gates: map[string]*Gate{"a": {}, "b": {}}}
 	clock := func() time.Time { return node.at(s.now) }
 	quiet := klog.LoggerWithValues(klog.Background()).V(9)
-	made.allotter = NewAllotter(AllotterConfig{
-		Limits: modelLimits, Lease: made, Rate: func(string) float64 { return modelRate }, Clock: clock, Logger: quiet, Registry: prometheus.NewRegistry(),
+	started.allotter = NewAllotter(AllotterConfig{
+		Limits: modelLimits, Lease: started, Rate: func(string) float64 { return modelRate }, Clock: clock, Logger: quiet, Registry: prometheus.NewRegistry(),
 	})
 	if s.fault.shortWindow {
-		made.allotter.ledger.window = limitPeriod
+		started.allotter.ledger.window = limitPeriod
 	}
-	made.client = NewClient(ClientConfig{Clock: clock, Allotted: func() {}, Logger: quiet, Registry: prometheus.NewRegistry()})
+	started.client = NewClient(ClientConfig{Clock: clock, Allotted: func() {}, Logger: quiet, Registry: prometheus.NewRegistry()})
 	var warming []WarmingReplica
-	for replica, gate := range made.gates {
+	for replica, gate := range started.gates {
 		warming = append(warming, WarmingReplica{Replica: replica, Gate: gate, Until: clock().Add(time.Hour)})
 	}
-	made.client.SetWarming(warming, isListed)
+	started.client.SetWarming(warming, isListed)
 	if s.leaseHolder != nil && s.leaseHolder == node.process {
 		// A node does not wait for its own lease to expire.
-		s.leaseHolder, s.heldSince = made, s.now
+		s.leaseHolder, s.heldSince = started, s.now
 	}
-	node.process = made
+	node.process = started
 }
 
 // Held implements Lease.
