--- a/internal/replicas/directory/evacuation_test.go
+++ b/internal/replicas/directory/evacuation_test.go
@@ -154,9 +154,9 @@
 	closed bool
 }
 
-func (b *recordingSlowStart) SetWarming([]slowstart.WarmingReplica, func(string) bool) {
-	if endpoint := b.table.View().Endpoints["a"]; endpoint != nil {
-		b.closed = endpoint.State.Evacuated()
+func (r *recordingSlowStart) SetWarming([]slowstart.WarmingReplica, func(string) bool) {
+	if endpoint := r.table.View().Endpoints["a"]; endpoint != nil {
+		r.closed = endpoint.State.Evacuated()
 	}
 }
 
@@ -164,14 +164,14 @@
 // slow-start limits are set.
 func TestSlowStartBeforeEvacuationEnds(t *testing.T) {
 	table := NewTable("node", "a", nil, klog.Background())
-	bounded := &recordingSlowStart{table: table}
-	table.SetSlowStart(bounded)
+	recorder := &recordingSlowStart{table: table}
+	table.SetSlowStart(recorder)
 	replica := inZone("a")
 	replica.ID = "a"
 	table.SetReplicas([]*Replica{replica}, 0)
 	table.SetEvacuations([]string{"a"})
 	table.SetEvacuations(nil)
-	if !bounded.closed || table.View().Endpoints["a"].State.Evacuated() {
-		t.Errorf("evacuated when its slow-start limit was set: %v, want true, and not evacuated afterwards", bounded.closed)
+	if !recorder.closed || table.View().Endpoints["a"].State.Evacuated() {
+		t.Errorf("evacuated when its slow-start limit was set: %v, want true, and not evacuated afterwards", recorder.closed)
 	}
 }
--- a/internal/replicas/directory/usable.go
+++ b/internal/replicas/directory/usable.go
@@ -89,8 +89,8 @@
 // evacuation of its zone ended. Zero times are ignored.
 func warmUntil(known warmUp, evacuationEnded time.Time, warmUpTime time.Duration) time.Time {
 	until := known.announcedUntil
-	for _, begun := range []time.Time{known.appeared, evacuationEnded} {
-		if expected := begun.Add(warmUpTime); !begun.IsZero() && expected.After(until) {
+	for _, start := range []time.Time{known.appeared, evacuationEnded} {
+		if expected := start.Add(warmUpTime); !start.IsZero() && expected.After(until) {
 			until = expected
 		}
 	}
--- a/internal/replicas/slowstart/model_test.go
+++ b/internal/replicas/slowstart/model_test.go
@@ -52,12 +52,12 @@
 
 // Guards against keeping the limit by sending almost nothing.
 func TestModelUsesRateWithoutFaults(t *testing.T) {
-	const leastShare = 0.8
+	const minShare = 0.8
 	sim := newSimulation(1, injectedFault{})
 	sim.calm = true
 	sim.run(modelDuration)
 	for replica, sent := range sim.sent {
-		if possible := modelRate * modelDuration.Seconds(); float64(len(sent)) < leastShare*possible {
+		if possible := modelRate * modelDuration.Seconds(); float64(len(sent)) < minShare*possible {
 			t.Errorf("replica %s got %d requests, %.0f are possible", replica, len(sent), possible)
 		}
 	}
