--- a/internal/callers/dispatch/answer.go
+++ b/internal/callers/dispatch/answer.go
@@ -10,28 +10,30 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// Answer is a replica's answer with its verdict. It must be closed or discarded.
-type Answer struct {
+// Response is a replica's response with the metadata from its headers. It must be closed or
+// discarded.
+type Response struct {
 	*exchange.Response
-	Verdict  Verdict
+	Metadata ResponseMetadata
 	Endpoint *routing.Endpoint
 	ended    bool
-	// ctx is that of the attempt.
+	// ctx is the context of the attempt.
 	ctx context.Context
-	// run is what the guard learns of; nil until the answer is known to belong to the
-	// request, and again once the guard has learned the end.
-	run *Run
+	// run is the attempt whose outcome is reported to the guard. It is nil until the
+	// response has passed check, and again once the outcome has been reported.
+	run *Attempt
 }
 
-// Read implements io.Reader over the body, and reports to the guard how the run ends. An
-// end without framing is not reported, nor an error after the attempt's context ended.
-func (a *Answer) Read(buffer []byte) (int, error) {
+// Read reads from the body and reports the outcome of the attempt to the guard. It does not
+// report the end of a body without framing, which may be truncated, nor an error after the
+// context of the attempt has ended.
+func (a *Response) Read(buffer []byte) (int, error) {
 	count, err := a.Response.Read(buffer)
 	if a.run == nil {
 		return count, err
 	}
 	if count > 0 {
-		a.run.Received = true
+		a.run.BodyReceived = true
 	}
 	switch {
 	case errors.Is(err, io.EOF):
@@ -48,39 +50,42 @@
 	return count, err
 }
 
-// Close ends the answer and keeps its connection if the body was read whole.
-func (a *Answer) Close() {
+// Close closes the response. Its connection is kept for reuse if the body was read
+// completely.
+func (a *Response) Close() {
 	a.end()
 	a.Response.Close()
 }
 
-// Discard ends the answer and closes its connection.
-func (a *Answer) Discard() {
+// Discard closes the response and its connection.
+func (a *Response) Discard() {
 	a.end()
 	a.Response.Discard()
 }
 
-// end takes the answer off the endpoint's open dispatches, once.
-func (a *Answer) end() {
+// end decrements the endpoint's number of requests in flight, once.
+func (a *Response) end() {
 	if !a.ended {
 		a.ended = true
 		a.Endpoint.State.InFlight.Add(-1)
 	}
 }
 
-// check returns an *exchange.BrokenError for an answer of another request or without a
-// signature, and a *NotRunError for a replica's promise.
-func (a *Answer) check(call *Call) error {
-	if a.Verdict.RequestID != call.ID {
+// check validates the head of the response. It returns an *exchange.BrokenError if the
+// response belongs to another request or is a success without a signature, and a
+// *NotRunError if the replica states that it did not run the request. After an error the
+// response is closed.
+func (a *Response) check(call *Call) error {
+	if a.Metadata.RequestID != call.ID {
 		a.Endpoint.State.Failures.Add(1)
 		a.Discard()
-		return &exchange.BrokenError{Address: a.Endpoint.Address, Cause: ErrForeignAnswer}
+		return &exchange.BrokenError{Address: a.Endpoint.Address, Cause: ErrResponseMismatch}
 	}
-	if a.Verdict.NotRun {
+	if a.Metadata.NotRun {
 		a.drain()
-		return &NotRunError{Replica: a.Endpoint.Name, Status: a.Status, OtherReplica: a.Verdict.OtherReplica}
+		return &NotRunError{Replica: a.Endpoint.Name, Status: a.Status, AddressReassigned: a.Metadata.AddressReassigned}
 	}
-	if a.Status >= http.StatusOK && a.Status < http.StatusMultipleChoices && !a.Verdict.Signed {
+	if a.Status >= http.StatusOK && a.Status < http.StatusMultipleChoices && !a.Metadata.Signed {
 		a.Endpoint.State.Failures.Add(1)
 		a.Discard()
 		return &exchange.BrokenError{Address: a.Endpoint.Address, Cause: ErrUnsigned}
@@ -88,11 +93,11 @@
 	return nil
 }
 
-// maxDrainBytes bounds what is read of a refusal to keep its connection.
+// maxDrainBytes is the maximum number of bytes of a body read to reuse its connection.
 const maxDrainBytes = 2 << 10
 
-// drain reads a short body, so that the connection can be kept, and closes the answer.
-func (a *Answer) drain() {
+// drain reads a short body, so that its connection can be reused, and closes the response.
+func (a *Response) drain() {
 	buffer := make([]byte, maxDrainBytes)
 	for read := 0; read < maxDrainBytes; {
 		count, err := a.Read(buffer)
--- a/internal/duties/usage/clock_test.go
+++ b/internal/duties/usage/clock_test.go
@@ -7,7 +7,8 @@
 	"k8s.io/klog/v2"
 )
 
-// clockAt returns a clock that took an instant for true time, and the instant.
+// clockAt returns a clock that starts at 1,000,000 s since the Unix epoch, and the reading of
+// the monotonic clock at its start.
 func clockAt() (*Clock, time.Time) {
 	start := time.Now()
 	return newClockAt(start, time.Unix(1_000_000, 0), klog.Background()), start
@@ -22,7 +23,7 @@
 			if second >= 5 && second < 15 {
 				timeOfDay = timeOfDay.Add(step)
 			}
-			clock.Compare(start.Add(passed), timeOfDay)
+			clock.SyncToWallClock(start.Add(passed), timeOfDay)
 			if got := clock.Unix(start.Add(passed)) - 1_000_000*time.Second; got != passed {
 				t.Fatalf("step of %s: %s after %s", step, got, passed)
 			}
@@ -35,7 +36,7 @@
 	const step = 3 * time.Second
 	for second := range 120 {
 		passed := time.Duration(second) * time.Second
-		clock.Compare(start.Add(passed), time.Unix(1_000_000, 0).Add(passed+step))
+		clock.SyncToWallClock(start.Add(passed), time.Unix(1_000_000, 0).Add(passed+step))
 	}
 	if got := clock.Unix(start) - 1_000_000*time.Second; got != step {
 		t.Errorf("moved by %s, want %s", got, step)
@@ -46,8 +47,8 @@
 	clock, start := clockAt()
 	for second := range 200 {
 		passed := time.Duration(second) * time.Second
-		// Two thousandths too slow.
-		clock.Compare(start.Add(passed), time.Unix(1_000_000, 0).Add(passed+passed/500))
+		// The monotonic clock is too slow by 0.2 %.
+		clock.SyncToWallClock(start.Add(passed), time.Unix(1_000_000, 0).Add(passed+passed/500))
 	}
 	behind := 200*time.Second/500 - (clock.Unix(start) - 1_000_000*time.Second)
 	if behind.Abs() > 10*time.Millisecond {
--- a/internal/duties/usage/progress.go
+++ b/internal/duties/usage/progress.go
@@ -2,12 +2,12 @@
 
 import "github.com/pathtally/pathtally/internal/wire"
 
-// Done returns the newest window up to which all have been reported or given up, 0
-// while none is known.
-func (s *Service) Done() int64 { return s.done.Load() }
+// CompletedThrough returns the newest window up to which all windows have been reported or given up, 0
+// if none is known.
+func (s *Service) CompletedThrough() int64 { return s.done.Load() }
 
-// ObserveDone takes the newest window up to which another node has reported all.
-func (s *Service) ObserveDone(number int64) {
+// ObserveCompleted records that all windows up to a given one have been reported or given up.
+func (s *Service) ObserveCompleted(number int64) {
 	for {
 		known := s.done.Load()
 		if number <= known || s.done.CompareAndSwap(known, number) {
@@ -16,29 +16,29 @@
 	}
 }
 
-// FillHeartbeat adds to a heartbeat up to which window all have been reported.
-func (s *Service) FillHeartbeat(heartbeat *wire.NodeBeat) { heartbeat.UsageDone = s.Done() }
+// FillHeartbeat adds this node's knowledge of the completed windows to a heartbeat.
+func (s *Service) FillHeartbeat(heartbeat *wire.NodeBeat) { heartbeat.UsageDone = s.CompletedThrough() }
 
-// ReceiveHeartbeat learns from a heartbeat which windows have been reported, and drops old
-// windows.
+// ReceiveHeartbeat records the completed windows of a heartbeat, and drops the counts that
+// are no longer needed.
 func (s *Service) ReceiveHeartbeat(heartbeat *wire.NodeBeat) {
-	if heartbeat.UsageDone <= s.Done() {
+	if heartbeat.UsageDone <= s.CompletedThrough() {
 		return
 	}
-	s.ObserveDone(heartbeat.UsageDone)
+	s.ObserveCompleted(heartbeat.UsageDone)
 	s.forgetSettled(heartbeat.UsageDone)
 }
 
-// finish ends the work on a window and forgets what is no longer needed.
+// finish completes a window with an outcome, and drops the counts that are no longer needed.
 func (s *Service) finish(number int64, outcome string) {
 	s.metrics.reports.WithLabelValues(outcome).Inc()
-	s.ObserveDone(number)
+	s.ObserveCompleted(number)
 	s.config.HeartbeatSoon()
 	s.forgetSettled(number)
 }
 
-// forgetSettled drops the counts of windows that have left the ledger, once all windows up
-// to one are done.
+// forgetSettled drops the counts of windows that the ledger no longer holds, given the newest
+// completed window.
 func (s *Service) forgetSettled(done int64) {
 	before := done - maxSettledWindows
 	s.collector.forget(before)
--- a/internal/replicas/slowstart/model_world_test.go
+++ b/internal/replicas/slowstart/model_world_test.go
@@ -123,8 +123,8 @@
 	node.process = started
 }
 
-// Held implements Lease.
-func (p *process) Held() (time.Time, bool) {
+// HeldSince implements Lease.
+func (p *process) HeldSince() (time.Time, bool) {
 	if p.simulation.fault.allotsImmediately {
 		return time.Time{}, p.holdsLease()
 	}
@@ -133,11 +133,11 @@
 
 func (p *process) holdsLease() bool { return p.simulation.leaseHolder == p && p.simulation.leaseValid }
 
-// Ready implements Lease. The simulation assigns the lease itself.
-func (p *process) Ready(context.Context, string) (bool, time.Duration) { return p.holdsLease(), 0 }
+// EnsureHeld implements Lease. The simulation assigns the lease itself.
+func (p *process) EnsureHeld(context.Context, string) (bool, time.Duration) { return p.holdsLease(), 0 }
 
-// Idle implements Lease.
-func (p *process) Idle(string) {}
+// MarkIdle implements Lease.
+func (p *process) MarkIdle(string) {}
 
 // run advances the simulation until the time span.
 func (s *simulation) run(span time.Duration) {
@@ -268,8 +268,8 @@
 // permanentLease is a lease that is always held.
 type permanentLease struct{ *process }
 
-// Held implements Lease.
-func (permanentLease) Held() (time.Time, bool) { return time.Time{}, true }
+// HeldSince implements Lease.
+func (permanentLease) HeldSince() (time.Time, bool) { return time.Time{}, true }
 
 // send makes a process use all its permits at random times, so that they are used in bursts.
 func (s *simulation) send(from *process, burst bool) {
