--- a/internal/replicas/directory/table_test.go
+++ b/internal/replicas/directory/table_test.go
@@ -225,14 +225,14 @@
 		store.Write("servers", "one", ready("s"))
 		store.unresponsive.Store(true)
 		table := NewTable("node", "zone", nil, klog.Background())
-		regained := make(chan struct{})
+		recovered := make(chan struct{})
 		informer := watchcache.NewInformer(store, "servers", ReplicaSink{Table: table, Decoder: jsonDecoder{}, KeepMissing: func() time.Duration { return keepMissing }}, klog.Background())
-		informer.Recovered = func() <-chan struct{} { return regained }
+		informer.Recovered = func() <-chan struct{} { return recovered }
 		go informer.Run(ctx)
 		settle(time.Second)
 		store.unresponsive.Store(false)
-		close(regained)
-		regained = make(chan struct{})
+		close(recovered)
+		recovered = make(chan struct{})
 		draining := ready("s")
 		draining.State = ReplicaDraining
 		store.Write("servers", "one", draining)
