--- a/internal/duties/lease/lease_test.go
+++ b/internal/duties/lease/lease_test.go
@@ -57,8 +57,8 @@
 	})
 }
 
-// A successor that waits from an earlier write than the last one would call at the same time
-// as the holder.
+// A successor that measures its wait from an earlier write than the last one would send calls
+// at the same time as the holder.
 func TestSuccessorWaitsFromLastWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := metastore.New()
@@ -85,7 +85,8 @@
 	})
 }
 
-// A holder that was paused for the send window would call after another node took over.
+// A holder that resumes after a pause must not send calls, since another node may have taken
+// over.
 func TestPausedHolderLosesLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lease := newLease("one", metastore.New())
@@ -97,7 +98,7 @@
 	})
 }
 
-// A write that is applied late must not be taken for a later renewal.
+// A write that is applied late must not be mistaken for a later renewal.
 func TestUnansweredWriteIsReread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := metastore.New()
--- a/internal/duties/usage/service_test.go
+++ b/internal/duties/usage/service_test.go
@@ -107,7 +107,7 @@
 		to := n.network.get(address)
 		if to == nil {
 			time.Sleep(timeout)
-			done(nil, merry.New("no answer"))
+			done(nil, merry.New("no reply"))
 			return
 		}
 		done(to.service.ReceivePush(message.(*wire.UsagePush)), nil)
