--- a/internal/jobs/batch/accept.go
+++ b/internal/jobs/batch/accept.go
@@ -7,55 +7,56 @@
 	"time"
 )
 
-// backgroundTimeout bounds how long a submission whose outcome is uncertain is retried
-// after its caller has been answered.
+// backgroundTimeout bounds the retries of a submission, or of an end, after its caller
+// has been answered.
 const backgroundTimeout = 30 * time.Second
 
-// acceptance is a submission on its way into the store.
+// acceptance is a submission that is being written to the store.
 type acceptance struct {
-	// tenant is whose submission it is.
+	// tenant is the tenant that submitted the job.
 	tenant string
 	done   chan struct{}
 	err    error
 }
 
-// Submit stores a batch job and has it run, by the node that runs the jobs of its model if
-// that one answers. A nil error means that the job is stored; a *jobstore.NotAcceptedError
-// that nothing of it will run; ErrOtherTenant that the id is another tenant's job's; a
-// *jobstore.AcceptanceUnknownError promises nothing. A job is accepted once, whoever submits it
-// again.
-func (s *Service) Submit(ctx context.Context, arrival *Arrival) error {
-	if s.isKnown(arrival.ID) {
-		return s.authorizeArrival(ctx, arrival)
-	}
-	if err := s.checkHomes(originOf(s.recordOf(arrival))); err != nil {
+// Submit stores a batch job and has it run, if possible by the node that runs the jobs of
+// its model. Submitting an id again is safe: a job is accepted once.
+//
+// It returns nil once the job is stored, a *jobstore.NotAcceptedError if the job is not
+// stored and will not run, ErrOtherTenant if another tenant's job has the id, and a
+// *jobstore.AcceptanceUnknownError if the outcome is unknown.
+func (s *Service) Submit(ctx context.Context, request *SubmitRequest) error {
+	if s.isKnown(request.ID) {
+		return s.authorizeResubmission(ctx, request)
+	}
+	if err := s.checkReplicas(originOf(s.recordOf(request))); err != nil {
 		return err
 	}
-	accepted, runnerErr := s.submitToRunner(ctx, arrival)
+	accepted, runnerErr := s.submitToRunner(ctx, request)
 	if accepted {
 		return nil
 	}
-	err := s.submitHere(ctx, arrival)
+	err := s.submitLocally(ctx, request)
 	if _, notTaken := err.(*jobstore.NotAcceptedError); notTaken && runnerErr != nil {
 		return &jobstore.AcceptanceUnknownError{Cause: runnerErr}
 	}
 	return err
 }
 
-// isKnown tells whether a batch job is known to be stored.
+// isKnown reports whether this node knows that a job is stored.
 func (s *Service) isKnown(id string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.jobs[id] != nil || s.remoteJobs[id] != nil
 }
 
-// submitHere stores a batch job and runs it on this node.
-func (s *Service) submitHere(ctx context.Context, arrival *Arrival) error {
-	if s.isKnown(arrival.ID) {
-		return s.authorizeArrival(ctx, arrival)
+// submitLocally stores a batch job and runs it on this node.
+func (s *Service) submitLocally(ctx context.Context, request *SubmitRequest) error {
+	if s.isKnown(request.ID) {
+		return s.authorizeResubmission(ctx, request)
 	}
-	pending := s.beginAcceptance(ctx, arrival)
-	if pending.tenant != arrival.Tenant {
+	pending := s.startAcceptance(ctx, request)
+	if pending.tenant != request.Tenant {
 		return ErrOtherTenant
 	}
 	select {
@@ -66,33 +67,32 @@
 	}
 }
 
-// beginAcceptance returns the acceptance of a job that is under way, or begins
-// one.
-func (s *Service) beginAcceptance(ctx context.Context, arrival *Arrival) *acceptance {
+// startAcceptance returns the pending acceptance of a job, or starts one.
+func (s *Service) startAcceptance(ctx context.Context, request *SubmitRequest) *acceptance {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if pending := s.accepting[arrival.ID]; pending != nil {
+	if pending := s.acceptances[request.ID]; pending != nil {
 		return pending
 	}
-	pending := &acceptance{tenant: arrival.Tenant, done: make(chan struct{})}
-	s.accepting[arrival.ID] = pending
+	pending := &acceptance{tenant: request.Tenant, done: make(chan struct{})}
+	s.acceptances[request.ID] = pending
 	deadline, bounded := ctx.Deadline()
 	if !bounded {
 		deadline = time.Now().Add(backgroundTimeout)
 	}
-	go s.accept(pending, deadline, arrival)
+	go s.accept(pending, deadline, request)
 	return pending
 }
 
-// accept writes a submission, first within the caller's time and then, if it
-// is uncertain, beyond it.
-func (s *Service) accept(pending *acceptance, deadline time.Time, arrival *Arrival) {
+// accept writes a submission to the store. If the outcome is unknown at the caller's
+// deadline, the caller is answered and the write is retried in the background.
+func (s *Service) accept(pending *acceptance, deadline time.Time, request *SubmitRequest) {
 	ctx, cancel := context.WithDeadline(s.base, deadline)
 	defer cancel()
-	id, began := arrival.ID, time.Now()
-	record := s.recordOf(arrival)
-	ctx = s.within(ctx, record)
-	stored, made, err := s.config.JobStore.Accept(ctx, id, record, arrival.Payload)
+	id, began := request.ID, time.Now()
+	record := s.recordOf(request)
+	ctx = s.withRegionBounds(ctx, record)
+	stored, created, err := s.config.JobStore.Accept(ctx, id, record, request.Payload)
 	if err == nil && stored.Tenant != record.Tenant {
 		err = ErrOtherTenant
 	}
@@ -102,19 +102,19 @@
 		close(pending.done)
 		longer, cancelLonger := context.WithTimeout(s.base, backgroundTimeout)
 		defer cancelLonger()
-		stored, made, err = s.config.JobStore.Accept(s.within(longer, record), id, record, arrival.Payload)
+		stored, created, err = s.config.JobStore.Accept(s.withRegionBounds(longer, record), id, record, request.Payload)
 	} else {
 		defer close(pending.done)
 	}
-	s.endAcceptance(arrival, stored, made, began, err)
+	s.finishAcceptance(request, stored, created, began, err)
 }
 
-// endAcceptance starts an accepted job that is this process's, and records one that is
-// another's.
-func (s *Service) endAcceptance(arrival *Arrival, stored jobstore.Record, made bool, began time.Time, err error) {
-	id := arrival.ID
+// finishAcceptance starts an accepted job if this process owns it, and otherwise records
+// its owner.
+func (s *Service) finishAcceptance(request *SubmitRequest, stored jobstore.Record, created bool, began time.Time, err error) {
+	id := request.ID
 	s.mutex.Lock()
-	delete(s.accepting, id)
+	delete(s.acceptances, id)
 	own := err == nil && stored.Owner == s.config.Self
 	if err == nil && !own {
 		s.learnStored(jobstore.StoredJob{ID: id, Record: stored})
@@ -124,35 +124,35 @@
 		s.config.Logger.Info("batch job not accepted", "request", id, "error", err.Error())
 		return
 	}
-	s.config.Logger.Info("batch job accepted", "request", id, "owner", stored.Owner.Node, "items", len(arrival.Submission.Items),
-		"bytes", len(arrival.Payload), "tenant", stored.Tenant)
+	s.config.Logger.Info("batch job accepted", "request", id, "owner", stored.Owner.Node, "items", len(request.Submission.Items),
+		"bytes", len(request.Payload), "tenant", stored.Tenant)
 	switch {
-	case own && made && time.Since(began) < maxPromptAcceptance:
-		s.start(id, arrival.Submission, stored, jobstore.Listing{}, began)
+	case own && created && time.Since(began) < maxPromptAcceptance:
+		s.start(id, request.Submission, stored, jobstore.Listing{}, began)
 	case own:
-		// An earlier try made it, it was run here and forgotten, or it may have been
-		// taken over while the answer was on its way.
+		// The record is not known to be current: an earlier attempt created it, the job
+		// was run here and evicted, or it may have been taken over meanwhile.
 		go s.resume(id)
 	}
 }
 
-// recordOf is the record of a job that this node accepts.
-func (s *Service) recordOf(arrival *Arrival) jobstore.Record {
+// recordOf returns the record of a job that this node accepts.
+func (s *Service) recordOf(request *SubmitRequest) jobstore.Record {
 	return jobstore.Record{
-		Owner: s.config.Self, Epoch: 1, Route: arrival.Route, Host: arrival.Host, Tenant: arrival.Tenant, EntryRegion: arrival.Entry,
-		ScorerRoutes: s.scorersOf(arrival.Submission), Items: len(arrival.Submission.Items), AcceptedMs: time.Now().UnixMilli(),
+		Owner: s.config.Self, Epoch: 1, Route: request.Route, Host: request.Host, Tenant: request.Tenant, EntryRegion: request.Entry,
+		ScorerRoutes: s.scorersOf(request.Submission), Items: len(request.Submission.Items), AcceptedMs: time.Now().UnixMilli(),
 	}
 }
 
-// maxPromptAcceptance is how long an acceptance may take for its record to be unchanged
-// since: nobody takes a job over before its owner has been silent for as long.
+// maxPromptAcceptance is the longest acceptance after which the record is known to be
+// unchanged: no node takes a job over before its owner has been silent for this long.
 const maxPromptAcceptance = ownership.OwnerTimeout
 
-// resume continues a job of this process that it does not hold, unless the job has ended.
+// resume loads and starts an open job that this process owns but does not have in memory.
 func (s *Service) resume(id string) {
 	stored, err := s.config.JobStore.Read(s.base, id)
 	if err != nil {
-		// It is taken over like any job whose owner is silent.
+		// The job is taken over like any other whose owner sends no heartbeats.
 		s.mutex.Lock()
 		s.learnRemote(id, s.config.Self, 0, false)
 		s.mutex.Unlock()
--- a/internal/jobs/batch/ended_owner_test.go
+++ b/internal/jobs/batch/ended_owner_test.go
@@ -8,30 +8,20 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// Symptom: a node that is in touch shows fewer results of an ended job than were
-// read at another one, for a minute and a half or for as long as its process lives.
-//
-// Sequence: the owner of a job is cut off; a successor takes the job over and lists
-// results, which are read; an end of the job reaches the former owner before that
-// one has looked up who owns the job; then the way is well again. The store takes
-// that end at once, or does not answer and the caller repeats the end at the
-// successor.
-//
-// Cause: a job that was ended here counts as settled. Nobody looks up any more who
-// owns it, word of the end from another node finds it ended and is dropped, and what
-// was held when the job was ended is shown from then on.
-func TestAnEndAtAFormerOwnerDoesNotMakeItsOldResultsStand(t *testing.T) {
+// Guards against a former owner that serves its outdated results of a job because the job
+// was ended there before it learned of its successor.
+func TestEndAtFormerOwnerServesNewResults(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// down are the calls that the store refuses until the way is well again.
+		// down are the store calls that fail until the partition heals.
 		down []string
 	}{
-		{"the store takes the end", []string{"get"}},
-		{"the end is repeated at the successor", []string{"get", "status"}},
+		{"store accepts the end", []string{"get"}},
+		{"end repeated at the successor", []string{"get", "status"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			engine := heldEngine(t)
-			cluster, former, successor := displacedOwner(t, engine)
+			engine := newHoldingEngine(t)
+			cluster, former, successor := newSupersededOwner(t, engine)
 			former.mutex.Lock()
 			held := former.jobs["job"]
 			former.mutex.Unlock()
@@ -46,29 +36,30 @@
 				}
 				return metastore.Sound
 			})
-			// What the former owner runs finishes neither here nor there.
+			// The former owner's runs must not finish.
 			held.cancel()
 			engine.release()
 			listed := cluster.readAll(successor, "job", 6)
 			ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 			defer cancel()
-			failed := former.End(ctx, "job")
+			endErr := former.End(ctx, "job")
 			cluster.store.SetFault(nil)
-			cluster.setCut("node-0", false)
-			if failed != nil {
+			cluster.setDisconnected("node-0", false)
+			if endErr != nil {
 				if err := successor.End(context.Background(), "job"); err != nil {
 					t.Fatal(err)
 				}
 			}
-			// Longer than a node that has been cut off may take to be in touch.
-			shown := 0
-			for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && shown < len(listed); time.Sleep(20 * time.Millisecond) {
+			// This allows the former owner more time than it may take to learn of its
+			// successor.
+			returned := 0
+			for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && returned < len(listed); time.Sleep(20 * time.Millisecond) {
 				if page, err := former.Read(context.Background(), "job", 0, 0); err == nil {
-					shown = len(page.Results)
+					returned = len(page.Results)
 				}
 			}
-			if shown < len(listed) {
-				t.Errorf("five seconds after the way is well again the former owner shows %d results, %d had been read", shown, len(listed))
+			if returned < len(listed) {
+				t.Errorf("five seconds after it is connected again the former owner returns %d results, %d were read before", returned, len(listed))
 			}
 		})
 	}
--- a/internal/jobs/batch/leave.go
+++ b/internal/jobs/batch/leave.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	// leaveSaveTimeout bounds the wait for texts and ends to be stored before jobs are
-	// given away, and leavePollInterval is the time between checks of it.
+	// leaveSaveTimeout bounds the wait for texts and ends to be stored before the jobs
+	// are handed over, and leavePollInterval is the time between checks.
 	leaveSaveTimeout  = time.Second
 	leavePollInterval = 10 * time.Millisecond
 )
 
-// Leave gives the jobs of this node away: others take them over at once, with
-// the texts so far.
+// Leave hands the open jobs of this node over: it saves their texts and announces that
+// the node is leaving, so that others take the jobs over without waiting for a timeout.
 func (s *Service) Leave() {
 	s.flushTexts()
 	for began := time.Now(); s.isSaving() && time.Since(began) < leaveSaveTimeout; {
@@ -20,12 +20,12 @@
 	s.leaving = true
 	s.logJobsWithoutSuccessor()
 	s.mutex.Unlock()
-	s.config.Table.Announce(s.nodesKnowingOpenJobs())
+	s.config.PeerTable.Announce(s.locatorsOfOpenJobs())
 }
 
-// nodesKnowingOpenJobs names the nodes that know of open jobs here. Those that would offer
-// this node a job learn from its answer that it leaves.
-func (s *Service) nodesKnowingOpenJobs() []string {
+// locatorsOfOpenJobs returns the locators of the open jobs of this node. Nodes that
+// would offer this node a job learn that it is leaving from its reply.
+func (s *Service) locatorsOfOpenJobs() []string {
 	var open []string
 	s.mutex.Lock()
 	for id, held := range s.jobs {
@@ -34,24 +34,24 @@
 		}
 	}
 	s.mutex.Unlock()
-	var concerned []string
+	var locators []string
 	for _, id := range open {
-		concerned = append(concerned, s.locatorsOf(id)...)
+		locators = append(locators, s.locatorsOf(id)...)
 	}
-	return concerned
+	return locators
 }
 
-// flushTexts has the texts of running items saved now.
+// flushTexts makes the publishers save the texts of running items now.
 func (s *Service) flushTexts() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, held := range s.jobs {
-		held.textsSaved, held.flushSoon = time.Time{}, true
-		held.flushLater()
+		held.textsSavedAt, held.flushSoon = time.Time{}, true
+		held.requestFlush()
 	}
 }
 
-// isSaving tells whether texts or ends are on their way into the store.
+// isSaving reports whether texts or ends are still to be stored.
 func (s *Service) isSaving() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -59,7 +59,7 @@
 		return true
 	}
 	for _, held := range s.jobs {
-		if held.open() && held.textsSaved.IsZero() && len(held.unsavedTexts(false)) > 0 {
+		if held.open() && held.textsSavedAt.IsZero() && len(held.unsavedTexts(false)) > 0 {
 			return true
 		}
 		if held.saving {
--- a/internal/jobs/batch/rank.go
+++ b/internal/jobs/batch/rank.go
@@ -6,19 +6,19 @@
 	"github.com/pathtally/pathtally/internal/jobs/ownership"
 )
 
-// takeoverDelay returns how long to wait after the owner's last heartbeat before taking
-// over its job. The mutex must be held.
+// takeoverDelay returns how long this node waits after the owner's last heartbeat before
+// taking over its job. The mutex must be held.
 func (s *Service) takeoverDelay(id string, remote *remoteJob) time.Duration {
-	return ownership.Delay(s.conditionOf(remote), s.cachedRank(id, remote))
+	return ownership.Delay(s.ownerCondition(remote), s.cachedRank(id, remote))
 }
 
-// conditionOf is what is known of a job's owner besides its heartbeats. The mutex must be
-// held.
-func (s *Service) conditionOf(remote *remoteJob) ownership.OwnerCondition {
+// ownerCondition returns what is known of a job's owner besides its heartbeats. The mutex
+// must be held.
+func (s *Service) ownerCondition(remote *remoteJob) ownership.OwnerCondition {
 	if remote.owner.Node == s.config.Self.Node {
 		return ownership.OwnerPreviousProcess
 	}
-	peer, known := s.config.Table.Get(remote.owner.Node)
+	peer, known := s.config.PeerTable.Get(remote.owner.Node)
 	switch {
 	case remote.leaving:
 		return ownership.OwnerLeaving
@@ -28,26 +28,26 @@
 	return ownership.OwnerRunning
 }
 
-// rank is this node's place among those that may take a job over, ownership.Unranked where
-// it may not. The mutex must be held.
+// rank returns this node's rank among those that may take a job over, ownership.Unranked
+// if it may not. The mutex must be held.
 func (s *Service) rank(id string, remote *remoteJob) int {
-	nodes, owner := s.insiders(remote.origin, s.config.Table.NodeNames()), remote.owner.Node
+	nodes, owner := s.allowedNodes(remote.origin, s.config.PeerTable.NodeNames()), remote.owner.Node
 	if owner == s.config.Self.Node {
 		owner = ""
 	}
 	successors := ownership.Successors(nodes, owner)
 	if len(successors) == 0 {
-		s.logWaiting(id, remote)
+		s.logNoSuccessor(id, remote)
 	}
 	return ownership.Rank(id, successors, s.config.Self.Node)
 }
 
-// cachedRank is this node's rank for a job, worked out anew when the nodes, the
-// configuration or the owner change. The mutex must be held.
+// cachedRank returns this node's rank for a job. It is computed again when the nodes, the
+// configuration, the owner or the job's origin change. The mutex must be held.
 func (s *Service) cachedRank(id string, remote *remoteJob) int {
-	membership, configuration := s.config.Table.MembershipVersion()+1, s.config.Directory.View().Configuration
-	if remote.membership != membership || remote.rankedIn != configuration {
-		remote.rank, remote.membership, remote.rankedIn = s.rank(id, remote), membership, configuration
+	membership, configuration := s.config.PeerTable.MembershipVersion()+1, s.config.Directory.View().Configuration
+	if remote.rankMembership != membership || remote.rankConfiguration != configuration {
+		remote.rank, remote.rankMembership, remote.rankConfiguration = s.rank(id, remote), membership, configuration
 	}
 	return remote.rank
 }
