--- a/internal/callers/dispatch/call.go
+++ b/internal/callers/dispatch/call.go
@@ -37,10 +37,11 @@
 	Metered bool
 	// Purpose labels the connection metrics; empty means exchange.PurposeLive.
 	Purpose exchange.Purpose
-	// EnginePriority is the scheduling priority at the replica's engine: 1 is the most urgent, 0
-	// means the replica's default.
+	// EnginePriority is the scheduling priority at the replica's engine: 1 is the most urgent,
+	// 0 means the replica's default.
 	EnginePriority int
 }
 
-// EnginePriorityOf converts a route's priority, of which 0 is the most urgent, to a Rank.
+// EnginePriorityOf converts a route's priority, of which 0 is the most urgent, to an
+// EnginePriority.
 func EnginePriorityOf(priority int) int { return 1 + max(0, priority) }
--- a/internal/replicas/slowstart/model_test.go
+++ b/internal/replicas/slowstart/model_test.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	modelSeeds = 60
-	modelSpan  = 30 * time.Second
+	modelSeeds    = 60
+	modelDuration = 30 * time.Second
 )
 
-// busiest returns the largest number of requests sent in any second.
-func busiest(sent []time.Duration) int {
+// maxPerSecond returns the largest number of requests sent in any second.
+func maxPerSecond(sent []time.Duration) int {
 	sorted := slices.Sorted(slices.Values(sent))
 	most, first := 0, 0
 	for last, at := range sorted {
@@ -24,15 +24,15 @@
 	return most
 }
 
-// overrun runs the simulation for each seed. It returns the first seed that exceeds the limit
-// with its number of requests, and the total number of requests.
-func overrun(fault planted) (seed uint64, most, total int) {
+// firstViolation runs the simulation for each seed. It returns the first seed that exceeds
+// the limit with its number of requests, and the total number of requests.
+func firstViolation(fault injectedFault) (seed uint64, most, total int) {
 	for seed := range uint64(modelSeeds) {
-		played := newWorld(seed, fault)
-		played.run(modelSpan)
-		for _, sent := range played.sent {
+		sim := newSimulation(seed, fault)
+		sim.run(modelDuration)
+		for _, sent := range sim.sent {
 			total += len(sent)
-			if most := busiest(sent); most > worldLimits.perSecond(worldRate) {
+			if most := maxPerSecond(sent); most > modelLimits.perSecond(modelRate) {
 				return seed, most, total
 			}
 		}
@@ -42,42 +42,42 @@
 
 // Simulates several nodes with real ledgers, clients and gates. Guards against exceeding the
 // limit under message delays, losses, and changes of the lease holder.
-func TestNoSecondHasMoreThanTheBound(t *testing.T) {
-	seed, most, total := overrun(planted{})
+func TestModelKeepsLimit(t *testing.T) {
+	seed, most, total := firstViolation(injectedFault{})
 	if most > 0 {
-		t.Errorf("seed %d: %d requests in a second", seed, most)
+		t.Errorf("seed %d: %d requests in one second", seed, most)
 	}
 	t.Logf("%d requests", total)
 }
 
 // Guards against keeping the limit by sending almost nothing.
-func TestACalmDeploymentUsesMostOfTheRate(t *testing.T) {
-	const leastShare = 0.8
-	played := newWorld(1, planted{})
-	played.calm = true
-	played.run(modelSpan)
-	for replica, sent := range played.sent {
-		if possible := worldRate * modelSpan.Seconds(); float64(len(sent)) < leastShare*possible {
-			t.Errorf("replica %s got %d requests of %.0f", replica, len(sent), possible)
+func TestModelUsesRateWithoutFaults(t *testing.T) {
+	const minShare = 0.8
+	sim := newSimulation(1, injectedFault{})
+	sim.calm = true
+	sim.run(modelDuration)
+	for replica, sent := range sim.sent {
+		if possible := modelRate * modelDuration.Seconds(); float64(len(sent)) < minShare*possible {
+			t.Errorf("replica %s got %d requests, %.0f are possible", replica, len(sent), possible)
 		}
 	}
 }
 
-func TestTheModelFindsPlantedFaults(t *testing.T) {
-	for _, fault := range []planted{
-		{name: "span counted from the answer", fromAnswer: true},
-		{name: "new holder allots at once", atOnce: true},
-		{name: "ledger is lost while the lease is held", forgets: true},
-		{name: "former holders go on", twice: true},
-		{name: "allotments that have run out are used", unused: true},
-		{name: "ledger counts one second alone", short: true},
+func TestModelDetectsInjectedFaults(t *testing.T) {
+	for _, fault := range []injectedFault{
+		{name: "permit lifetime counted from the reply", lifetimeFromReply: true},
+		{name: "new holder allots immediately", allotsImmediately: true},
+		{name: "ledger lost while the lease is held", losesLedger: true},
+		{name: "previous holders continue to allot", previousHolderAllots: true},
+		{name: "expired permits are used", usesExpired: true},
+		{name: "ledger window too short", shortWindow: true},
 	} {
 		t.Run(fault.name, func(t *testing.T) {
-			seed, most, _ := overrun(fault)
+			seed, most, _ := firstViolation(fault)
 			if most == 0 {
-				t.Error("was not found")
+				t.Error("fault was not detected")
 			}
-			t.Logf("seed %d: %d requests in a second", seed, most)
+			t.Logf("seed %d: %d requests in one second", seed, most)
 		})
 	}
 }
