--- a/internal/instance/messages.go
+++ b/internal/instance/messages.go
@@ -33,7 +33,7 @@
 			return
 		}
 	}
-	if !p.jobs.Answer(message, reply) {
+	if !p.jobs.HandleMessage(message, reply) {
 		reply(&wire.Failure{Detail: "unknown message"})
 	}
 }
--- a/internal/jobs/batch/harness_test.go
+++ b/internal/jobs/batch/harness_test.go
@@ -210,7 +210,7 @@
 		reply(n.table.HandleJoin(heartbeat))
 		return
 	}
-	n.Answer(message, reply)
+	n.HandleMessage(message, reply)
 }
 
 // gate delays calls of one verb on one kind of object: a read before it is made, a create
--- a/internal/jobs/batch/answers.go
+++ b/internal/jobs/batch/messages.go
@@ -7,9 +7,9 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// Answer handles another node's request about a batch job. It returns false for messages
-// of other kinds.
-func (s *Service) Answer(message wire.Message, reply func(wire.Message)) bool {
+// HandleMessage handles another node's request about a batch job. It returns false for
+// messages of other kinds.
+func (s *Service) HandleMessage(message wire.Message, reply func(wire.Message)) bool {
 	switch request := message.(type) {
 	case *wire.JobRead:
 		reply(s.handleRead(request))
