--- a/internal/callers/ingress/authenticate.go
+++ b/internal/callers/ingress/authenticate.go
@@ -11,29 +11,28 @@
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
-// unknownKeyTrustAge is the age of the configuration up to which a node says that a key
-// is unknown: an older one may lack a key that has been declared since.
-const unknownKeyTrustAge = 2 * time.Second
+// maxAgeForUnknownKey is the maximum age of the configuration at which a node reports a key
+// as unknown. An older configuration may lack a key that was declared since.
+const maxAgeForUnknownKey = 2 * time.Second
 
-// errUnprovenKey means that the configuration is too old to accept or deny a key.
-var errUnprovenKey = merry.Sentinel("the configuration is too old to tell whose key it is")
+// errStaleConfiguration means that the configuration is too old to accept or reject a key.
+var errStaleConfiguration = merry.Sentinel("the configuration is too old to tell whose key it is")
 
-// unauthenticatedError is a request whose caller is not known.
+// unauthenticatedError reports that the caller of a request could not be authenticated.
 type unauthenticatedError struct {
-	// cause is errUnprovenKey or an error of package tenancy.
+	// cause is errStaleConfiguration or an error of package tenancy.
 	cause error
 }
 
-// Error gives the cause.
+// Error implements error.
 func (e *unauthenticatedError) Error() string { return e.cause.Error() }
 
-// Unwrap returns the cause.
 func (e *unauthenticatedError) Unwrap() error { return e.cause }
 
-// authenticate returns the tenant of a request by its key, and removes the key from the
-// headers, so that it goes to no replica. The tenant is empty on public routes, and
-// where no tenants are declared; then the headers are left as they came. The error is an
-// *unauthenticatedError.
+// authenticate returns the tenant that a request's API key identifies. It removes the key
+// from the headers, so that no replica receives it. The tenant is empty on public routes and
+// if the configuration declares no tenants; in the latter case the headers stay unchanged.
+// The error is an *unauthenticatedError.
 func (h *Handler) authenticate(configuration *directory.Configuration, header http.Header, public bool) (tenant string, err error) {
 	if configuration.Tenants == nil {
 		return "", nil
@@ -47,26 +46,26 @@
 		return "", &unauthenticatedError{err}
 	}
 	age := h.config.ConfigurationAge()
-	if bound := h.config.KeyBound(); bound > 0 && age > bound {
-		return "", &unauthenticatedError{errUnprovenKey}
+	if maxAge := h.config.KeyBound(); maxAge > 0 && age > maxAge {
+		return "", &unauthenticatedError{errStaleConfiguration}
 	}
 	holder := configuration.Tenants.Lookup(key)
 	switch {
 	case holder != nil:
 		return holder.Name, nil
-	case age > unknownKeyTrustAge:
-		return "", &unauthenticatedError{errUnprovenKey}
+	case age > maxAgeForUnknownKey:
+		return "", &unauthenticatedError{errStaleConfiguration}
 	}
 	return "", &unauthenticatedError{tenancy.ErrUnknownKey}
 }
 
-// keyReasons are the values of the metrics' reason label.
+// keyReasons maps the causes of an unauthenticatedError to values of the reason label.
 var keyReasons = []struct {
 	err  error
 	name string
 }{
 	{tenancy.ErrNoKey, "none"}, {tenancy.ErrSeveralKeys, "several"}, {tenancy.ErrOtherScheme, "scheme"}, {tenancy.ErrMalformedKey, "malformed"},
-	{tenancy.ErrUnknownKey, "unknown"}, {errUnprovenKey, "unproven"},
+	{tenancy.ErrUnknownKey, "unknown"}, {errStaleConfiguration, "unproven"},
 }
 
 func keyReason(err error) string {
--- a/internal/callers/ingress/authenticate_test.go
+++ b/internal/callers/ingress/authenticate_test.go
@@ -10,21 +10,21 @@
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
-// keyHeader stands in for the platform's headers: it reads a key from one field.
-type keyHeader struct{ Headers }
+// fakeHeaders is a fake of Headers that reads the key from a single header.
+type fakeHeaders struct{ Headers }
 
-const testKeyField = "X-Key"
+const testKeyHeader = "X-Key"
 
-func (keyHeader) Key(header http.Header) (tenancy.Key, error) {
-	if header.Get(testKeyField) == "" {
+func (fakeHeaders) Key(header http.Header) (tenancy.Key, error) {
+	if header.Get(testKeyHeader) == "" {
 		return "", tenancy.ErrNoKey
 	}
-	return tenancy.Key(header.Get(testKeyField)), nil
+	return tenancy.Key(header.Get(testKeyHeader)), nil
 }
 
-func (keyHeader) WithholdKey(header http.Header) { header.Del(testKeyField) }
+func (fakeHeaders) WithholdKey(header http.Header) { header.Del(testKeyHeader) }
 
-func TestCallersAreToldByTheirKeys(t *testing.T) {
+func TestAuthenticate(t *testing.T) {
 	table, _ := tenancy.NewTable([]tenancy.Declared{{Tenant: tenancy.Tenant{Name: "one"}, Keys: []tenancy.Key{"known"}}})
 	declared := &directory.Configuration{Tenants: table}
 	for _, test := range []struct {
@@ -32,34 +32,34 @@
 		configuration *directory.Configuration
 		key           string
 		public        bool
-		age, bound    time.Duration
+		age, maxAge   time.Duration
 		tenant        string
 		reason        error
-		passed        string
+		forwarded     string
 	}{
 		{"known", declared, "known", false, 0, 0, "one", nil, ""},
-		{"unknown", declared, "strange", false, 0, 0, "", tenancy.ErrUnknownKey, ""},
+		{"unknown", declared, "unlisted", false, 0, 0, "", tenancy.ErrUnknownKey, ""},
 		{"none", declared, "", false, 0, 0, "", tenancy.ErrNoKey, ""},
-		{"public", declared, "strange", true, 0, 0, "", nil, ""},
-		{"no tenants declared", &directory.Configuration{}, "strange", false, 0, 0, "", nil, "strange"},
-		{"known, long without news", declared, "known", false, time.Hour, 0, "one", nil, ""},
-		{"unknown, long without news", declared, "strange", false, time.Hour, 0, "", errUnprovenKey, ""},
-		{"known, within the bound", declared, "known", false, time.Second, 5 * time.Second, "one", nil, ""},
-		{"known, beyond the bound", declared, "known", false, 6 * time.Second, 5 * time.Second, "", errUnprovenKey, ""},
+		{"public", declared, "unlisted", true, 0, 0, "", nil, ""},
+		{"no tenants declared", &directory.Configuration{}, "unlisted", false, 0, 0, "", nil, "unlisted"},
+		{"known, old configuration", declared, "known", false, time.Hour, 0, "one", nil, ""},
+		{"unknown, old configuration", declared, "unlisted", false, time.Hour, 0, "", errStaleConfiguration, ""},
+		{"known, within the maximum age", declared, "known", false, time.Second, 5 * time.Second, "one", nil, ""},
+		{"known, beyond the maximum age", declared, "known", false, 6 * time.Second, 5 * time.Second, "", errStaleConfiguration, ""},
 	} {
 		handler := NewHandler(Config{
-			Headers: keyHeader{}, ConfigurationAge: func() time.Duration { return test.age }, KeyBound: func() time.Duration { return test.bound },
+			Headers: fakeHeaders{}, ConfigurationAge: func() time.Duration { return test.age }, KeyBound: func() time.Duration { return test.maxAge },
 		})
 		header := http.Header{}
 		if test.key != "" {
-			header.Set(testKeyField, test.key)
+			header.Set(testKeyHeader, test.key)
 		}
 		tenant, err := handler.authenticate(test.configuration, header, test.public)
 		if tenant != test.tenant || !errors.Is(err, test.reason) {
-			t.Errorf("%s: %q, %v", test.name, tenant, err)
+			t.Errorf("%s: got tenant %q, error %v", test.name, tenant, err)
 		}
-		if got := header.Get(testKeyField); got != test.passed {
-			t.Errorf("%s: passed on %q", test.name, got)
+		if got := header.Get(testKeyHeader); got != test.forwarded {
+			t.Errorf("%s: forwarded the key header %q", test.name, got)
 		}
 	}
 }
--- a/internal/callers/ingress/body.go
+++ b/internal/callers/ingress/body.go
@@ -9,28 +9,27 @@
 )
 
 var (
-	// ErrBodyTooLarge means that a body is over the limit in force.
+	// ErrBodyTooLarge means that a body exceeds the configured limit.
 	ErrBodyTooLarge = merry.Sentinel("body is over the limit")
 	// ErrBodyBroken means that the caller did not send the whole body.
-	ErrBodyBroken = merry.Sentinel("body is not whole")
-	// ErrNoRoom means that the bodies in progress take all the memory set aside for
-	// them.
+	ErrBodyBroken = merry.Sentinel("request body is incomplete")
+	// ErrNoRoom means that the bodies in progress use the whole memory budget for bodies.
 	ErrNoRoom = merry.Sentinel("no room for the body")
 )
 
-// minBodyStepBytes is the room of a body before any of it has come, and the least step
-// in which it grows: a caller that only announces a large body takes no memory for it.
-const minBodyStepBytes = 16 << 10
+// minBodyGrowthBytes is the initial size of a body's buffer and the smallest step by which
+// it grows. Memory is reserved as data arrives, so that a large Content-Length alone
+// reserves none.
+const minBodyGrowthBytes = 16 << 10
 
-// bodyReader reads bodies within a limit for each and a budget for all.
+// bodyReader reads request bodies within a limit for each body and a budget for all.
 type bodyReader struct{ budget budget }
 
-// read reads a whole body of at most limit bytes; 0 for no bound. The caller must call
-// release, also after an error. The error is ErrBodyTooLarge, ErrNoRoom or
-// ErrBodyBroken.
+// read reads a whole body of at most limit bytes; 0 means no limit. The caller must call
+// release, also after an error. The error is ErrBodyTooLarge, ErrNoRoom or ErrBodyBroken.
 func (r *bodyReader) read(request *http.Request, limit int64) (body []byte, release func(), err error) {
-	taken := int64(0)
-	release = func() { r.budget.release(taken) }
+	reserved := int64(0)
+	release = func() { r.budget.release(reserved) }
 	if request.Body == nil || request.Body == http.NoBody {
 		return nil, release, nil
 	}
@@ -39,14 +38,14 @@
 	}
 	for {
 		if len(body) == cap(body) {
-			step := max(minBodyStepBytes, int64(len(body)))
+			step := max(minBodyGrowthBytes, int64(len(body)))
 			if request.ContentLength >= 0 {
 				step = min(step, request.ContentLength+1-int64(len(body)))
 			}
 			if !r.budget.reserve(step) {
 				return nil, release, ErrNoRoom
 			}
-			taken += step
+			reserved += step
 			body = append(make([]byte, 0, int64(len(body))+step), body...)
 		}
 		count, err := request.Body.Read(body[len(body):cap(body)])
--- a/internal/callers/ingress/budget.go
+++ b/internal/callers/ingress/budget.go
@@ -2,14 +2,14 @@
 
 import "sync/atomic"
 
-// budget bounds the bytes that the bodies of requests in progress may take
-// together. It is safe for use by many goroutines.
+// budget limits the total memory, in bytes, of the bodies of all requests in progress. A
+// limit of 0 means no limit. It is safe for concurrent use.
 type budget struct {
 	limit int64
 	used  atomic.Int64
 }
 
-// reserve sets bytes aside, and returns false if there is no room for them.
+// reserve reserves bytes, and returns false if they would exceed the limit.
 func (b *budget) reserve(count int64) bool {
 	if b.limit <= 0 {
 		return true
@@ -21,7 +21,7 @@
 	return true
 }
 
-// release gives bytes back.
+// release returns reserved bytes to the budget.
 func (b *budget) release(count int64) {
 	if b.limit > 0 {
 		b.used.Add(-count)
--- a/internal/callers/ingress/config.go
+++ b/internal/callers/ingress/config.go
@@ -9,7 +9,7 @@
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
-// Config is what a Handler needs.
+// Config holds the dependencies and limits of a Handler.
 type Config struct {
 	Directory *directory.Table
 	Forwarder *forward.Forwarder
@@ -17,13 +17,13 @@
 	Headers   Headers
 	Metrics   *Metrics
 	Logger    klog.Logger
-	// ConfigurationAge returns the time since the configuration was last known to be
+	// ConfigurationAge returns the time since the configuration was last confirmed to be
 	// the newest.
 	ConfigurationAge func() time.Duration
-	// KeyBound returns the configuration age beyond which no key is accepted; 0 for no
-	// bound.
+	// KeyBound returns the configuration age beyond which no API key is accepted; 0 means
+	// no limit.
 	KeyBound func() time.Duration
-	// BodyBytes bounds the bodies of all requests in progress together; 0 for
-	// no bound.
+	// BodyBytes limits the total size of the bodies of all requests in progress; 0 means
+	// no limit.
 	BodyBytes int64
 }
--- a/internal/callers/ingress/doc.go
+++ b/internal/callers/ingress/doc.go
@@ -1,12 +1,12 @@
-// Package ingress is the HTTP handler of a node towards callers.
+// Package ingress implements the HTTP handler that serves callers.
 //
 // It finds the route of a request, authenticates the caller, reads the body within the
-// limits in force, hands the request to the forwarder or to the batch jobs, and writes
-// the answer. refusalOf maps each cause of an answer by this node to its status, text
-// and Retry-After.
+// configured limits, passes the request to the forwarder or to the batch jobs, and writes the
+// response. refusalOf maps each error to the status, text and Retry-After of the response
+// that the node itself sends.
 //
-// It owns the memory of the bodies in progress and the counts of requests by which a
-// node drains. It relies on the configuration in the directory's current view and on
-// Headers for the names on the wire. net/http serves it, since that library ends a
-// request's context as soon as its caller leaves.
+// The package accounts for the memory of the bodies in progress, and counts the requests in
+// progress, for which a draining node waits. It uses the configuration of the directory's
+// current view, and Headers for the header names. It runs on net/http because that cancels
+// a request's context as soon as the caller disconnects.
 package ingress
--- a/internal/callers/ingress/handler.go
+++ b/internal/callers/ingress/handler.go
@@ -10,34 +10,33 @@
 )
 
 const (
-	// deadlineMargin is kept of the caller's time for the way back, but no more
-	// than one in marginDivisor of that time.
+	// deadlineMargin is subtracted from the caller's timeout to leave time for sending the
+	// response. If the timeout is so short that less than 1/marginDivisor of it would remain,
+	// that part is used instead.
 	deadlineMargin = 15 * time.Millisecond
 	marginDivisor  = 2
-	// defaultTimeout bounds a request where neither the caller nor the route
-	// names a time.
+	// defaultTimeout applies to a request if neither the caller nor the route sets a timeout.
 	defaultTimeout = 30 * time.Second
 )
 
-// Handler answers callers.
+// Handler serves the requests of callers.
 type Handler struct {
 	config Config
-	// Active counts requests in progress.
+	// Active is the number of requests in progress.
 	Active atomic.Int64
-	// lastRequest is when the newest request came, in nanoseconds since started.
+	// lastRequest is the arrival time of the latest request, in nanoseconds since started.
 	lastRequest atomic.Int64
-	// Closing, once set, makes every answer close its connection.
+	// Closing, once set, closes each connection after its next response.
 	Closing atomic.Bool
 	bodies  bodyReader
 	started time.Time
 }
 
-// NewHandler returns a handler.
 func NewHandler(config Config) *Handler {
 	return &Handler{config: config, bodies: bodyReader{budget: budget{limit: config.BodyBytes}}, started: time.Now()}
 }
 
-// Quiet returns the time since the newest request came.
+// IdleTime returns the time since the latest request arrived.
 func (h *Handler) IdleTime() time.Duration {
 	return time.Since(h.started) - time.Duration(h.lastRequest.Load())
 }
@@ -57,23 +56,23 @@
 		return
 	}
 	if h.config.Jobs.IsCall(request) {
-		h.serveJobCall(writer, request, configuration, id)
+		h.serveJobRequest(writer, request, configuration, id)
 		return
 	}
 	h.serveRequest(writer, request, configuration, id)
 }
 
-// serveJobCall answers a call about a batch job.
-func (h *Handler) serveJobCall(writer http.ResponseWriter, request *http.Request, configuration *directory.Configuration, id string) {
+// serveJobRequest serves a request about an existing batch job.
+func (h *Handler) serveJobRequest(writer http.ResponseWriter, request *http.Request, configuration *directory.Configuration, id string) {
 	tenant, err := h.authenticate(configuration, request.Header, configuration.JobCallsArePublic(request.Host))
 	if err != nil {
-		h.refuseCaller(writer, id, err)
+		h.refuseUnauthenticated(writer, id, err)
 		return
 	}
 	h.config.Jobs.ServeCall(writer, request, tenant)
 }
 
-// serveRequest answers a request on a route.
+// serveRequest serves a request that is matched to a route.
 func (h *Handler) serveRequest(writer http.ResponseWriter, request *http.Request, configuration *directory.Configuration, id string) {
 	route := configuration.Lookup(request.Host, request.URL.EscapedPath())
 	if route == nil {
@@ -82,7 +81,7 @@
 	}
 	tenant, err := h.authenticate(configuration, request.Header, route.Public)
 	if err != nil {
-		h.refuseCaller(writer, id, err)
+		h.refuseUnauthenticated(writer, id, err)
 		return
 	}
 	if id == "" {
@@ -93,7 +92,7 @@
 	body, release, err := h.bodies.read(request, configuration.Limits.BodyBytes)
 	defer release()
 	if err != nil {
-		h.refuseBody(writer, id, route.Name, err)
+		h.handleBodyError(writer, id, route.Name, err)
 		return
 	}
 	if route.Kind == directory.RouteBatch {
@@ -110,7 +109,7 @@
 	h.forwardRequest(writer, request, route, call)
 }
 
-// newCall returns the call for a request that was received at a time.
+// newCall returns the dispatch call for a request received at the given time.
 func (h *Handler) newCall(request *http.Request, route *directory.Route, id, tenant string, body []byte, received time.Time) *dispatch.Call {
 	return &dispatch.Call{
 		ID: id, Method: request.Method, Target: request.RequestURI, Host: request.Host,
@@ -119,12 +118,12 @@
 	}
 }
 
-// deadline returns when this node must have the answer: the earlier of the caller's
-// deadline, less a margin, and the route's timeout.
+// deadline returns the time by which this node must have the response: the caller's deadline
+// less a margin or the route's timeout, whichever is earlier.
 func (h *Handler) deadline(header http.Header, route *directory.Route, received time.Time) time.Time {
 	deadline := received.Add(defaultTimeout)
-	if wait, named := h.config.Headers.Deadline(header); named {
-		deadline = received.Add(max(wait-deadlineMargin, wait/marginDivisor))
+	if timeout, found := h.config.Headers.Deadline(header); found {
+		deadline = received.Add(max(timeout-deadlineMargin, timeout/marginDivisor))
 	}
 	if route.Timeout > 0 && received.Add(route.Timeout).Before(deadline) {
 		deadline = received.Add(route.Timeout)
@@ -132,12 +131,12 @@
 	return deadline
 }
 
-// forwardRequest forwards a request with one answer and writes the answer.
+// forwardRequest forwards a request that gets a single response, and writes the response.
 func (h *Handler) forwardRequest(writer http.ResponseWriter, request *http.Request, route *directory.Route, call *dispatch.Call) {
-	answer, err := h.config.Forwarder.Do(request.Context(), route, call)
+	response, err := h.config.Forwarder.Do(request.Context(), route, call)
 	if err != nil {
-		h.refuseUnserved(writer, request, call.ID, err)
+		h.handleForwardError(writer, request, call.ID, err)
 		return
 	}
-	h.writeAnswer(writer, answer)
+	h.writeResponse(writer, response)
 }
--- a/internal/callers/ingress/headers.go
+++ b/internal/callers/ingress/headers.go
@@ -8,42 +8,43 @@
 	"github.com/pathtally/pathtally/internal/callers/tenancy"
 )
 
-// Headers reads and writes the headers between callers and nodes.
+// Headers reads and writes the headers that callers and nodes exchange.
 type Headers interface {
-	// RequestID returns the caller's id of a request, empty if it gives none.
+	// RequestID returns the id that the caller gave the request, empty if none.
 	RequestID(header http.Header) string
-	// Key returns the API key of a request, or an error of package tenancy that says
-	// why there is none.
+	// Key returns the API key of a request, or an error of package tenancy if the request
+	// has no valid one.
 	Key(header http.Header) (tenancy.Key, error)
-	// WithholdKey removes the key from the headers that are passed on.
+	// WithholdKey removes the API key from headers that are forwarded.
 	WithholdKey(header http.Header)
-	// Deadline returns how long the caller waits; false if it names no time.
+	// Deadline returns the caller's timeout, and false if it gives none.
 	Deadline(header http.Header) (time.Duration, bool)
-	// AfterEvent returns the id of the event after which a stream is to be continued,
-	// 0 for its beginning.
+	// AfterEvent returns the id of the event after which the stream resumes, 0 for its
+	// beginning.
 	AfterEvent(header http.Header) int
-	// Wait returns how long a read of results may be held open.
+	// Wait returns how long a read of job results may wait for new ones.
 	Wait(header http.Header) time.Duration
-	// Refuse adds the request's id and the Retry-After, 0 for none.
+	// Refuse sets the headers of a refusal: the request's id, and Retry-After unless after
+	// is 0.
 	Refuse(header http.Header, id string, after time.Duration)
 }
 
-// connectionHeaders concern one connection only and are never passed on.
+// connectionHeaders apply to a single connection (hop-by-hop) and are never forwarded.
 var connectionHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// withoutConnectionHeaders returns a copy of headers to pass on.
+// withoutConnectionHeaders returns a copy of headers without those of the connection.
 func withoutConnectionHeaders(header http.Header) http.Header {
-	kept := header.Clone()
+	forwarded := header.Clone()
 	for _, line := range header.Values("Connection") {
 		for _, name := range strings.Split(line, ",") {
-			kept.Del(strings.TrimSpace(name))
+			forwarded.Del(strings.TrimSpace(name))
 		}
 	}
 	for _, name := range connectionHeaders {
-		kept.Del(name)
+		forwarded.Del(name)
 	}
-	return kept
+	return forwarded
 }
--- a/internal/callers/ingress/jobs.go
+++ b/internal/callers/ingress/jobs.go
@@ -6,22 +6,22 @@
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
-// Jobs serves the calls about batch jobs.
+// Jobs serves the requests that concern batch jobs.
 type Jobs interface {
-	// IsCall returns whether a request is a call about a batch job.
+	// IsCall reports whether a request is about an existing batch job.
 	IsCall(request *http.Request) bool
-	// ServeCall answers such a call of a tenant, empty for any.
+	// ServeCall serves such a request. An empty tenant has access to any job.
 	ServeCall(writer http.ResponseWriter, request *http.Request, tenant string)
-	// Submit takes a new batch job and answers its caller.
+	// Submit accepts or refuses a new batch job and writes the response.
 	Submit(writer http.ResponseWriter, request *http.Request, submitted Submitted)
 }
 
-// Submitted is a new batch job as it came.
+// Submitted is a new batch job as received from a caller.
 type Submitted struct {
 	Route *directory.Route
-	// ID is the caller's id of the job.
+	// ID is the id that the caller gave the job.
 	ID string
-	// Tenant owns the job; empty where no tenants are declared.
+	// Tenant owns the job; empty on public routes and if no tenants are declared.
 	Tenant string
 	Body   []byte
 }
--- a/internal/callers/ingress/metrics.go
+++ b/internal/callers/ingress/metrics.go
@@ -2,16 +2,16 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics count refused callers.
+// Metrics counts requests that fail authentication.
 type Metrics struct {
 	refusedKeys *prometheus.CounterVec
 }
 
-// NewMetrics registers the metrics.
+// NewMetrics creates and registers the metrics.
 func NewMetrics(registry prometheus.Registerer) *Metrics {
-	made := &Metrics{refusedKeys: prometheus.NewCounterVec(prometheus.CounterOpts{
+	metrics := &Metrics{refusedKeys: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "pathtally_keys_refused_total", Help: "Requests refused because their key identifies nobody, by reason.",
 	}, []string{"reason"})}
-	registry.MustRegister(made.refusedKeys)
-	return made
+	registry.MustRegister(metrics.refusedKeys)
+	return metrics
 }
--- a/internal/callers/ingress/refusal.go
+++ b/internal/callers/ingress/refusal.go
@@ -10,11 +10,12 @@
 	"github.com/pathtally/pathtally/internal/callers/forward"
 )
 
-// Retry-After of refusals that another node may not give, or that end soon.
+// Values of Retry-After for refusals that are likely to end soon or that another node may not
+// give.
 const (
-	noConfigurationRetryAfter = 250 * time.Millisecond
-	noRoomRetryAfter          = 300 * time.Millisecond
-	unprovenKeyRetryAfter     = 100 * time.Millisecond
+	noConfigurationRetryAfter    = 250 * time.Millisecond
+	bodyBudgetRetryAfter         = 300 * time.Millisecond
+	staleConfigurationRetryAfter = 100 * time.Millisecond
 )
 
 var (
@@ -23,17 +24,17 @@
 	errNoRequestID     = merry.Sentinel("the request has no id")
 )
 
-// refusal is an answer that this node gives in place of a replica's.
+// refusal is an error response that this node sends in place of a replica's response.
 type refusal struct {
 	status int
-	// reason is the text of the answer.
+	// reason is the body of the response.
 	reason string
-	// retryAfter is 0 where no Retry-After is sent.
+	// retryAfter is the value of Retry-After; 0 means that none is sent.
 	retryAfter time.Duration
 }
 
-// refusalOf returns the answer to a request that ended with an error. Status 503 says
-// that the request has not run and never will, 502 and 504 leave that open.
+// refusalOf maps an error to the response for the caller. Status 503 guarantees that the
+// request has not run and will not run; after 502 and 504 it may have run.
 func refusalOf(err error) refusal {
 	var unauthenticated *unauthenticatedError
 	var refused *forward.RefusedError
@@ -43,14 +44,14 @@
 		return refusal{http.StatusServiceUnavailable, err.Error(), noConfigurationRetryAfter}
 	case errors.Is(err, errNoRoute):
 		return refusal{http.StatusNotFound, err.Error(), 0}
-	case errors.Is(err, errUnprovenKey):
-		return refusal{http.StatusServiceUnavailable, err.Error(), unprovenKeyRetryAfter}
+	case errors.Is(err, errStaleConfiguration):
+		return refusal{http.StatusServiceUnavailable, err.Error(), staleConfigurationRetryAfter}
 	case errors.As(err, &unauthenticated):
 		return refusal{http.StatusUnauthorized, err.Error(), 0}
 	case errors.Is(err, errNoRequestID):
 		return refusal{http.StatusBadRequest, err.Error(), 0}
 	case errors.Is(err, ErrNoRoom):
-		return refusal{http.StatusServiceUnavailable, err.Error(), noRoomRetryAfter}
+		return refusal{http.StatusServiceUnavailable, err.Error(), bodyBudgetRetryAfter}
 	case errors.Is(err, ErrBodyTooLarge):
 		return refusal{http.StatusRequestEntityTooLarge, err.Error(), 0}
 	case errors.As(err, &refused):
@@ -61,36 +62,36 @@
 	return refusal{http.StatusBadGateway, "no whole answer from a replica", 0}
 }
 
-// refuse answers a request that ended with an error.
+// refuse writes and logs the error response to a request.
 func (h *Handler) refuse(writer http.ResponseWriter, id string, err error) {
-	answer := refusalOf(err)
-	h.config.Headers.Refuse(writer.Header(), id, answer.retryAfter)
+	response := refusalOf(err)
+	h.config.Headers.Refuse(writer.Header(), id, response.retryAfter)
 	writer.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	writer.WriteHeader(answer.status)
-	writer.Write([]byte(answer.reason + "\n"))
-	h.config.Logger.Info("answered by the node", "request", id, "status", answer.status, "reason", answer.reason)
+	writer.WriteHeader(response.status)
+	writer.Write([]byte(response.reason + "\n"))
+	h.config.Logger.Info("node returned an error response", "request", id, "status", response.status, "reason", response.reason)
 }
 
-// refuseCaller answers and counts a request whose caller is not known. Nothing of it
-// has been sent on.
-func (h *Handler) refuseCaller(writer http.ResponseWriter, id string, err error) {
+// refuseUnauthenticated refuses and counts a request that failed authentication. No part of
+// the request has been forwarded.
+func (h *Handler) refuseUnauthenticated(writer http.ResponseWriter, id string, err error) {
 	h.config.Metrics.refusedKeys.WithLabelValues(keyReason(err)).Inc()
 	h.refuse(writer, id, err)
 }
 
-// refuseBody answers a request whose body was not read. If the caller did not send the
-// whole body, nobody waits for an answer and the connection is cut.
-func (h *Handler) refuseBody(writer http.ResponseWriter, id, route string, err error) {
+// handleBodyError ends a request whose body could not be read. If the caller did not send the
+// whole body, it aborts the connection, since no caller waits for a response.
+func (h *Handler) handleBodyError(writer http.ResponseWriter, id, route string, err error) {
 	if errors.Is(err, ErrBodyBroken) {
-		h.config.Logger.Info("request not read", "request", id, "route", route, "error", err.Error())
+		h.config.Logger.Info("failed to read request body", "request", id, "route", route, "error", err.Error())
 		panic(http.ErrAbortHandler)
 	}
 	h.refuse(writer, id, err)
 }
 
-// refuseUnserved answers a request that has no replica's answer. If the caller has
-// left, the connection is cut.
-func (h *Handler) refuseUnserved(writer http.ResponseWriter, request *http.Request, id string, err error) {
+// handleForwardError ends a request for which forwarding returned no response. If the caller
+// has disconnected, it aborts the connection.
+func (h *Handler) handleForwardError(writer http.ResponseWriter, request *http.Request, id string, err error) {
 	if request.Context().Err() != nil {
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/callers/ingress/refusal_test.go
+++ b/internal/callers/ingress/refusal_test.go
@@ -11,7 +11,7 @@
 	"github.com/pathtally/pathtally/internal/callers/tenancy"
 )
 
-func TestRefusalsByCause(t *testing.T) {
+func TestRefusalOf(t *testing.T) {
 	for name, test := range map[string]struct {
 		cause error
 		want  refusal
@@ -21,9 +21,9 @@
 		"no id":                 {errNoRequestID, refusal{400, "the request has no id", 0}},
 		"unknown key":           {&unauthenticatedError{tenancy.ErrUnknownKey}, refusal{401, tenancy.ErrUnknownKey.Error(), 0}},
 		"no key":                {&unauthenticatedError{tenancy.ErrNoKey}, refusal{401, tenancy.ErrNoKey.Error(), 0}},
-		"another error of keys": {&unauthenticatedError{merry.Sentinel("other")}, refusal{401, "other", 0}},
-		"key cannot be judged":  {&unauthenticatedError{errUnprovenKey}, refusal{503, "the configuration is too old to tell whose key it is", 100 * time.Millisecond}},
-		"no room for the body":  {ErrNoRoom, refusal{503, "no room for the body", 300 * time.Millisecond}},
+		"other key error":       {&unauthenticatedError{merry.Sentinel("other")}, refusal{401, "other", 0}},
+		"stale configuration":   {&unauthenticatedError{errStaleConfiguration}, refusal{503, "the configuration is too old to tell whose key it is", 100 * time.Millisecond}},
+		"body budget exhausted": {ErrNoRoom, refusal{503, "no room for the body", 300 * time.Millisecond}},
 		"body too large":        {ErrBodyTooLarge, refusal{413, "body is over the limit", 0}},
 		"refused by forwarding": {&forward.RefusedError{Reason: "r", RetryAfter: time.Minute, Cause: context.Canceled}, refusal{503, "r", time.Minute}},
 		"expired":               {&forward.LostError{Expired: true, Cause: context.DeadlineExceeded}, refusal{504, "the time for the request ran out", 0}},
--- a/internal/callers/ingress/stream.go
+++ b/internal/callers/ingress/stream.go
@@ -10,15 +10,15 @@
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
-// streamSink writes a stream to a caller event by event.
+// streamSink writes the events of a stream to a caller and flushes after each.
 type streamSink struct{ writer http.ResponseWriter }
 
 var _ forward.StreamSink = streamSink{}
 
 // Begin implements forward.StreamSink.
-func (s streamSink) Begin(answer *dispatch.Response) {
-	copyAnswerHeaders(s.writer.Header(), answer.Header)
-	s.writer.WriteHeader(answer.Status)
+func (s streamSink) Begin(response *dispatch.Response) {
+	copyResponseHeaders(s.writer.Header(), response.Header)
+	s.writer.WriteHeader(response.Status)
 	http.NewResponseController(s.writer).Flush()
 }
 
@@ -30,8 +30,8 @@
 	return http.NewResponseController(s.writer).Flush()
 }
 
-// forwardStream forwards a request whose answer is a series of events. The connection
-// of a stream that breaks off is cut, so that it does not look complete.
+// forwardStream forwards a request whose response is an event stream. If the stream breaks
+// off, it aborts the connection, so that the caller does not take the stream for complete.
 func (h *Handler) forwardStream(writer http.ResponseWriter, request *http.Request, route *directory.Route, call *dispatch.Call) {
 	err := h.config.Forwarder.Stream(request.Context(), route, call, streamSink{writer})
 	var broken *forward.BrokenStreamError
@@ -40,6 +40,6 @@
 	case errors.As(err, &broken):
 		panic(http.ErrAbortHandler)
 	default:
-		h.refuseUnserved(writer, request, call.ID, err)
+		h.handleForwardError(writer, request, call.ID, err)
 	}
 }
--- a/internal/jobs/batch/handler.go
+++ b/internal/jobs/batch/handler.go
@@ -178,5 +178,5 @@
 	writer.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	writer.WriteHeader(answer.status)
 	writer.Write([]byte(err.Error() + "\n"))
-	h.Service.config.Logger.Info("answered by the node", "request", id, "status", answer.status, "reason", err.Error())
+	h.Service.config.Logger.Info("node returned an error response", "request", id, "status", answer.status, "reason", err.Error())
 }
