--- a/internal/callers/admission/adaptive.go
+++ b/internal/callers/admission/adaptive.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// decreaseFactor is the part of the limit, between 0 and 1, that remains after a sign
-	// of overload, and decreaseInterval the least time between two decreases: calls that
-	// were in flight together show the same overload.
+	// decreaseFactor is the factor, between 0 and 1, by which the limit decreases on
+	// overload. decreaseInterval is the minimum time between two decreases, so that calls in
+	// flight at the same time, which report the same overload, decrease the limit once.
 	decreaseFactor   = 0.7
 	decreaseInterval = 150 * time.Millisecond
-	// minConcurrency is the lowest limit, in calls.
+	// minConcurrency is the minimum limit, in calls.
 	minConcurrency = 1
 )
 
-// Adaptive limits the calls to one service that are in flight, by additive increase and
-// multiplicative decrease: as many successes as the limit raise it by one, and a sign of
-// overload lowers it by a part. It is safe for use by many goroutines.
+// Adaptive limits the calls in flight to one service by additive increase and multiplicative
+// decrease (AIMD): a number of successful calls equal to the limit increases it by one, and an
+// overloaded call multiplies it by decreaseFactor. It is safe for concurrent use.
 type Adaptive struct {
 	gate *Gate
 
@@ -29,18 +29,18 @@
 	decreasedAt time.Time
 }
 
-// NewAdaptive returns a limit that begins at its maximum, in calls.
+// NewAdaptive returns an Adaptive whose limit starts at the maximum, in calls.
 func NewAdaptive(maximum int) *Adaptive {
 	maximum = max(minConcurrency, maximum)
-	return &Adaptive{gate: NewGate(concurrency(float64(maximum))), limit: float64(maximum), maximum: maximum}
+	return &Adaptive{gate: NewGate(concurrencyBounds(float64(maximum))), limit: float64(maximum), maximum: maximum}
 }
 
-// concurrency returns bounds on the calls in flight alone.
-func concurrency(limit float64) Bounds {
+// concurrencyBounds returns Bounds that limit only the number of calls in flight.
+func concurrencyBounds(limit float64) Bounds {
 	return Bounds{RequestsPerSecond: math.MaxFloat64, MaxInFlight: int(limit), MaxQueue: math.MaxInt}
 }
 
-// SetMost changes the maximum, in calls.
+// SetMost changes the maximum, in calls, and lowers the limit to it if necessary.
 func (a *Adaptive) SetMost(maximum int) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -48,8 +48,8 @@
 	a.setLimit(a.limit)
 }
 
-// Enter waits until a further call may begin. Whoever entered must call Leave once. The
-// error is a *RefusedError once the context has ended.
+// Enter waits until another call may start. After Enter succeeds, Leave must be called exactly
+// once. The error is a *RefusedError, returned if the context ends first.
 func (a *Adaptive) Enter(ctx context.Context) error {
 	if ctx.Err() != nil {
 		return newRefusal(ReasonStopping)
@@ -57,8 +57,7 @@
 	return a.gate.Enter(ctx, 0)
 }
 
-// Leave ends a call. Overloaded is set if the call showed that the service has too much to
-// do.
+// Leave ends a call. Overloaded tells whether the call showed that the service is overloaded.
 func (a *Adaptive) Leave(overloaded bool) {
 	a.mutex.Lock()
 	switch {
@@ -79,8 +78,8 @@
 	return int(a.limit)
 }
 
-// setLimit changes the limit within its range. The mutex must be held.
+// setLimit sets the limit, clamped to minConcurrency and the maximum. The mutex must be held.
 func (a *Adaptive) setLimit(limit float64) {
 	a.limit = min(max(minConcurrency, limit), float64(a.maximum))
-	a.gate.SetBounds(concurrency(a.limit))
+	a.gate.SetBounds(concurrencyBounds(a.limit))
 }
--- a/internal/callers/admission/adaptive_test.go
+++ b/internal/callers/admission/adaptive_test.go
@@ -9,63 +9,63 @@
 	"time"
 )
 
-func TestAdaptiveBoundFollowsWhatTheServiceBears(t *testing.T) {
+func TestAdaptiveFollowsServiceCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bound := NewAdaptive(40)
+		limiter := NewAdaptive(40)
 		var mutex sync.Mutex
-		active, bears, refused := 0, 10, 0
+		active, capacity, overloads := 0, 10, 0
 		ctx, cancel := context.WithCancel(t.Context())
 		var callers sync.WaitGroup
 		for range 60 {
 			callers.Go(func() {
-				for bound.Enter(ctx) == nil {
+				for limiter.Enter(ctx) == nil {
 					mutex.Lock()
 					active++
-					overloaded := active > bears
+					overloaded := active > capacity
 					if overloaded {
-						refused++
+						overloads++
 					}
 					mutex.Unlock()
 					time.Sleep(30 * time.Millisecond)
 					mutex.Lock()
 					active--
 					mutex.Unlock()
-					bound.Leave(overloaded)
+					limiter.Leave(overloaded)
 				}
 			})
 		}
 		time.Sleep(10 * time.Second)
-		if limit := bound.Limit(); limit < 5 || limit > 14 {
-			t.Errorf("the bound is %d where the service bears %d", limit, bears)
+		if limit := limiter.Limit(); limit < 5 || limit > 14 {
+			t.Errorf("limit %d, but the service has capacity for %d calls", limit, capacity)
 		}
 		mutex.Lock()
-		bears, refused = 100, 0
+		capacity, overloads = 100, 0
 		mutex.Unlock()
 		time.Sleep(10 * time.Second)
-		if limit := bound.Limit(); limit != 40 || refused > 0 {
-			t.Errorf("the bound is %d once the service bears all, %d calls were refused", limit, refused)
+		if limit := limiter.Limit(); limit != 40 || overloads > 0 {
+			t.Errorf("limit %d with an unloaded service, %d calls overloaded it", limit, overloads)
 		}
 		cancel()
 		callers.Wait()
 	})
 }
 
-func TestAdaptiveBoundHoldsAndIsLowered(t *testing.T) {
-	bound := NewAdaptive(2)
+func TestAdaptiveEnforcesLoweredMaximum(t *testing.T) {
+	limiter := NewAdaptive(2)
 	for range 2 {
-		if err := bound.Enter(t.Context()); err != nil {
+		if err := limiter.Enter(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	var refused *RefusedError
-	if err := bound.Enter(ctx); !errors.As(err, &refused) {
-		t.Errorf("a third call: %v", err)
+	if err := limiter.Enter(ctx); !errors.As(err, &refused) {
+		t.Errorf("Enter above the limit returned %v, want a RefusedError", err)
 	}
-	bound.SetMost(1)
-	bound.Leave(false)
-	if limit := bound.Limit(); limit != 1 {
-		t.Errorf("the bound is %d after its most was lowered to 1", limit)
+	limiter.SetMost(1)
+	limiter.Leave(false)
+	if limit := limiter.Limit(); limit != 1 {
+		t.Errorf("limit %d after the maximum was lowered to 1", limit)
 	}
 }
--- a/internal/callers/admission/budget.go
+++ b/internal/callers/admission/budget.go
@@ -3,24 +3,23 @@
 import "sync/atomic"
 
 const (
-	// budgetUnit is the price of one retry.
-	budgetUnit = 1000
+	// retryCost is the cost of one retry, in the units of the balance.
+	retryCost = 1000
 	// initialBudget allows some retries before the first success.
-	initialBudget = 10 * budgetUnit
-	// maxBudget bounds what successes can save up.
-	maxBudget = 100 * budgetUnit
+	initialBudget = 10 * retryCost
+	// maxBudget limits how much successes can add to the balance.
+	maxBudget = 100 * retryCost
 )
 
-// RetryBudget allows retries while they are a small share of the successes, so that a
-// failing target is not overloaded by them. It is safe
-// for use by many goroutines.
+// RetryBudget limits retries to a share of the successful requests, so that retries do not
+// overload a failing target. It is safe for concurrent use.
 type RetryBudget struct {
 	balance atomic.Int64
-	percent atomic.Int64
+	// creditPerSuccess is what one success adds to the balance.
+	creditPerSuccess atomic.Int64
 }
 
-// NewRetryBudget returns a budget that earns a share, in percent, of each
-// success.
+// NewRetryBudget returns a budget that allows retries up to a percentage of the successes.
 func NewRetryBudget(percent float64) *RetryBudget {
 	budget := &RetryBudget{}
 	budget.balance.Store(initialBudget)
@@ -28,26 +27,26 @@
 	return budget
 }
 
-// SetPercent changes the share, in percent.
+// SetPercent changes the allowed percentage of retries.
 func (b *RetryBudget) SetPercent(percent float64) {
-	b.percent.Store(int64(percent * budgetUnit / 100))
+	b.creditPerSuccess.Store(int64(percent * retryCost / 100))
 }
 
-// Succeeded earns the share of one success.
+// Succeeded records a success, which adds to the budget.
 func (b *RetryBudget) Succeeded() {
 	if b.balance.Load() < maxBudget {
-		b.balance.Add(b.percent.Load())
+		b.balance.Add(b.creditPerSuccess.Load())
 	}
 }
 
-// Spend pays for one retry, and returns false if the budget is spent.
+// Spend takes one retry from the budget, and returns false if the budget is exhausted.
 func (b *RetryBudget) Spend() bool {
 	for {
 		balance := b.balance.Load()
-		if balance < budgetUnit {
+		if balance < retryCost {
 			return false
 		}
-		if b.balance.CompareAndSwap(balance, balance-budgetUnit) {
+		if b.balance.CompareAndSwap(balance, balance-retryCost) {
 			return true
 		}
 	}
--- a/internal/callers/admission/doc.go
+++ b/internal/callers/admission/doc.go
@@ -1,8 +1,10 @@
-// Package admission bounds the calls to a service or of a traffic group: Gate by a rate, a
-// number in flight and a queue ordered by priority, Adaptive by a number in flight that
-// follows the service's signs of overload, and RetryBudget by a share of the successes.
+// Package admission limits the calls to a service or of a traffic group. Gate limits the rate
+// and the number in flight, and queues by priority. Adaptive limits the number in flight and
+// adjusts the limit to the overload that the service reports. RetryBudget limits retries to a
+// share of the successful requests.
 //
-// Each owns its counts and relies on nothing else. The users' stack uses Adaptive, for the
-// calls of scorers, and the standalone stack the others. A call that is refused gets a
-// *RefusedError with its Retry-After. Whoever entered must leave once.
+// Each type keeps its own counters and depends on no other package. The users' stack uses
+// Adaptive, for calls of scorers, and RetryBudget; the standalone stack uses Gate and
+// RetryBudget. A call that is not admitted gets a *RefusedError with its Retry-After. Each
+// successful Enter must be followed by exactly one Leave.
 package admission
--- a/internal/callers/admission/errors.go
+++ b/internal/callers/admission/errors.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Reason is the bound that refused a request.
+// Reason tells why a request was refused.
 type Reason string
 
-// The reasons of a refusal.
+// Reasons of a RefusedError. The texts are part of the response to the caller.
 const (
 	ReasonRate     Reason = "rate"
 	ReasonQueue    Reason = "queue full"
@@ -18,23 +18,23 @@
 	ReasonRetries  Reason = "retry budget spent"
 )
 
-// queueRetryAfter is the Retry-After of refusals but those by the rate.
-const queueRetryAfter = time.Second
+// defaultRetryAfter is the Retry-After of all refusals except those by the rate limit.
+const defaultRetryAfter = time.Second
 
-// RefusedError is a request that was not started.
+// RefusedError reports that a request was refused and has not started.
 type RefusedError struct {
 	Reason Reason
 	// RetryAfter is the time after which the caller should try again.
 	RetryAfter time.Duration
 }
 
-// newRefusal returns a refusal for any reason but ReasonRate, whose Retry-After is the time
-// until the rate allows the request.
+// newRefusal returns a refusal for any reason except ReasonRate, whose Retry-After depends on
+// the rate limiter.
 func newRefusal(reason Reason) *RefusedError {
-	return &RefusedError{Reason: reason, RetryAfter: queueRetryAfter}
+	return &RefusedError{Reason: reason, RetryAfter: defaultRetryAfter}
 }
 
-// Error gives the reason and the Retry-After.
+// Error implements error. The text is part of the response to the caller.
 func (e *RefusedError) Error() string {
 	return fmt.Sprintf("refused: %s; come back in %s", e.Reason, e.RetryAfter)
 }
--- a/internal/callers/admission/gate.go
+++ b/internal/callers/admission/gate.go
@@ -11,7 +11,7 @@
 	"golang.org/x/time/rate"
 )
 
-// Bounds are what a Gate enforces, in requests.
+// Bounds are the limits that a Gate enforces, in requests.
 type Bounds struct {
 	RequestsPerSecond float64
 	Burst             int
@@ -19,8 +19,8 @@
 	MaxQueue          int
 }
 
-// Gate admits the requests of one traffic group on one node. It is safe for
-// use by many goroutines.
+// Gate limits the rate and the concurrency of the requests of one traffic group on one node,
+// and queues requests by priority. It is safe for concurrent use.
 type Gate struct {
 	limiter  *rate.Limiter
 	bounds   atomic.Pointer[Bounds]
@@ -31,14 +31,14 @@
 	stopping bool
 }
 
-// NewGate returns an open gate.
+// NewGate returns a gate with the given bounds.
 func NewGate(bounds Bounds) *Gate {
 	gate := &Gate{limiter: rate.NewLimiter(rate.Limit(bounds.RequestsPerSecond), bounds.Burst)}
 	gate.bounds.Store(&bounds)
 	return gate
 }
 
-// SetBounds changes the bounds. Requests in flight go on.
+// SetBounds changes the bounds. Requests in flight continue.
 func (g *Gate) SetBounds(bounds Bounds) {
 	if *g.bounds.Load() == bounds {
 		return
@@ -58,16 +58,16 @@
 	return g.inFlight
 }
 
-// Queued returns the number of requests waiting.
+// Queued returns the number of requests in the queue.
 func (g *Gate) Queued() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return len(g.queue)
 }
 
-// Enter admits a request or refuses it with a *RefusedError. Whoever entered
-// must call Leave once. It waits only while there is room in the queue and
-// time before the deadline of the context.
+// Enter admits a request, if necessary after it has waited in the queue, or refuses it with a
+// *RefusedError. A higher priority number is admitted first. After Enter succeeds, Leave must
+// be called exactly once. The wait ends when the context does.
 func (g *Gate) Enter(ctx context.Context, priority int) error {
 	now := time.Now()
 	if reservation := g.limiter.ReserveN(now, 1); reservation.DelayFrom(now) > 0 {
@@ -80,60 +80,61 @@
 		return err
 	}
 	select {
-	case err := <-waiting.answer:
+	case err := <-waiting.result:
 		return err
 	case <-ctx.Done():
-		return g.abandon(ctx, waiting)
+		return g.cancelWait(ctx, waiting)
 	}
 }
 
-// enterOrQueue admits a request (nil, nil), queues it, or refuses it.
+// enterOrQueue admits a request (nil, nil), queues it (waiter, nil) or refuses it (nil, error).
 func (g *Gate) enterOrQueue(priority int) (*waiter, error) {
 	bounds := g.bounds.Load()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	switch decideEntry(bounds, g.stopping, g.inFlight, len(g.queue)) {
-	case entryStopping:
+	switch decide(bounds, g.stopping, g.inFlight, len(g.queue)) {
+	case decisionStopping:
 		return nil, newRefusal(ReasonStopping)
-	case entryAdmitted:
+	case decisionAdmit:
 		g.inFlight++
 		return nil, nil
-	case entryQueueFull:
+	case decisionQueueFull:
 		if !g.displaceBelow(priority) {
 			return nil, newRefusal(ReasonQueue)
 		}
 	}
 	g.sequence++
-	added := &waiter{priority: priority, sequence: g.sequence, answer: make(chan error, 1)}
+	added := &waiter{priority: priority, sequence: g.sequence, result: make(chan error, 1)}
 	heap.Push(&g.queue, added)
 	return added, nil
 }
 
-// displaceBelow makes room in the queue by refusing the least urgent waiter, if its priority
-// is lower than the given one. The mutex must be held.
+// displaceBelow removes the waiter that would be admitted last from the queue and refuses it,
+// if its priority is lower than the given one. It returns whether it did. The mutex must be
+// held.
 func (g *Gate) displaceBelow(priority int) bool {
-	least := -1
+	last := -1
 	for i, candidate := range g.queue {
-		if candidate.priority < priority && (least < 0 || g.queue.Less(least, i)) {
-			least = i
+		if candidate.priority < priority && (last < 0 || g.queue.Less(last, i)) {
+			last = i
 		}
 	}
-	if least < 0 {
+	if last < 0 {
 		return false
 	}
-	victim := heap.Remove(&g.queue, least).(*waiter)
-	victim.answer <- newRefusal(ReasonShed)
+	displaced := heap.Remove(&g.queue, last).(*waiter)
+	displaced.result <- newRefusal(ReasonShed)
 	return true
 }
 
-// abandon ends the wait of a request whose context has ended.
-func (g *Gate) abandon(ctx context.Context, waiting *waiter) error {
+// cancelWait removes a request whose context has ended from the queue and returns its refusal.
+func (g *Gate) cancelWait(ctx context.Context, waiting *waiter) error {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if waiting.index >= 0 {
 		heap.Remove(&g.queue, waiting.index)
-	} else if err := <-waiting.answer; err == nil {
-		// It was admitted meanwhile and gives its place to the next.
+	} else if err := <-waiting.result; err == nil {
+		// The request was admitted in the meantime: its slot passes to the next waiter.
 		g.inFlight--
 		g.admitWaiting()
 	}
@@ -143,7 +144,7 @@
 	return newRefusal(ReasonStopping)
 }
 
-// Leave gives back the place of a request that entered.
+// Leave ends an admitted request and admits the next waiter.
 func (g *Gate) Leave() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -151,24 +152,24 @@
 	g.admitWaiting()
 }
 
-// Stop refuses all that wait, and all that come from now on.
+// Stop refuses all waiting requests and all later ones.
 func (g *Gate) Stop() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.stopping = true
 	for len(g.queue) > 0 {
 		waiting := heap.Pop(&g.queue).(*waiter)
-		waiting.answer <- newRefusal(ReasonStopping)
+		waiting.result <- newRefusal(ReasonStopping)
 	}
 }
 
-// admitWaiting admits waiters, the most urgent first, while there is room. The mutex must
-// be held.
+// admitWaiting admits waiters, highest priority first, up to MaxInFlight. The mutex must be
+// held.
 func (g *Gate) admitWaiting() {
 	bounds := g.bounds.Load()
 	for len(g.queue) > 0 && g.inFlight < bounds.MaxInFlight {
 		waiting := heap.Pop(&g.queue).(*waiter)
 		g.inFlight++
-		waiting.answer <- nil
+		waiting.result <- nil
 	}
 }
--- a/internal/callers/admission/gate_test.go
+++ b/internal/callers/admission/gate_test.go
@@ -23,8 +23,8 @@
 	return gate.Enter(ctx, priority)
 }
 
-// TestGate holds one place and lets three others come, on a clock of its own.
-func TestGate(t *testing.T) {
+// Guards against queued requests that are admitted out of priority order or wait too long.
+func TestGateQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gate := NewGate(Bounds{RequestsPerSecond: 1000, Burst: 100, MaxInFlight: 1, MaxQueue: 1})
 		if err := enter(gate, 50, time.Second); err != nil {
@@ -34,31 +34,31 @@
 		var low, high error
 		waiting.Go(func() { low = enter(gate, 10, time.Minute) })
 		synctest.Wait()
-		begun := time.Now()
-		if err := enter(gate, 10, time.Minute); reasonOf(err) != ReasonQueue || time.Since(begun) > 0 {
-			t.Errorf("a full queue gave %v after %s", err, time.Since(begun))
+		start := time.Now()
+		if err := enter(gate, 10, time.Minute); reasonOf(err) != ReasonQueue || time.Since(start) > 0 {
+			t.Errorf("Enter at a full queue returned %v after %s", err, time.Since(start))
 		}
 		waiting.Go(func() { high = enter(gate, 90, time.Minute) })
 		synctest.Wait()
 		gate.Leave()
 		waiting.Wait()
 		if reasonOf(low) != ReasonShed || high != nil {
-			t.Errorf("the urgent one got %v, the displaced one %v", high, low)
+			t.Errorf("the high-priority request got %v, the displaced one %v", high, low)
 		}
 		if err := enter(gate, 50, 10*time.Millisecond); reasonOf(err) != ReasonDeadline {
-			t.Errorf("a deadline in the queue gave %v", err)
+			t.Errorf("Enter returned %v after its deadline passed in the queue", err)
 		}
 		waiting.Go(func() { low = enter(gate, 50, time.Minute) })
 		synctest.Wait()
 		gate.Stop()
 		waiting.Wait()
 		if reasonOf(low) != ReasonStopping {
-			t.Errorf("a stop gave %v", low)
+			t.Errorf("Stop ended the queued request with %v", low)
 		}
 	})
 }
 
-func TestRateIsRefusedWithATimeToComeBack(t *testing.T) {
+func TestGateRateLimitRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gate := NewGate(Bounds{RequestsPerSecond: 2, Burst: 1, MaxInFlight: 10, MaxQueue: 1})
 		if err := enter(gate, 50, time.Second); err != nil {
@@ -67,16 +67,16 @@
 		err := enter(gate, 50, time.Second)
 		var refused *RefusedError
 		if !errors.As(err, &refused) || refused.Reason != ReasonRate || refused.RetryAfter != 500*time.Millisecond {
-			t.Fatalf("got %v", err)
+			t.Fatalf("Enter above the rate returned %v", err)
 		}
 		time.Sleep(refused.RetryAfter)
 		if err := enter(gate, 50, time.Second); err != nil {
-			t.Errorf("at the time named: %v", err)
+			t.Errorf("Enter after Retry-After returned %v", err)
 		}
 	})
 }
 
-func TestRetryBudgetIsAShareOfSuccesses(t *testing.T) {
+func TestRetryBudgetShareOfSuccesses(t *testing.T) {
 	budget := NewRetryBudget(10)
 	spent := 0
 	for budget.Spend() {
@@ -89,7 +89,7 @@
 	for budget.Spend() {
 		earned++
 	}
-	if spent != initialBudget/budgetUnit || earned != 10 {
-		t.Errorf("spent %d at the start and %d after 100 successes", spent, earned)
+	if spent != initialBudget/retryCost || earned != 10 {
+		t.Errorf("allowed %d retries at the start and %d after 100 successes", spent, earned)
 	}
 }
--- a/internal/callers/admission/waiter.go
+++ b/internal/callers/admission/waiter.go
@@ -3,12 +3,15 @@
 // waiter is a request in the queue of a Gate.
 type waiter struct {
 	priority int
+	// sequence is the order of arrival.
 	sequence uint64
-	index    int
-	answer   chan error
+	// index is the waiter's position in the heap, -1 once it has been removed.
+	index int
+	// result receives nil on admission, or the refusal. It is buffered.
+	result chan error
 }
 
-// waiterHeap orders waiters by priority, then by arrival.
+// waiterHeap orders waiters by descending priority, then by arrival.
 type waiterHeap []*waiter
 
 // Len implements heap.Interface.
--- a/internal/callers/eventstream/doc.go
+++ b/internal/callers/eventstream/doc.go
@@ -1,6 +1,6 @@
-// Package eventstream reads the events of a text/event-stream answer. It refuses whatever
-// would join a text wrongly: a gap, a repeat, or an event that was cut off.
+// Package eventstream reads the events of a text/event-stream response. It rejects gaps,
+// repeated events and truncated events, which would corrupt the text assembled from them.
 //
-// A Reader owns its place in one stream, and relies on ids that count events from 1. It
-// guarantees that the events it returns follow each other without a gap.
+// A Reader tracks its position in one stream. It requires event ids that count from 1, and
+// guarantees that the events it returns have consecutive ids.
 package eventstream
--- a/internal/callers/eventstream/errors.go
+++ b/internal/callers/eventstream/errors.go
@@ -9,11 +9,13 @@
 // ErrTorn means that the stream ended in the middle of an event.
 var ErrTorn = merry.Sentinel("stream ended in the middle of an event")
 
-// MalformedError is an event that cannot be read or does not follow the last one.
+// MalformedError reports an event that cannot be parsed or does not follow the previous one.
 type MalformedError struct {
 	Reason string
-	Line   string
+	// Line is the line concerned, or the event's id if the event is out of order or has no
+	// data.
+	Line string
 }
 
-// Error gives the reason and the line.
+// Error implements error.
 func (e *MalformedError) Error() string { return fmt.Sprintf("%s: %q", e.Reason, e.Line) }
--- a/internal/callers/eventstream/reader.go
+++ b/internal/callers/eventstream/reader.go
@@ -9,51 +9,51 @@
 )
 
 const (
-	// maxLineBytes bounds one line of an event.
-	maxLineBytes = 1 << 20
-	// readBufferBytes is the size of the read buffer.
+	// maxLineBytes limits the length of a line.
+	maxLineBytes    = 1 << 20
 	readBufferBytes = 4 << 10
-	// quotedLineBytes is how much of a line that is too long the error quotes.
-	quotedLineBytes = 64
+	// maxQuotedBytes limits how much of an overlong line an error quotes.
+	maxQuotedBytes = 64
 )
 
-// Reader reads the events of one stream. It is not safe for use by many goroutines.
+// Reader reads the events of one stream. It is not safe for concurrent use.
 type Reader struct {
-	lines *bufio.Reader
-	// versionField is the name of the line that gives a new weight version.
+	source *bufio.Reader
+	// versionField is the name of the field that gives a new weight version.
 	versionField string
-	// last is the id of the event returned last.
-	last int
+	// lastID is the id of the last returned event.
+	lastID int
 }
 
-// NewReader returns a reader of a stream whose first event follows the one with the id
-// after, 0 for the beginning. VersionField names the line that gives a weight version.
+// NewReader returns a reader of a stream that resumes after the event with the id after; 0
+// means that it starts from the beginning. VersionField is the name of the field that gives
+// the weight version.
 func NewReader(source io.Reader, versionField string, after int) *Reader {
-	return &Reader{lines: bufio.NewReaderSize(source, readBufferBytes), versionField: versionField, last: after}
+	return &Reader{source: bufio.NewReaderSize(source, readBufferBytes), versionField: versionField, lastID: after}
 }
 
-// Next returns the next event. The error is io.EOF after a whole event, ErrTorn within one,
-// a *MalformedError, or that of the source.
+// Next returns the next event. The error is io.EOF if the source ends after a complete event,
+// ErrTorn if it ends within one, a *MalformedError, or an error of the source.
 func (r *Reader) Next() (Event, error) {
 	event := Event{}
-	begun, hasData := false, false
+	started, hasData := false, false
 	for {
-		line, err := r.line()
+		line, err := r.readLine()
 		if err != nil {
-			if errors.Is(err, io.EOF) && begun {
+			if errors.Is(err, io.EOF) && started {
 				return Event{}, ErrTorn
 			}
 			return Event{}, err
 		}
 		if line == "" {
-			if !begun {
+			if !started {
 				continue
 			}
 			event.Raw += "\n"
-			return r.accept(event, hasData)
+			return r.finish(event, hasData)
 		}
-		begun = true
-		isData, err := r.add(&event, line, hasData)
+		started = true
+		isData, err := r.addLine(&event, line, hasData)
 		if err != nil {
 			return Event{}, err
 		}
@@ -61,18 +61,18 @@
 	}
 }
 
-// add adds a line to an event, and returns whether it is a line of data.
-func (r *Reader) add(event *Event, line string, hasData bool) (isData bool, err error) {
+// addLine adds a line to an event, and returns whether it is a data line.
+func (r *Reader) addLine(event *Event, line string, hasData bool) (isData bool, err error) {
 	event.Raw += line + "\n"
 	name, text, isField := strings.Cut(line, ":")
 	if !isField {
-		return false, &MalformedError{Reason: "line is no field", Line: line}
+		return false, &MalformedError{Reason: "line is not a field", Line: line}
 	}
 	text = strings.TrimPrefix(text, " ")
 	switch name {
 	case "id":
 		if event.ID, err = strconv.Atoi(text); err != nil {
-			return false, &MalformedError{Reason: "event id is no number", Line: line}
+			return false, &MalformedError{Reason: "event id is not a number", Line: line}
 		}
 	case "data":
 		if hasData {
@@ -82,40 +82,41 @@
 		return true, nil
 	case r.versionField:
 		if event.Version, err = strconv.ParseInt(strings.TrimSpace(text), 10, 64); err != nil {
-			return false, &MalformedError{Reason: "weight version is no number", Line: line}
+			return false, &MalformedError{Reason: "weight version is not a number", Line: line}
 		}
 	}
 	return false, nil
 }
 
-// accept returns an event that has data and follows the last one.
-func (r *Reader) accept(event Event, hasData bool) (Event, error) {
-	if event.ID != r.last+1 || !hasData {
-		return Event{}, &MalformedError{Reason: "event does not follow the last", Line: strconv.Itoa(event.ID)}
+// finish returns a complete event, or an error if it has no data or does not follow the
+// previous event.
+func (r *Reader) finish(event Event, hasData bool) (Event, error) {
+	if event.ID != r.lastID+1 || !hasData {
+		return Event{}, &MalformedError{Reason: "event has no data or does not follow the previous one", Line: strconv.Itoa(event.ID)}
 	}
-	r.last = event.ID
+	r.lastID = event.ID
 	return event, nil
 }
 
-// line returns the next line without its end.
-func (r *Reader) line() (string, error) {
-	var long []byte
+// readLine returns the next line without its line ending.
+func (r *Reader) readLine() (string, error) {
+	var partial []byte
 	for {
-		part, err := r.lines.ReadSlice('\n')
+		part, err := r.source.ReadSlice('\n')
 		if err == nil {
-			if long != nil {
-				part = append(long, part...)
+			if partial != nil {
+				part = append(partial, part...)
 			}
 			return strings.TrimRight(string(part), "\r\n"), nil
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
-			if errors.Is(err, io.EOF) && len(long)+len(part) > 0 {
+			if errors.Is(err, io.EOF) && len(partial)+len(part) > 0 {
 				return "", ErrTorn
 			}
 			return "", err
 		}
-		if long = append(long, part...); len(long) > maxLineBytes {
-			return "", &MalformedError{Reason: "line is too long", Line: string(long[:quotedLineBytes])}
+		if partial = append(partial, part...); len(partial) > maxLineBytes {
+			return "", &MalformedError{Reason: "line exceeds the maximum length", Line: string(partial[:maxQuotedBytes])}
 		}
 	}
 }
--- a/internal/callers/eventstream/reader_test.go
+++ b/internal/callers/eventstream/reader_test.go
@@ -8,11 +8,11 @@
 	"testing/iotest"
 )
 
-const field = "x-version"
+const testVersionField = "x-version"
 
-// readAll reads a stream to its end in pieces of one byte.
+// readAll reads a stream to its end, one byte per read of the source.
 func readAll(text string, after int) ([]Event, error) {
-	reader := NewReader(iotest.OneByteReader(strings.NewReader(text)), field, after)
+	reader := NewReader(iotest.OneByteReader(strings.NewReader(text)), testVersionField, after)
 	var events []Event
 	for {
 		event, err := reader.Next()
@@ -23,51 +23,51 @@
 	}
 }
 
-func TestStreams(t *testing.T) {
+func TestReader(t *testing.T) {
 	malformed := &MalformedError{}
 	for _, test := range []struct {
 		name, text string
 		after      int
-		events     int
-		failure    error
+		wantEvents int
+		wantErr    error
 	}{
-		{"whole", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", 0, 2, io.EOF},
-		{"continued", "id: 8\ndata: a\n\n", 7, 1, io.EOF},
+		{"complete", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", 0, 2, io.EOF},
+		{"resumed", "id: 8\ndata: a\n\n", 7, 1, io.EOF},
 		{"empty", "", 3, 0, io.EOF},
 		{"carriage returns", "id: 1\r\ndata: a\r\n\r\n", 0, 1, io.EOF},
 		{"gap", "id: 1\ndata: a\n\nid: 3\ndata: b\n\n", 0, 1, malformed},
 		{"repeat", "id: 1\ndata: a\n\nid: 1\ndata: a\n\n", 0, 1, malformed},
-		{"continued from the start", "id: 1\ndata: a\n\n", 4, 0, malformed},
-		{"cut in a line", "id: 1\ndata: a\n\nid: 2\nda", 0, 1, ErrTorn},
-		{"cut between lines", "id: 1\ndata: a\n\nid: 2\n", 0, 1, ErrTorn},
-		{"cut before the empty line", "id: 1\ndata: a\n", 0, 0, ErrTorn},
+		{"restarted instead of resumed", "id: 1\ndata: a\n\n", 4, 0, malformed},
+		{"truncated within a line", "id: 1\ndata: a\n\nid: 2\nda", 0, 1, ErrTorn},
+		{"truncated between lines", "id: 1\ndata: a\n\nid: 2\n", 0, 1, ErrTorn},
+		{"truncated before the empty line", "id: 1\ndata: a\n", 0, 0, ErrTorn},
 		{"no data", "id: 1\n\n", 0, 0, malformed},
-		{"no field", "id: 1\nnonsense\n\n", 0, 0, malformed},
-		{"id is no number", "id: x\ndata: a\n\n", 0, 0, malformed},
-		{"version is no number", "x-version: y\nid: 1\ndata: a\n\n", 0, 0, malformed},
+		{"line is not a field", "id: 1\nnonsense\n\n", 0, 0, malformed},
+		{"id is not a number", "id: x\ndata: a\n\n", 0, 0, malformed},
+		{"version is not a number", "x-version: y\nid: 1\ndata: a\n\n", 0, 0, malformed},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			events, err := readAll(test.text, test.after)
-			if len(events) != test.events {
-				t.Errorf("%d events, want %d", len(events), test.events)
+			if len(events) != test.wantEvents {
+				t.Errorf("read %d events, want %d", len(events), test.wantEvents)
 			}
 			var found *MalformedError
-			if test.failure == malformed {
+			if test.wantErr == malformed {
 				if !errors.As(err, &found) {
-					t.Errorf("ended with %v, want a malformed event", err)
+					t.Errorf("stream ended with %v, want a MalformedError", err)
 				}
-			} else if !errors.Is(err, test.failure) {
-				t.Errorf("ended with %v, want %v", err, test.failure)
+			} else if !errors.Is(err, test.wantErr) {
+				t.Errorf("stream ended with %v, want %v", err, test.wantErr)
 			}
 		})
 	}
 }
 
-func TestEventCarriesItsVersionAndItsBytes(t *testing.T) {
+func TestReaderEventFields(t *testing.T) {
 	text := "x-version: 7\nid: 1\ndata: a b\ndata: c\n\n"
 	events, err := readAll(text, 0)
 	if !errors.Is(err, io.EOF) || len(events) != 1 {
-		t.Fatalf("%v, %v", events, err)
+		t.Fatalf("read %v, error %v", events, err)
 	}
 	want := Event{ID: 1, Data: "a b\nc", Version: 7, Raw: text}
 	if events[0] != want {
@@ -82,11 +82,11 @@
 		events, err := readAll(text, 0)
 		for number, event := range events {
 			if event.ID != number+1 {
-				t.Errorf("event %d stands at place %d", event.ID, number+1)
+				t.Errorf("event %d is at position %d", event.ID, number+1)
 			}
 		}
 		if err == nil {
-			t.Error("a stream without an end")
+			t.Error("reading ended without an error")
 		}
 	})
 }
