--- a/internal/jobs/batch/homes.go
+++ b/internal/jobs/batch/homes.go
@@ -11,31 +11,32 @@
 	"github.com/pathtally/pathtally/internal/replicas/residency"
 )
 
-// origin is what decides where the bodies of a batch job may be. The homes themselves
-// are those of the configuration in force.
+// origin holds what decides, with the current configuration, in which regions the bodies
+// of a batch job may be.
 type origin struct {
-	// routes are those whose requests the job holds: its own first, then its scorers'.
+	// routes are the routes of the job's requests: its own, then those of its scorers.
 	routes []string
 	tenant string
-	// entry is the region through which the job came, "" for unknown.
-	entry string
+	// entryRegion is the region of the node that the job's caller connected to, "" if
+	// unknown.
+	entryRegion string
 }
 
 func originOf(record jobstore.Record) origin {
-	return origin{routes: append([]string{record.Route}, record.ScorerRoutes...), tenant: record.Tenant, entry: record.EntryRegion}
+	return origin{routes: append([]string{record.Route}, record.ScorerRoutes...), tenant: record.Tenant, entryRegion: record.EntryRegion}
 }
 
-// learnOrigin records where a job of another node comes from.
-func (f *remoteJob) learnOrigin(from origin) {
-	if f.origin == nil {
-		// The rank depends on it.
-		f.membership = 0
+// learnOrigin records the origin of another node's job.
+func (r *remoteJob) learnOrigin(from origin) {
+	if r.origin == nil {
+		// The cached rank depends on the origin.
+		r.rankMembership = 0
 	}
-	f.origin = &from
+	r.origin = &from
 }
 
-// scorersOf names the routes of a submission's reward calls.
-func (s *Service) scorersOf(submission *Submission) []string {
+// scorerRoutesOf returns the names of the routes of a submission's reward calls.
+func (s *Service) scorerRoutesOf(submission *Submission) []string {
 	var named []string
 	for _, submitted := range submission.Items {
 		if submitted.Reward == nil {
@@ -48,11 +49,11 @@
 	return named
 }
 
-// boundsOf is where the bodies of a job may be. A route or tenant that is declared no
-// more may have had any homes: where the others have some, its bodies stay in the
-// region through which they came. A node that knows no configuration yet takes no
-// node, itself included, for one that may have them.
-func (s *Service) boundsOf(from origin) residency.Bounds {
+// regionBounds returns where the bodies of a job may be. A route or tenant that is no
+// longer declared may have had any allowed regions; if others declare some, the bodies
+// stay in the job's entry region. Without a configuration no node may have the bodies,
+// this one included.
+func (s *Service) regionBounds(from origin) residency.Bounds {
 	configuration := s.config.Directory.View().Configuration
 	if configuration == nil {
 		return residency.NewBounds(residency.NoRegions(), "")
@@ -62,13 +63,14 @@
 	}
 	allowed := residency.Set{}
 	for _, name := range from.routes {
-		allowed = allowed.And(bodyHomes(configuration, name, from.tenant))
+		allowed = allowed.And(allowedRegionsOf(configuration, name, from.tenant))
 	}
-	return residency.NewBounds(allowed, from.entry)
+	return residency.NewBounds(allowed, from.entryRegion)
 }
 
-// bodyHomes are the regions whose nodes may have the body of a tenant's request.
-func bodyHomes(configuration *directory.Configuration, route, tenant string) residency.Set {
+// allowedRegionsOf returns the allowed regions for the bodies of a tenant's requests on a
+// route.
+func allowedRegionsOf(configuration *directory.Configuration, route, tenant string) residency.Set {
 	declared := configuration.RouteByName(route)
 	if declared == nil || (tenant != "" && configuration.Tenants.Named(tenant) == nil) {
 		return residency.NoRegions()
@@ -76,76 +78,77 @@
 	return configuration.AllowedRegions(declared, tenant)
 }
 
-// within returns a context for the store's calls that carry bodies of a job.
-func (s *Service) within(ctx context.Context, record jobstore.Record) context.Context {
-	return residency.WithBounds(ctx, s.boundsOf(originOf(record)))
+// withRegionBounds returns a context for store calls that carry bodies of a job.
+func (s *Service) withRegionBounds(ctx context.Context, record jobstore.Record) context.Context {
+	return residency.WithBounds(ctx, s.regionBounds(originOf(record)))
 }
 
-// withinHeld is within for a job that this node runs.
-func (s *Service) withinHeld(ctx context.Context, id string) context.Context {
+// withHeldRegionBounds is like withRegionBounds, for a job that this node runs.
+func (s *Service) withHeldRegionBounds(ctx context.Context, id string) context.Context {
 	s.mutex.Lock()
 	held := s.jobs[id]
 	s.mutex.Unlock()
 	if held == nil {
 		return residency.WithBounds(ctx, residency.NewBounds(residency.NoRegions(), s.config.Region))
 	}
-	return s.within(ctx, held.record)
+	return s.withRegionBounds(ctx, held.record)
 }
 
-// insiders are those of some nodes that may have the bodies of a job, in the same
-// order; all while its origin is not known.
-func (s *Service) insiders(from *origin, nodes []string) []string {
+// allowedNodes filters nodes to those that may have the bodies of a job, keeping their
+// order. It returns all nodes while the origin is unknown.
+func (s *Service) allowedNodes(from *origin, nodes []string) []string {
 	if from == nil {
 		return nodes
 	}
-	bounds := s.boundsOf(*from)
+	bounds := s.regionBounds(*from)
 	if !bounds.Regions().IsRestricted() {
 		return nodes
 	}
 	return slices.DeleteFunc(slices.Clone(nodes), func(node string) bool { return !bounds.AllowsNode(s.regionOf(node)) })
 }
 
-// regionOf is the region of a node, "" if it is not known.
+// regionOf returns the region of a node, "" if unknown.
 func (s *Service) regionOf(node string) string {
 	if node == s.config.Self.Node {
 		return s.config.Region
 	}
-	peer, _ := s.config.Table.Get(node)
+	peer, _ := s.config.PeerTable.Get(node)
 	return s.config.Directory.RegionOf(peer.Zone)
 }
 
-// isOutsider tells whether this node may not have the bodies of another node's job, as far
-// as the job's origin is known. The mutex must be held.
-func (s *Service) isOutsider(remote *remoteJob) bool {
-	return remote.origin != nil && !s.boundsOf(*remote.origin).AllowsNode(s.config.Region)
+// isOutsideAllowedRegions reports whether this node is known not to be allowed the bodies
+// of another node's job. The mutex must be held.
+func (s *Service) isOutsideAllowedRegions(remote *remoteJob) bool {
+	return remote.origin != nil && !s.regionBounds(*remote.origin).AllowsNode(s.config.Region)
 }
 
-// logWaiting logs once that no other node known may take a job over. The job's origin is
-// known, since every node may take over a job whose origin is not. The mutex must be held.
-func (s *Service) logWaiting(id string, remote *remoteJob) {
-	if remote.waitLogged || remote.ended || s.config.Directory.View().Configuration == nil {
+// logNoSuccessor logs, once per job, that no other known node may take the job over. The
+// job's origin must be known. The mutex must be held.
+func (s *Service) logNoSuccessor(id string, remote *remoteJob) {
+	if remote.noSuccessorLogged || remote.ended || s.config.Directory.View().Configuration == nil {
 		return
 	}
-	remote.waitLogged = true
-	s.config.Logger.Info("batch job waits for a node in its allowed regions, should its owner fall silent", "request", id,
-		"owner", remote.owner.Node, "allowed", s.boundsOf(*remote.origin).Regions().Regions(), "entry", remote.origin.entry)
+	remote.noSuccessorLogged = true
+	s.config.Logger.Info("no possible successor for batch job: no other node is in its allowed regions", "request", id,
+		"owner", remote.owner.Node, "allowed", s.regionBounds(*remote.origin).Regions().Regions(), "entry", remote.origin.entryRegion)
 }
 
-// logJobsWithoutSuccessor logs the jobs that this node cannot give away, since no other
-// node known may have them: they wait until there is one. The mutex must be held.
+// logJobsWithoutSuccessor logs the open jobs that no other known node may take over. They
+// wait until such a node joins. The mutex must be held.
 func (s *Service) logJobsWithoutSuccessor() {
-	nodes := s.config.Table.NodeNames()
+	nodes := s.config.PeerTable.NodeNames()
 	for id, held := range s.jobs {
 		from := originOf(held.record)
-		if held.open() && len(ownership.Successors(s.insiders(&from, nodes), s.config.Self.Node)) == 0 {
-			s.config.Logger.Info("batch job given to nobody: no other node is in its allowed regions", "request", id,
-				"allowed", s.boundsOf(from).Regions().Regions(), "entry", from.entry)
+		if held.open() && len(ownership.Successors(s.allowedNodes(&from, nodes), s.config.Self.Node)) == 0 {
+			s.config.Logger.Info("batch job not handed over: no other node is in its allowed regions", "request", id,
+				"allowed", s.regionBounds(from).Regions().Regions(), "entry", from.entryRegion)
 		}
 	}
 }
 
-// checkHomes refuses a job of which some request has no replica that may serve it.
-func (s *Service) checkHomes(from origin) error {
+// checkReplicas returns an error if some request of the job has no replica in its allowed
+// regions.
+func (s *Service) checkReplicas(from origin) error {
 	view := s.config.Directory.View()
 	if !view.Configuration.RestrictsRegions() {
 		return nil
@@ -153,19 +156,19 @@
 	for _, name := range from.routes {
 		route := view.Configuration.RouteByName(name)
 		if route != nil && !view.HasReplica(route, view.Configuration.AllowedRegions(route, from.tenant)) {
-			s.metrics.withoutHome.Inc()
+			s.metrics.withoutReplica.Inc()
 			return &jobstore.NotAcceptedError{Cause: forward.ErrNoReplicaInAllowedRegions}
 		}
 	}
 	return nil
 }
 
-// checkOffered refuses a job that another node hands to this one and that this one
-// may not have: the two may know different configurations.
-func (s *Service) checkOffered(arrival *Arrival) error {
-	from := originOf(s.recordOf(arrival))
-	if !s.boundsOf(from).AllowsNode(s.config.Region) {
-		return &jobstore.NotAcceptedError{Cause: ErrOutside}
+// checkOffered checks that this node may run a job that another node submits to it. The
+// two may have different configurations.
+func (s *Service) checkOffered(request *SubmitRequest) error {
+	from := originOf(s.recordOf(request))
+	if !s.regionBounds(from).AllowsNode(s.config.Region) {
+		return &jobstore.NotAcceptedError{Cause: ErrOutsideAllowedRegions}
 	}
-	return s.checkHomes(from)
+	return s.checkReplicas(from)
 }
--- a/internal/jobs/batch/lateness.go
+++ b/internal/jobs/batch/lateness.go
@@ -6,10 +6,10 @@
 	"github.com/pathtally/pathtally/internal/jobs/placement"
 )
 
-// logLateness logs why a job was late that ends now, where it was. The mutex must be
-// held.
+// logLateness logs why a job that ends now missed its completion objective, if it did.
+// The mutex must be held.
 func (s *Service) logLateness(ended *job) {
-	if ended.due.IsZero() || !time.Now().After(ended.due) {
+	if ended.deadline.IsZero() || !time.Now().After(ended.deadline) {
 		return
 	}
 	last := ended.lastItem()
@@ -18,12 +18,12 @@
 	}
 	reason := placement.ClassifyLateness(s.replicas.Paces(), last.history())
 	s.metrics.late.WithLabelValues(string(reason)).Inc()
-	s.config.Logger.Info("batch job was late", "request", ended.id, "reason", string(reason), "lateMs", time.Since(ended.due).Milliseconds(),
-		"item", last.ID, "replica", last.lastRun.endpoint.Name, "waitedMs", last.waited.Milliseconds(), "runs", last.runs, "events", last.events)
+	s.config.Logger.Info("batch job was late", "request", ended.id, "reason", string(reason), "lateMs", time.Since(ended.deadline).Milliseconds(),
+		"item", last.ID, "replica", last.lastRun.endpoint.Name, "waitedMs", last.queueWait.Milliseconds(), "runs", last.runs, "events", last.recordedEvents)
 }
 
-// lastItem is the item with a result whose last run ended last, nil for none. The mutex
-// must be held.
+// lastItem returns the finished item whose last run ended last, nil if there is none. The
+// mutex must be held.
 func (j *job) lastItem() *item {
 	var last *item
 	for _, id := range j.order {
@@ -31,28 +31,29 @@
 		if !candidate.done || candidate.lastRun == nil {
 			continue
 		}
-		if last == nil || candidate.lastRun.endedAt().After(last.lastRun.endedAt()) {
+		if last == nil || candidate.lastRun.endTime().After(last.lastRun.endTime()) {
 			last = candidate
 		}
 	}
 	return last
 }
 
-// history is what happened to the item. The mutex must be held.
+// history summarizes the item's runs. The mutex must be held.
 func (i *item) history() placement.History {
 	return placement.History{
-		Epoch: i.job.record.Epoch, Waited: i.waited, Stalls: i.stalls, BrokenRuns: i.breaks, Interval: i.lastRun.interval(),
+		Epoch: i.job.record.Epoch, Waited: i.queueWait, Stalls: i.stalls, BrokenRuns: i.brokenRuns, Interval: i.lastRun.meanInterval(),
 	}
 }
 
-// endedAt is when a run that has ended did so.
-func (a *attempt) endedAt() time.Time { return a.begun.Add(a.took) }
+// endTime returns when a run that has ended did so.
+func (r *itemRun) endTime() time.Time { return r.startedAt.Add(r.duration) }
 
-// interval is the mean time between events of a run that has ended, 0 for too few.
-func (a *attempt) interval() time.Duration {
-	gaps := a.events.Load() - 1
+// meanInterval returns the mean time between the events of a run that has ended, 0 if it
+// had fewer than two.
+func (r *itemRun) meanInterval() time.Duration {
+	gaps := r.events.Load() - 1
 	if gaps <= 0 {
 		return 0
 	}
-	return (a.took - a.first) / time.Duration(gaps)
+	return (r.duration - r.firstEventDelay) / time.Duration(gaps)
 }
--- a/internal/jobs/batch/runner.go
+++ b/internal/jobs/batch/runner.go
@@ -14,74 +14,75 @@
 )
 
 const (
-	// offerTime bounds the question to a node whether it would run a job: some
-	// ways between zones, and short beside the time that callers give the
-	// acceptance of a job, so that a dead node costs little.
+	// offerTimeout bounds the wait for a node's reply to an offer of a job. It covers
+	// several round trips between zones and is short compared with the deadline of a
+	// submission, so that a node that is down costs little.
 	offerTimeout = 150 * time.Millisecond
-	// runnersAsked is how many nodes are asked before this one runs a job itself.
-	maxRunnersAsked = 2
-	// runnerPart is the part of a caller's time for which the runner's answer is
-	// waited for: the rest is for this node to accept the job itself.
+	// maxOffers is the number of nodes asked before this one runs a job itself.
+	maxOffers = 2
+	// runnerTimeShare is the share of the caller's remaining time spent waiting for the
+	// runner. The rest allows this node to accept the job itself.
 	runnerTimeShare = 0.5
 )
 
 var (
-	// ErrLeaving means that a node takes no more batch jobs.
+	// ErrLeaving means that the node accepts no more batch jobs.
 	ErrLeaving = merry.Sentinel("node is leaving")
-	// errRunnerUncertain means that another node may yet accept a batch job.
+	// errRunnerUncertain means that another node may still accept a batch job.
 	errRunnerUncertain = merry.Sentinel("another node may accept the batch job")
 )
 
-// submitToRunner hands a batch job to the node that runs the jobs of its model.
-// That one knows which of the model's items run where without a message, keeps
-// its connections to the replicas from one step to the next, and has seen the
-// items that come back. False means that this node is to accept the job itself;
-// the error is then not nil where the other node may have accepted it already.
-func (s *Service) submitToRunner(ctx context.Context, arrival *Arrival) (bool, error) {
-	id := arrival.ID
-	address, found := s.findRunner(ctx, arrival)
+// submitToRunner submits a batch job to the node that runs the jobs of its model. That
+// node knows all items of the model without messages, keeps connections to the replicas
+// from step to step, and has run earlier attempts of returning items.
+//
+// False means that this node is to accept the job itself. The error is then non-nil if
+// the other node may have accepted it already.
+func (s *Service) submitToRunner(ctx context.Context, request *SubmitRequest) (bool, error) {
+	id := request.ID
+	address, found := s.findRunner(ctx, request)
 	if !found {
 		return false, nil
 	}
-	submit := &wire.JobSubmit{Job: id, Route: arrival.Route, Host: arrival.Host, Payload: arrival.Payload, Tenant: arrival.Tenant, Entry: arrival.Entry}
-	reply, err := environment.Ask(ctx, s.config.Peers, address, submit, time.Duration(runnerTimeShare*float64(timeLeft(ctx))))
+	submit := &wire.JobSubmit{Job: id, Route: request.Route, Host: request.Host, Payload: request.Payload, Tenant: request.Tenant, Entry: request.Entry}
+	reply, err := environment.Ask(ctx, s.config.Peers, address, submit, time.Duration(runnerTimeShare*float64(remainingTime(ctx))))
 	if err != nil {
-		s.config.Logger.Info("runner of batch job lost", "request", id, "runner", address, "error", err.Error())
+		s.config.Logger.Info("no reply from batch job runner", "request", id, "runner", address, "error", err.Error())
 		return false, errRunnerUncertain
 	}
-	answer, ok := reply.(*wire.JobSubmitted)
+	submitted, ok := reply.(*wire.JobSubmitted)
 	switch {
-	case !ok || answer.Outcome == wire.OutcomeUnknown:
+	case !ok || submitted.Outcome == wire.OutcomeUnknown:
 		return false, errRunnerUncertain
-	case answer.Outcome == wire.OutcomeNotRun:
-		// The store may answer this node.
-		s.config.Logger.Info("runner did not accept batch job", "request", id, "runner", address, "reason", answer.Detail)
+	case submitted.Outcome == wire.OutcomeNotRun:
+		// The store may still respond to this node.
+		s.config.Logger.Info("batch job rejected by runner", "request", id, "runner", address, "reason", submitted.Detail)
 		return false, nil
 	}
 	return true, nil
 }
 
-// findRunner returns the address of the first node in rank for the jobs of an
-// arrival's model that may have it and would take it; false if that is this node or
-// none answers.
-func (s *Service) findRunner(ctx context.Context, arrival *Arrival) (string, bool) {
-	model := arrival.Submission.Model
+// findRunner returns the address of the first node, in rank for the jobs of a model, that
+// may have the job's bodies and accepts an offer. It returns false if that is this node
+// or no such node replies.
+func (s *Service) findRunner(ctx context.Context, request *SubmitRequest) (string, bool) {
+	model := request.Submission.Model
 	if model == "" {
 		return "", false
 	}
 	asked := 0
-	bound := originOf(s.recordOf(arrival))
-	for _, candidate := range s.insiders(&bound, s.runners(model)) {
-		if candidate == s.config.Self.Node || asked >= maxRunnersAsked {
+	from := originOf(s.recordOf(request))
+	for _, candidate := range s.allowedNodes(&from, s.rankedRunners(model)) {
+		if candidate == s.config.Self.Node || asked >= maxOffers {
 			return "", false
 		}
-		peer, known := s.config.Table.Get(candidate)
+		peer, known := s.config.PeerTable.Get(candidate)
 		if !known || s.unansweredOffers.has(candidate) {
 			continue
 		}
 		asked++
-		reply, err := environment.Ask(ctx, s.config.Peers, peer.Address, &wire.JobOffer{Job: arrival.ID}, offerTimeout)
-		if _, willing := reply.(*wire.Done); willing && err == nil {
+		reply, err := environment.Ask(ctx, s.config.Peers, peer.Address, &wire.JobOffer{Job: request.ID}, offerTimeout)
+		if _, accepted := reply.(*wire.Done); accepted && err == nil {
 			return peer.Address, true
 		}
 		s.unansweredOffers.add(candidate)
@@ -89,11 +90,11 @@
 	return "", false
 }
 
-// runners are the nodes in their rank for a model's jobs, those with the most
-// processor time first: running the jobs of a trainer takes most of what a small
-// node has when a step begins.
-func (s *Service) runners(model string) []string {
-	capacities := s.config.Table.Capacities()
+// rankedRunners returns the nodes in their rank for a model's jobs. Nodes with more
+// processor capacity come first, since the start of a step uses most of what a small node
+// has.
+func (s *Service) rankedRunners(model string) []string {
+	capacities := s.config.PeerTable.Capacities()
 	candidates := make([]rendezvous.Candidate, 0, len(capacities))
 	for node, capacity := range capacities {
 		candidates = append(candidates, rendezvous.Candidate{ID: node, Capacity: capacity})
@@ -105,17 +106,17 @@
 	return ranked
 }
 
-// timeLeft is the time until a context's deadline, and backgroundTime where it
+// remainingTime returns the time until a context's deadline, or backgroundTimeout if it
 // has none.
-func timeLeft(ctx context.Context) time.Duration {
+func remainingTime(ctx context.Context) time.Duration {
 	if deadline, bounded := ctx.Deadline(); bounded {
 		return time.Until(deadline)
 	}
 	return backgroundTimeout
 }
 
-// answerOffer answers another node whether this one would run a batch job.
-func (s *Service) answerOffer(reply func(wire.Message)) {
+// handleOffer replies to another node whether this one would run a batch job.
+func (s *Service) handleOffer(reply func(wire.Message)) {
 	s.mutex.Lock()
 	leaving := s.leaving || !s.recovered
 	s.mutex.Unlock()
@@ -126,29 +127,29 @@
 	reply(&wire.Done{})
 }
 
-// answerSubmit accepts a batch job for another node.
-func (s *Service) answerSubmit(question *wire.JobSubmit, reply func(wire.Message)) {
-	submission, err := s.config.Codec.Submission(question.Payload)
+// handleSubmit accepts a batch job that another node received.
+func (s *Service) handleSubmit(request *wire.JobSubmit, reply func(wire.Message)) {
+	submission, err := s.config.Codec.DecodeSubmission(request.Payload)
 	if err != nil {
 		reply(&wire.JobSubmitted{Outcome: wire.OutcomeNotRun, Detail: err.Error()})
 		return
 	}
 	ctx, cancel := context.WithTimeout(s.base, submitTimeout)
 	defer cancel()
-	arrival := &Arrival{
-		ID: question.Job, Route: question.Route, Host: question.Host, Tenant: question.Tenant, Entry: question.Entry, Payload: question.Payload,
+	submit := &SubmitRequest{
+		ID: request.Job, Route: request.Route, Host: request.Host, Tenant: request.Tenant, Entry: request.Entry, Payload: request.Payload,
 		Submission: submission,
 	}
-	if err := s.checkOffered(arrival); err != nil {
+	if err := s.checkOffered(submit); err != nil {
 		reply(&wire.JobSubmitted{Outcome: wire.OutcomeNotRun, Detail: err.Error()})
 		return
 	}
-	err = s.submitHere(ctx, arrival)
-	var notTaken *jobstore.NotAcceptedError
+	err = s.submitLocally(ctx, submit)
+	var notAccepted *jobstore.NotAcceptedError
 	switch {
 	case err == nil:
 		reply(&wire.JobSubmitted{Outcome: wire.OutcomeDone})
-	case errors.As(err, &notTaken), errors.Is(err, ErrOtherTenant):
+	case errors.As(err, &notAccepted), errors.Is(err, ErrOtherTenant):
 		reply(&wire.JobSubmitted{Outcome: wire.OutcomeNotRun, Detail: err.Error()})
 	default:
 		reply(&wire.JobSubmitted{Outcome: wire.OutcomeUnknown, Detail: err.Error()})
--- a/internal/jobs/batch/stored.go
+++ b/internal/jobs/batch/stored.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// storedLoadTime bounds the reading of one job from the store: some megabytes over
-// the slowest links of a deployment, beside as many other jobs as a trainer has in
-// a minute.
+// storedLoadTimeout bounds the read of one job from the store: some megabytes over the
+// slowest links of a deployment, while other jobs are read as well.
 const storedLoadTimeout = 20 * time.Second
 
-// storedLoad is a reading of one job from the store under way. What it read is
-// set once done is closed.
+// storedLoad is a read of a job from the store. Its other fields are valid once done is
+// closed.
 type storedLoad struct {
-	done    chan struct{}
-	results []jobstore.Result
-	total   int
-	err     error
+	done      chan struct{}
+	results   []jobstore.Result
+	itemCount int
+	err       error
 }
 
-// readStored reads a job's results from the store, for when its owner is away.
-// That of an ended job is shared by all who ask meanwhile and goes on when they
-// give up: with a bound as short as a caller's patience a large job on a slow link
-// was never read to its end, however often it was asked for. An open job is read
-// anew for each, since what a reading under way has missed may have been seen.
+// readStored reads a job's results from the store, for when its owner does not reply.
+//
+// All readers of an ended job share one read, which continues when they give up: bounded
+// by a caller's timeout, the read of a large job over a slow link would never finish. An
+// open job is read for each reader, since other readers may have seen results that a read
+// in progress misses.
 func (s *Service) readStored(ctx context.Context, stored jobstore.StoredJob, after int) (Page, error) {
 	if !stored.Ended {
 		results, total, err := s.loadStored(ctx, stored)
@@ -39,10 +39,10 @@
 	if load.err != nil {
 		return Page{}, load.err
 	}
-	return pageAfter(load.results, after, load.total), nil
+	return pageAfter(load.results, after, load.itemCount), nil
 }
 
-// joinLoad returns the reading of a job that is under way, or begins one.
+// joinLoad returns the read of a job that is in progress, or starts one.
 func (s *Service) joinLoad(stored jobstore.StoredJob) *storedLoad {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -54,7 +54,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(s.base, storedLoadTimeout)
 		defer cancel()
-		load.results, load.total, load.err = s.loadStored(ctx, stored)
+		load.results, load.itemCount, load.err = s.loadStored(ctx, stored)
 		s.mutex.Lock()
 		delete(s.storedLoads, stored.ID)
 		s.mutex.Unlock()
@@ -63,17 +63,17 @@
 	return load
 }
 
-// loadStored reads what is not known yet of a job from the store, and returns all
-// its results and how many items it has.
+// loadStored reads the chunks of a job that are not in memory from the store. It returns
+// all results and the number of items.
 func (s *Service) loadStored(ctx context.Context, stored jobstore.StoredJob) (results []jobstore.Result, total int, err error) {
 	s.mutex.Lock()
 	known := s.learnStored(stored)
 	from := known.chunks
-	results, total = known.results, max(known.total, stored.Record.Items)
+	results, total = known.results, max(known.itemCount, stored.Record.Items)
 	s.mutex.Unlock()
-	ctx = s.within(ctx, stored.Record)
+	ctx = s.withRegionBounds(ctx, stored.Record)
 	if total == 0 {
-		if total, err = s.readTotal(ctx, stored); err != nil {
+		if total, err = s.readItemCount(ctx, stored); err != nil {
 			return nil, 0, err
 		}
 	}
@@ -83,8 +83,8 @@
 	}
 	results = append(results[:len(results):len(results)], added.Results...)
 	s.mutex.Lock()
-	if known.total = total; !s.isOutsider(known) {
-		s.keepStored(stored, known, results, added)
+	if known.itemCount = total; !s.isOutsideAllowedRegions(known) {
+		s.cacheStored(stored, known, results, added)
 	}
 	s.mutex.Unlock()
 	s.config.Logger.Info("batch job read from the store", "request", stored.ID, "ended", stored.Ended, "owner", stored.Record.Owner.Node,
@@ -92,44 +92,44 @@
 	return results, total, nil
 }
 
-// keepStored keeps what was read of a job, so that the next reading goes on behind it.
-// A node that may not have the job's bodies keeps nothing: it has shown them to a
-// caller of its own, and reads them anew for the next. The mutex must be held.
-func (s *Service) keepStored(stored jobstore.StoredJob, known *remoteJob, results []jobstore.Result, added jobstore.Listing) {
+// cacheStored keeps the results read of a job, so that the next read continues after them.
+// It is not called on nodes that may not have the job's bodies, which read them again for
+// each reader. The mutex must be held.
+func (s *Service) cacheStored(stored jobstore.StoredJob, known *remoteJob, results []jobstore.Result, added jobstore.Listing) {
 	if added.Chunks > known.chunks {
 		known.results, known.chunks = results, added.Chunks
 	}
-	known.final = known.final || added.Sealed
+	known.sealed = known.sealed || added.Sealed
 	if stored.Ended {
-		s.sealLater(stored.ID, known)
+		s.sealAsync(stored.ID, known)
 	}
 }
 
-// readTotal reads how many items a job has.
-func (s *Service) readTotal(ctx context.Context, stored jobstore.StoredJob) (int, error) {
+// readItemCount reads the number of items of a job.
+func (s *Service) readItemCount(ctx context.Context, stored jobstore.StoredJob) (int, error) {
 	payload, err := s.config.JobStore.Payload(ctx, stored.ID, stored.Record.Parts)
 	if err != nil {
 		return 0, err
 	}
-	submission, err := s.config.Codec.Submission(payload)
+	submission, err := s.config.Codec.DecodeSubmission(payload)
 	if err != nil {
 		return 0, err
 	}
 	return len(submission.Items), nil
 }
 
-// readFinal reads a job whose results this node has read after the last of them.
-func (s *Service) readFinal(id string, after int) (Page, bool) {
+// readSealed reads a job from memory if all its results are known to be there.
+func (s *Service) readSealed(id string, after int) (Page, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	known := s.remoteJobs[id]
-	if known == nil || !known.final {
+	if known == nil || !known.sealed {
 		return Page{}, false
 	}
-	return pageAfter(known.results, after, known.total), true
+	return pageAfter(known.results, after, known.itemCount), true
 }
 
-// pageAfter is the page of the results behind a position.
+// pageAfter returns the results after a position.
 func pageAfter(results []jobstore.Result, after, total int) Page {
 	page := Page{Total: total}
 	if after < len(results) {
@@ -138,10 +138,11 @@
 	return page
 }
 
-// readEndedFor reads an ended job of this node's former process for another
-// node, so that one node reads the store for all.
-func (s *Service) readEndedFor(ctx context.Context, id string, after int) (Page, bool) {
-	if page, final := s.readFinal(id, after); final {
+// readEndedForPeer reads, for another node, an ended job that this node owned before it
+// was restarted or evicted the job. All nodes ask the same one, which reads the store
+// once.
+func (s *Service) readEndedForPeer(ctx context.Context, id string, after int) (Page, bool) {
+	if page, sealed := s.readSealed(id, after); sealed {
 		return page, true
 	}
 	stored, err := s.config.JobStore.Read(ctx, id)
@@ -150,7 +151,7 @@
 	}
 	page, err := s.readStored(ctx, stored, after)
 	if err != nil {
-		s.config.Logger.Info("stored batch job not read", "request", id, "error", err.Error())
+		s.config.Logger.Info("stored batch job not read for a peer", "request", id, "error", err.Error())
 		return Page{}, false
 	}
 	return page, true
--- a/internal/jobs/batch/takeover_test.go
+++ b/internal/jobs/batch/takeover_test.go
@@ -11,7 +11,7 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// owner returns the node that runs a job.
+// owner returns the node that runs a job, nil if there is none.
 func (c *cluster) owner(id string) *testNode {
 	for _, node := range c.nodes {
 		node.mutex.Lock()
@@ -24,8 +24,9 @@
 	return nil
 }
 
-// heldEngine streams one event of each item and keeps the rest back.
-func heldEngine(t *testing.T) *testEngine {
+// newHoldingEngine returns an engine that streams one event of each item and holds the
+// others until released.
+func newHoldingEngine(t *testing.T) *testEngine {
 	engine := startEngine(t, 3)
 	engine.hold, engine.holdAt = make(chan struct{}), 1
 	return engine
@@ -38,46 +39,47 @@
 	e.hold = nil
 }
 
-func TestDeadOwnersJobIsTakenOver(t *testing.T) {
-	engine := heldEngine(t)
+func TestJobOfFailedOwnerIsTakenOver(t *testing.T) {
+	engine := newHoldingEngine(t)
 	cluster := newCluster(t, 3, engine)
 	if err := cluster.submit(cluster.nodes[0], "job", 6); err != nil {
 		t.Fatal(err)
 	}
 	cluster.nodes[0].cancel()
-	cluster.setCut("node-0", true)
+	cluster.setDisconnected("node-0", true)
 	eventually(t, "another node owns the job", func() bool {
 		owner := cluster.owner("job")
 		return owner != nil && owner != cluster.nodes[0]
 	})
 	engine.release()
-	checkWhole(t, "job", cluster.readAll(cluster.nodes[1], "job", 6), 6, 3)
+	checkResults(t, "job", cluster.readAll(cluster.nodes[1], "job", 6), 6, 3)
 }
 
-func TestJobsOfAStoppedDeploymentAreTakenUpAgain(t *testing.T) {
-	engine := heldEngine(t)
+func TestNewNodeRunsJobsOfStoppedCluster(t *testing.T) {
+	engine := newHoldingEngine(t)
 	cluster := newCluster(t, 2, engine)
 	if err := cluster.submit(cluster.nodes[0], "job", 6); err != nil {
 		t.Fatal(err)
 	}
 	for number, node := range cluster.nodes {
 		node.cancel()
-		cluster.setCut([]string{"node-0", "node-1"}[number], true)
+		cluster.setDisconnected([]string{"node-0", "node-1"}[number], true)
 	}
 	engine.release()
 	fresh := cluster.addNode("node-2", []*testEngine{engine})
-	checkWhole(t, "job", cluster.readAll(fresh, "job", 6), 6, 3)
+	checkResults(t, "job", cluster.readAll(fresh, "job", 6), 6, 3)
 }
 
-// displacedOwner has a node's job taken over while it is cut off from its peer.
-func displacedOwner(t *testing.T, engine *testEngine) (deployment *cluster, former, successor *testNode) {
+// newSupersededOwner returns a cluster in which the successor has taken the job over and
+// the former owner is disconnected from its peer.
+func newSupersededOwner(t *testing.T, engine *testEngine) (deployment *cluster, former, successor *testNode) {
 	t.Helper()
 	deployment = newCluster(t, 2, engine)
 	former, successor = deployment.nodes[0], deployment.nodes[1]
 	if err := deployment.submit(former, "job", 6); err != nil {
 		t.Fatal(err)
 	}
-	deployment.setCut("node-0", true)
+	deployment.setDisconnected("node-0", true)
 	eventually(t, "the job is taken over", func() bool {
 		successor.mutex.Lock()
 		defer successor.mutex.Unlock()
@@ -86,13 +88,12 @@
 	return deployment, former, successor
 }
 
-// A successor that has read the results must know every one that the former
-// owner lists after that: hunt-53fc-3 showed a result at the one and nothing at
-// its position at the other.
-func TestFormerOwnerListsNothingThatItsSuccessorMisses(t *testing.T) {
-	engine := heldEngine(t)
-	cluster, former, successor := displacedOwner(t, engine)
-	// The former owner reaches the store, and only that, and finishes first.
+// Guards against results that a former owner appends after its successor has read the
+// job.
+func TestFormerOwnerAppendsNothing(t *testing.T) {
+	engine := newHoldingEngine(t)
+	cluster, former, successor := newSupersededOwner(t, engine)
+	// The former owner is connected to the store alone and finishes an item first.
 	former.mutex.Lock()
 	held := former.jobs["job"]
 	former.scheduler.finish(held.items["job.0"], jobstore.Result{ID: "job.0", State: jobstore.Abandoned})
@@ -111,19 +112,18 @@
 		t.Fatal(err)
 	}
 	if len(stored.Results) != len(known.Results) {
-		t.Errorf("the store lists %d results, the successor knows %d", len(stored.Results), len(known.Results))
+		t.Errorf("%d results in the store, %d at the successor", len(stored.Results), len(known.Results))
 	}
 	engine.release()
-	checkWhole(t, "job", cluster.readAll(successor, "job", 6), 6, 3)
+	checkResults(t, "job", cluster.readAll(successor, "job", 6), 6, 3)
 }
 
-// A former owner that was away while the job was taken over and ended must not
-// answer from what it knew: hunt-e42d-39 showed fewer results than had been
-// read.
-func TestFormerOwnerAnswersNothingOldAfterTheEnd(t *testing.T) {
-	engine := heldEngine(t)
-	cluster, former, successor := displacedOwner(t, engine)
-	// While it is away, its own items finish neither here nor there.
+// Guards against a former owner that serves outdated results after its job was taken over
+// and ended.
+func TestFormerOwnerServesNoOldResults(t *testing.T) {
+	engine := newHoldingEngine(t)
+	cluster, former, successor := newSupersededOwner(t, engine)
+	// The former owner's runs must not finish.
 	former.mutex.Lock()
 	former.jobs["job"].cancel()
 	former.mutex.Unlock()
@@ -132,33 +132,33 @@
 	if err := successor.End(context.Background(), "job"); err != nil {
 		t.Fatal(err)
 	}
-	// The store does not tell it who owns the job, so it must not answer.
+	// The former owner cannot read who owns the job, so it must not serve it.
 	cluster.store.SetFault(func(call metastore.Call) metastore.Fault {
 		if call.Verb == "get" {
 			return metastore.Refused
 		}
 		return metastore.Sound
 	})
-	cluster.setCut("node-0", false)
+	cluster.setDisconnected("node-0", false)
 	successor.table.Broadcast()
-	eventually(t, "the former owner has heard of the end", func() bool {
+	eventually(t, "the former owner knows of the end", func() bool {
 		former.mutex.Lock()
 		defer former.mutex.Unlock()
 		held := former.jobs["job"]
-		return held == nil || held.ended || held.suspect
+		return held == nil || held.ended || held.unconfirmed
 	})
 	if page, err := former.Read(context.Background(), "job", 0, 0); err == nil && len(page.Results) < len(listed) {
-		t.Errorf("former owner shows %d results, %d had been read", len(page.Results), len(listed))
+		t.Errorf("former owner returns %d results, %d were read before", len(page.Results), len(listed))
 	}
 	cluster.store.SetFault(nil)
 	page, err := former.Read(context.Background(), "job", 0, 0)
 	if err != nil || len(page.Results) < len(listed) {
-		t.Errorf("former owner shows %d results, %d had been read: %v", len(page.Results), len(listed), err)
+		t.Errorf("former owner returns %d results, %d were read before, error %v", len(page.Results), len(listed), err)
 	}
 }
 
-func TestEndedJobRunsNothingMore(t *testing.T) {
-	engine := heldEngine(t)
+func TestEndStopsRuns(t *testing.T) {
+	engine := newHoldingEngine(t)
 	cluster := newCluster(t, 2, engine)
 	if err := cluster.submit(cluster.nodes[0], "job", 6); err != nil {
 		t.Fatal(err)
@@ -166,25 +166,25 @@
 	if err := cluster.nodes[1].End(context.Background(), "job"); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "no run is left", func() bool {
+	eventually(t, "no run or queued item is left", func() bool {
 		cluster.nodes[0].mutex.Lock()
 		defer cluster.nodes[0].mutex.Unlock()
-		return len(cluster.nodes[0].scheduler.attempts) == 0 && len(cluster.nodes[0].scheduler.queue) == 0
+		return len(cluster.nodes[0].scheduler.runs) == 0 && len(cluster.nodes[0].scheduler.queue) == 0
 	})
-	standing, err := jobstore.New(cluster.store).Read(context.Background(), "job")
-	if err != nil || !standing.Ended {
-		t.Errorf("the store has the end: %v, %v", standing.Ended, err)
+	stored, err := jobstore.New(cluster.store).Read(context.Background(), "job")
+	if err != nil || !stored.Ended {
+		t.Errorf("end stored: %v, error %v", stored.Ended, err)
 	}
 	if err := cluster.nodes[0].End(context.Background(), "job"); err != nil {
-		t.Errorf("a repeated end: %v", err)
+		t.Errorf("repeated end: error %v", err)
 	}
 	if err := cluster.nodes[0].End(context.Background(), "other"); !errors.Is(err, jobstore.ErrNoSuchJob) {
-		t.Errorf("the end of a job that nobody submitted: %v", err)
+		t.Errorf("end of an unknown job: error %v", err)
 	}
 }
 
-func TestLeavingNodeGivesItsJobsAway(t *testing.T) {
-	engine := heldEngine(t)
+func TestLeavingNodeHandsJobsOver(t *testing.T) {
+	engine := newHoldingEngine(t)
 	cluster := newCluster(t, 2, engine)
 	if err := cluster.submit(cluster.nodes[0], "job", 6); err != nil {
 		t.Fatal(err)
@@ -196,12 +196,12 @@
 		defer cluster.nodes[1].mutex.Unlock()
 		return cluster.nodes[1].jobs["job"] != nil
 	})
-	t.Logf("given away after %s", time.Since(begun))
+	t.Logf("handed over after %s", time.Since(begun))
 	engine.release()
-	checkWhole(t, "job", cluster.readAll(cluster.nodes[1], "job", 6), 6, 3)
+	checkResults(t, "job", cluster.readAll(cluster.nodes[1], "job", 6), 6, 3)
 }
 
-func TestEndedJobIsReadFromTheStoreOnceForgotten(t *testing.T) {
+func TestEvictedJobIsReadFromStore(t *testing.T) {
 	cluster := newCluster(t, 2, startEngine(t, 2))
 	owner := cluster.nodes[0]
 	if err := cluster.submit(owner, "job", 4); err != nil {
@@ -215,34 +215,34 @@
 	owner.jobs["job"].endedAt = time.Now().Add(-2 * endedJobRetention)
 	owner.mutex.Unlock()
 	owner.evict()
-	if owner.OpenJobs() != 0 || cluster.owner("job") != nil {
-		t.Fatal("the job is still held")
+	if owner.OpenJobCount() != 0 || cluster.owner("job") != nil {
+		t.Fatal("the job is still in memory")
 	}
-	// A caller that sends it once more starts nothing.
+	// Submitting the job again must start nothing.
 	if err := cluster.submit(owner, "job", 4); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the node has looked the job up", func() bool {
+	eventually(t, "the node has read the record", func() bool {
 		owner.mutex.Lock()
 		defer owner.mutex.Unlock()
 		return owner.jobs["job"] != nil || (owner.remoteJobs["job"] != nil && owner.remoteJobs["job"].ended)
 	})
 	if cluster.owner("job") != nil {
-		t.Error("an ended job is taken up again")
+		t.Error("an ended job was started again")
 	}
 	for _, node := range cluster.nodes {
 		after := cluster.readAll(node, "job", 4)
 		for position := range before {
 			if after[position].ID != before[position].ID {
-				t.Errorf("position %d has changed", position)
+				t.Errorf("result at position %d has changed", position)
 			}
 		}
 	}
 }
 
-// A process that is known to have ended is not waited for: inc-f9dd lost a
-// second and a half of every job when all machines had lost power.
-func TestJobsOfAnEndedProcessAreNotWaitedFor(t *testing.T) {
+// Takeovers from a process that is known to have ended must not wait for the owner
+// timeout.
+func TestTakeoverDelay(t *testing.T) {
 	cluster := newCluster(t, 2, startEngine(t, 2))
 	node := cluster.nodes[0]
 	eventually(t, "the nodes know each other", func() bool {
@@ -251,30 +251,29 @@
 	})
 	peer, _ := node.table.Get("node-1")
 	for _, test := range []struct {
-		name  string
-		owner jobstore.Owner
-		least time.Duration
-		most  time.Duration
+		name     string
+		owner    jobstore.Owner
+		shortest time.Duration
+		longest  time.Duration
 	}{
 		{"this node's former process", jobstore.Owner{Node: "node-0", Incarnation: 1}, 0, 0},
 		{"a peer's former process", jobstore.Owner{Node: "node-1", Incarnation: 1}, ownership.RankDelay, 2 * ownership.RankDelay},
 		{"a peer's process", jobstore.Owner{Node: "node-1", Incarnation: peer.Incarnation}, ownership.OwnerTimeout, ownership.OwnerTimeout + ownership.RankDelay},
-		{"a node never heard", jobstore.Owner{Node: "node-9", Incarnation: 1}, ownership.OwnerTimeout, ownership.OwnerTimeout + 2*ownership.RankDelay},
+		{"a node without heartbeats", jobstore.Owner{Node: "node-9", Incarnation: 1}, ownership.OwnerTimeout, ownership.OwnerTimeout + 2*ownership.RankDelay},
 	} {
 		node.mutex.Lock()
 		wait := node.takeoverDelay("job", &remoteJob{owner: test.owner})
 		node.mutex.Unlock()
-		if wait < test.least || wait > test.most {
-			t.Errorf("%s: waits %s, want %s to %s", test.name, wait, test.least, test.most)
+		if wait < test.shortest || wait > test.longest {
+			t.Errorf("%s: waits %s, want %s to %s", test.name, wait, test.shortest, test.longest)
 		}
 	}
 }
 
-// A job that runs here is not taken over from this node itself, whatever a
-// reader noted of it meanwhile: in trouble-2 one was taken over ten times, each
-// time with a chunk in the store that held its results up.
-func TestJobThatRunsHereIsNotTakenOver(t *testing.T) {
-	engine := heldEngine(t)
+// A node must not take over a job that it runs itself, even if a reader recorded its
+// owner as a remote one.
+func TestOwnJobIsNotTakenOver(t *testing.T) {
+	engine := newHoldingEngine(t)
 	cluster := newCluster(t, 1, engine)
 	node := cluster.nodes[0]
 	if err := cluster.submit(node, "job", 6); err != nil {
@@ -284,24 +283,24 @@
 	node.learnRemote("job", node.jobs["job"].record.Owner, 0, false)
 	node.mutex.Unlock()
 	if orphans := node.orphans(); len(orphans) > 0 {
-		t.Errorf("to be taken over: %v", orphans)
+		t.Errorf("jobs to take over: %v, want none", orphans)
 	}
 	engine.release()
-	checkWhole(t, "job", cluster.readAll(node, "job", 6), 6, 3)
+	checkResults(t, "job", cluster.readAll(node, "job", 6), 6, 3)
 }
 
-// The next owner of items that a job ended without learns how long they are.
-func TestLengthsOfUnfinishedItemsReachTheOtherNodes(t *testing.T) {
-	engine := heldEngine(t)
+// Guards against losing the known lengths of items that their job ended without.
+func TestLengthsReachOtherNodes(t *testing.T) {
+	engine := newHoldingEngine(t)
 	cluster := newCluster(t, 2, engine)
 	if err := cluster.submit(cluster.nodes[0], "job", 6); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "all items have made an event", func() bool {
+	eventually(t, "all items have an event", func() bool {
 		cluster.nodes[0].mutex.Lock()
 		defer cluster.nodes[0].mutex.Unlock()
 		for _, running := range cluster.nodes[0].jobs["job"].items {
-			if running.seen() < 1 {
+			if running.knownEvents() < 1 {
 				return false
 			}
 		}
