--- a/internal/callers/admission/adaptive.go
+++ b/internal/callers/admission/adaptive.go
@@ -40,8 +40,8 @@
 	return Bounds{RequestsPerSecond: math.MaxFloat64, MaxInFlight: int(limit), MaxQueue: math.MaxInt}
 }
 
-// SetMost changes the maximum, in calls, and lowers the limit to it if necessary.
-func (a *Adaptive) SetMost(maximum int) {
+// SetMaximum changes the maximum, in calls, and lowers the limit to it if necessary.
+func (a *Adaptive) SetMaximum(maximum int) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.maximum = max(minConcurrency, maximum)
--- a/internal/callers/admission/adaptive_test.go
+++ b/internal/callers/admission/adaptive_test.go
@@ -63,7 +63,7 @@
 	if err := limiter.Enter(ctx); !errors.As(err, &refused) {
 		t.Errorf("Enter above the limit returned %v, want a RefusedError", err)
 	}
-	limiter.SetMost(1)
+	limiter.SetMaximum(1)
 	limiter.Leave(false)
 	if limit := limiter.Limit(); limit != 1 {
 		t.Errorf("limit %d after the maximum was lowered to 1", limit)
--- a/internal/callers/admission/budget.go
+++ b/internal/callers/admission/budget.go
@@ -32,8 +32,8 @@
 	b.creditPerSuccess.Store(int64(percent * retryCost / 100))
 }
 
-// Succeeded records a success, which adds to the budget.
-func (b *RetryBudget) Succeeded() {
+// RecordSuccess records a success, which adds to the budget.
+func (b *RetryBudget) RecordSuccess() {
 	if b.balance.Load() < maxBudget {
 		b.balance.Add(b.creditPerSuccess.Load())
 	}
--- a/internal/callers/admission/gate_test.go
+++ b/internal/callers/admission/gate_test.go
@@ -83,7 +83,7 @@
 		spent++
 	}
 	for range 100 {
-		budget.Succeeded()
+		budget.RecordSuccess()
 	}
 	earned := 0
 	for budget.Spend() {
--- a/internal/callers/eventstream/errors.go
+++ b/internal/callers/eventstream/errors.go
@@ -6,8 +6,8 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrTorn means that the stream ended in the middle of an event.
-var ErrTorn = merry.Sentinel("stream ended in the middle of an event")
+// ErrTruncated means that the stream ended in the middle of an event.
+var ErrTruncated = merry.Sentinel("stream ended in the middle of an event")
 
 // MalformedError reports an event that cannot be parsed or does not follow the previous one.
 type MalformedError struct {
--- a/internal/callers/eventstream/reader.go
+++ b/internal/callers/eventstream/reader.go
@@ -33,7 +33,7 @@
 }
 
 // Next returns the next event. The error is io.EOF if the source ends after a complete event,
-// ErrTorn if it ends within one, a *MalformedError, or an error of the source.
+// ErrTruncated if it ends within one, a *MalformedError, or an error of the source.
 func (r *Reader) Next() (Event, error) {
 	event := Event{}
 	started, hasData := false, false
@@ -41,7 +41,7 @@
 		line, err := r.readLine()
 		if err != nil {
 			if errors.Is(err, io.EOF) && started {
-				return Event{}, ErrTorn
+				return Event{}, ErrTruncated
 			}
 			return Event{}, err
 		}
@@ -111,7 +111,7 @@
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			if errors.Is(err, io.EOF) && len(partial)+len(part) > 0 {
-				return "", ErrTorn
+				return "", ErrTruncated
 			}
 			return "", err
 		}
--- a/internal/callers/forward/homes_test.go
+++ b/internal/callers/forward/homes_test.go
@@ -13,7 +13,7 @@
 
 // newRegionalForwarder returns a forwarder with a replica in region north and one in region
 // south. A third replica, at the northern backend, is in a zone without a region.
-func newRegionalForwarder(t *testing.T, north, south handler, tenants ...tenancy.Declared) (forwarder *Forwarder, northern, southern *backend) {
+func newRegionalForwarder(t *testing.T, north, south handler, tenants ...tenancy.Declaration) (forwarder *Forwarder, northern, southern *backend) {
 	t.Helper()
 	northern, southern = startBackend(t, north), startBackend(t, south)
 	forwarder = newForwarder()
@@ -56,7 +56,7 @@
 }
 
 func TestRefusesOutsideAllowedRegions(t *testing.T) {
-	tenant := tenancy.Declared{Tenant: tenancy.Tenant{Name: "southerner", AllowedRegions: []string{"south"}}}
+	tenant := tenancy.Declaration{Tenant: tenancy.Tenant{Name: "southerner", AllowedRegions: []string{"south"}}}
 	forwarder, northern, southern := newRegionalForwarder(t, respondWith(""), respondWith(""), tenant)
 	for name, route := range map[string]*directory.Route{
 		"unknown region": routeWithin(directory.RouteSafe, "atlantis"),
--- a/internal/callers/ingress/authenticate.go
+++ b/internal/callers/ingress/authenticate.go
@@ -37,7 +37,7 @@
 	if configuration.Tenants == nil {
 		return "", nil
 	}
-	defer h.config.Headers.WithholdKey(header)
+	defer h.config.Headers.RemoveKey(header)
 	if public {
 		return "", nil
 	}
@@ -46,7 +46,7 @@
 		return "", &unauthenticatedError{err}
 	}
 	age := h.config.ConfigurationAge()
-	if maxAge := h.config.KeyBound(); maxAge > 0 && age > maxAge {
+	if maxAge := h.config.MaxConfigurationAge(); maxAge > 0 && age > maxAge {
 		return "", &unauthenticatedError{errStaleConfiguration}
 	}
 	holder := configuration.Tenants.Lookup(key)
@@ -64,7 +64,7 @@
 	err  error
 	name string
 }{
-	{tenancy.ErrNoKey, "none"}, {tenancy.ErrSeveralKeys, "several"}, {tenancy.ErrOtherScheme, "scheme"}, {tenancy.ErrMalformedKey, "malformed"},
+	{tenancy.ErrNoKey, "none"}, {tenancy.ErrMultipleKeys, "several"}, {tenancy.ErrUnsupportedScheme, "scheme"}, {tenancy.ErrMalformedKey, "malformed"},
 	{tenancy.ErrUnknownKey, "unknown"}, {errStaleConfiguration, "unproven"},
 }
 
--- a/internal/callers/ingress/authenticate_test.go
+++ b/internal/callers/ingress/authenticate_test.go
@@ -22,10 +22,10 @@
 	return tenancy.Key(header.Get(testKeyHeader)), nil
 }
 
-func (fakeHeaders) WithholdKey(header http.Header) { header.Del(testKeyHeader) }
+func (fakeHeaders) RemoveKey(header http.Header) { header.Del(testKeyHeader) }
 
 func TestAuthenticate(t *testing.T) {
-	table, _ := tenancy.NewTable([]tenancy.Declared{{Tenant: tenancy.Tenant{Name: "one"}, Keys: []tenancy.Key{"known"}}})
+	table, _ := tenancy.NewTable([]tenancy.Declaration{{Tenant: tenancy.Tenant{Name: "one"}, Keys: []tenancy.Key{"known"}}})
 	declared := &directory.Configuration{Tenants: table}
 	for _, test := range []struct {
 		name          string
@@ -48,7 +48,7 @@
 		{"known, beyond the maximum age", declared, "known", false, 6 * time.Second, 5 * time.Second, "", errStaleConfiguration, ""},
 	} {
 		handler := NewHandler(Config{
-			Headers: fakeHeaders{}, ConfigurationAge: func() time.Duration { return test.age }, KeyBound: func() time.Duration { return test.maxAge },
+			Headers: fakeHeaders{}, ConfigurationAge: func() time.Duration { return test.age }, MaxConfigurationAge: func() time.Duration { return test.maxAge },
 		})
 		header := http.Header{}
 		if test.key != "" {
--- a/internal/callers/ingress/body.go
+++ b/internal/callers/ingress/body.go
@@ -11,10 +11,10 @@
 var (
 	// ErrBodyTooLarge means that a body exceeds the configured limit.
 	ErrBodyTooLarge = merry.Sentinel("body is over the limit")
-	// ErrBodyBroken means that the caller did not send the whole body.
-	ErrBodyBroken = merry.Sentinel("request body is incomplete")
-	// ErrNoRoom means that the bodies in progress use the whole memory budget for bodies.
-	ErrNoRoom = merry.Sentinel("no room for the body")
+	// ErrBodyIncomplete means that the caller did not send the whole body.
+	ErrBodyIncomplete = merry.Sentinel("request body is incomplete")
+	// ErrBodyBudgetExhausted means that the bodies in progress use the whole memory budget for bodies.
+	ErrBodyBudgetExhausted = merry.Sentinel("no room for the body")
 )
 
 // minBodyGrowthBytes is the initial size of a body's buffer and the smallest step by which
@@ -26,7 +26,8 @@
 type bodyReader struct{ budget budget }
 
 // read reads a whole body of at most limit bytes; 0 means no limit. The caller must call
-// release, also after an error. The error is ErrBodyTooLarge, ErrNoRoom or ErrBodyBroken.
+// release, also after an error. The error is ErrBodyTooLarge,
+// ErrBodyBudgetExhausted or ErrBodyIncomplete.
 func (r *bodyReader) read(request *http.Request, limit int64) (body []byte, release func(), err error) {
 	reserved := int64(0)
 	release = func() { r.budget.release(reserved) }
@@ -43,7 +44,7 @@
 				step = min(step, request.ContentLength+1-int64(len(body)))
 			}
 			if !r.budget.reserve(step) {
-				return nil, release, ErrNoRoom
+				return nil, release, ErrBodyBudgetExhausted
 			}
 			reserved += step
 			body = append(make([]byte, 0, int64(len(body))+step), body...)
@@ -56,7 +57,7 @@
 		case errors.Is(err, io.EOF):
 			return body, release, nil
 		case err != nil:
-			return nil, release, merry.Wrap(ErrBodyBroken, merry.WithCause(err))
+			return nil, release, merry.Wrap(ErrBodyIncomplete, merry.WithCause(err))
 		}
 	}
 }
--- a/internal/callers/ingress/body_test.go
+++ b/internal/callers/ingress/body_test.go
@@ -32,7 +32,7 @@
 		{"exactly at the limit", small, -1, 100, 0, nil},
 		{"Content-Length over the limit", small, 100, 99, 1 << 20, ErrBodyTooLarge},
 		{"chunked, over the limit", large, -1, 200 << 10, 1 << 20, ErrBodyTooLarge},
-		{"budget exhausted", large, 300 << 10, 1 << 20, 100 << 10, ErrNoRoom},
+		{"budget exhausted", large, 300 << 10, 1 << 20, 100 << 10, ErrBodyBudgetExhausted},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			reader := bodyReader{budget: budget{limit: test.budget}}
@@ -51,8 +51,8 @@
 func TestReadBodyIncomplete(t *testing.T) {
 	reader := bodyReader{}
 	request := &http.Request{Body: io.NopCloser(io.MultiReader(bytes.NewReader([]byte("half")), iotest.ErrReader(io.ErrUnexpectedEOF))), ContentLength: 8}
-	if _, _, err := reader.read(request, 0); !errors.Is(err, ErrBodyBroken) {
-		t.Errorf("error %v, want ErrBodyBroken", err)
+	if _, _, err := reader.read(request, 0); !errors.Is(err, ErrBodyIncomplete) {
+		t.Errorf("error %v, want ErrBodyIncomplete", err)
 	}
 }
 
--- a/internal/callers/ingress/config.go
+++ b/internal/callers/ingress/config.go
@@ -20,10 +20,10 @@
 	// ConfigurationAge returns the time since the configuration was last confirmed to be
 	// the newest.
 	ConfigurationAge func() time.Duration
-	// KeyBound returns the configuration age beyond which no API key is accepted; 0 means
+	// MaxConfigurationAge returns the configuration age beyond which no API key is accepted; 0 means
 	// no limit.
-	KeyBound func() time.Duration
-	// BodyBytes limits the total size of the bodies of all requests in progress; 0 means
+	MaxConfigurationAge func() time.Duration
+	// MaxTotalBodyBytes limits the total size of the bodies of all requests in progress; 0 means
 	// no limit.
-	BodyBytes int64
+	MaxTotalBodyBytes int64
 }
--- a/internal/callers/ingress/handler.go
+++ b/internal/callers/ingress/handler.go
@@ -33,7 +33,7 @@
 }
 
 func NewHandler(config Config) *Handler {
-	return &Handler{config: config, bodies: bodyReader{budget: budget{limit: config.BodyBytes}}, started: time.Now()}
+	return &Handler{config: config, bodies: bodyReader{budget: budget{limit: config.MaxTotalBodyBytes}}, started: time.Now()}
 }
 
 // IdleTime returns the time since the latest request arrived.
@@ -55,7 +55,7 @@
 		h.refuse(writer, id, errNoConfiguration)
 		return
 	}
-	if h.config.Jobs.IsCall(request) {
+	if h.config.Jobs.IsJobRequest(request) {
 		h.serveJobRequest(writer, request, configuration, id)
 		return
 	}
@@ -69,7 +69,7 @@
 		h.refuseUnauthenticated(writer, id, err)
 		return
 	}
-	h.config.Jobs.ServeCall(writer, request, tenant)
+	h.config.Jobs.ServeJobRequest(writer, request, tenant)
 }
 
 // serveRequest serves a request that is matched to a route.
@@ -96,12 +96,12 @@
 		return
 	}
 	if route.Kind == directory.RouteBatch {
-		h.config.Jobs.Submit(writer, request, Submitted{Route: route, ID: id, Tenant: tenant, Body: body})
+		h.config.Jobs.Submit(writer, request, Submission{Route: route, ID: id, Tenant: tenant, Body: body})
 		return
 	}
 	call := h.newCall(request, route, id, tenant, body, received)
 	if route.Kind == directory.RouteStream {
-		call.LastEventID = h.config.Headers.AfterEvent(request.Header)
+		call.LastEventID = h.config.Headers.LastEventID(request.Header)
 		call.EnginePriority = dispatch.EnginePriorityOf(configuration.Tenants.PriorityOf(tenant, route.Priority))
 		h.forwardStream(writer, request, route, call)
 		return
--- a/internal/callers/ingress/headers.go
+++ b/internal/callers/ingress/headers.go
@@ -15,18 +15,18 @@
 	// Key returns the API key of a request, or an error of package tenancy if the request
 	// has no valid one.
 	Key(header http.Header) (tenancy.Key, error)
-	// WithholdKey removes the API key from headers that are forwarded.
-	WithholdKey(header http.Header)
+	// RemoveKey removes the API key from headers that are forwarded.
+	RemoveKey(header http.Header)
 	// Deadline returns the caller's timeout, and false if it gives none.
 	Deadline(header http.Header) (time.Duration, bool)
-	// AfterEvent returns the id of the event after which the stream resumes, 0 for its
+	// LastEventID returns the id of the event after which the stream resumes, 0 for its
 	// beginning.
-	AfterEvent(header http.Header) int
-	// Wait returns how long a read of job results may wait for new ones.
-	Wait(header http.Header) time.Duration
-	// Refuse sets the headers of a refusal: the request's id, and Retry-After unless after
+	LastEventID(header http.Header) int
+	// ResultWait returns how long a read of job results may wait for new ones.
+	ResultWait(header http.Header) time.Duration
+	// SetRefusal sets the headers of a refusal: the request's id, and Retry-After unless after
 	// is 0.
-	Refuse(header http.Header, id string, after time.Duration)
+	SetRefusal(header http.Header, id string, after time.Duration)
 }
 
 // connectionHeaders apply to a single connection (hop-by-hop) and are never forwarded.
--- a/internal/callers/ingress/jobs.go
+++ b/internal/callers/ingress/jobs.go
@@ -8,16 +8,16 @@
 
 // Jobs serves the requests that concern batch jobs.
 type Jobs interface {
-	// IsCall reports whether a request is about an existing batch job.
-	IsCall(request *http.Request) bool
-	// ServeCall serves such a request. An empty tenant has access to any job.
-	ServeCall(writer http.ResponseWriter, request *http.Request, tenant string)
+	// IsJobRequest reports whether a request is about an existing batch job.
+	IsJobRequest(request *http.Request) bool
+	// ServeJobRequest serves such a request. An empty tenant has access to any job.
+	ServeJobRequest(writer http.ResponseWriter, request *http.Request, tenant string)
 	// Submit accepts or refuses a new batch job and writes the response.
-	Submit(writer http.ResponseWriter, request *http.Request, submitted Submitted)
+	Submit(writer http.ResponseWriter, request *http.Request, submitted Submission)
 }
 
-// Submitted is a new batch job as received from a caller.
-type Submitted struct {
+// Submission is a new batch job as received from a caller.
+type Submission struct {
 	Route *directory.Route
 	// ID is the id that the caller gave the job.
 	ID string
--- a/internal/callers/ingress/refusal.go
+++ b/internal/callers/ingress/refusal.go
@@ -50,7 +50,7 @@
 		return refusal{http.StatusUnauthorized, err.Error(), 0}
 	case errors.Is(err, errNoRequestID):
 		return refusal{http.StatusBadRequest, err.Error(), 0}
-	case errors.Is(err, ErrNoRoom):
+	case errors.Is(err, ErrBodyBudgetExhausted):
 		return refusal{http.StatusServiceUnavailable, err.Error(), bodyBudgetRetryAfter}
 	case errors.Is(err, ErrBodyTooLarge):
 		return refusal{http.StatusRequestEntityTooLarge, err.Error(), 0}
@@ -65,7 +65,7 @@
 // refuse writes and logs the error response to a request.
 func (h *Handler) refuse(writer http.ResponseWriter, id string, err error) {
 	response := refusalOf(err)
-	h.config.Headers.Refuse(writer.Header(), id, response.retryAfter)
+	h.config.Headers.SetRefusal(writer.Header(), id, response.retryAfter)
 	writer.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	writer.WriteHeader(response.status)
 	writer.Write([]byte(response.reason + "\n"))
@@ -82,7 +82,7 @@
 // handleBodyError ends a request whose body could not be read. If the caller did not send the
 // whole body, it aborts the connection, since no caller waits for a response.
 func (h *Handler) handleBodyError(writer http.ResponseWriter, id, route string, err error) {
-	if errors.Is(err, ErrBodyBroken) {
+	if errors.Is(err, ErrBodyIncomplete) {
 		h.config.Logger.Info("failed to read request body", "request", id, "route", route, "error", err.Error())
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/callers/ingress/refusal_test.go
+++ b/internal/callers/ingress/refusal_test.go
@@ -23,7 +23,7 @@
 		"no key":                {&unauthenticatedError{tenancy.ErrNoKey}, refusal{401, tenancy.ErrNoKey.Error(), 0}},
 		"other key error":       {&unauthenticatedError{merry.Sentinel("other")}, refusal{401, "other", 0}},
 		"stale configuration":   {&unauthenticatedError{errStaleConfiguration}, refusal{503, "the configuration is too old to tell whose key it is", 100 * time.Millisecond}},
-		"body budget exhausted": {ErrNoRoom, refusal{503, "no room for the body", 300 * time.Millisecond}},
+		"body budget exhausted": {ErrBodyBudgetExhausted, refusal{503, "no room for the body", 300 * time.Millisecond}},
 		"body too large":        {ErrBodyTooLarge, refusal{413, "body is over the limit", 0}},
 		"refused by forwarding": {&forward.RefusedError{Reason: "r", RetryAfter: time.Minute, Cause: context.Canceled}, refusal{503, "r", time.Minute}},
 		"expired":               {&forward.LostError{Expired: true, Cause: context.DeadlineExceeded}, refusal{504, "the time for the request ran out", 0}},
--- a/internal/callers/quarantine/recorder_test.go
+++ b/internal/callers/quarantine/recorder_test.go
@@ -39,7 +39,7 @@
 
 func startRecorder(t *testing.T, store objectstore.Store) *recorder {
 	t.Helper()
-	recorder := newRecorder(store, clock.Steady, time.Hour, klog.Background())
+	recorder := newRecorder(store, clock.Monotonic, time.Hour, klog.Background())
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	go recorder.Run(ctx)
--- a/internal/callers/quarantine/service_test.go
+++ b/internal/callers/quarantine/service_test.go
@@ -50,7 +50,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	service := NewService(ctx, Config{
-		Node: node, Duration: time.Hour, Prober: n, Store: n.store, Peers: n, Logger: klog.Background(), Registry: prometheus.NewRegistry(), Clock: clock.Steady,
+		Node: node, Duration: time.Hour, Prober: n, Store: n.store, Peers: n, Logger: klog.Background(), Registry: prometheus.NewRegistry(), Clock: clock.Monotonic,
 		Nodes: n.names, Address: func(name string) (string, bool) { return name, true },
 	})
 	go service.Run(ctx)
--- a/internal/callers/tenancy/errors.go
+++ b/internal/callers/tenancy/errors.go
@@ -11,10 +11,10 @@
 var (
 	// ErrNoKey means that a request carries no key where one is needed.
 	ErrNoKey = merry.Sentinel("the request carries no key")
-	// ErrSeveralKeys means that a request carries more than one key.
-	ErrSeveralKeys = merry.Sentinel("the request carries several keys")
-	// ErrOtherScheme means that the credentials are not an API key.
-	ErrOtherScheme = merry.Sentinel("the credentials are of another scheme")
+	// ErrMultipleKeys means that a request carries more than one key.
+	ErrMultipleKeys = merry.Sentinel("the request carries several keys")
+	// ErrUnsupportedScheme means that the credentials are not an API key.
+	ErrUnsupportedScheme = merry.Sentinel("the credentials are of another scheme")
 	// ErrMalformedKey means that a key is empty or longer than any key.
 	ErrMalformedKey = merry.Sentinel("the key is empty or too long")
 	// ErrUnknownKey means that no tenant holds the key.
--- a/internal/callers/tenancy/table.go
+++ b/internal/callers/tenancy/table.go
@@ -19,7 +19,7 @@
 
 // NewTable returns the table of the declared tenants, and which parts of them cannot be
 // used. A key that two tenants hold identifies neither of them.
-func NewTable(declared []Declared) (*Table, []*DeclarationError) {
+func NewTable(declared []Declaration) (*Table, []*DeclarationError) {
 	table := &Table{byKey: make(map[digest]*Tenant, len(declared)), byName: make(map[string]*Tenant, len(declared))}
 	var findings []*DeclarationError
 	shared := map[digest]bool{}
--- a/internal/callers/tenancy/table_test.go
+++ b/internal/callers/tenancy/table_test.go
@@ -13,7 +13,7 @@
 func rank(priority int) *int { return &priority }
 
 func TestKeysIdentifyTheirTenants(t *testing.T) {
-	table, findings := NewTable([]Declared{
+	table, findings := NewTable([]Declaration{
 		{Tenant: Tenant{Name: "one", Priority: rank(0)}, Keys: []Key{"a", "b"}},
 		{Tenant: Tenant{Name: "two"}, Keys: []Key{"c"}},
 		{Tenant: Tenant{Name: "none"}},
@@ -47,15 +47,15 @@
 	const secret = "sekrit-key"
 	for _, test := range []struct {
 		name     string
-		declared []Declared
+		declared []Declaration
 		problem  string
 		holder   string
 	}{
-		{"no name", []Declared{{Keys: []Key{secret}}}, problemNoName, ""},
-		{"empty key", []Declared{{Tenant: Tenant{Name: "one"}, Keys: []Key{"", secret}}}, problemMalformed, "one"},
-		{"huge key", []Declared{{Tenant: Tenant{Name: "one"}, Keys: []Key{Key(strings.Repeat(secret, 100)), secret}}}, problemMalformed, "one"},
-		{"shared key", []Declared{{Tenant: Tenant{Name: "one"}, Keys: []Key{secret}}, {Tenant: Tenant{Name: "two"}, Keys: []Key{secret}}}, problemSharedKey, ""},
-		{"declared twice", []Declared{{Tenant: Tenant{Name: "one"}, Keys: []Key{"x"}}, {Tenant: Tenant{Name: "one"}, Keys: []Key{secret}}}, problemTwice, "one"},
+		{"no name", []Declaration{{Keys: []Key{secret}}}, problemNoName, ""},
+		{"empty key", []Declaration{{Tenant: Tenant{Name: "one"}, Keys: []Key{"", secret}}}, problemMalformed, "one"},
+		{"huge key", []Declaration{{Tenant: Tenant{Name: "one"}, Keys: []Key{Key(strings.Repeat(secret, 100)), secret}}}, problemMalformed, "one"},
+		{"shared key", []Declaration{{Tenant: Tenant{Name: "one"}, Keys: []Key{secret}}, {Tenant: Tenant{Name: "two"}, Keys: []Key{secret}}}, problemSharedKey, ""},
+		{"declared twice", []Declaration{{Tenant: Tenant{Name: "one"}, Keys: []Key{"x"}}, {Tenant: Tenant{Name: "one"}, Keys: []Key{secret}}}, problemTwice, "one"},
 	} {
 		table, findings := NewTable(test.declared)
 		if len(findings) != 1 || findings[0].Problem != test.problem {
@@ -76,9 +76,9 @@
 
 // A key that three tenants hold must not come to identify the third.
 func TestAKeyOfThreeTenantsIdentifiesNone(t *testing.T) {
-	declared := []Declared{}
+	declared := []Declaration{}
 	for _, name := range []string{"one", "two", "three"} {
-		declared = append(declared, Declared{Tenant: Tenant{Name: name}, Keys: []Key{"k"}})
+		declared = append(declared, Declaration{Tenant: Tenant{Name: name}, Keys: []Key{"k"}})
 	}
 	table, findings := NewTable(declared)
 	if tenant := table.Lookup("k"); tenant != nil || len(findings) != 2 {
@@ -100,7 +100,7 @@
 }
 
 func TestALookupAllocatesNothing(t *testing.T) {
-	table, _ := NewTable([]Declared{{Tenant: Tenant{Name: "one"}, Keys: []Key{"some-key-of-usual-length"}}})
+	table, _ := NewTable([]Declaration{{Tenant: Tenant{Name: "one"}, Keys: []Key{"some-key-of-usual-length"}}})
 	if allocated := testing.AllocsPerRun(100, func() { table.Lookup("some-key-of-usual-length") }); allocated != 0 {
 		t.Errorf("%v allocations", allocated)
 	}
@@ -111,7 +111,7 @@
 func TestLookupsAgreeWithTheDeclaration(t *testing.T) {
 	holds := func(seed uint64) bool {
 		random := rand.New(rand.NewPCG(seed, 1))
-		declared := make([]Declared, random.IntN(6))
+		declared := make([]Declaration, random.IntN(6))
 		holders := map[Key]map[string]bool{}
 		for i := range declared {
 			name := fmt.Sprint("tenant-", random.IntN(5))
--- a/internal/callers/tenancy/tenant.go
+++ b/internal/callers/tenancy/tenant.go
@@ -11,8 +11,8 @@
 	AllowedRegions []string
 }
 
-// Declared is a tenant with its keys, as an operator declares it.
-type Declared struct {
+// Declaration is a tenant with its keys, as an operator declares it.
+type Declaration struct {
 	Tenant
 	Keys []Key
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -15,9 +15,9 @@
 // Until returns the time until an instant.
 func (c Clock) Until(at time.Time) time.Duration { return at.Sub(c()) }
 
-// Steady is the process's monotonic clock, which stops while the machine is suspended. Tests
+// Monotonic is the process's monotonic clock, which stops while the machine is suspended. Tests
 // use it, since it follows a virtual clock.
-var Steady = Clock(time.Now)
+var Monotonic = Clock(time.Now)
 
 // UnreadableError reports that the boot-time clock can't be read.
 type UnreadableError struct{ Cause error }
@@ -30,10 +30,10 @@
 // Unwrap returns the cause.
 func (e *UnreadableError) Unwrap() error { return e.Cause }
 
-// Boot returns a clock that keeps counting while the machine is suspended and ignores steps
+// NewBootTime returns a clock that keeps counting while the machine is suspended and ignores steps
 // of the time of day. It starts at the time of day of the call. It returns an
 // *UnreadableError if the machine has no such clock.
-func Boot() (Clock, error) {
+func NewBootTime() (Clock, error) {
 	began, err := sinceBoot()
 	if err != nil {
 		return nil, &UnreadableError{Cause: err}
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestBootGoesOnSteadily(t *testing.T) {
-	counting, err := Boot()
+	counting, err := NewBootTime()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/peering/seeds.go
+++ b/internal/cluster/peering/seeds.go
@@ -100,7 +100,7 @@
 
 // askSeed asks one seed for the list of nodes.
 func (t *Table) askSeed(ctx context.Context, seed string, index int, replies chan<- seedReply) {
-	reply, err := environment.Ask(ctx, t.config.Peers, seed, t.newHeartbeat(), seedTimeout)
+	reply, err := environment.Call(ctx, t.config.Peers, seed, t.newHeartbeat(), seedTimeout)
 	heartbeat, isHeartbeat := reply.(*wire.NodeBeat)
 	if err != nil || !isHeartbeat {
 		heartbeat = nil
--- a/internal/duties/autoscale/service_test.go
+++ b/internal/duties/autoscale/service_test.go
@@ -102,7 +102,7 @@
 	}
 	table.SetReplicas(replicas, 0)
 	elector := lease.NewElector(lease.Config{
-		Node: name, Lease: lease.NewLease(name, name, 0, w.store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
+		Node: name, Lease: lease.NewLease(name, name, 0, w.store, clock.Monotonic), Clock: clock.Monotonic, Logger: klog.Background(),
 		Nodes: func() []string { return []string{name} }, Announce: func([]string) {}, SinceHeartbeat: func(string) time.Duration { return time.Hour },
 	})
 	service := NewService(Config{
--- a/internal/duties/lease/lease_test.go
+++ b/internal/duties/lease/lease_test.go
@@ -13,7 +13,7 @@
 const testTakeoverGap = 3 * time.Second
 
 func newLease(node string, store *metastore.Store) *Lease {
-	return NewLease(node, node, testTakeoverGap, store, clock.Steady)
+	return NewLease(node, node, testTakeoverGap, store, clock.Monotonic)
 }
 
 // acquireNow acquires the lease, which must need no wait, and returns the token.
--- a/internal/duties/usage/pusher.go
+++ b/internal/duties/usage/pusher.go
@@ -135,7 +135,7 @@
 func (p *pusher) pushTo(ctx context.Context, to receiver, since uint64) {
 	windows, version := p.counter.changedSince(since)
 	sent := time.Now()
-	message, err := environment.Ask(ctx, p.config.Peers, to.address, p.newPush(windows, sent), pushTimeout)
+	message, err := environment.Call(ctx, p.config.Peers, to.address, p.newPush(windows, sent), pushTimeout)
 	replied := time.Now()
 	reply, isReply := message.(*wire.UsageTaken)
 	p.mutex.Lock()
--- a/internal/duties/usage/service_test.go
+++ b/internal/duties/usage/service_test.go
@@ -141,7 +141,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	node := &testNode{name: name, incarnation: incarnation, network: n, stop: stop}
 	node.elector = lease.NewElector(lease.Config{
-		Node: name, Lease: lease.NewLease(name, fmt.Sprint(incarnation), 0, store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
+		Node: name, Lease: lease.NewLease(name, fmt.Sprint(incarnation), 0, store, clock.Monotonic), Clock: clock.Monotonic, Logger: klog.Background(),
 		Nodes: func() []string { return names }, Announce: func([]string) { node.announce() },
 		SinceHeartbeat: func(other string) time.Duration {
 			at, _ := node.heartbeats.Load(other)
--- a/internal/duties/weightorders/coordinator_test.go
+++ b/internal/duties/weightorders/coordinator_test.go
@@ -72,7 +72,7 @@
 	for _, node := range nodes {
 		var elector *lease.Elector
 		elector = lease.NewElector(lease.Config{
-			Node: node, Lease: lease.NewLease(node, nonce, lease.DefaultTakeoverGap, f.store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
+			Node: node, Lease: lease.NewLease(node, nonce, lease.DefaultTakeoverGap, f.store, clock.Monotonic), Clock: clock.Monotonic, Logger: klog.Background(),
 			Nodes: func() []string { return nodes }, SinceHeartbeat: func(string) time.Duration { return time.Hour }, Announce: func([]string) { f.announce(elector) },
 		})
 		created := NewCoordinator(Config{
--- a/internal/environment/ask.go
+++ b/internal/environment/ask.go
@@ -7,9 +7,9 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// Ask sends a request to a peer and waits for its reply. It returns the error of Peers.Call, or
+// Call sends a request to a peer and waits for its reply. It returns the error of Peers.Call, or
 // the context's error if the context ends first.
-func Ask(ctx context.Context, peers Peers, address string, request wire.Message, timeout time.Duration) (wire.Message, error) {
+func Call(ctx context.Context, peers Peers, address string, request wire.Message, timeout time.Duration) (wire.Message, error) {
 	type answer struct {
 		message wire.Message
 		err     error
--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -134,8 +134,8 @@
 func (p *parts) assembleIngress() {
 	p.handler = ingress.NewHandler(ingress.Config{
 		Directory: p.directory, Forwarder: p.forwarder, Headers: p.adapter.Headers, Logger: p.logger,
-		Jobs: &batch.Handler{Service: p.jobs, Headers: p.adapter.Headers}, BodyBytes: bodyBytes(p.settings.MemoryMB),
+		Jobs: &batch.Handler{Service: p.jobs, Headers: p.adapter.Headers}, MaxTotalBodyBytes: bodyBytes(p.settings.MemoryMB),
 		Metrics: ingress.NewMetrics(p.registry), ConfigurationAge: p.source.CacheAge,
-		KeyBound: p.live.keyBound,
+		MaxConfigurationAge: p.live.keyBound,
 	})
 }
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -38,7 +38,7 @@
 	if configured.DutyAPI != "" {
 		duties = adapter.Duties(configured.DutyAPI, configured.Duties)
 	}
-	counting, err := clock.Boot()
+	counting, err := clock.NewBootTime()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/instance/slowstart.go
+++ b/internal/instance/slowstart.go
@@ -98,7 +98,7 @@
 	if !known {
 		return nil, errNoAllotter
 	}
-	reply, err := environment.Ask(ctx, s.transport, peer.Address, question, allotterTimeout)
+	reply, err := environment.Call(ctx, s.transport, peer.Address, question, allotterTimeout)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/jobs/batch/end.go
+++ b/internal/jobs/batch/end.go
@@ -39,7 +39,7 @@
 	if !known {
 		return false
 	}
-	message, err := environment.Ask(ctx, s.config.Peers, owner.Address, &wire.JobEnd{Job: id}, ownerEndTimeout)
+	message, err := environment.Call(ctx, s.config.Peers, owner.Address, &wire.JobEnd{Job: id}, ownerEndTimeout)
 	if _, done := message.(*wire.Done); !done || err != nil {
 		return false
 	}
--- a/internal/jobs/batch/handler.go
+++ b/internal/jobs/batch/handler.go
@@ -35,7 +35,7 @@
 var _ ingress.Jobs = (*Handler)(nil)
 
 // Submit implements ingress.Jobs.
-func (h *Handler) Submit(writer http.ResponseWriter, request *http.Request, submitted ingress.Submitted) {
+func (h *Handler) Submit(writer http.ResponseWriter, request *http.Request, submitted ingress.Submission) {
 	id, route := submitted.ID, submitted.Route
 	submission, err := h.Service.config.Codec.DecodeSubmission(submitted.Body)
 	if err != nil {
@@ -58,7 +58,7 @@
 		h.refuse(writer, id, err, submissionRefusal(err))
 		return
 	}
-	h.Headers.Refuse(writer.Header(), id, 0)
+	h.Headers.SetRefusal(writer.Header(), id, 0)
 	writer.WriteHeader(http.StatusAccepted)
 }
 
@@ -75,15 +75,15 @@
 	return timeout
 }
 
-// IsCall implements ingress.Jobs.
-func (h *Handler) IsCall(request *http.Request) bool {
+// IsJobRequest implements ingress.Jobs.
+func (h *Handler) IsJobRequest(request *http.Request) bool {
 	_, isCall, _ := h.Service.config.Codec.DecodeCall(request)
 	return isCall
 }
 
-// ServeCall implements ingress.Jobs. It responds to a call about another tenant's batch
+// ServeJobRequest implements ingress.Jobs. It responds to a call about another tenant's batch
 // job as if the job did not exist.
-func (h *Handler) ServeCall(writer http.ResponseWriter, request *http.Request, tenant string) {
+func (h *Handler) ServeJobRequest(writer http.ResponseWriter, request *http.Request, tenant string) {
 	call, _, err := h.Service.config.Codec.DecodeCall(request)
 	if err != nil {
 		h.refuse(writer, call.Job, err, malformed)
@@ -111,7 +111,7 @@
 }
 
 func (h *Handler) serveRead(writer http.ResponseWriter, request *http.Request, call Call) {
-	wait := min(h.Headers.Wait(request.Header), maxReadWait)
+	wait := min(h.Headers.ResultWait(request.Header), maxReadWait)
 	ctx, cancel := context.WithTimeout(request.Context(), wait+callTimeout)
 	defer cancel()
 	page, err := h.Service.Read(ctx, call.Job, call.After, wait)
@@ -176,7 +176,7 @@
 
 // refuse responds with an error and logs it.
 func (h *Handler) refuse(writer http.ResponseWriter, id string, err error, response refusal) {
-	h.Headers.Refuse(writer.Header(), id, response.retryAfter)
+	h.Headers.SetRefusal(writer.Header(), id, response.retryAfter)
 	writer.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	writer.WriteHeader(response.status)
 	writer.Write([]byte(err.Error() + "\n"))
--- a/internal/jobs/batch/harness_test.go
+++ b/internal/jobs/batch/harness_test.go
@@ -336,7 +336,7 @@
 		HeartbeatTargets: func() []string { return node.Watchers() }, MaxBroadcastPeers: c.maxBroadcastPeers,
 	})
 	node.Service = NewService(ctx, Config{
-		Clock: clock.Steady,
+		Clock: clock.Monotonic,
 		Self:  self, JobStore: jobstore.New(gatedStore{c.store, &c.gate}), Codec: testCodec{}, Directory: table, Dispatcher: dispatcher,
 		Forwarder: forward.New(forward.Config{Directory: table, Dispatcher: dispatcher, Logger: logger, Metrics: forward.NewMetrics(prometheus.NewRegistry())}),
 		Peers:     link{c.peers, name}, PeerTable: node.table, Region: c.regions[name], Logger: logger, Registry: prometheus.NewRegistry(),
--- a/internal/jobs/batch/locate.go
+++ b/internal/jobs/batch/locate.go
@@ -75,7 +75,7 @@
 
 // askLocator asks one node who runs a job. It returns nil if there is no reply.
 func (s *Service) askLocator(ctx context.Context, address, id string) *wire.JobFound {
-	reply, err := environment.Ask(ctx, s.config.Peers, address, &wire.JobFind{Job: id}, locateTimeout)
+	reply, err := environment.Call(ctx, s.config.Peers, address, &wire.JobFind{Job: id}, locateTimeout)
 	found, ok := reply.(*wire.JobFound)
 	if err != nil || !ok {
 		return nil
--- a/internal/jobs/batch/publish_test.go
+++ b/internal/jobs/batch/publish_test.go
@@ -52,7 +52,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		store := metastore.New()
 		service := NewService(ctx, Config{
-			Clock:    clock.Steady,
+			Clock:    clock.Monotonic,
 			JobStore: jobstore.New(store), Directory: directory.NewTable("node", "zone", nil, klog.Background()), Logger: klog.Background(), Registry: prometheus.NewRegistry(),
 		})
 		held := &job{
--- a/internal/jobs/batch/read.go
+++ b/internal/jobs/batch/read.go
@@ -129,7 +129,7 @@
 // readFromOwner reads a job from the node that runs it.
 func (s *Service) readFromOwner(ctx context.Context, owner jobstore.Owner, id string, after int, wait time.Duration) (Page, error) {
 	request := &wire.JobRead{Job: id, After: uint32(after), WaitMs: uint32(wait.Milliseconds())}
-	message, err := environment.Ask(ctx, s.config.Peers, owner.Address, request, wait+peerReplyMargin)
+	message, err := environment.Call(ctx, s.config.Peers, owner.Address, request, wait+peerReplyMargin)
 	if err != nil {
 		return Page{}, err
 	}
@@ -151,7 +151,7 @@
 		return bodyOf(held.submission, itemID)
 	}
 	if owner, known := s.ownerOf(ctx, id); known {
-		message, err := environment.Ask(ctx, s.config.Peers, owner.Address, &wire.JobItem{Job: id, Item: itemID}, peerReplyMargin)
+		message, err := environment.Call(ctx, s.config.Peers, owner.Address, &wire.JobItem{Job: id, Item: itemID}, peerReplyMargin)
 		if body, ok := message.(*wire.JobItemBody); ok && err == nil && body.Known {
 			if !body.Found {
 				return nil, ErrNoSuchItem
--- a/internal/jobs/batch/reward.go
+++ b/internal/jobs/batch/reward.go
@@ -110,7 +110,7 @@
 		limiter = admission.NewAdaptive(limit)
 		s.limiters[route.Name] = limiter
 	}
-	limiter.SetMost(limit)
+	limiter.SetMaximum(limit)
 	return limiter
 }
 
--- a/internal/jobs/batch/runner.go
+++ b/internal/jobs/batch/runner.go
@@ -45,7 +45,7 @@
 		return false, nil
 	}
 	submit := &wire.JobSubmit{Job: id, Route: request.Route, Host: request.Host, Payload: request.Payload, Tenant: request.Tenant, Entry: request.Entry}
-	reply, err := environment.Ask(ctx, s.config.Peers, address, submit, time.Duration(runnerTimeShare*float64(remainingTime(ctx))))
+	reply, err := environment.Call(ctx, s.config.Peers, address, submit, time.Duration(runnerTimeShare*float64(remainingTime(ctx))))
 	if err != nil {
 		s.config.Logger.Info("no reply from batch job runner", "request", id, "runner", address, "error", err.Error())
 		return false, errRunnerUncertain
@@ -81,7 +81,7 @@
 			continue
 		}
 		asked++
-		reply, err := environment.Ask(ctx, s.config.Peers, peer.Address, &wire.JobOffer{Job: request.ID}, offerTimeout)
+		reply, err := environment.Call(ctx, s.config.Peers, peer.Address, &wire.JobOffer{Job: request.ID}, offerTimeout)
 		if _, accepted := reply.(*wire.Done); accepted && err == nil {
 			return peer.Address, true
 		}
--- a/internal/jobs/batch/watchers.go
+++ b/internal/jobs/batch/watchers.go
@@ -36,7 +36,7 @@
 // receive its heartbeats.
 func (s *Service) ownerRunsJob(ctx context.Context, id string, owner jobstore.Owner) bool {
 	request := &wire.JobItem{Job: id}
-	reply, err := environment.Ask(ctx, s.config.Peers, owner.Address, request, probeTimeout)
+	reply, err := environment.Call(ctx, s.config.Peers, owner.Address, request, probeTimeout)
 	if err != nil {
 		return false
 	}
--- a/internal/replicas/directory/allowed_regions_test.go
+++ b/internal/replicas/directory/allowed_regions_test.go
@@ -21,7 +21,7 @@
 func TestUnknownAllowedRegionsLoggedOnce(t *testing.T) {
 	errors := 0
 	table := NewTable("node", "n1", map[string]string{"n1": "north", "s1": "south"}, klog.New(errorCounter{&errors}))
-	tenants, _ := tenancy.NewTable([]tenancy.Declared{{Tenant: tenancy.Tenant{Name: "one", AllowedRegions: []string{"nowhere"}}}})
+	tenants, _ := tenancy.NewTable([]tenancy.Declaration{{Tenant: tenancy.Tenant{Name: "one", AllowedRegions: []string{"nowhere"}}}})
 	configuration := &Configuration{
 		Version: 1, Tenants: tenants, Routes: []Route{{Name: "bound", AllowedRegions: []string{"south", "atlantis"}}, {Name: "known", AllowedRegions: []string{"north"}}},
 	}
--- a/internal/replicas/directory/table.go
+++ b/internal/replicas/directory/table.go
@@ -36,8 +36,8 @@
 // NewTable returns an empty table for a node. regions maps zones to regions.
 func NewTable(node, zone string, regions map[string]string, logger klog.Logger) *Table {
 	table := &Table{
-		locality: routing.Locality{Node: node, Zone: zone, Region: regions[zone]}, regions: regions, logger: logger, clock: clock.Steady,
-		entries:    newEntryTracker(logger, clock.Steady),
+		locality: routing.Locality{Node: node, Zone: zone, Region: regions[zone]}, regions: regions, logger: logger, clock: clock.Monotonic,
+		entries:    newEntryTracker(logger, clock.Monotonic),
 		unreadable: &unreadableEntries{logger: logger, revisions: map[string]uint64{}, report: func(string) {}},
 		states:     map[string]*routing.EndpointState{}, warmUps: warmUps{}, changed: make(chan struct{}),
 	}
--- a/internal/standalone/gateway/call.go
+++ b/internal/standalone/gateway/call.go
@@ -145,8 +145,8 @@
 		return
 	case engine.End:
 		c.endpoint.State.Failures.Store(0)
-		c.endpoint.State.Retries.Succeeded()
-		c.state.retries.Succeeded()
+		c.endpoint.State.Retries.RecordSuccess()
+		c.state.retries.RecordSuccess()
 	case *engine.Error:
 		c.endpoint.State.Failures.Add(1)
 	}
--- a/internal/store/storerelay/call.go
+++ b/internal/store/storerelay/call.go
@@ -74,7 +74,7 @@
 // callThrough makes a call through a helper. It returns an *objectstore.UnansweredError if
 // the helper doesn't reply, and otherwise the error of the helper's call.
 func (r *Relay) callThrough(ctx context.Context, address string, call *wire.StoreCall) (*wire.StoreReply, error) {
-	message, err := environment.Ask(ctx, r.config.Peers, address, call, relayTimeout)
+	message, err := environment.Call(ctx, r.config.Peers, address, call, relayTimeout)
 	reply, isReply := message.(*wire.StoreReply)
 	if err != nil || !isReply {
 		r.relayed.WithLabelValues("silent").Inc()
--- a/internal/store/storerelay/choose_helper.go
+++ b/internal/store/storerelay/choose_helper.go
@@ -75,7 +75,7 @@
 		return true
 	}
 	probe := &wire.StoreCall{Verb: uint8(wire.StoreGet), Kind: call.Kind, Name: call.Name, MayBeStale: true}
-	message, err := environment.Ask(ctx, r.config.Peers, address, probe, helperProbeTimeout)
+	message, err := environment.Call(ctx, r.config.Peers, address, probe, helperProbeTimeout)
 	reply, isReply := message.(*wire.StoreReply)
 	if err != nil || !isReply {
 		return false
--- a/internal/store/watchcache/harness_test.go
+++ b/internal/store/watchcache/harness_test.go
@@ -210,7 +210,7 @@
 		store: &cuttableStore{Store: c.store}, sink: &recordingSink{},
 	}
 	node.source = NewSource(Config{
-		Clock: clock.Steady,
+		Clock: clock.Monotonic,
 		Self:  node.node, Regions: c.regions, Store: node.store, Peers: link{cluster: c, node: node.node}, Nodes: c.listNodes, JoinAttempted: func() bool { return true },
 		ProbeKind: "nodes", ProbeName: node.node.Name, Logger: klog.Background(), Registry: prometheus.NewRegistry(),
 	})
--- a/internal/store/watchcache/poll.go
+++ b/internal/store/watchcache/poll.go
@@ -47,7 +47,7 @@
 // poll polls a node once and applies the changes in its reply.
 func (s *Source) poll(ctx context.Context, target pollTarget, timing pollTiming) pollResult {
 	request := s.newPoll(target, timing.hold)
-	message, err := environment.Ask(ctx, s.config.Peers, target.node.Address, request, timing.timeout)
+	message, err := environment.Call(ctx, s.config.Peers, target.node.Address, request, timing.timeout)
 	reply, isReply := message.(*wire.WatchNews)
 	if err != nil || !isReply {
 		return pollResult{outcome: outcomeSilent}
--- a/test/virtual_test.go
+++ b/test/virtual_test.go
@@ -89,13 +89,13 @@
 		FillHeartbeat: func(*wire.NodeBeat) {}, OnHeartbeat: func(*wire.NodeBeat) {},
 	})
 	day.jobs = batch.NewService(ctx, batch.Config{
-		Clock: clock.Steady,
+		Clock: clock.Monotonic,
 		Self:  jobstore.Owner{Node: "node", Address: "node", Incarnation: 1}, JobStore: jobstore.New(day.store), Codec: platform.Jobs{},
 		Directory: table, Dispatcher: dispatcher, Peers: alone{}, PeerTable: peers, Logger: logger, Registry: registry,
 		Forwarder: forward.New(forward.Config{Directory: table, Dispatcher: dispatcher, Logger: logger, Metrics: forward.NewMetrics(registry)}),
 	})
 	keeper := lease.NewElector(lease.Config{
-		Node: "node", Lease: lease.NewLease("node", "1", 0, day.store, clock.Steady), Clock: clock.Steady, Logger: logger, Nodes: peers.NodeNames,
+		Node: "node", Lease: lease.NewLease("node", "1", 0, day.store, clock.Monotonic), Clock: clock.Monotonic, Logger: logger, Nodes: peers.NodeNames,
 		SinceHeartbeat: func(string) time.Duration { return time.Hour }, Announce: func([]string) {},
 	})
 	coordinator := weightorders.NewCoordinator(weightorders.Config{
