--- a/test/platform_callers_test.go
+++ b/test/platform_callers_test.go
@@ -12,7 +12,7 @@
 )
 
 // reply is an answer as a caller gets it.
-type reply struct {
+type callerResponse struct {
 	status int
 	header http.Header
 	body   string
@@ -34,10 +34,10 @@
 }
 
 // do sends a call and reads the whole answer.
-func (c call) do() (reply, error) {
+func (c call) do() (callerResponse, error) {
 	request, err := http.NewRequest(c.method, "http://"+c.address+c.target, bytes.NewReader(c.body))
 	if err != nil {
-		return reply{}, err
+		return callerResponse{}, err
 	}
 	request.Host = c.host
 	for name, values := range c.header {
@@ -50,15 +50,15 @@
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return reply{}, err
+		return callerResponse{}, err
 	}
 	defer response.Body.Close()
 	read, err := io.ReadAll(response.Body)
-	return reply{status: response.StatusCode, header: response.Header, body: string(read)}, err
+	return callerResponse{status: response.StatusCode, header: response.Header, body: string(read)}, err
 }
 
 // send makes one request of a caller on a connection of its own.
-func (d *platformDeployment) send(node *platformNode, method, host, target, id string, body []byte, header http.Header) (reply, error) {
+func (d *platformDeployment) send(node *platformNode, method, host, target, id string, body []byte, header http.Header) (callerResponse, error) {
 	return call{address: node.http, method: method, host: host, target: target, id: id, body: body, header: header, limit: startLimit}.do()
 }
 
@@ -73,29 +73,29 @@
 }
 
 // submit hands in a batch job until a node takes it.
-func (d *platformDeployment) submit(node *platformNode, job string, items int, least int64) {
+func (d *platformDeployment) submit(node *platformNode, job string, items int, minVersion int64) {
 	d.t.Helper()
-	d.submitAs(node, nil, job, items, least)
+	d.submitAs(node, nil, job, items, minVersion)
 }
 
 // submitAs hands in a batch job with headers of its caller's.
-func (d *platformDeployment) submitAs(node *platformNode, header http.Header, job string, items int, least int64) {
+func (d *platformDeployment) submitAs(node *platformNode, header http.Header, job string, items int, minVersion int64) {
 	d.t.Helper()
-	body := d.payload(job, items, least)
+	body := d.payload(job, items, minVersion)
 	d.eventually("the batch job is taken", func() bool {
-		answer, err := d.send(node, http.MethodPost, draftHost, "/drafts/"+job, job, body, header)
-		return err == nil && answer.status == http.StatusAccepted
+		response, err := d.send(node, http.MethodPost, draftHost, "/drafts/"+job, job, body, header)
+		return err == nil && response.status == http.StatusAccepted
 	})
 }
 
 // payload is a batch job as a trainer sends it.
-func (d *platformDeployment) payload(job string, items int, least int64) []byte {
+func (d *platformDeployment) payload(job string, items int, minVersion int64) []byte {
 	d.t.Helper()
 	var requests []map[string]any
 	for number := range items {
 		requests = append(requests, draftItem(job, number))
 	}
-	body, err := json.Marshal(map[string]any{"step": 0, "model": draftModel, "minVersion": least, "desired": items / 4, "requests": requests})
+	body, err := json.Marshal(map[string]any{"step": 0, "model": draftModel, "minVersion": minVersion, "desired": items / 4, "requests": requests})
 	if err != nil {
 		d.t.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 }
 
 // listed is a result as a trainer reads it.
-type listed struct {
+type itemResult struct {
 	ID       string
 	State    string
 	Message  string
@@ -112,29 +112,29 @@
 }
 
 // read reads a job from a node until all results are there.
-func (d *platformDeployment) read(node func() *platformNode, job string, items int) []listed {
+func (d *platformDeployment) read(node func() *platformNode, job string, items int) []itemResult {
 	d.t.Helper()
 	return d.readAs(node, http.Header{}, job, items)
 }
 
 // readAs reads a job with headers of its caller's.
-func (d *platformDeployment) readAs(node func() *platformNode, header http.Header, job string, items int) []listed {
+func (d *platformDeployment) readAs(node func() *platformNode, header http.Header, job string, items int) []itemResult {
 	d.t.Helper()
 	header = header.Clone()
 	header.Set("Pathtally-Wait-Ms", "200")
-	var results []listed
+	var results []itemResult
 	d.eventually("all results are read", func() bool {
-		answer, err := d.send(node(), http.MethodGet, draftHost, fmt.Sprintf("/-/lots/%s?sinceRev=%d", job, len(results)), "reader", nil,
+		response, err := d.send(node(), http.MethodGet, draftHost, fmt.Sprintf("/-/lots/%s?sinceRev=%d", job, len(results)), "reader", nil,
 			header)
-		if err != nil || answer.status != http.StatusOK {
+		if err != nil || response.status != http.StatusOK {
 			return false
 		}
 		var page struct {
 			Total     int
 			NextToken int
-			Results   []listed
+			Results   []itemResult
 		}
-		if err := json.Unmarshal([]byte(answer.body), &page); err != nil {
+		if err := json.Unmarshal([]byte(response.body), &page); err != nil {
 			d.t.Fatalf("page of results: %v", err)
 		}
 		if page.Total != items || page.NextToken != len(results)+len(page.Results) {
@@ -147,7 +147,7 @@
 }
 
 // check judges a job's results by what the replicas made.
-func (d *platformDeployment) check(results []listed, items int, least int64) {
+func (d *platformDeployment) checkResults(results []itemResult, items int, minVersion int64) {
 	d.t.Helper()
 	seen := map[string]bool{}
 	for _, result := range results {
@@ -159,8 +159,8 @@
 			d.t.Errorf("item %s: %s, text %q, score %q", result.ID, result.State, result.Message, result.Score)
 		}
 		for _, version := range result.Versions {
-			if version < least {
-				d.t.Errorf("item %s was made by version %d, the least is %d", result.ID, version, least)
+			if version < minVersion {
+				d.t.Errorf("item %s was made by version %d, the least is %d", result.ID, version, minVersion)
 			}
 		}
 		if len(result.Versions) == 0 {
--- a/test/platform_deployment_test.go
+++ b/test/platform_deployment_test.go
@@ -26,13 +26,13 @@
 // platformDeployment is a set of real node processes before stand-ins of the
 // users' platform.
 type platformDeployment struct {
-	t       *testing.T
-	store   *metastore.Store
-	engines []*replica.Server
-	apps    []*replica.Server
-	nodes   []*platformNode
-	address string
-	folder  string
+	t            *testing.T
+	store        *metastore.Store
+	engines      []*replica.Server
+	apps         []*replica.Server
+	nodes        []*platformNode
+	storeAddress string
+	folder       string
 	// tenants are declared in the configurations written from now on; nil for
 	// none.
 	tenants []map[string]any
@@ -43,7 +43,7 @@
 	// name; nil for one zone.
 	regions []string
 	// homes are those of routes, by name.
-	homes map[string][]string
+	allowedRegions map[string][]string
 	// links are those of the nodes, where there are regions.
 	links map[int]*nodeLinks
 }
@@ -59,23 +59,23 @@
 }
 
 // shape is what a deployment is like.
-type shape struct {
+type deploymentSpec struct {
 	nodes, engines, apps int
 	eventInterval        time.Duration
 	tenants              []map[string]any
 	// usageWindow has usage reported, in windows of that length.
 	usageWindow time.Duration
 	// regions and homes are those of the deployment.
-	regions []string
-	homes   map[string][]string
+	regions        []string
+	allowedRegions map[string][]string
 	// crashOn is the text in the body of requests that end whoever runs them.
 	crashOn string
 }
 
 // deployPlatform starts stand-ins and nodes.
-func deployPlatform(t *testing.T, shaped shape) *platformDeployment {
+func deployPlatform(t *testing.T, spec deploymentSpec) *platformDeployment {
 	t.Helper()
-	d := &platformDeployment{t: t, store: metastore.New(), folder: t.TempDir(), tenants: shaped.tenants, regions: shaped.regions, homes: shaped.homes, links: map[int]*nodeLinks{}}
+	d := &platformDeployment{t: t, store: metastore.New(), folder: t.TempDir(), tenants: spec.tenants, regions: spec.regions, allowedRegions: spec.allowedRegions, links: map[int]*nodeLinks{}}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -83,17 +83,17 @@
 	server := &http.Server{Handler: &metastore.Server{Store: d.store}}
 	go server.Serve(listener)
 	t.Cleanup(func() { server.Close() })
-	d.address = listener.Addr().String()
-	if shaped.usageWindow > 0 {
-		d.usageWindow = shaped.usageWindow
+	d.storeAddress = listener.Addr().String()
+	if spec.usageWindow > 0 {
+		d.usageWindow = spec.usageWindow
 		if d.duties, err = dutyapi.Start(); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(d.duties.Close)
 	}
-	d.startReplicas(shaped)
+	d.startReplicas(spec)
 	d.configure(1)
-	for number := range shaped.nodes {
+	for number := range spec.nodes {
 		d.startNode(number)
 	}
 	for _, node := range d.nodes {
@@ -102,7 +102,7 @@
 	return d
 }
 
-func (d *platformDeployment) startReplicas(shaped shape) {
+func (d *platformDeployment) startReplicas(spec deploymentSpec) {
 	d.t.Helper()
 	start := func(config replica.Config, service string, number int) *replica.Server {
 		started, err := replica.Start(config)
@@ -110,17 +110,17 @@
 			d.t.Fatal(err)
 		}
 		d.t.Cleanup(started.Close)
-		d.store.Write("servers", config.ID, started.Entry(service, d.zoneOf(number)))
+		d.store.Write("servers", config.ID, started.Entry(service, d.zone(number)))
 		return started
 	}
-	for number := range shaped.engines {
+	for number := range spec.engines {
 		d.engines = append(d.engines, start(replica.Config{
-			ID: fmt.Sprintf("engine-%d", number), Slots: 8, Model: draftModel, EventInterval: shaped.eventInterval, LoadTime: 100 * time.Millisecond,
-			CrashOn: shaped.crashOn, CrashAfter: crashAfter,
+			ID: fmt.Sprintf("engine-%d", number), Slots: 8, Model: draftModel, EventInterval: spec.eventInterval, LoadTime: 100 * time.Millisecond,
+			CrashOn: spec.crashOn, CrashAfter: crashAfter,
 		}, "engines", number))
 	}
-	for number := range shaped.apps {
-		d.apps = append(d.apps, start(replica.Config{ID: fmt.Sprintf("app-%d", number), Slots: 16, Work: time.Millisecond, CrashOn: shaped.crashOn, CrashAfter: crashAfter}, "apps", number))
+	for number := range spec.apps {
+		d.apps = append(d.apps, start(replica.Config{ID: fmt.Sprintf("app-%d", number), Slots: 16, Work: time.Millisecond, CrashOn: spec.crashOn, CrashAfter: crashAfter}, "apps", number))
 	}
 }
 
@@ -148,8 +148,8 @@
 		"limits": map[string]any{"maxHeaderBytes": 16384, "maxBodyBytes": 1 << 20, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000},
 	}
 	for _, route := range configuration["routes"].([]map[string]any) {
-		if homes := d.homes[route["name"].(string)]; homes != nil {
-			route["allowedRegions"] = homes
+		if regions := d.allowedRegions[route["name"].(string)]; regions != nil {
+			route["allowedRegions"] = regions
 		}
 	}
 	if d.tenants != nil {
@@ -159,10 +159,10 @@
 }
 
 // settingsOf is the settings file of a node.
-func (d *platformDeployment) settingsOf(number int, grace string) string {
+func (d *platformDeployment) writeSettings(number int, grace string) string {
 	path := filepath.Join(d.folder, fmt.Sprintf("node-%d.yaml", number))
 	settings := fmt.Sprintf("node: node-%d\nhttp: 127.0.0.1:0\npeer: 127.0.0.1:0\nreadiness: 127.0.0.1:0\nmetrics: 127.0.0.1:0\ngrace: %s\n", number, grace)
-	settings += d.placeOf(number)
+	settings += d.locationSettings(number)
 	if d.duties != nil {
 		settings += fmt.Sprintf("dutyAPI: %s\nduties: [metering]\nusageWindow: %s\nusageLate: %s\n", d.duties.Address(), d.usageWindow, usageLate)
 	}
@@ -174,7 +174,7 @@
 
 func (d *platformDeployment) startNode(number int) *platformNode {
 	d.t.Helper()
-	node := &platformNode{program: start(d.t, 0, "pathtally", "node", "-settings", d.settingsOf(number, "6s"), "-v")}
+	node := &platformNode{program: start(d.t, 0, "pathtally", "node", "-settings", d.writeSettings(number, "6s"), "-v")}
 	go node.collect()
 	var started struct{ HTTP, Readiness, Metrics, Peer string }
 	d.eventually("the node has started", func() bool {
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -17,34 +17,34 @@
 
 // kotukuShape and cauceShape are like the users' deployments, on one machine.
 var (
-	kotukuShape = shape{nodes: 3, engines: 8, apps: 3, eventInterval: 2 * time.Millisecond}
-	cauceShape  = shape{nodes: 3, engines: 9, apps: 4, eventInterval: 2 * time.Millisecond}
+	kotukuSpec = deploymentSpec{nodes: 3, engines: 8, apps: 3, eventInterval: 2 * time.Millisecond}
+	cauceSpec  = deploymentSpec{nodes: 3, engines: 9, apps: 4, eventInterval: 2 * time.Millisecond}
 )
 
-func TestCalmDayOnThePlatform(t *testing.T) {
+func TestPlatformSteadyState(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		shaped shape
-		items  int
-	}{{"kotuku", kotukuShape, 100}, {"cauce", cauceShape, 56}} {
+		name  string
+		spec  deploymentSpec
+		items int
+	}{{"kotuku", kotukuSpec, 100}, {"cauce", cauceSpec, 56}} {
 		t.Run(test.name, func(t *testing.T) {
-			d := deployPlatform(t, test.shaped)
+			d := deployPlatform(t, test.spec)
 			for step := range 3 {
 				job := fmt.Sprintf("job%d", step)
-				least := max(1, int64(step))
+				minVersion := max(1, int64(step))
 				if step > 0 {
 					d.store.Write("versions", draftModel, map[string]any{"model": draftModel, "version": step + 1})
 				}
-				d.submit(d.nodes[step%3], job, test.items, least)
+				d.submit(d.nodes[step%3], job, test.items, minVersion)
 				reader := step
 				results := d.read(func() *platformNode { reader++; return d.nodes[reader%3] }, job, test.items)
-				d.check(results, test.items, least)
+				d.checkResults(results, test.items, minVersion)
 				d.liveRequests(step)
-				if answer, err := d.send(d.nodes[0], http.MethodDelete, draftHost, "/-/lots/"+job, "end", nil, nil); err != nil || answer.status != http.StatusOK {
-					t.Fatalf("end of %s: %+v, %v", job, answer, err)
+				if response, err := d.send(d.nodes[0], http.MethodDelete, draftHost, "/-/lots/"+job, "end", nil, nil); err != nil || response.status != http.StatusOK {
+					t.Fatalf("end of %s: %+v, %v", job, response, err)
 				}
 			}
-			d.checkOrders()
+			d.checkFencingTokens()
 		})
 	}
 }
@@ -54,9 +54,9 @@
 	d.t.Helper()
 	for number := range 12 {
 		id := fmt.Sprintf("live.%d.%d", step, number)
-		answer, err := d.send(d.nodes[number%len(d.nodes)], http.MethodPost, liveHost, "/live/a%2Fb?q=%20x", id, []byte("book"), nil)
-		if err != nil || answer.status != http.StatusOK || answer.body != "answer to "+id+": book" || answer.header.Get("Pathtally-Server-Stamp") == "" {
-			d.t.Errorf("request %s: %+v, %v", id, answer, err)
+		response, err := d.send(d.nodes[number%len(d.nodes)], http.MethodPost, liveHost, "/live/a%2Fb?q=%20x", id, []byte("book"), nil)
+		if err != nil || response.status != http.StatusOK || response.body != "answer to "+id+": book" || response.header.Get("Pathtally-Server-Stamp") == "" {
+			d.t.Errorf("request %s: %+v, %v", id, response, err)
 		}
 	}
 	for _, app := range d.apps {
@@ -70,7 +70,7 @@
 
 // checkOrders checks that tokens never fall at a replica and each names one
 // owner.
-func (d *platformDeployment) checkOrders() {
+func (d *platformDeployment) checkFencingTokens() {
 	d.t.Helper()
 	owners := map[uint64]string{}
 	for number, engine := range d.engines {
@@ -91,12 +91,12 @@
 	}
 }
 
-func TestKilledNodesJobGoesOn(t *testing.T) {
-	d := deployPlatform(t, shape{nodes: 3, engines: 2, apps: 2, eventInterval: 100 * time.Millisecond})
+func TestBatchJobSurvivesNodeKill(t *testing.T) {
+	d := deployPlatform(t, deploymentSpec{nodes: 3, engines: 2, apps: 2, eventInterval: 100 * time.Millisecond})
 	d.submit(d.nodes[0], "job", 40, 1)
 	d.nodes[0].kill()
 	results := d.read(func() *platformNode { return d.nodes[1] }, "job", 40)
-	d.check(results, 40, 1)
+	d.checkResults(results, 40, 1)
 	again := d.read(func() *platformNode { return d.nodes[2] }, "job", 40)
 	for position := range results {
 		if again[position].ID != results[position].ID {
@@ -105,14 +105,14 @@
 	}
 }
 
-func TestPlannedStopOnThePlatformCutsNothing(t *testing.T) {
-	d := deployPlatform(t, shape{nodes: 2, engines: 2, apps: 2, eventInterval: 20 * time.Millisecond})
+func TestPlatformGracefulShutdown(t *testing.T) {
+	d := deployPlatform(t, deploymentSpec{nodes: 2, engines: 2, apps: 2, eventInterval: 20 * time.Millisecond})
 	d.submit(d.nodes[0], "job", 24, 1)
 	d.nodes[0].signal(syscall.SIGTERM)
 	// A stopping node still answers what comes, and ends its connections.
-	answer, err := d.send(d.nodes[0], http.MethodPost, liveHost, "/live/x", "late", []byte("x"), nil)
-	if err != nil || answer.status != http.StatusOK {
-		t.Errorf("request to a stopping node: %+v, %v", answer, err)
+	response, err := d.send(d.nodes[0], http.MethodPost, liveHost, "/live/x", "late", []byte("x"), nil)
+	if err != nil || response.status != http.StatusOK {
+		t.Errorf("request to a stopping node: %+v, %v", response, err)
 	}
 	d.eventually("the node calls itself unready", func() bool {
 		response, err := http.Get("http://" + d.nodes[0].readiness + "/-/readyz")
@@ -123,22 +123,22 @@
 		return response.StatusCode != http.StatusOK
 	})
 	results := d.read(func() *platformNode { return d.nodes[1] }, "job", 24)
-	d.check(results, 24, 1)
+	d.checkResults(results, 24, 1)
 	<-d.nodes[0].exited
 }
 
-func TestSettingsAreReloaded(t *testing.T) {
-	d := deployPlatform(t, shape{nodes: 1, engines: 1, apps: 1, eventInterval: time.Millisecond})
-	d.settingsOf(0, "3s")
+func TestSettingsReloadOnSIGHUP(t *testing.T) {
+	d := deployPlatform(t, deploymentSpec{nodes: 1, engines: 1, apps: 1, eventInterval: time.Millisecond})
+	d.writeSettings(0, "3s")
 	d.nodes[0].signal(syscall.SIGHUP)
 	d.eventually("the change is in force", func() bool { return d.nodes[0].find("settings reloaded", `"grace":"3s"`) != nil })
-	if answer, err := d.send(d.nodes[0], http.MethodPost, liveHost, "/live/x", "after", []byte("x"), nil); err != nil || answer.status != http.StatusOK {
-		t.Errorf("request after a reload: %+v, %v", answer, err)
+	if response, err := d.send(d.nodes[0], http.MethodPost, liveHost, "/live/x", "after", []byte("x"), nil); err != nil || response.status != http.StatusOK {
+		t.Errorf("request after a reload: %+v, %v", response, err)
 	}
 }
 
-func TestGarbledAnswersNeverReachACaller(t *testing.T) {
-	d := deployPlatform(t, shape{nodes: 1, engines: 3, apps: 2, eventInterval: time.Millisecond})
+func TestCorruptResponsesAreNotForwarded(t *testing.T) {
+	d := deployPlatform(t, deploymentSpec{nodes: 1, engines: 3, apps: 2, eventInterval: time.Millisecond})
 	for _, app := range d.apps {
 		app.SetFaults(replica.Faults{WrongIDEvery: 3, SurplusEvery: 4})
 	}
@@ -147,16 +147,16 @@
 	}
 	for number := range 60 {
 		id := fmt.Sprintf("live.%d", number)
-		answer, err := d.send(d.nodes[0], http.MethodPost, liveHost, "/live/x", id, []byte("x"), nil)
+		response, err := d.send(d.nodes[0], http.MethodPost, liveHost, "/live/x", id, []byte("x"), nil)
 		if err != nil {
 			t.Fatalf("request %s: %v", id, err)
 		}
-		if answer.status == http.StatusOK && answer.body != "answer to "+id+": x" {
-			t.Errorf("request %s got %q", id, answer.body)
+		if response.status == http.StatusOK && response.body != "answer to "+id+": x" {
+			t.Errorf("request %s got %q", id, response.body)
 		}
 	}
 	d.submit(d.nodes[0], "job", 40, 1)
-	d.check(d.read(func() *platformNode { return d.nodes[0] }, "job", 40), 40, 1)
+	d.checkResults(d.read(func() *platformNode { return d.nodes[0] }, "job", 40), 40, 1)
 }
 
 // checkRanOnce checks that no request ran more than once at replicas that ran
@@ -181,7 +181,7 @@
 
 // A request that must not run twice is given up after an answer that was lost.
 func TestUnsafeRequestRunsOnce(t *testing.T) {
-	d := deployPlatform(t, shape{nodes: 1, engines: 1, apps: 2, eventInterval: time.Millisecond})
+	d := deployPlatform(t, deploymentSpec{nodes: 1, engines: 1, apps: 2, eventInterval: time.Millisecond})
 	for _, app := range d.apps {
 		app.SetFaults(replica.Faults{WrongIDEvery: 2})
 	}
@@ -192,19 +192,19 @@
 }
 
 // An id found at a caller leads to its cause in the logs.
-func TestLogsExplainAFailedRequest(t *testing.T) {
-	d := deployPlatform(t, shape{nodes: 1, engines: 1, apps: 1, eventInterval: time.Millisecond})
+func TestFailedRequestIsLoggedAndCounted(t *testing.T) {
+	d := deployPlatform(t, deploymentSpec{nodes: 1, engines: 1, apps: 1, eventInterval: time.Millisecond})
 	d.apps[0].SetFaults(replica.Faults{WrongIDEvery: 1})
-	answer, err := d.send(d.nodes[0], http.MethodPost, liveHost, "/once/x", "puzzle", []byte("x"), nil)
-	if err != nil || answer.status != http.StatusBadGateway {
-		t.Fatalf("request whose answer was lost: %+v, %v", answer, err)
+	failed, err := d.send(d.nodes[0], http.MethodPost, liveHost, "/once/x", "puzzle", []byte("x"), nil)
+	if err != nil || failed.status != http.StatusBadGateway {
+		t.Fatalf("request whose answer was lost: %+v, %v", failed, err)
 	}
 	d.eventually("the log names the cause", func() bool {
 		return d.nodes[0].find(`"request":"puzzle"`, "response belongs to another request", `"route":"once"`) != nil
 	})
-	answer, err = d.send(d.nodes[0], http.MethodPost, liveHost, "/nowhere/", "lost", nil, nil)
-	if err != nil || answer.status != http.StatusNotFound {
-		t.Fatalf("request without a route: %+v, %v", answer, err)
+	failed, err = d.send(d.nodes[0], http.MethodPost, liveHost, "/nowhere/", "lost", nil, nil)
+	if err != nil || failed.status != http.StatusNotFound {
+		t.Fatalf("request without a route: %+v, %v", failed, err)
 	}
 	d.eventually("the log names the refusal", func() bool { return d.nodes[0].find(`"request":"lost"`, "no route") != nil })
 	response, err := http.Get("http://" + d.nodes[0].metrics + "/metrics")
@@ -212,9 +212,9 @@
 		t.Fatal(err)
 	}
 	defer response.Body.Close()
-	figures, err := io.ReadAll(response.Body)
-	if err != nil || !strings.Contains(string(figures), `pathtally_forwarded_requests_total{outcome="lost"} 1`) {
-		t.Errorf("metrics do not count the lost request: %v\n%s", err, figures)
+	metrics, err := io.ReadAll(response.Body)
+	if err != nil || !strings.Contains(string(metrics), `pathtally_forwarded_requests_total{outcome="lost"} 1`) {
+		t.Errorf("metrics do not count the lost request: %v\n%s", err, metrics)
 	}
 }
 
@@ -229,8 +229,8 @@
 	return strings.Join(parts, "\n")
 }
 
-func TestStreamsArePassedOnAndContinued(t *testing.T) {
-	d := deployPlatform(t, shape{nodes: 1, engines: 3, apps: 1, eventInterval: time.Millisecond})
+func TestStreamsAreForwardedAndResumed(t *testing.T) {
+	d := deployPlatform(t, deploymentSpec{nodes: 1, engines: 3, apps: 1, eventInterval: time.Millisecond})
 	// One engine never answers for the right request, and the others cut every
 	// second stream after one event: each stream can be whole all the same.
 	d.engines[0].SetFaults(replica.Faults{WrongIDEvery: 1})
@@ -240,39 +240,39 @@
 	prompt := http.Header{"Pathtally-Model": {draftModel}, "Pathtally-Token-Usage": {"10,10"}, "Pathtally-Prefix-Hash": {"ab:5,cd:5"}}
 	for number := range 40 {
 		id := fmt.Sprintf("chat.%d", number)
-		answer, err := d.send(d.nodes[0], http.MethodPost, liveHost, "/chat/x", id, []byte("hello"), prompt)
-		if err != nil || answer.status != http.StatusOK || streamText(answer.body) != replica.Text(id) {
-			t.Errorf("stream %s: status %d, %q, %v", id, answer.status, streamText(answer.body), err)
+		response, err := d.send(d.nodes[0], http.MethodPost, liveHost, "/chat/x", id, []byte("hello"), prompt)
+		if err != nil || response.status != http.StatusOK || streamText(response.body) != replica.Text(id) {
+			t.Errorf("stream %s: status %d, %q, %v", id, response.status, streamText(response.body), err)
 		}
 	}
 	if len(d.engines[0].Runs()) == 0 {
 		t.Error("the engine that answers for others was never asked, so this test shows less than it says")
 	}
 	// A client picks a stream up after an event.
-	answer, err := d.send(d.nodes[0], http.MethodPost, liveHost, "/chat/x", "again", []byte("hello"), http.Header{"Last-Event-Id": {"2"}})
+	response, err := d.send(d.nodes[0], http.MethodPost, liveHost, "/chat/x", "again", []byte("hello"), http.Header{"Last-Event-Id": {"2"}})
 	want := strings.Join(strings.Split(replica.Text("again"), "\n")[2:], "\n")
-	if err != nil || streamText(answer.body) != want {
-		t.Errorf("continued stream: %q, want %q, %v", streamText(answer.body), want, err)
+	if err != nil || streamText(response.body) != want {
+		t.Errorf("continued stream: %q, want %q, %v", streamText(response.body), want, err)
 	}
 }
 
 // A stream that may not be resumed runs once, and one that breaks off does not
 // look complete.
-func TestBrokenStreamIsNotComplete(t *testing.T) {
-	d := deployPlatform(t, shape{nodes: 1, engines: 2, apps: 1, eventInterval: time.Millisecond})
+func TestBrokenStreamIsNotReportedComplete(t *testing.T) {
+	d := deployPlatform(t, deploymentSpec{nodes: 1, engines: 2, apps: 1, eventInterval: time.Millisecond})
 	for _, engine := range d.engines {
 		engine.SetFaults(replica.Faults{CutEvery: 2})
 	}
 	broken := 0
 	for number := range 20 {
 		id := fmt.Sprintf("once.%d", number)
-		answer, err := d.send(d.nodes[0], http.MethodPost, liveHost, "/chat-once/x", id, []byte("hello"), nil)
+		response, err := d.send(d.nodes[0], http.MethodPost, liveHost, "/chat-once/x", id, []byte("hello"), nil)
 		if err != nil {
 			broken++
 			continue
 		}
-		if answer.status == http.StatusOK && streamText(answer.body) != replica.Text(id) {
-			t.Errorf("stream %s looks complete with %q", id, streamText(answer.body))
+		if response.status == http.StatusOK && streamText(response.body) != replica.Text(id) {
+			t.Errorf("stream %s looks complete with %q", id, streamText(response.body))
 		}
 	}
 	if broken == 0 {
@@ -282,8 +282,8 @@
 }
 
 // A request to empty a machine is answered, once.
-func TestRetirementIsAnswered(t *testing.T) {
-	d := deployPlatform(t, shape{nodes: 2, engines: 1, apps: 1, eventInterval: time.Millisecond})
+func TestRetirementSucceeds(t *testing.T) {
+	d := deployPlatform(t, deploymentSpec{nodes: 2, engines: 1, apps: 1, eventInterval: time.Millisecond})
 	d.store.Write("retirements", "storage-1", map[string]any{"durationS": 10})
 	d.eventually("the machine may be taken away", func() bool {
 		object, err := d.store.Get(context.Background(), "retirements", "storage-1", objectstore.Linearizable)
@@ -293,20 +293,20 @@
 
 // A node that starts while the store is away serves once it is back, and says
 // until then that it knows no configuration rather than that a route is gone.
-func TestNodeWithoutAConfigurationRefuses(t *testing.T) {
-	d := deployPlatform(t, shape{nodes: 1, engines: 1, apps: 1, eventInterval: time.Millisecond})
+func TestNodeWithoutConfigurationReturns503(t *testing.T) {
+	d := deployPlatform(t, deploymentSpec{nodes: 1, engines: 1, apps: 1, eventInterval: time.Millisecond})
 	d.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Refused })
 	late := d.startNode(1)
-	answer, err := d.send(late, http.MethodPost, liveHost, "/live/x", "early", []byte("x"), nil)
-	if err != nil || answer.status != http.StatusServiceUnavailable || answer.header.Get("Retry-After") == "" {
-		t.Errorf("request before any configuration: %+v, %v", answer, err)
+	response, err := d.send(late, http.MethodPost, liveHost, "/live/x", "early", []byte("x"), nil)
+	if err != nil || response.status != http.StatusServiceUnavailable || response.header.Get("Retry-After") == "" {
+		t.Errorf("request before any configuration: %+v, %v", response, err)
 	}
-	if answer, err := d.send(late, http.MethodGet, draftHost, "/-/lots/unknown", "early", nil, nil); err != nil || answer.status != http.StatusServiceUnavailable {
-		t.Errorf("a job that cannot be looked up: %+v, %v", answer, err)
+	if response, err := d.send(late, http.MethodGet, draftHost, "/-/lots/unknown", "early", nil, nil); err != nil || response.status != http.StatusServiceUnavailable {
+		t.Errorf("a job that cannot be looked up: %+v, %v", response, err)
 	}
 	d.store.SetFault(nil)
 	d.waitReady(late)
-	if answer, err := d.send(late, http.MethodGet, draftHost, "/-/lots/unknown", "sure", nil, nil); err != nil || answer.status != http.StatusNotFound {
-		t.Errorf("a job that is not there: %+v, %v", answer, err)
+	if response, err := d.send(late, http.MethodGet, draftHost, "/-/lots/unknown", "sure", nil, nil); err != nil || response.status != http.StatusNotFound {
+		t.Errorf("a job that is not there: %+v, %v", response, err)
 	}
 }
--- a/test/proxy_test.go
+++ b/test/proxy_test.go
@@ -17,7 +17,7 @@
 const (
 	proxyPass proxyMode = iota
 	// proxyCut refuses and resets connections.
-	proxyCut
+	proxyReset
 	// proxyFreeze keeps connections open and passes nothing.
 	proxyFreeze
 	// proxyOneWay passes requests and drops answers.
@@ -36,19 +36,19 @@
 	mode     atomic.Int32
 	// resetAfter, when above 0, resets each connection once so many bytes of
 	// answers have passed.
-	resetAfter atomic.Int64
+	resetResponseAfter atomic.Int64
 	// cutRequestAt, when not below 0, resets each connection once so many
 	// bytes of requests have passed.
-	cutRequestAt atomic.Int64
-	delay        atomic.Int64
+	resetRequestAfter atomic.Int64
+	delay             atomic.Int64
 	// marker is looked for in all bytes that come, and marked counts the times that it
 	// was found; empty looks for nothing.
-	marker string
-	marked atomic.Int64
-	mutex  sync.Mutex
-	open   map[net.Conn]bool
+	marker      string
+	markerCount atomic.Int64
+	mutex       sync.Mutex
+	open        map[net.Conn]bool
 	// silent are the connections that pass nothing for good.
-	silent map[net.Conn]bool
+	blackholed map[net.Conn]bool
 }
 
 func newProxy(t *testing.T, target string) *proxy {
@@ -57,14 +57,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &proxy{listener: listener, open: map[net.Conn]bool{}, silent: map[net.Conn]bool{}}
+	p := &proxy{listener: listener, open: map[net.Conn]bool{}, blackholed: map[net.Conn]bool{}}
 	p.setTarget(target)
-	p.cutRequestAt.Store(-1)
+	p.resetRequestAfter.Store(-1)
 	go p.accept()
 	t.Cleanup(func() {
 		listener.Close()
-		p.set(proxyCut)
-		p.resetSilent()
+		p.set(proxyReset)
+		p.resetBlackholed()
 	})
 	return p
 }
@@ -77,7 +77,7 @@
 // set changes the mode; a cut also resets what is open.
 func (p *proxy) set(mode proxyMode) {
 	p.mode.Store(int32(mode))
-	if mode == proxyCut {
+	if mode == proxyReset {
 		p.resetOpen()
 	}
 }
@@ -96,27 +96,27 @@
 
 // silence has the connections that are open now pass nothing for good, not even
 // their ends. New ones work.
-func (p *proxy) silence() int {
+func (p *proxy) blackhole() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for connection := range p.open {
-		p.silent[connection] = true
+		p.blackholed[connection] = true
 	}
 	clear(p.open)
-	return len(p.silent) / 2
+	return len(p.blackholed) / 2
 }
 
-func (p *proxy) isSilent(connection net.Conn) bool {
+func (p *proxy) isBlackholed(connection net.Conn) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.silent[connection]
+	return p.blackholed[connection]
 }
 
 // resetSilent ends the connections that pass nothing.
-func (p *proxy) resetSilent() {
+func (p *proxy) resetBlackholed() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for connection := range p.silent {
+	for connection := range p.blackholed {
 		reset(connection)
 	}
 }
@@ -134,7 +134,7 @@
 		if err != nil {
 			return
 		}
-		if proxyMode(p.mode.Load()) == proxyCut {
+		if proxyMode(p.mode.Load()) == proxyReset {
 			reset(connection)
 			continue
 		}
@@ -161,10 +161,10 @@
 	p.mutex.Unlock()
 }
 
-func (p *proxy) copy(to, from net.Conn, answers bool) {
+func (p *proxy) copy(to, from net.Conn, responses bool) {
 	defer func() {
 		from.Close()
-		if !p.isSilent(from) {
+		if !p.isBlackholed(from) {
 			to.Close()
 		}
 	}()
@@ -181,10 +181,10 @@
 		for proxyMode(p.mode.Load()) == proxyFreeze {
 			time.Sleep(proxyPollInterval)
 		}
-		if p.isSilent(from) || (answers && proxyMode(p.mode.Load()) == proxyOneWay) {
+		if p.isBlackholed(from) || (responses && proxyMode(p.mode.Load()) == proxyOneWay) {
 			continue
 		}
-		limit, limited := p.limit(answers)
+		limit, limited := p.limit(responses)
 		if limited && passed+int64(count) > limit {
 			to.Write(buffer[:max(0, limit-passed)])
 			reset(to)
@@ -204,29 +204,29 @@
 	if p.marker == "" {
 		return nil
 	}
-	p.marked.Add(int64(bytes.Count(seen, []byte(p.marker))))
+	p.markerCount.Add(int64(bytes.Count(seen, []byte(p.marker))))
 	return bytes.Clone(seen[max(0, len(seen)-len(p.marker)+1):])
 }
 
 // limit is how many bytes of a direction pass before the connection is reset.
-func (p *proxy) limit(answers bool) (int64, bool) {
-	if answers {
-		limit := p.resetAfter.Load()
+func (p *proxy) limit(responses bool) (int64, bool) {
+	if responses {
+		limit := p.resetResponseAfter.Load()
 		return limit, limit > 0
 	}
-	limit := p.cutRequestAt.Load()
+	limit := p.resetRequestAfter.Load()
 	return limit, limit >= 0
 }
 
 // A connection that fell silent passes nothing and does not end, whatever
 // becomes of the link; a new one works.
-func TestSilencedConnectionsStaySilent(t *testing.T) {
+func TestBlackholedConnectionStaysBlackholed(t *testing.T) {
 	link := newProxy(t, startEcho(t))
 	old := dialEcho(t, link)
-	if count := link.silence(); count != 1 {
+	if count := link.blackhole(); count != 1 {
 		t.Errorf("%d connections were silenced, want 1", count)
 	}
-	link.set(proxyCut)
+	link.set(proxyReset)
 	link.set(proxyPass)
 	fresh := dialEcho(t, link)
 	if _, err := old.Write([]byte("x")); err != nil {
--- a/test/soak_checks_test.go
+++ b/test/soak_checks_test.go
@@ -9,42 +9,42 @@
 
 // Each check of the soak finds a history that breaks its promise, and only
 // that one.
-func TestSoakChecksFindBrokenPromises(t *testing.T) {
+func TestSoakChecksDetectViolations(t *testing.T) {
 	now := time.Now()
-	whole := listed{ID: "i", State: "succeeded", Message: replica.Text("i"), Score: "s", Versions: []int64{3}}
-	changed := func(change func(*listed)) listed {
+	whole := itemResult{ID: "i", State: "succeeded", Message: replica.Text("i"), Score: "s", Versions: []int64{3}}
+	changed := func(change func(*itemResult)) itemResult {
 		result := whole
 		change(&result)
 		return result
 	}
 	request := func(once bool, status int) func(*soakRecord) {
 		return func(r *soakRecord) {
-			r.sent(&soakRequest{id: "a", target: "/x", body: "b", once: once, status: status})
+			r.recordRequest(&soakRequest{id: "a", target: "/x", body: "b", once: once, status: status})
 		}
 	}
 	run := replica.Run{ID: "a", Target: "/x", Body: "b", At: now}
 	runs := func(prepare func(*soakRecord), seen ...replica.Run) func(*soakRecord) {
 		return func(r *soakRecord) { prepare(r); r.checkRuns(seen) }
 	}
-	page := func(results ...listed) func(*soakRecord) {
-		return func(r *soakRecord) { r.checkPage(&soakJob{id: "j", least: 3, items: 9}, 0, 0, results, "node") }
+	page := func(results ...itemResult) func(*soakRecord) {
+		return func(r *soakRecord) { r.checkPage(&soakJob{id: "j", minVersion: 3, items: 9}, 0, 0, results, "node") }
 	}
 	orders := func(heals []time.Time, seen ...replica.OrderSeen) func(*soakRecord) {
 		return func(r *soakRecord) { r.checkOrders("engine", seen, heals, map[uint64]string{}) }
 	}
 	at := func(id string, after time.Duration) replica.Run { return replica.Run{ID: id, At: now.Add(after)} }
-	pause := func(replica string, from, to time.Duration) *hiding {
-		return &hiding{replica: replica, from: now.Add(from), to: now.Add(to)}
+	disturbed := func(replica string, from, to time.Duration) *disturbance {
+		return &disturbance{replica: replica, from: now.Add(from), to: now.Add(to)}
 	}
-	ended := func(run replica.Run, hidings ...*hiding) func(*soakRecord) {
+	ended := func(run replica.Run, disturbances ...*disturbance) func(*soakRecord) {
 		return func(r *soakRecord) {
-			r.jobs, r.hidings = []*soakJob{{id: "j", endedAt: now}, {id: "k"}}, hidings
+			r.jobs, r.disturbances = []*soakJob{{id: "j", endedAt: now}, {id: "k"}}, disturbances
 			r.checkEnded("engine", []replica.Run{run})
 		}
 	}
 	for _, test := range []struct {
 		name, rule string
-		judge      func(*soakRecord)
+		apply      func(*soakRecord)
 	}{
 		{"a sound run", "", runs(request(true, 200), run)},
 		{"a request that was never sent", "UNASKED", runs(func(*soakRecord) {}, run)},
@@ -57,46 +57,46 @@
 			r.jobs = []*soakJob{{id: "j", refused: true}}
 			r.checkRefused([]replica.Run{{ID: "j.1"}})
 		}},
-		{"sound results", "", page(whole, changed(func(l *listed) { l.ID, l.Message = "k", replica.Text("k") }))},
+		{"sound results", "", page(whole, changed(func(l *itemResult) { l.ID, l.Message = "k", replica.Text("k") }))},
 		{"an item listed twice", "TWICE", page(whole, whole)},
 		{"a position with another result", "TWICE", func(r *soakRecord) {
-			job := &soakJob{id: "j", least: 3}
-			r.checkPage(job, 0, 0, []listed{whole}, "one")
-			r.checkPage(job, 0, 1, []listed{changed(func(l *listed) { l.Message = "other" })}, "two")
+			job := &soakJob{id: "j", minVersion: 3}
+			r.checkPage(job, 0, 0, []itemResult{whole}, "one")
+			r.checkPage(job, 0, 1, []itemResult{changed(func(l *itemResult) { l.Message = "other" })}, "two")
 		}},
 		{"a position that was read and is empty", "LOST", func(r *soakRecord) {
-			job := &soakJob{id: "j", least: 3, endedAt: now}
-			r.checkPage(job, 0, 0, []listed{whole}, "one")
+			job := &soakJob{id: "j", minVersion: 3, endedAt: now}
+			r.checkPage(job, 0, 0, []itemResult{whole}, "one")
 			r.checkPage(job, 0, 1, nil, "two")
 		}},
 		{"a position that was read while the page was on its way", "", func(r *soakRecord) {
-			job := &soakJob{id: "j", least: 3}
-			r.checkPage(job, 0, 0, []listed{whole}, "one")
+			job := &soakJob{id: "j", minVersion: 3}
+			r.checkPage(job, 0, 0, []itemResult{whole}, "one")
 			r.checkPage(job, 0, 0, nil, "two")
 		}},
 		{"nothing behind the last position", "", func(r *soakRecord) {
-			job := &soakJob{id: "j", least: 3}
-			r.checkPage(job, 0, 0, []listed{whole}, "one")
+			job := &soakJob{id: "j", minVersion: 3}
+			r.checkPage(job, 0, 0, []itemResult{whole}, "one")
 			r.checkPage(job, 1, 1, nil, "two")
 		}},
-		{"an item long after its job's end", "ENDED", ended(at("j.1", endBound+time.Second))},
-		{"a reward call long after its job's end", "ENDED", ended(at("score.j.1", endBound+time.Second))},
-		{"an item soon after its job's end", "", ended(at("j.1", endBound-time.Second))},
-		{"an item of a job that was not ended", "", ended(at("k.1", endBound+time.Second))},
-		{"an item while a node is paused", "", ended(at("j.1", endBound+time.Second), pause("", time.Second, 4*time.Second))},
-		{"an item soon after a node was woken", "", ended(at("j.1", 4*time.Second+endBound/2), pause("", -time.Second, 4*time.Second))},
-		{"an item long after a node was woken", "ENDED", ended(at("j.1", 5*time.Second+endBound), pause("", -time.Second, 4*time.Second))},
-		{"an item although the pause was before the end", "ENDED", ended(at("j.1", endBound+time.Second), pause("", -2*time.Second, -time.Second))},
-		{"an item although the pause was after the bound", "ENDED", ended(at("j.1", endBound+2*time.Second), pause("", endBound+time.Second, endBound+3*time.Second))},
-		{"an item that a frozen link held back", "", ended(at("j.1", endBound+time.Second), pause("engine", time.Second, endBound+time.Second))},
-		{"an item while another replica's link is frozen", "ENDED", ended(at("j.1", endBound+time.Second), pause("other", time.Second, endBound+time.Second))},
-		{"a text with a gap", "ORDER", page(changed(func(l *listed) { l.Message = "i-1" }))},
-		{"a result without a score", "MIXED", page(changed(func(l *listed) { l.Score = "" }))},
-		{"a result without versions", "VERSION", page(changed(func(l *listed) { l.Versions = nil }))},
-		{"a result of old weights", "VERSION", page(changed(func(l *listed) { l.Versions = []int64{2, 3} }))},
+		{"an item long after its job's end", "ENDED", ended(at("j.1", cancelBound+time.Second))},
+		{"a reward call long after its job's end", "ENDED", ended(at("score.j.1", cancelBound+time.Second))},
+		{"an item soon after its job's end", "", ended(at("j.1", cancelBound-time.Second))},
+		{"an item of a job that was not ended", "", ended(at("k.1", cancelBound+time.Second))},
+		{"an item while a node is paused", "", ended(at("j.1", cancelBound+time.Second), disturbed("", time.Second, 4*time.Second))},
+		{"an item soon after a node was woken", "", ended(at("j.1", 4*time.Second+cancelBound/2), disturbed("", -time.Second, 4*time.Second))},
+		{"an item long after a node was woken", "ENDED", ended(at("j.1", 5*time.Second+cancelBound), disturbed("", -time.Second, 4*time.Second))},
+		{"an item although the pause was before the end", "ENDED", ended(at("j.1", cancelBound+time.Second), disturbed("", -2*time.Second, -time.Second))},
+		{"an item although the pause was after the bound", "ENDED", ended(at("j.1", cancelBound+2*time.Second), disturbed("", cancelBound+time.Second, cancelBound+3*time.Second))},
+		{"an item that a frozen link held back", "", ended(at("j.1", cancelBound+time.Second), disturbed("engine", time.Second, cancelBound+time.Second))},
+		{"an item while another replica's link is frozen", "ENDED", ended(at("j.1", cancelBound+time.Second), disturbed("other", time.Second, cancelBound+time.Second))},
+		{"a text with a gap", "ORDER", page(changed(func(l *itemResult) { l.Message = "i-1" }))},
+		{"a result without a score", "MIXED", page(changed(func(l *itemResult) { l.Score = "" }))},
+		{"a result without versions", "VERSION", page(changed(func(l *itemResult) { l.Versions = nil }))},
+		{"a result of old weights", "VERSION", page(changed(func(l *itemResult) { l.Versions = []int64{2, 3} }))},
 		{"a token that falls", "ONE", orders(nil, replica.OrderSeen{Owner: "a", Token: 5, At: now}, replica.OrderSeen{Owner: "b", Token: 4, At: now})},
 		{"an order that a healed link brought late", "", orders([]time.Time{now}, replica.OrderSeen{Owner: "a", Token: 5, At: now},
-			replica.OrderSeen{Owner: "b", Token: 4, At: now.Add(thawTime / 2)})},
+			replica.OrderSeen{Owner: "b", Token: 4, At: now.Add(healGrace / 2)})},
 		{"a token of two owners", "ONE", orders(nil, replica.OrderSeen{Owner: "a", Token: 5, At: now}, replica.OrderSeen{Owner: "b", Token: 5, At: now})},
 		{"a late request at a leaving replica", "DRAIN", func(r *soakRecord) {
 			r.checkDrained("app", now, time.Second, []replica.Run{{ID: "a", At: now.Add(2 * time.Second)}})
@@ -112,7 +112,7 @@
 		}},
 	} {
 		record := newSoakRecord()
-		test.judge(record)
+		test.apply(record)
 		found := ""
 		for _, finding := range record.findings {
 			found = finding.rule
--- a/test/soak_crashes_test.go
+++ b/test/soak_crashes_test.go
@@ -24,28 +24,28 @@
 const (
 	// shortestCrashPause and longestCrashPause are the time between requests that end
 	// replicas: with less, those that remain have no time to show anything else.
-	shortestCrashPause = 800 * time.Millisecond
-	longestCrashPause  = 2500 * time.Millisecond
+	minCrashInterval = 800 * time.Millisecond
+	maxCrashInterval = 2500 * time.Millisecond
 	// entryLapse is how long the entry of a replica that has ended stands.
-	entryLapse = 400 * time.Millisecond
+	entryRemovalDelay = 400 * time.Millisecond
 	// calmTries bounds how often a request is sent in calm until it is refused: each try
 	// that a replica takes ends one at the least, and what was known of ends before may be
 	// lost.
-	calmTries = endsAllowed + 1
+	quarantineTries = maxCrashes + 1
 	// maxFullTries bounds the further tries for those that every replica turned away.
-	maxFullTries = 8
+	maxAllFullRetries = 8
 )
 
 // replaceEnded replaces the replicas that have ended by themselves.
-func (w *soakWorld) replaceEnded() {
-	for w.pause(supervisePause) {
+func (w *soakRun) replaceCrashed() {
+	for w.sleep(superviseInterval) {
 		w.mutex.Lock()
 		started := append([]*soakReplica(nil), w.replicas...)
 		w.mutex.Unlock()
 		for _, seen := range started {
 			if seen.server.Ended() {
-				w.retire(seen)
-				w.run(func() { w.replace(seen) })
+				w.removeReplica(seen)
+				w.startTask(func() { w.replace(seen) })
 			}
 		}
 	}
@@ -53,15 +53,15 @@
 
 // replace has an ended replica start again: under a new id once its entry has lapsed, or
 // under the id that it had, before that or after.
-func (w *soakWorld) replace(ended *soakReplica) {
+func (w *soakRun) replace(ended *soakReplica) {
 	w.mutex.Lock()
-	way := w.made % 3
+	way := w.replicasStarted % 3
 	if !ended.drainedAt.IsZero() {
 		// Whoever drains it takes the entry of its id away later.
 		way = 1
 	}
 	w.mutex.Unlock()
-	time.Sleep(entryLapse)
+	time.Sleep(entryRemovalDelay)
 	if way != 0 {
 		w.store.Remove("servers", ended.id)
 	}
@@ -74,38 +74,38 @@
 
 // crashers send the requests that end replicas, and a popular one beside them, while
 // faults come.
-func (w *soakWorld) crashers() {
-	from := newDraws(w.seed, streamCrashes)
-	for count := 0; w.pause(from.span(shortestCrashPause, longestCrashPause)) && !w.isCalm.Load(); count++ {
-		node := w.nodeAt(from)
-		w.sendCrashing(node, crashingRequests[from.chance(len(crashingRequests))], fmt.Sprint("crash.", count))
+func (w *soakRun) sendCrashingRequests() {
+	random := newRandomStream(w.seed, streamCrashes)
+	for count := 0; w.sleep(random.duration(minCrashInterval, maxCrashInterval)) && !w.faultsEnded.Load(); count++ {
+		node := w.randomNode(random)
+		w.sendCrashing(node, crashingRequests[random.intN(len(crashingRequests))], fmt.Sprint("crash.", count))
 		w.sendPopular(node, fmt.Sprint("popular.", count))
 	}
 }
 
 // sendCrashing sends a request that ends replicas to a node.
-func (w *soakWorld) sendCrashing(node *soakNode, crashing crashingRequest, id string) (reply, error) {
+func (w *soakRun) sendCrashing(node *soakNode, crashing crashingRequest, id string) (callerResponse, error) {
 	request := &soakRequest{id: id, target: crashing.target, body: crashing.body}
-	w.record.sent(request)
+	w.record.recordRequest(request)
 	header := http.Header{"Pathtally-Model": {draftModel}, "Pathtally-Token-Usage": {"10,10"}}
-	answer, err := w.call(node, http.MethodPost, liveHost, request.target, id, []byte(request.body), header)
-	w.recordEnd(request, answer, err)
-	return answer, err
+	response, err := w.call(node, http.MethodPost, liveHost, request.target, id, []byte(request.body), header)
+	w.recordEnd(request, response, err)
+	return response, err
 }
 
 // sendPopular sends the popular request to a node.
-func (w *soakWorld) sendPopular(node *soakNode, id string) (reply, error) {
+func (w *soakRun) sendPopular(node *soakNode, id string) (callerResponse, error) {
 	request := &soakRequest{id: id, target: "/live/popular", body: popularBody}
-	w.record.sent(request)
-	answer, err := w.call(node, http.MethodPost, liveHost, request.target, id, []byte(request.body), nil)
-	w.recordEnd(request, answer, err)
-	return answer, err
+	w.record.recordRequest(request)
+	response, err := w.call(node, http.MethodPost, liveHost, request.target, id, []byte(request.body), nil)
+	w.recordEnd(request, response, err)
+	return response, err
 }
 
 // runsOf counts the runs of requests with a body.
-func (w *soakWorld) runsOf(body string) int {
+func (w *soakRun) runCount(body string) int {
 	count := 0
-	for _, seen := range w.everyReplica() {
+	for _, seen := range w.allReplicas() {
 		for _, run := range seen.server.Runs() {
 			if strings.Contains(run.Body, body) {
 				count++
@@ -120,51 +120,51 @@
 // them and serve the popular one. Ends from before the calm may be forgotten: where all
 // nodes lose power, those that are less than enough are known to nobody any more, and up
 // to as many more replicas end than otherwise.
-func (w *soakWorld) checkCrashing() {
+func (w *soakRun) checkCrashing() {
 	for number, crashing := range crashingRequests {
-		before := w.runsOf(crashing.body)
+		before := w.runCount(crashing.body)
 		full := 0
-		for try := 0; try < calmTries+full; try++ {
-			answer, err := w.sendCrashing(w.nodes[try%len(w.nodes)], crashing, fmt.Sprintf("calm.%d.%d", number, try))
-			if isRefusal(answer, err, forward.ReasonQuarantined) {
+		for try := 0; try < quarantineTries+full; try++ {
+			response, err := w.sendCrashing(w.nodes[try%len(w.nodes)], crashing, fmt.Sprintf("calm.%d.%d", number, try))
+			if isRefusal(response, err, forward.ReasonQuarantined) {
 				break
 			}
-			if isRefusal(answer, err, forward.ReasonAllFull) && full < maxFullTries {
+			if isRefusal(response, err, forward.ReasonAllFull) && full < maxAllFullRetries {
 				// No replica took it, so none has ended under it.
 				full++
 			}
-			time.Sleep(entryLapse + spreadTime/2)
+			time.Sleep(entryRemovalDelay + propagationTime/2)
 		}
-		if after := w.runsOf(crashing.body); after-before > endsAllowed {
+		if after := w.runCount(crashing.body); after-before > maxCrashes {
 			w.record.fail("BUDGET", "a request ran %d times in calm until it was refused, %d times before", after-before, before)
 		}
 	}
-	time.Sleep(spreadTime)
+	time.Sleep(propagationTime)
 	w.checkQuarantined("in calm")
 	for _, node := range w.nodes {
-		answer, err := w.sendPopular(node, "popular.calm."+node.name)
-		if err != nil || answer.status != http.StatusOK {
-			w.record.fail("REFUSED", "%s answers the popular request with %d, %v", node.name, answer.status, err)
+		response, err := w.sendPopular(node, "popular.calm."+node.name)
+		if err != nil || response.status != http.StatusOK {
+			w.record.fail("REFUSED", "%s answers the popular request with %d, %v", node.name, response.status, err)
 		}
 	}
 }
 
 // isRefusal tells whether an answer refuses a request as not run, for a reason.
-func isRefusal(answer reply, err error, reason string) bool {
-	return err == nil && answer.status == http.StatusServiceUnavailable && strings.Contains(answer.body, reason)
+func isRefusal(response callerResponse, err error, reason string) bool {
+	return err == nil && response.status == http.StatusServiceUnavailable && strings.Contains(response.body, reason)
 }
 
 // checkQuarantined checks that no node sends on the requests that end replicas.
-func (w *soakWorld) checkQuarantined(when string) {
+func (w *soakRun) checkQuarantined(when string) {
 	for number, crashing := range crashingRequests {
-		before := w.runsOf(crashing.body)
+		before := w.runCount(crashing.body)
 		for _, node := range w.nodes {
-			answer, err := w.sendCrashing(node, crashing, fmt.Sprintf("check.%s.%d.%s", strings.ReplaceAll(when, " ", "-"), number, node.name))
-			if err != nil || answer.status != http.StatusServiceUnavailable || answer.header.Get("Retry-After") == "" {
-				w.record.fail("BUDGET", "%s answers a request under which %d replicas have ended with %d %s, %v", node.name, before, answer.status, when, err)
+			response, err := w.sendCrashing(node, crashing, fmt.Sprintf("check.%s.%d.%s", strings.ReplaceAll(when, " ", "-"), number, node.name))
+			if err != nil || response.status != http.StatusServiceUnavailable || response.header.Get("Retry-After") == "" {
+				w.record.fail("BUDGET", "%s answers a request under which %d replicas have ended with %d %s, %v", node.name, before, response.status, when, err)
 			}
 		}
-		if after := w.runsOf(crashing.body); after > before {
+		if after := w.runCount(crashing.body); after > before {
 			w.record.fail("BUDGET", "a request under which %d replicas have ended ran %d times more %s", before, after-before, when)
 		}
 	}
--- a/test/soak_ends_test.go
+++ b/test/soak_ends_test.go
@@ -10,11 +10,11 @@
 
 // endBound is within which nothing more of an ended job reaches a replica: the
 // deployment's cancelMs.
-const endBound = 3 * time.Second
+const cancelBound = 3 * time.Second
 
 // hiding is a time in which the report of an end may reach a node late, or a link may
 // hold back what was sent to a replica before the end.
-type hiding struct {
+type disturbance struct {
 	// replica is the one whose link is disturbed, empty for a node or the store.
 	replica string
 	from    time.Time
@@ -23,11 +23,11 @@
 }
 
 // hide records that a hiding begins and returns what ends it.
-func (r *soakRecord) hide(replica string) func() {
+func (r *soakRecord) beginDisturbance(replica string) func() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	begun := &hiding{replica: replica, from: time.Now()}
-	r.hidings = append(r.hidings, begun)
+	begun := &disturbance{replica: replica, from: time.Now()}
+	r.disturbances = append(r.disturbances, begun)
 	return func() {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
@@ -37,18 +37,18 @@
 
 // quietAfter is when the bound of an end has passed at a replica: it starts
 // anew after each hiding that touches it. The mutex must be held.
-func (r *soakRecord) quietAfter(endedAt time.Time, replica string) time.Time {
-	bound := endedAt.Add(endBound)
-	for _, hidden := range r.hidings {
-		if hidden.replica != "" && hidden.replica != replica {
+func (r *soakRecord) cancelDeadline(endedAt time.Time, replica string) time.Time {
+	bound := endedAt.Add(cancelBound)
+	for _, disturbed := range r.disturbances {
+		if disturbed.replica != "" && disturbed.replica != replica {
 			continue
 		}
-		to := hidden.to
+		to := disturbed.to
 		if to.IsZero() {
 			to = time.Now()
 		}
-		if hidden.from.Before(bound) && to.After(endedAt) && to.Add(endBound).After(bound) {
-			bound = to.Add(endBound)
+		if disturbed.from.Before(bound) && to.After(endedAt) && to.Add(cancelBound).After(bound) {
+			bound = to.Add(cancelBound)
 		}
 	}
 	return bound
@@ -61,23 +61,23 @@
 	defer r.mutex.Unlock()
 	bounds := map[string]time.Time{}
 	ends := map[string]time.Time{}
-	slices.SortFunc(r.hidings, func(a, b *hiding) int { return a.from.Compare(b.from) })
+	slices.SortFunc(r.disturbances, func(a, b *disturbance) int { return a.from.Compare(b.from) })
 	for _, job := range r.jobs {
 		if !job.endedAt.IsZero() {
-			ends[job.id], bounds[job.id] = job.endedAt, r.quietAfter(job.endedAt, name)
+			ends[job.id], bounds[job.id] = job.endedAt, r.cancelDeadline(job.endedAt, name)
 		}
 	}
 	for _, run := range runs {
-		job := jobOf(run.ID)
+		job := jobID(run.ID)
 		if bound, isEnded := bounds[job]; isEnded && run.At.After(bound) {
 			r.add("ENDED", "item %s reached %s at %s, its job's end was acknowledged at %s, the bound passed at %s",
-				run.ID, name, clockTime(run.At), clockTime(ends[job]), clockTime(bound))
+				run.ID, name, formatTime(run.At), formatTime(ends[job]), formatTime(bound))
 		}
 	}
 }
 
 // ends counts the jobs whose end was acknowledged.
-func (r *soakRecord) ends() int {
+func (r *soakRecord) endedJobCount() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	count := 0
@@ -90,7 +90,7 @@
 }
 
 // jobOf is the job that an item or a reward call belongs to.
-func jobOf(id string) string {
+func jobID(id string) string {
 	id = strings.TrimPrefix(id, "score.")
 	if dot := strings.LastIndexByte(id, '.'); dot >= 0 {
 		return id[:dot]
@@ -99,7 +99,7 @@
 }
 
 // clockTime writes a time as logs of faults have it.
-func clockTime(at time.Time) string {
+func formatTime(at time.Time) string {
 	if at.IsZero() {
 		return "never"
 	}
--- a/test/soak_evacuation_test.go
+++ b/test/soak_evacuation_test.go
@@ -10,16 +10,16 @@
 	// evacuated nothing may reach it any more.
 	evacuationBound = 3 * time.Second
 	// evacuatedTime is for how long the zone is watched from then on.
-	evacuatedTime = time.Second
+	evacuationWatch = time.Second
 )
 
 // evacuate has a zone evacuated while nothing else is disturbed, and checks that
 // nothing is sent there from the bound until the evacuation is taken back.
-func (w *soakWorld) evacuate() {
+func (w *soakRun) evacuate() {
 	zone := soakZones[1]
 	w.store.Write("evacuations", zone, struct{}{})
 	bound := time.Now().Add(evacuationBound)
-	time.Sleep(evacuationBound + evacuatedTime)
+	time.Sleep(evacuationBound + evacuationWatch)
 	end := time.Now()
 	w.store.Remove("evacuations", zone)
 	w.mutex.Lock()
--- a/test/soak_faults_test.go
+++ b/test/soak_faults_test.go
@@ -18,7 +18,7 @@
 type soakFault struct {
 	name string
 	// inject begins the fault and returns what mends it; nil mends itself.
-	inject func(w *soakWorld, from *draws) (what string, mend func())
+	inject func(w *soakRun, from *randomStream) (what string, mend func())
 }
 
 // soakFaults are the kinds that a run draws from; some are listed more than once
@@ -26,19 +26,19 @@
 var soakFaults = []soakFault{
 	{"node killed", killNode}, {"node stopped as planned", stopNode}, {"node paused", pauseNode}, {"settings changed", changeSettings},
 	{"store link", disturbStoreLink}, {"peer link", disturbPeerLink}, {"replica link", disturbReplicaLink},
-	{"store", disturbStore}, {"history forgotten", forgetHistory}, {"replica faults", spoilReplica}, {"replica crash", crashReplica},
-	{"power loss", powerLoss}, {"power loss", powerLoss}, {"power loss", powerLoss}, {"signals that overlap", signalSeries},
-	{"store slow", slowStore}, {"store slow", slowStore}, {"replica drains", drainReplica}, {"replica vanishes", vanishReplica}, {"configurations", changeConfiguration},
+	{"store", disturbStore}, {"history forgotten", compactStoreHistory}, {"replica faults", corruptReplica}, {"replica crash", crashReplica},
+	{"power loss", powerLoss}, {"power loss", powerLoss}, {"power loss", powerLoss}, {"signals that overlap", overlappingSignals},
+	{"store slow", slowStore}, {"store slow", slowStore}, {"replica drains", drainReplica}, {"replica vanishes", hideReplicaEntry}, {"configurations", changeConfiguration},
 }
 
 // restartPause is the time between the end of a process and its next start.
-const restartPause = 300 * time.Millisecond
+const restartDelay = 300 * time.Millisecond
 
 // anyNode draws a node that runs, more often than others the one with the newest
 // job: all jobs of a model are run by few nodes.
-func (w *soakWorld) anyNode(from *draws) *soakNode {
-	first := from.chance(len(w.nodes))
-	if owner := w.newestOwner(); from.chance(2) == 0 && owner >= 0 {
+func (w *soakRun) randomRunningNode(random *randomStream) *soakNode {
+	first := random.intN(len(w.nodes))
+	if owner := w.newestOwner(); random.intN(2) == 0 && owner >= 0 {
 		first = owner
 	}
 	for offset := range w.nodes {
@@ -51,7 +51,7 @@
 
 // newestOwner is the number of the node that owns the newest job as the store
 // has it, below 0 for none.
-func (w *soakWorld) newestOwner() int {
+func (w *soakRun) newestOwner() int {
 	jobs := w.store.Objects(jobstore.KindJobs)
 	if len(jobs) == 0 {
 		return -1
@@ -64,34 +64,34 @@
 }
 
 // anyReplica draws a living replica of any service.
-func (w *soakWorld) anyReplica(from *draws) *soakReplica {
+func (w *soakRun) randomReplica(random *randomStream) *soakReplica {
 	service := "apps"
-	if from.chance(2) == 0 {
+	if random.intN(2) == 0 {
 		service = "engines"
 	}
 	living := w.ofService(service)
 	for len(living) == 0 {
 		// All have ended under requests: their successors are about to start.
-		time.Sleep(supervisePause)
+		time.Sleep(superviseInterval)
 		living = w.ofService(service)
 	}
-	return living[from.chance(len(living))]
+	return living[random.intN(len(living))]
 }
 
-func killNode(w *soakWorld, from *draws) (string, func()) {
-	node := w.anyNode(from)
+func killNode(w *soakRun, random *randomStream) (string, func()) {
+	node := w.randomRunningNode(random)
 	if node == nil {
 		return "none", nil
 	}
 	w.stopNode(node, syscall.SIGKILL)
 	return node.name, func() {
-		time.Sleep(restartPause)
+		time.Sleep(restartDelay)
 		w.startNode(node)
 	}
 }
 
-func stopNode(w *soakWorld, from *draws) (string, func()) {
-	node := w.anyNode(from)
+func stopNode(w *soakRun, random *randomStream) (string, func()) {
+	node := w.randomRunningNode(random)
 	if node == nil {
 		return "none", nil
 	}
@@ -99,28 +99,28 @@
 	return node.name, func() { w.startNode(node) }
 }
 
-func pauseNode(w *soakWorld, from *draws) (string, func()) {
-	node := w.anyNode(from)
+func pauseNode(w *soakRun, random *randomStream) (string, func()) {
+	node := w.randomRunningNode(random)
 	if node == nil {
 		return "none", nil
 	}
-	wake := w.pauseProcess(node)
-	further := time.Duration(0)
-	if from.chance(3) == 0 {
-		further = from.span(0, longestPause)
+	resume := w.pauseNode(node)
+	extra := time.Duration(0)
+	if random.intN(3) == 0 {
+		extra = random.duration(0, maxExtraPause)
 	}
-	return fmt.Sprintf("%s, %s longer", node.name, further), func() {
-		time.Sleep(further)
-		wake()
+	return fmt.Sprintf("%s, %s longer", node.name, extra), func() {
+		time.Sleep(extra)
+		resume()
 	}
 }
 
 // longestPause is what a pause may last beyond the time of a fault, so that some
 // last for nine seconds.
-const longestPause = 5 * time.Second
+const maxExtraPause = 5 * time.Second
 
-func changeSettings(w *soakWorld, from *draws) (string, func()) {
-	node := w.anyNode(from)
+func changeSettings(w *soakRun, random *randomStream) (string, func()) {
+	node := w.randomRunningNode(random)
 	if node == nil {
 		return "none", nil
 	}
@@ -130,79 +130,79 @@
 }
 
 // disturb draws what happens to a link.
-func (w *soakWorld) disturb(from *draws, link *proxy, replica, whose string) (string, func()) {
-	seen := w.record.hide(replica)
-	switch from.chance(5) {
+func (w *soakRun) disturb(random *randomStream, link *proxy, replica, description string) (string, func()) {
+	endDisturbance := w.record.beginDisturbance(replica)
+	switch random.intN(5) {
 	case 0:
 		// Those who use it notice by their own bounds.
-		whose += fmt.Sprintf(" silenced for good on %d connections", link.silence())
-		return whose, seen
+		description += fmt.Sprintf(" silenced for good on %d connections", link.blackhole())
+		return description, endDisturbance
 	case 1:
-		link.set(proxyCut)
-		whose += " reset"
+		link.set(proxyReset)
+		description += " reset"
 	case 2:
 		link.set(proxyFreeze)
-		whose += " silenced"
+		description += " silenced"
 	case 3:
 		link.set(proxyOneWay)
-		whose += " cut one way"
+		description += " cut one way"
 	default:
 		link.delay.Store(int64(60 * time.Millisecond))
-		whose += " delayed"
+		description += " delayed"
 	}
-	return whose, func() {
+	return description, func() {
 		link.delay.Store(0)
 		link.set(proxyPass)
 		// Bytes were lost on connections that were cut one way.
 		link.resetOpen()
 		w.recordHeal()
-		seen()
+		endDisturbance()
 	}
 }
 
-func disturbStoreLink(w *soakWorld, from *draws) (string, func()) {
-	node := w.nodes[from.chance(len(w.nodes))]
-	return w.disturb(from, node.storeLink, "", node.name)
+func disturbStoreLink(w *soakRun, random *randomStream) (string, func()) {
+	node := w.nodes[random.intN(len(w.nodes))]
+	return w.disturb(random, node.storeLink, "", node.name)
 }
 
-func disturbPeerLink(w *soakWorld, from *draws) (string, func()) {
-	node := w.nodes[from.chance(len(w.nodes))]
-	return w.disturb(from, node.peerLink, "", node.name)
+func disturbPeerLink(w *soakRun, random *randomStream) (string, func()) {
+	node := w.nodes[random.intN(len(w.nodes))]
+	return w.disturb(random, node.peerLink, "", node.name)
 }
 
-func disturbReplicaLink(w *soakWorld, from *draws) (string, func()) {
-	disturbed := w.anyReplica(from)
-	return w.disturb(from, disturbed.link, disturbed.id, disturbed.id)
+func disturbReplicaLink(w *soakRun, random *randomStream) (string, func()) {
+	disturbed := w.randomReplica(random)
+	return w.disturb(random, disturbed.link, disturbed.id, disturbed.id)
 }
 
 // disturbStore makes the store itself misbehave for everybody.
-func disturbStore(w *soakWorld, from *draws) (string, func()) {
+func disturbStore(w *soakRun, random *randomStream) (string, func()) {
 	kinds := []struct {
 		name  string
 		fault metastore.Fault
 		share int
 	}{{"busy", metastore.Refused, 1}, {"silent", metastore.Silent, 1}, {"answers lost", metastore.Unanswered, 3}, {"writes late", metastore.Late, 3}}
-	drawn := kinds[from.chance(len(kinds))]
-	seen := w.record.hide("")
+	kind := kinds[random.intN(len(kinds))]
+	endDisturbance := w.record.beginDisturbance("")
 	w.store.SetFault(func(call metastore.Call) metastore.Fault {
 		isWrite := call.Verb == "create" || call.Verb == "replace" || call.Verb == "status"
-		if (drawn.share > 1 && !isWrite) || from.chance(drawn.share) != 0 {
+		if (kind.share > 1 && !isWrite) || random.intN(kind.share) != 0 {
 			return metastore.Sound
 		}
-		return drawn.fault
+		return kind.fault
 	})
-	return drawn.name, func() {
+	return kind.name, func() {
 		w.store.SetFault(nil)
 		w.store.ApplyLate()
-		seen()
+		endDisturbance()
 	}
 }
 
 const (
 	// fastestAnswer and slowestAnswer are what a slow store takes for an answer.
 	// Nodes wait longer than that for one.
-	fastestAnswer = 300 * time.Millisecond
-	slowestAnswer = time.Second
+	minStoreDelay = 300 * time.Millisecond
+	maxStoreDelay = time.Second
 )
 
 // slowCalls are the store's slow calls about jobs. It is safe for use by many
@@ -226,7 +226,7 @@
 }
 
 // isOn tells whether a call about a job is under way.
-func (s *slowCalls) isOn(kind, verb, job string) bool {
+func (s *slowCalls) inProgress(kind, verb, job string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return time.Now().Before(s.until[metastore.Call{Verb: verb, Kind: kind, Name: job}])
@@ -234,78 +234,78 @@
 
 // slowStore has the store answer late, having carried the call out before or
 // after that time. Nobody is hidden by it.
-func slowStore(w *soakWorld, from *draws) (string, func()) {
-	further := from.span(0, longestSlow)
+func slowStore(w *soakRun, random *randomStream) (string, func()) {
+	extra := random.duration(0, maxExtraSlowTime)
 	w.store.SetDelay(func(call metastore.Call) metastore.Delay {
-		takes := from.span(fastestAnswer, slowestAnswer)
-		w.slow.add(call, takes)
-		if from.chance(2) == 0 {
+		takes := random.duration(minStoreDelay, maxStoreDelay)
+		w.slowCalls.add(call, takes)
+		if random.intN(2) == 0 {
 			return metastore.Delay{Before: takes}
 		}
 		return metastore.Delay{After: takes}
 	})
-	return fmt.Sprintf("%s longer", further), func() {
-		time.Sleep(further)
+	return fmt.Sprintf("%s longer", extra), func() {
+		time.Sleep(extra)
 		w.store.SetDelay(nil)
 	}
 }
 
 // longestSlow is how much longer than other faults a slow store may last.
-const longestSlow = 3 * time.Second
+const maxExtraSlowTime = 3 * time.Second
 
 // powerLoss kills all nodes that run at once and starts them again, mostly before
 // a store that is slow at first.
-func powerLoss(w *soakWorld, from *draws) (string, func()) {
+func powerLoss(w *soakRun, random *randomStream) (string, func()) {
 	var killed []*soakNode
 	for _, node := range w.nodes {
 		if !node.down.Load() {
 			killed = append(killed, node)
 		}
 	}
-	isSlow, pause := from.chance(3) > 0, from.span(0, restartPause)
-	mendStore := func() {}
+	isSlow, restartAfter := random.intN(3) > 0, random.duration(0, restartDelay)
+	healStore := func() {}
 	if isSlow {
-		_, mendStore = slowStore(w, from)
+		_, healStore = slowStore(w, random)
 	}
 	w.killNodes(killed)
 	return fmt.Sprintf("%d nodes, store slow: %v", len(killed), isSlow), func() {
-		time.Sleep(pause)
+		time.Sleep(restartAfter)
 		w.startNodes(killed)
 		if isSlow {
-			time.Sleep(slowAfterRestart)
+			time.Sleep(slowStoreAfterRestart)
 		}
-		mendStore()
+		healStore()
 	}
 }
 
 // slowAfterRestart is for how long the store stays slow after a power loss at the
 // least: nodes need some of its answers until they read jobs.
-const slowAfterRestart = 3 * time.Second
+const slowStoreAfterRestart = 3 * time.Second
 
 // signalSeries stops a node by signals that overlap.
-func signalSeries(w *soakWorld, from *draws) (string, func()) {
-	node := w.anyNode(from)
+func overlappingSignals(w *soakRun, random *randomStream) (string, func()) {
+	node := w.randomRunningNode(random)
 	if node == nil {
 		return "none", nil
 	}
-	further := [][]syscall.Signal{
+	signals := [][]syscall.Signal{
 		{syscall.SIGKILL}, {syscall.SIGHUP}, {syscall.SIGHUP, syscall.SIGKILL}, {syscall.SIGTERM}, {syscall.SIGSTOP, syscall.SIGCONT},
 		{syscall.SIGSTOP, syscall.SIGKILL}, {syscall.SIGHUP, syscall.SIGSTOP, syscall.SIGCONT, syscall.SIGHUP},
-	}[from.chance(7)]
+	}[random.intN(7)]
 	process, _ := node.process()
 	node.down.Store(true)
-	seen := w.record.hide("")
+	endDisturbance := w.record.beginDisturbance("")
 	_ = process.command.Process.Signal(syscall.SIGTERM)
-	for _, next := range further {
-		time.Sleep(from.span(0, longestBetween))
+	for _, next := range signals {
+		time.Sleep(random.duration(0, maxSignalInterval))
 		_ = process.command.Process.Signal(next)
 		if next == syscall.SIGCONT {
 			w.recordHeal()
 		}
 	}
-	return fmt.Sprintf("%s terminated, then %v", node.name, further), func() {
+	return fmt.Sprintf("%s terminated, then %v", node.name, signals), func() {
 		<-process.exited
-		seen()
+		endDisturbance()
 		w.restarts.Add(1)
 		w.keepLog(node, process)
 		w.startNode(node)
@@ -314,25 +314,25 @@
 
 // longestBetween is the time between signals of a series at most: a planned stop
 // takes about as long.
-const longestBetween = 1500 * time.Millisecond
+const maxSignalInterval = 1500 * time.Millisecond
 
-func forgetHistory(w *soakWorld, from *draws) (string, func()) {
+func compactStoreHistory(w *soakRun, random *randomStream) (string, func()) {
 	w.store.Forget()
 	return "", nil
 }
 
-func spoilReplica(w *soakWorld, from *draws) (string, func()) {
-	spoiled := w.anyReplica(from)
-	spoiled.server.SetFaults(replica.Faults{CutEvery: 3, SurplusEvery: 4, WrongIDEvery: 5})
-	return spoiled.id, func() { spoiled.server.SetFaults(replica.Faults{}) }
+func corruptReplica(w *soakRun, random *randomStream) (string, func()) {
+	corrupted := w.randomReplica(random)
+	corrupted.server.SetFaults(replica.Faults{CutEvery: 3, SurplusEvery: 4, WrongIDEvery: 5})
+	return corrupted.id, func() { corrupted.server.SetFaults(replica.Faults{}) }
 }
 
 // crashReplica ends a replica; its entry lapses later and another one comes.
-func crashReplica(w *soakWorld, from *draws) (string, func()) {
-	crashed := w.anyReplica(from)
-	w.retire(crashed)
+func crashReplica(w *soakRun, random *randomStream) (string, func()) {
+	crashed := w.randomReplica(random)
+	w.removeReplica(crashed)
 	crashed.server.Close()
-	crashed.link.set(proxyCut)
+	crashed.link.set(proxyReset)
 	return crashed.id, func() {
 		w.store.Remove("servers", crashed.id)
 		w.addReplica(crashed.service)
@@ -340,43 +340,43 @@
 }
 
 // drainReplica has a replica say that it leaves; another one comes first.
-func drainReplica(w *soakWorld, from *draws) (string, func()) {
-	leaving := w.anyReplica(from)
+func drainReplica(w *soakRun, random *randomStream) (string, func()) {
+	leaving := w.randomReplica(random)
 	w.addReplica(leaving.service)
 	w.store.Write("servers", leaving.id, leaving.entry("draining"))
 	w.mutex.Lock()
 	leaving.drainedAt = time.Now()
 	w.mutex.Unlock()
 	return leaving.id, func() {
-		time.Sleep(drainServes)
+		time.Sleep(serveAfterDrain)
 		w.store.Remove("servers", leaving.id)
 		leaving.server.Close()
-		w.retire(leaving)
+		w.removeReplica(leaving)
 	}
 }
 
 // drainServes is how much longer a leaving replica serves after the time that
 // the fault lasts.
-const drainServes = 2500 * time.Millisecond
+const serveAfterDrain = 2500 * time.Millisecond
 
 // vanishReplica takes a living replica's entry away for a while.
-func vanishReplica(w *soakWorld, from *draws) (string, func()) {
-	vanished := w.anyReplica(from)
-	w.store.Remove("servers", vanished.id)
-	return vanished.id, func() {
+func hideReplicaEntry(w *soakRun, random *randomStream) (string, func()) {
+	hidden := w.randomReplica(random)
+	w.store.Remove("servers", hidden.id)
+	return hidden.id, func() {
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
 		for _, candidate := range w.replicas {
-			if candidate == vanished && vanished.drainedAt.IsZero() {
-				w.store.Write("servers", vanished.id, vanished.entry("ready"))
+			if candidate == hidden && hidden.drainedAt.IsZero() {
+				w.store.Write("servers", hidden.id, hidden.entry("ready"))
 			}
 		}
 	}
 }
 
 // changeConfiguration writes several versions in quick succession.
-func changeConfiguration(w *soakWorld, from *draws) (string, func()) {
-	count := 1 + from.chance(6)
+func changeConfiguration(w *soakRun, random *randomStream) (string, func()) {
+	count := 1 + random.intN(6)
 	for range count {
 		w.configure()
 		time.Sleep(60 * time.Millisecond)
--- a/test/soak_reads_test.go
+++ b/test/soak_reads_test.go
@@ -16,12 +16,12 @@
 
 // What a run reads at nodes finds a result that was read and is gone, and a job
 // that is gone.
-func TestSoakReadsFindLostResults(t *testing.T) {
+func TestSoakReadsDetectLostResults(t *testing.T) {
 	for _, test := range []struct {
 		name, rule string
 		// shows tells what a read shows by how many came before: how many results,
 		// below 0 for no such job.
-		shows func(before int) int
+		shown func(before int) int
 	}{
 		{"a result that stands", "", func(int) int { return 1 }},
 		{"a result that comes late", "", func(before int) int { return min(before, 1) }},
@@ -30,25 +30,25 @@
 	} {
 		reads := 0
 		server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-			results := []listed{{ID: "j.0", State: "succeeded", Message: replica.Text("j.0"), Score: "s", Versions: []int64{3}}}
-			shown := test.shows(reads)
+			results := []itemResult{{ID: "j.0", State: "succeeded", Message: replica.Text("j.0"), Score: "s", Versions: []int64{3}}}
+			count := test.shown(reads)
 			reads++
-			if shown < 0 {
+			if count < 0 {
 				writer.WriteHeader(http.StatusNotFound)
 				return
 			}
 			from, _ := strconv.Atoi(request.URL.Query().Get("sinceRev"))
-			page := results[min(from, shown):shown]
+			page := results[min(from, count):count]
 			json.NewEncoder(writer).Encode(map[string]any{"total": 9, "nextToken": from + len(page), "results": page})
 		}))
 		defer server.Close()
-		job := &soakJob{id: "j", items: 9, least: 3, accepted: time.Now(), endedAt: time.Now()}
+		job := &soakJob{id: "j", items: 9, minVersion: 3, accepted: time.Now(), endedAt: time.Now()}
 		node := &soakNode{name: "node", current: &platformNode{http: strings.TrimPrefix(server.URL, "http://")}}
-		w := &soakWorld{record: newSoakRecord(), nodes: []*soakNode{node}}
+		w := &soakRun{record: newSoakRecord(), nodes: []*soakNode{node}}
 		w.record.jobs = []*soakJob{job}
-		w.readOn(node, job)
+		w.readRemaining(node, job)
 		reads = max(reads, 1)
-		w.readAllBack()
+		w.verifyAllResults()
 		found := map[string]bool{}
 		for _, finding := range w.record.findings {
 			found[finding.rule] = true
@@ -60,7 +60,7 @@
 }
 
 // A slow call about a job is known while it lasts, by the job's name.
-func TestSlowCallsAreKnownByTheirJobs(t *testing.T) {
+func TestSlowCallsAreFoundByJob(t *testing.T) {
 	var slow slowCalls
 	slow.add(metastore.Call{Verb: "create", Kind: jobstore.KindResults, Name: "job1-2-000003"}, time.Minute)
 	slow.add(metastore.Call{Verb: "get", Kind: jobstore.KindPayloads, Name: "job1-2-0000"}, -time.Minute)
@@ -74,7 +74,7 @@
 		{jobstore.KindResults, "get", "job1-2", false},
 		{jobstore.KindPayloads, "get", "job1-2", false},
 	} {
-		if on := slow.isOn(test.kind, test.verb, test.job); on != test.on {
+		if on := slow.inProgress(test.kind, test.verb, test.job); on != test.on {
 			t.Errorf("%s of %s about %s: %v", test.verb, test.kind, test.job, on)
 		}
 	}
--- a/test/soak_record_test.go
+++ b/test/soak_record_test.go
@@ -22,22 +22,22 @@
 
 // soakJob is a batch job as its trainer and other readers saw it.
 type soakJob struct {
-	id       string
-	items    int
-	least    int64
-	accepted time.Time
+	id         string
+	items      int
+	minVersion int64
+	accepted   time.Time
 	// refused is set once every try was answered with a promise.
 	refused bool
-	results []listed
+	results []itemResult
 	// endedAt is when an end of the job was acknowledged first, zero for never.
 	endedAt time.Time
-	ending  soakEnding
+	endPlan endPlan
 	// draws decides what happens to this job.
-	draws *draws
+	random *randomStream
 }
 
 // soakFinding is a promise that was broken.
-type soakFinding struct{ rule, what string }
+type soakFinding struct{ rule, text string }
 
 // soakRecord is everything seen in one run.
 type soakRecord struct {
@@ -50,13 +50,13 @@
 	served   int
 	steps    int
 	// hidings are times in which the report of an end may be late.
-	hidings []*hiding
+	disturbances []*disturbance
 	// met counts the ends that had what they waited for.
-	met map[endingKind]int
+	triggered map[endTrigger]int
 }
 
 func newSoakRecord() *soakRecord {
-	return &soakRecord{requests: map[string]*soakRequest{}, logs: map[string][]byte{}, met: map[endingKind]int{}}
+	return &soakRecord{requests: map[string]*soakRequest{}, logs: map[string][]byte{}, triggered: map[endTrigger]int{}}
 }
 
 // fail records a broken promise.
@@ -79,14 +79,14 @@
 }
 
 // known is how many results of a job have been read.
-func (r *soakRecord) known(job *soakJob) int {
+func (r *soakRecord) resultCount(job *soakJob) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return len(job.results)
 }
 
 // accepted lists the jobs that were taken.
-func (r *soakRecord) accepted() []*soakJob {
+func (r *soakRecord) acceptedJobs() []*soakJob {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var taken []*soakJob
@@ -106,10 +106,10 @@
 }
 
 // addMet counts a job whose end had what it waited for.
-func (r *soakRecord) addMet(kind endingKind) {
+func (r *soakRecord) addTriggered(kind endTrigger) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.met[kind]++
+	r.triggered[kind]++
 }
 
 // recordJobEnd records that an end of a job was acknowledged.
@@ -122,14 +122,14 @@
 }
 
 // sent records a request before it is sent.
-func (r *soakRecord) sent(request *soakRequest) {
+func (r *soakRecord) recordRequest(request *soakRequest) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.requests[request.id] = request
 }
 
 // isPromise tells whether a status promises that the request never runs.
-func isPromise(status int) bool {
+func isNotRunStatus(status int) bool {
 	return status == 503 || status == 429 || status == 408 || status == 421
 }
 
@@ -153,7 +153,7 @@
 		}
 	}
 	for id, request := range r.requests {
-		if request.once && isPromise(request.status) && times[id] > 0 {
+		if request.once && isNotRunStatus(request.status) && times[id] > 0 {
 			r.add("REFUSED", "request %s ran and was answered %d", id, request.status)
 		}
 	}
@@ -196,11 +196,11 @@
 }
 
 // thawTime is for how long after a link was healed orders may be late.
-const thawTime = 300 * time.Millisecond
+const healGrace = 300 * time.Millisecond
 
 func nearHeal(at time.Time, heals []time.Time) bool {
 	for _, heal := range heals {
-		if !at.Before(heal) && at.Sub(heal) < thawTime {
+		if !at.Before(heal) && at.Sub(heal) < healGrace {
 			return true
 		}
 	}
@@ -230,11 +230,11 @@
 // checkPage judges a page of results by those read before: positions keep
 // what they held, and a result is whole and fresh. A position before known, the
 // number of those read before the page was asked for, is never empty.
-func (r *soakRecord) checkPage(job *soakJob, from, known int, page []listed, node string) {
+func (r *soakRecord) checkPage(job *soakJob, from, known int, page []itemResult, node string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if len(page) == 0 && from < known {
-		r.add("LOST", "job %s (ended %s) has nothing at position %d at %s, of %d read before", job.id, clockTime(job.endedAt), from, node, known)
+		r.add("LOST", "job %s (ended %s) has nothing at position %d at %s, of %d read before", job.id, formatTime(job.endedAt), from, node, known)
 	}
 	for offset, result := range page {
 		position := from + offset
@@ -257,7 +257,7 @@
 }
 
 // checkResult judges one whole result. The mutex must be held.
-func (r *soakRecord) checkResult(job *soakJob, result listed) {
+func (r *soakRecord) checkResult(job *soakJob, result itemResult) {
 	if result.Message != replica.Text(result.ID) {
 		r.add("ORDER", "item %s has the text %q", result.ID, result.Message)
 	}
@@ -268,8 +268,8 @@
 		r.add("VERSION", "item %s names no version", result.ID)
 	}
 	for _, version := range result.Versions {
-		if version < job.least {
-			r.add("VERSION", "item %s was made by version %d, the least is %d", result.ID, version, job.least)
+		if version < job.minVersion {
+			r.add("VERSION", "item %s was made by version %d, the least is %d", result.ID, version, job.minVersion)
 		}
 	}
 }
--- a/test/soak_world_test.go
+++ b/test/soak_run_test.go
@@ -23,8 +23,8 @@
 	// engineSlots and the time between the events of a stream are such that the
 	// largest jobs last for some seconds.
 	engineSlots      = 8
-	shortestInterval = 50 * time.Millisecond
-	longestInterval  = 170 * time.Millisecond
+	minEventInterval = 50 * time.Millisecond
+	maxEventInterval = 170 * time.Millisecond
 	// soakGrace is the grace of a planned stop in a soak.
 	soakGrace = 8 * time.Second
 )
@@ -38,7 +38,7 @@
 	mutex     sync.Mutex
 	current   *platformNode
 	// life counts the starts.
-	life int
+	incarnation int
 	// down is set while the process is stopped, paused or starting.
 	down atomic.Bool
 }
@@ -47,7 +47,7 @@
 func (n *soakNode) process() (*platformNode, int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.current, n.life
+	return n.current, n.incarnation
 }
 
 // soakReplica is a replica behind a proxy.
@@ -63,44 +63,44 @@
 }
 
 // soakWorld is one run: real node processes, stand-ins and what was seen.
-type soakWorld struct {
-	t      *testing.T
-	seed   uint64
-	folder string
-	store  *metastore.Store
-	server string
-	nodes  []*soakNode
+type soakRun struct {
+	t            *testing.T
+	seed         uint64
+	folder       string
+	store        *metastore.Store
+	storeAddress string
+	nodes        []*soakNode
 
 	mutex    sync.Mutex
 	replicas []*soakReplica
 	// gone are replicas that have ended; what they ran still counts.
-	gone    []*soakReplica
-	made    int
-	version int
+	formerReplicas  []*soakReplica
+	replicasStarted int
+	configVersion   int
 	// versionAt is when the newest configuration was written.
-	versionAt time.Time
+	configuredAt time.Time
 	// heals are when links were healed or processes woken.
 	heals []time.Time
 	// weights is the newest version of the model's.
-	weights int64
+	weightVersion int64
 
-	slow slowCalls
+	slowCalls slowCalls
 	// restarts counts the ends of node processes.
 	restarts atomic.Int64
 	// isCalm is set after the last fault.
-	isCalm atomic.Bool
+	faultsEnded atomic.Bool
 
 	record *soakRecord
-	ended  chan struct{}
-	duties sync.WaitGroup
+	done   chan struct{}
+	tasks  sync.WaitGroup
 }
 
 // newSoakWorld starts everything of a run.
-func newSoakWorld(t *testing.T, seed uint64) *soakWorld {
+func newSoakRun(t *testing.T, seed uint64) *soakRun {
 	t.Helper()
-	w := &soakWorld{
-		t: t, seed: seed, folder: t.TempDir(), store: metastore.New(), weights: 1,
-		record: newSoakRecord(), ended: make(chan struct{}),
+	w := &soakRun{
+		t: t, seed: seed, folder: t.TempDir(), store: metastore.New(), weightVersion: 1,
+		record: newSoakRecord(), done: make(chan struct{}),
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -109,7 +109,7 @@
 	server := &http.Server{Handler: &metastore.Server{Store: w.store}}
 	go server.Serve(listener)
 	t.Cleanup(func() { server.Close() })
-	w.server = listener.Addr().String()
+	w.storeAddress = listener.Addr().String()
 	for range soakEngines {
 		w.addReplica("engines")
 	}
@@ -117,9 +117,9 @@
 		w.addReplica("apps")
 	}
 	w.configure()
-	for number := range shapeOf(seed).nodes {
+	for number := range drawSpec(seed).nodes {
 		w.nodes = append(w.nodes, &soakNode{
-			name: fmt.Sprintf("node-%d", number), storeLink: newProxy(t, w.server), peerLink: newProxy(t, w.server),
+			name: fmt.Sprintf("node-%d", number), storeLink: newProxy(t, w.storeAddress), peerLink: newProxy(t, w.storeAddress),
 		})
 	}
 	w.startNodes(w.nodes)
@@ -130,7 +130,7 @@
 }
 
 // startNodes starts several nodes at once.
-func (w *soakWorld) startNodes(nodes []*soakNode) {
+func (w *soakRun) startNodes(nodes []*soakNode) {
 	var all sync.WaitGroup
 	for _, node := range nodes {
 		all.Go(func() { w.startNode(node) })
@@ -139,25 +139,27 @@
 }
 
 // nodeAt draws a node.
-func (w *soakWorld) nodeAt(from *draws) *soakNode { return w.nodes[from.chance(len(w.nodes))] }
+func (w *soakRun) randomNode(random *randomStream) *soakNode {
+	return w.nodes[random.intN(len(w.nodes))]
+}
 
 // addReplica starts a replica and lists it.
-func (w *soakWorld) addReplica(service string) { w.startReplica(service, "") }
+func (w *soakRun) addReplica(service string) { w.startReplica(service, "") }
 
 // startReplica starts a replica under an id that an ended one had, or under a new one,
 // and lists it.
-func (w *soakWorld) startReplica(service, id string) {
+func (w *soakRun) startReplica(service, id string) {
 	w.mutex.Lock()
-	w.made++
+	w.replicasStarted++
 	if id == "" {
-		id = fmt.Sprintf("%s-%d", service, w.made)
+		id = fmt.Sprintf("%s-%d", service, w.replicasStarted)
 	}
-	drawn := newDraws(w.seed, streamReplicas+uint64(w.made))
-	zone := soakZones[w.made%len(soakZones)]
+	drawn := newRandomStream(w.seed, streamReplicas+uint64(w.replicasStarted))
+	zone := soakZones[w.replicasStarted%len(soakZones)]
 	w.mutex.Unlock()
 	config := replica.Config{ID: id, Slots: 16, Work: 3 * time.Millisecond}
 	if service == "engines" {
-		config = replica.Config{ID: id, Slots: engineSlots, Model: draftModel, EventInterval: drawn.span(shortestInterval, longestInterval), LoadTime: 150 * time.Millisecond}
+		config = replica.Config{ID: id, Slots: engineSlots, Model: draftModel, EventInterval: drawn.duration(minEventInterval, maxEventInterval), LoadTime: 150 * time.Millisecond}
 	}
 	started := &soakReplica{id: id, service: service, zone: zone}
 	config.CrashOn, config.CrashAfter, config.Born = crashingText, crashAfter, time.Now().UnixMilli()
@@ -182,7 +184,7 @@
 }
 
 // ofService lists the living replicas of a service.
-func (w *soakWorld) ofService(service string) []*soakReplica {
+func (w *soakRun) ofService(service string) []*soakReplica {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	var found []*soakReplica
@@ -195,31 +197,31 @@
 }
 
 // retire takes a replica out of the world; it serves no longer.
-func (w *soakWorld) retire(ended *soakReplica) {
+func (w *soakRun) removeReplica(ended *soakReplica) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for number, candidate := range w.replicas {
 		if candidate == ended {
 			w.replicas = append(w.replicas[:number:number], w.replicas[number+1:]...)
-			w.gone = append(w.gone, ended)
+			w.formerReplicas = append(w.formerReplicas, ended)
 			return
 		}
 	}
 }
 
 // everyReplica lists the living replicas and those that have ended.
-func (w *soakWorld) everyReplica() []*soakReplica {
+func (w *soakRun) allReplicas() []*soakReplica {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return append(append([]*soakReplica(nil), w.replicas...), w.gone...)
+	return append(append([]*soakReplica(nil), w.replicas...), w.formerReplicas...)
 }
 
 // configure writes the next version of the configuration. Each version has a
 // route of its own, which the one after it keeps and the next drops.
-func (w *soakWorld) configure() {
+func (w *soakRun) configure() {
 	w.mutex.Lock()
-	w.version++
-	version := w.version
+	w.configVersion++
+	version := w.configVersion
 	w.mutex.Unlock()
 	routes := []map[string]any{
 		{"name": "drafts", "host": draftHost, "pathPrefix": "/drafts/", "type": "rollout", "service": "engines", "maxAttempts": 3, "sloMs": 400,
@@ -244,20 +246,20 @@
 	})
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.versionAt = time.Now()
+	w.configuredAt = time.Now()
 }
 
 func versionPath(version int) string { return fmt.Sprintf("/version-%d/", version) }
 
 // newestVersion is the configuration written last, and when.
-func (w *soakWorld) newestVersion() (int, time.Time) {
+func (w *soakRun) newestConfigVersion() (int, time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.version, w.versionAt
+	return w.configVersion, w.configuredAt
 }
 
 // startNode starts a node's process anew.
-func (w *soakWorld) startNode(node *soakNode) {
+func (w *soakRun) startNode(node *soakNode) {
 	w.t.Helper()
 	path := filepath.Join(w.folder, node.name+".yaml")
 	settings := fmt.Sprintf("node: %s\nzone: zone-a\nregion: region\nhttp: 127.0.0.1:0\npeer: 127.0.0.1:0\npeerAdvertised: %s\n"+
@@ -284,13 +286,13 @@
 	node.peerLink.setTarget(started.Peer)
 	node.mutex.Lock()
 	node.current = process
-	node.life++
+	node.incarnation++
 	node.mutex.Unlock()
 	node.down.Store(false)
 }
 
 // stopNode ends a node's process with a signal and keeps its log.
-func (w *soakWorld) stopNode(node *soakNode, signal syscall.Signal) {
+func (w *soakRun) stopNode(node *soakNode, signal syscall.Signal) {
 	node.down.Store(true)
 	process, _ := node.process()
 	_ = process.command.Process.Signal(signal)
@@ -300,7 +302,7 @@
 }
 
 // killNodes ends the processes of several nodes at once.
-func (w *soakWorld) killNodes(nodes []*soakNode) {
+func (w *soakRun) killNodes(nodes []*soakNode) {
 	var all sync.WaitGroup
 	for _, node := range nodes {
 		all.Go(func() { w.stopNode(node, syscall.SIGKILL) })
@@ -309,13 +311,13 @@
 }
 
 // keepLog adds what a process wrote to the record of the run.
-func (w *soakWorld) keepLog(node *soakNode, process *platformNode) {
+func (w *soakRun) keepLog(node *soakNode, process *platformNode) {
 	process.mutex.Lock()
 	defer process.mutex.Unlock()
 	w.record.addLog(node.name, process.log.Bytes())
 }
 
-func (w *soakWorld) isReady(node *soakNode) bool {
+func (w *soakRun) isReady(node *soakNode) bool {
 	process, _ := node.process()
 	response, err := http.Get("http://" + process.readiness + "/-/readyz")
 	if err != nil {
@@ -325,7 +327,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-func (w *soakWorld) awaitReady(node *soakNode) {
+func (w *soakRun) awaitReady(node *soakNode) {
 	w.t.Helper()
 	for end := time.Now().Add(startLimit); !w.isReady(node); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
@@ -336,35 +338,35 @@
 }
 
 // pauseProcess stops a node's process where it is and returns what wakes it.
-func (w *soakWorld) pauseProcess(node *soakNode) func() {
+func (w *soakRun) pauseNode(node *soakNode) func() {
 	process, _ := node.process()
 	node.down.Store(true)
-	seen := w.record.hide("")
+	endDisturbance := w.record.beginDisturbance("")
 	_ = process.command.Process.Signal(syscall.SIGSTOP)
 	return func() {
 		_ = process.command.Process.Signal(syscall.SIGCONT)
 		w.recordHeal()
-		seen()
+		endDisturbance()
 		node.down.Store(false)
 	}
 }
 
 // recordHeal records that a link was healed or a process woken.
-func (w *soakWorld) recordHeal() {
+func (w *soakRun) recordHeal() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.heals = append(w.heals, time.Now())
 }
 
 // run starts a duty that goes on until the run has ended.
-func (w *soakWorld) run(duty func()) { w.duties.Go(duty) }
+func (w *soakRun) startTask(task func()) { w.tasks.Go(task) }
 
 // pause waits and tells whether the run goes on.
-func (w *soakWorld) pause(span time.Duration) bool {
-	timer := time.NewTimer(span)
+func (w *soakRun) sleep(duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
-	case <-w.ended:
+	case <-w.done:
 		return false
 	case <-timer.C:
 		return true
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -33,9 +33,9 @@
 
 const (
 	// faultyTime is for how long faults come in one run.
-	faultyTime = 18 * time.Second
+	faultPhase = 18 * time.Second
 	// calmTime is for how long everything is left alone after the last fault.
-	calmTime = 6 * time.Second
+	recoveryTime = 6 * time.Second
 	// drainBound is within which a leaving replica gets its last request, and
 	// configurationBound within which a configuration is in force.
 	drainBound         = 2 * time.Second
@@ -71,57 +71,57 @@
 
 // soak makes one run.
 func soak(t *testing.T, seed uint64) {
-	w := newSoakWorld(t, seed)
+	w := newSoakRun(t, seed)
 	for number := range soakCallers {
-		w.run(func() { w.callers(number) })
+		w.startTask(func() { w.runCaller(number) })
 	}
 	for number := range soakTrainers {
-		w.run(func() { w.trainer(number) })
+		w.startTask(func() { w.runTrainer(number) })
 	}
 	for number := range soakReaders {
-		w.run(func() { w.reader(number) })
+		w.startTask(func() { w.runReader(number) })
 	}
-	w.run(w.replicaHeartbeats)
-	w.run(w.replaceEnded)
-	w.run(w.crashers)
+	w.startTask(w.refreshEngineEntries)
+	w.startTask(w.replaceCrashed)
+	w.startTask(w.sendCrashingRequests)
 	for _, node := range w.nodes {
-		w.run(func() { w.versionProber(node) })
+		w.startTask(func() { w.probeConfigVersion(node) })
 	}
 	w.injectFaults()
-	w.calm()
+	w.checkRecovery()
 	w.checkCrashing()
-	w.closing()
-	close(w.ended)
-	w.duties.Wait()
-	w.readPastOwners()
-	w.readAllBack()
-	w.restartAll()
-	w.readAllBack()
+	w.runFinalFault()
+	close(w.done)
+	w.tasks.Wait()
+	w.readWithoutOwners()
+	w.verifyAllResults()
+	w.restartAllNodes()
+	w.verifyAllResults()
 	w.checkQuarantined("after a new start of all nodes")
-	w.judge()
+	w.checkRuns()
 	w.report()
 }
 
 // injectFaults begins faults one after the other, at times two at once.
-func (w *soakWorld) injectFaults() {
+func (w *soakRun) injectFaults() {
 	var open sync.WaitGroup
 	began := time.Now()
-	for number := 0; time.Since(began) < faultyTime; number++ {
+	for number := 0; time.Since(began) < faultPhase; number++ {
 		fault := drawFault(w.seed, number)
-		from := time.Now()
-		what, mend := fault.inject(w, fault.draws)
-		w.record.addFault(fmt.Sprintf("%s from %s: %s, %s", fault.name, clockTime(from), what, fault.lasts))
-		if mend != nil {
+		started := time.Now()
+		description, heal := fault.inject(w, fault.random)
+		w.record.addFault(fmt.Sprintf("%s from %s: %s, %s", fault.name, formatTime(started), description, fault.duration))
+		if heal != nil {
 			open.Go(func() {
-				time.Sleep(fault.lasts)
-				mend()
-				w.record.addFault(fmt.Sprintf("%s mended: %s", fault.name, what))
+				time.Sleep(fault.duration)
+				heal()
+				w.record.addFault(fmt.Sprintf("%s mended: %s", fault.name, description))
 			})
 		}
-		if fault.alone {
+		if fault.exclusive {
 			open.Wait()
 		} else {
-			time.Sleep(fault.lasts / 2)
+			time.Sleep(fault.duration / 2)
 		}
 	}
 	open.Wait()
@@ -129,12 +129,12 @@
 
 // calm lets the deployment recover and checks the bounds that hold then: a
 // configuration comes into force and a leaving replica gets no more work.
-func (w *soakWorld) calm() {
-	w.isCalm.Store(true)
+func (w *soakRun) checkRecovery() {
+	w.faultsEnded.Store(true)
 	for _, node := range w.nodes {
 		w.awaitReady(node)
 	}
-	time.Sleep(calmTime)
+	time.Sleep(recoveryTime)
 	w.configure()
 	leaving := w.ofService("apps")[0]
 	w.addReplica("apps")
@@ -144,15 +144,15 @@
 	leaving.drainedAt = drainedAt
 	w.mutex.Unlock()
 	time.Sleep(configurationBound)
-	version, _ := w.newestVersion()
+	version, _ := w.newestConfigVersion()
 	for _, node := range w.nodes {
 		id := fmt.Sprintf("force.%s", node.name)
 		request := &soakRequest{id: id, target: versionPath(version) + "x", body: "probe"}
-		w.record.sent(request)
-		answer, err := w.call(node, http.MethodPost, liveHost, request.target, id, []byte(request.body), nil)
-		w.recordEnd(request, answer, err)
-		if err != nil || answer.status != http.StatusOK {
-			w.record.fail("CONFIG", "%s answers %d on the newest route after the bound, %v", node.name, answer.status, err)
+		w.record.recordRequest(request)
+		response, err := w.call(node, http.MethodPost, liveHost, request.target, id, []byte(request.body), nil)
+		w.recordEnd(request, response, err)
+		if err != nil || response.status != http.StatusOK {
+			w.record.fail("CONFIG", "%s answers %d on the newest route after the bound, %v", node.name, response.status, err)
 		}
 	}
 	time.Sleep(time.Second)
@@ -164,55 +164,55 @@
 	// closingTime is for how long the closing fault lasts at the least, and
 	// closingCalm for how long the load goes on behind it: the bound of an end and
 	// a second.
-	closingTime = 2 * time.Second
-	closingCalm = endBound + time.Second
+	finalFaultDuration = 2 * time.Second
+	finalRecoveryTime  = cancelBound + time.Second
 )
 
 // closing injects the fault that some runs have shortly before their load ends.
-func (w *soakWorld) closing() {
-	shape := shapeOf(w.seed)
-	if shape.closing == nil {
+func (w *soakRun) runFinalFault() {
+	spec := drawSpec(w.seed)
+	if spec.finalFault == nil {
 		return
 	}
-	what, mend := shape.closing(w, shape.draws)
-	w.record.addFault("closing fault: " + what)
-	time.Sleep(closingTime)
-	mend()
-	w.record.addFault("closing fault mended: " + what)
+	description, heal := spec.finalFault(w, spec.random)
+	w.record.addFault("closing fault: " + description)
+	time.Sleep(finalFaultDuration)
+	heal()
+	w.record.addFault("closing fault mended: " + description)
 	for _, node := range w.nodes {
 		w.awaitReady(node)
 	}
-	time.Sleep(closingCalm)
+	time.Sleep(finalRecoveryTime)
 }
 
 // judge checks what can be checked once all is quiet.
-func (w *soakWorld) judge() {
+func (w *soakRun) checkRuns() {
 	var runs []replica.Run
 	owners := map[uint64]string{}
-	for _, seen := range w.everyReplica() {
+	for _, seen := range w.allReplicas() {
 		runs = append(runs, seen.server.Runs()...)
 		w.record.checkOrders(seen.id, seen.server.Orders(), w.heals, owners)
 		w.record.checkEnded(seen.id, seen.server.Runs())
 	}
 	w.record.checkRuns(runs)
 	w.record.checkRefused(runs)
-	if ends := w.record.ends(); w.record.served == 0 || w.record.steps == 0 || ends == 0 || len(runs) == 0 {
-		w.record.fail("TEST", "%d requests served, %d steps, %d ends, %d runs: this run shows nothing", w.record.served, w.record.steps, ends, len(runs))
+	if endedJobs := w.record.endedJobCount(); w.record.served == 0 || w.record.steps == 0 || endedJobs == 0 || len(runs) == 0 {
+		w.record.fail("TEST", "%d requests served, %d steps, %d ends, %d runs: this run shows nothing", w.record.served, w.record.steps, endedJobs, len(runs))
 	}
 }
 
 const (
 	// readsAtOnce is how many jobs are read at a time once the load has ended.
-	readsAtOnce = 40
+	concurrentReads = 40
 	// pastOwners is how many of the newest jobs are read past their owners: so
 	// many fit into one pause.
-	pastOwners = 80
+	jobsReadWithoutOwners = 80
 )
 
 // forJobs does something for several jobs at a time.
-func forJobs(jobs []*soakJob, do func(*soakJob)) {
+func forEachJob(jobs []*soakJob, do func(*soakJob)) {
 	var all sync.WaitGroup
-	free := make(chan struct{}, readsAtOnce)
+	free := make(chan struct{}, concurrentReads)
 	for _, job := range jobs {
 		free <- struct{}{}
 		all.Go(func() {
@@ -225,22 +225,22 @@
 
 // readPastOwners pauses one half of the nodes after the other and reads at the
 // rest what the store has of the newest jobs.
-func (w *soakWorld) readPastOwners() {
-	jobs := w.record.accepted()
-	jobs = jobs[max(0, len(jobs)-pastOwners):]
+func (w *soakRun) readWithoutOwners() {
+	jobs := w.record.acceptedJobs()
+	jobs = jobs[max(0, len(jobs)-jobsReadWithoutOwners):]
 	half := len(w.nodes) / 2
 	for _, paused := range [][]*soakNode{w.nodes[:half], w.nodes[half:]} {
-		var wakes []func()
+		var resumes []func()
 		for _, node := range paused {
-			wakes = append(wakes, w.pauseProcess(node))
+			resumes = append(resumes, w.pauseNode(node))
 		}
 		reader := w.nodes[half]
 		if paused[0] == reader {
 			reader = w.nodes[0]
 		}
-		forJobs(jobs, func(job *soakJob) { w.readOn(reader, job) })
-		for _, wake := range wakes {
-			wake()
+		forEachJob(jobs, func(job *soakJob) { w.readRemaining(reader, job) })
+		for _, resume := range resumes {
+			resume()
 		}
 		for _, node := range paused {
 			w.awaitReady(node)
@@ -249,11 +249,11 @@
 }
 
 // readOn reads what a node has behind the results that are known.
-func (w *soakWorld) readOn(node *soakNode, job *soakJob) {
+func (w *soakRun) readRemaining(node *soakNode, job *soakJob) {
 	for range job.items {
-		known := w.record.known(job)
-		answer, err := w.page(node, job, known)
-		if err != nil || answer.status != http.StatusOK || w.record.known(job) == known {
+		known := w.record.resultCount(job)
+		response, err := w.page(node, job, known)
+		if err != nil || response.status != http.StatusOK || w.record.resultCount(job) == known {
 			return
 		}
 	}
@@ -261,7 +261,7 @@
 
 // restartAll ends all nodes at once and starts them again, so that they have the
 // store alone to answer from.
-func (w *soakWorld) restartAll() {
+func (w *soakRun) restartAllNodes() {
 	w.killNodes(w.nodes)
 	w.startNodes(w.nodes)
 	for _, node := range w.nodes {
@@ -269,19 +269,19 @@
 	}
 }
 
-func (w *soakWorld) readAllBack() { forJobs(w.record.accepted(), w.readBack) }
+func (w *soakRun) verifyAllResults() { forEachJob(w.record.acceptedJobs(), w.verifyResults) }
 
 // readBack reads a job from the start at every node: what was read stands.
-func (w *soakWorld) readBack(job *soakJob) {
-	known := w.record.known(job)
+func (w *soakRun) verifyResults(job *soakJob) {
+	known := w.record.resultCount(job)
 	for _, node := range w.nodes {
 		for position := 0; position < known; {
-			answer, err := w.page(node, job, position)
-			if err != nil || answer.status != http.StatusOK {
-				w.record.fail("LOST", "job %s cannot be read at %s: status %d, %v", job.id, node.name, answer.status, err)
+			response, err := w.page(node, job, position)
+			if err != nil || response.status != http.StatusOK {
+				w.record.fail("LOST", "job %s cannot be read at %s: status %d, %v", job.id, node.name, response.status, err)
 				break
 			}
-			read := strings.Count(answer.body, `"state"`)
+			read := strings.Count(response.body, `"state"`)
 			if read == 0 {
 				// That is a finding of the page's check.
 				break
@@ -292,18 +292,18 @@
 }
 
 // report fails the test with all findings and keeps the logs.
-func (w *soakWorld) report() {
+func (w *soakRun) report() {
 	for _, node := range w.nodes {
 		process, _ := node.process()
 		w.keepLog(node, process)
 	}
 	w.t.Logf("seed %d: %d nodes, %d requests served, %d steps, %d jobs, %d ended at a restart, %d in an append, %d in a reading, %d faults", w.seed, len(w.nodes), w.record.served,
-		w.record.steps, len(w.record.jobs), w.record.met[endAtRestart], w.record.met[endInAppend], w.record.met[endInReading], len(w.record.faults))
+		w.record.steps, len(w.record.jobs), w.record.triggered[endAfterRestart], w.record.triggered[endDuringAppend], w.record.triggered[endDuringPayloadRead], len(w.record.faults))
 	if len(w.record.findings) == 0 {
 		return
 	}
 	for _, finding := range w.record.findings {
-		w.t.Errorf("seed %d: %s: %s", w.seed, finding.rule, finding.what)
+		w.t.Errorf("seed %d: %s: %s", w.seed, finding.rule, finding.text)
 	}
 	w.t.Logf("faults of seed %d:\n%s", w.seed, strings.Join(w.record.faults, "\n"))
 	if *soakLogs == "" {
--- a/test/standalone_deployment_test.go
+++ b/test/standalone_deployment_test.go
@@ -73,12 +73,12 @@
 	for i := range standaloneEngines {
 		d.engineProxies = append(d.engineProxies, newProxy(t, d.engines.address(i)))
 	}
-	d.declare()
+	d.writeObjects()
 	return d
 }
 
 // declare writes the objects of the deployment.
-func (d *standaloneDeployment) declare() {
+func (d *standaloneDeployment) writeObjects() {
 	var objects strings.Builder
 	for i, engineProxy := range d.engineProxies {
 		fmt.Fprintf(&objects, "apiVersion: pathtally.dev/v1\nkind: Engine\nmetadata: {name: engine-%d, labels: {kind: gpu}}\nspec: {address: \"%s\", model: m, zone: zone-%d, region: r}\n---\n", i, engineProxy.address(), i)
@@ -122,11 +122,11 @@
 	}
 	added := &standaloneNode{name: fmt.Sprintf("node-%d", number), args: args}
 	d.nodes = append(d.nodes, added)
-	d.run(added)
+	d.startProcess(added)
 }
 
 // run starts a node's process; one that ran before gets its addresses again.
-func (d *standaloneDeployment) run(n *standaloneNode) {
+func (d *standaloneDeployment) startProcess(n *standaloneNode) {
 	d.t.Helper()
 	args := n.args
 	if n.http != "" {
@@ -183,7 +183,7 @@
 
 // load sends requests until the function returned is called, which waits for
 // the open ones and returns what callers saw.
-func (d *standaloneDeployment) load(perSecond, unsafeShare float64, to func() []string) func() *loadgen.Generator {
+func (d *standaloneDeployment) startLoad(perSecond, unsafeShare float64, to func() []string) func() *loadgen.Generator {
 	ctx, cancel := context.WithCancel(context.Background())
 	generator := loadgen.New(loadgen.Config{Nodes: to, Seed: loadSeeds.Add(1000), Streams: []loadgen.Stream{{
 		Group: "live", Model: "m", PerSecond: perSecond, MaxTokens: 60, Deadline: 8 * time.Second, UnsafeShare: unsafeShare, RepeatShare: 0.5,
@@ -201,7 +201,7 @@
 }
 
 // runs is how often the engines together ran a prompt anew.
-func (d *standaloneDeployment) runs(prompt string) int {
+func (d *standaloneDeployment) runCount(prompt string) int {
 	d.t.Helper()
 	total := 0
 	for i := range standaloneEngines {
@@ -231,12 +231,12 @@
 		d.t.Error("no unsafe request was sent")
 	}
 	for prompt := range unsafe {
-		if count := d.runs(prompt); count > 1 {
+		if count := d.runCount(prompt); count > 1 {
 			d.t.Errorf("%q ran %d times", prompt, count)
 		}
 	}
 	for _, prompt := range generator.NotRun() {
-		if count := d.runs(prompt); count > 0 {
+		if count := d.runCount(prompt); count > 0 {
 			d.t.Errorf("%q was said to be not run and ran %d times", prompt, count)
 		}
 	}
--- a/test/standalone_faults_test.go
+++ b/test/standalone_faults_test.go
@@ -13,14 +13,14 @@
 	"github.com/pathtally/pathtally/internal/standalone/loadgen"
 )
 
-func TestKilledNodeKeepsPromises(t *testing.T) {
+func TestNodeKillUnderLoad(t *testing.T) {
 	d := deployStandalone(t)
-	stop := d.load(40, 0.6, d.addresses)
+	stop := d.startLoad(40, 0.6, d.addresses)
 	time.Sleep(time.Second)
 	d.nodes[1].signal(syscall.SIGKILL)
 	<-d.nodes[1].exited
 	time.Sleep(time.Second)
-	d.run(d.nodes[1])
+	d.startProcess(d.nodes[1])
 	d.waitReady(d.nodes[1])
 	time.Sleep(time.Second)
 	generator := stop()
@@ -29,12 +29,12 @@
 		t.Errorf("callers saw %+v", counts)
 	}
 	d.checkRuns(generator)
-	checkCounts(t, d.train("2"), 2)
+	checkTrainerCounts(t, d.runTrainer("2"), 2)
 }
 
 func TestPausedNodeDispatchesNothingTwice(t *testing.T) {
 	d := deployStandalone(t)
-	stop := d.load(40, 0.8, d.addresses)
+	stop := d.startLoad(40, 0.8, d.addresses)
 	for range 2 {
 		d.nodes[2].signal(syscall.SIGSTOP)
 		time.Sleep(1500 * time.Millisecond)
@@ -48,12 +48,12 @@
 	d.checkRuns(generator)
 }
 
-func TestSchedulerKilledBetweenStepsLosesNothing(t *testing.T) {
+func TestSchedulerKillLosesNoResults(t *testing.T) {
 	d := deployStandalone(t)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		checkCounts(t, d.train("6"), 6)
+		checkTrainerCounts(t, d.runTrainer("6"), 6)
 	}()
 	time.Sleep(700 * time.Millisecond)
 	for _, n := range d.nodes {
@@ -61,28 +61,28 @@
 		if err == nil && bytes.Contains(body, []byte(`"scheduler/trainer"`)) {
 			n.signal(syscall.SIGKILL)
 			<-n.exited
-			d.run(n)
+			d.startProcess(n)
 			break
 		}
 	}
 	<-done
 }
 
-func TestEngineLinksCutInTheMiddleOfStreams(t *testing.T) {
+func TestEngineLinkFaultsDuringStreams(t *testing.T) {
 	modes := map[string]func(p *proxy){
-		"cut":         func(p *proxy) { p.set(proxyCut) },
+		"cut":         func(p *proxy) { p.set(proxyReset) },
 		"freeze":      func(p *proxy) { p.set(proxyFreeze) },
 		"one-way":     func(p *proxy) { p.set(proxyOneWay) },
-		"reset after": func(p *proxy) { p.resetAfter.Store(700) },
+		"reset after": func(p *proxy) { p.resetResponseAfter.Store(700) },
 	}
 	d := deployStandalone(t)
 	for name, inject := range modes {
 		t.Run(name, func(t *testing.T) {
-			stop := d.load(40, 0.3, d.addresses)
+			stop := d.startLoad(40, 0.3, d.addresses)
 			time.Sleep(300 * time.Millisecond)
 			inject(d.engineProxies[0])
 			time.Sleep(1200 * time.Millisecond)
-			d.engineProxies[0].resetAfter.Store(0)
+			d.engineProxies[0].resetResponseAfter.Store(0)
 			d.engineProxies[0].set(proxyPass)
 			time.Sleep(300 * time.Millisecond)
 			generator := stop()
@@ -96,10 +96,10 @@
 
 func TestPlatformOutageKeepsServing(t *testing.T) {
 	d := deployStandalone(t)
-	d.platformProxy.set(proxyCut)
+	d.platformProxy.set(proxyReset)
 	d.nodes[2].signal(syscall.SIGKILL)
 	<-d.nodes[2].exited
-	d.run(d.nodes[2])
+	d.startProcess(d.nodes[2])
 	d.waitReady(d.nodes[2])
 	client := loadgen.NewClient()
 	for i := range 5 {
@@ -114,14 +114,14 @@
 	d.pathtally(0, "apply", "-f", d.folder, "-platform", d.platform.address(0), "-wait", "-node-address", d.nodes[0].http)
 }
 
-func TestSlowCallerDoesNotHoldOthers(t *testing.T) {
+func TestSlowCallerDoesNotBlockOthers(t *testing.T) {
 	d := deployStandalone(t)
 	slow := newProxy(t, d.nodes[0].http)
 	slow.set(proxyFreeze)
 	go func() {
 		_ = loadgen.Do(loadgen.NewClient(), slow.address(), loadgen.Request{Model: "m", Group: "live", Prompt: "slow", MaxTokens: 60, Stream: true, Deadline: 5 * time.Second})
 	}()
-	stop := d.load(30, 0, d.addresses)
+	stop := d.startLoad(30, 0, d.addresses)
 	time.Sleep(time.Second)
 	if counts := stop().Counts(); counts.Answered == 0 || counts.Wrong+counts.Truncated+counts.Unknown+counts.Unreachable > 0 {
 		t.Errorf("callers saw %+v", counts)
@@ -130,14 +130,14 @@
 
 // TestDispatchCutAtEveryByte cuts the request to each engine after a growing
 // number of bytes. Whatever the node says, it must be true.
-func TestDispatchCutAtEveryByte(t *testing.T) {
+func TestDispatchCutAtByteOffsets(t *testing.T) {
 	const step, longest = 7, 700
 	d := deployStandalone(t)
 	client := loadgen.NewClient()
 	outcomes := map[loadgen.Kind]int{}
 	for limit := int64(0); limit < longest; limit += step {
 		for _, p := range d.engineProxies {
-			p.cutRequestAt.Store(limit)
+			p.resetRequestAfter.Store(limit)
 			p.resetOpen()
 		}
 		request := loadgen.Request{Model: "m", Group: "live", Prompt: fmt.Sprint("cut at ", limit), MaxTokens: 4, Deadline: 5 * time.Second}
@@ -146,7 +146,7 @@
 		}
 		verdict := loadgen.Do(client, d.nodes[0].http, request)
 		outcomes[verdict.Kind]++
-		runs := d.runs(request.Prompt)
+		runs := d.runCount(request.Prompt)
 		if verdict.Kind == loadgen.RefusedNotRun && runs > 0 {
 			t.Errorf("cut at %d: said to be not run, ran %d times", limit, runs)
 		}
@@ -165,9 +165,9 @@
 
 // TestDrainedEngineMovesItsStreams drains an engine that is in the middle of
 // streams; they go on at another one.
-func TestDrainedEngineMovesItsStreams(t *testing.T) {
+func TestEngineDrainMovesStreams(t *testing.T) {
 	d := deployStandalone(t)
-	stop := d.load(150, 0.3, d.addresses)
+	stop := d.startLoad(150, 0.3, d.addresses)
 	time.Sleep(time.Second)
 	if code, _, err := fasthttp.Post(nil, "http://"+d.engines.address(0)+"/drain", nil); err != nil || code != fasthttp.StatusOK {
 		t.Fatalf("drain: %d, %v", code, err)
@@ -189,7 +189,7 @@
 }
 
 // TestRollingStopOfAllNodes stops and replaces every node in turn under load.
-func TestRollingStopOfAllNodes(t *testing.T) {
+func TestRollingRestartUnderLoad(t *testing.T) {
 	d := deployStandalone(t)
 	var stopping atomic.Int32
 	stopping.Store(-1)
@@ -202,13 +202,13 @@
 		}
 		return addresses
 	}
-	stop := d.load(40, 0.4, others)
+	stop := d.startLoad(40, 0.4, others)
 	for i, n := range d.nodes {
 		stopping.Store(int32(i))
 		time.Sleep(200 * time.Millisecond)
 		n.signal(syscall.SIGTERM)
 		<-n.exited
-		d.run(n)
+		d.startProcess(n)
 		d.waitReady(n)
 		stopping.Store(-1)
 		time.Sleep(300 * time.Millisecond)
@@ -218,5 +218,5 @@
 		t.Errorf("callers saw %+v, codes %v", counts, generator.Codes())
 	}
 	d.checkRuns(generator)
-	checkCounts(t, d.train("2"), 2)
+	checkTrainerCounts(t, d.runTrainer("2"), 2)
 }
--- a/test/standalone_path_test.go
+++ b/test/standalone_path_test.go
@@ -16,7 +16,7 @@
 	"github.com/pathtally/pathtally/internal/standalone/standin/trainer"
 )
 
-func (d *standaloneDeployment) train(steps string) trainer.Counts {
+func (d *standaloneDeployment) runTrainer(steps string) trainer.Counts {
 	d.t.Helper()
 	p := start(d.t, 1, "pathtally-standin", "trainer", "-name", "trainer", "-model", "m", "-nodes", strings.Join(d.addresses(), ","),
 		"-platform", d.platform.address(0), "-steps", steps, "-train-time", "200ms", "-max-tokens", "120")
@@ -27,17 +27,17 @@
 	return counts
 }
 
-func checkCounts(t *testing.T, counts trainer.Counts, steps int) {
+func checkTrainerCounts(t *testing.T, counts trainer.Counts, steps int) {
 	t.Helper()
 	if counts.Steps != steps || counts.Delivered != steps*32 || counts.Duplicate+counts.Lost+counts.Stale+counts.Unversioned+counts.Wrong > 0 {
 		t.Errorf("the trainer saw %+v", counts)
 	}
 }
 
-func TestWholePathThroughProcesses(t *testing.T) {
+func TestStandaloneEndToEnd(t *testing.T) {
 	d := deployStandalone(t)
-	stop := d.load(30, 0.3, d.addresses)
-	checkCounts(t, d.train("3"), 3)
+	stop := d.startLoad(30, 0.3, d.addresses)
+	checkTrainerCounts(t, d.runTrainer("3"), 3)
 	generator := stop()
 	counts := generator.Counts()
 	if counts.Answered == 0 || counts.Wrong+counts.Truncated+counts.Unreachable > 0 {
@@ -54,19 +54,19 @@
 	d.pathtally(1, "node", "-node", "n", "-zone", "z", "-region", "r", "-peer", d.nodes[0].peer, "-http", "127.0.0.1:0", "-platform", d.platform.address(0))
 }
 
-func TestRivalAppliesHaveOneWinner(t *testing.T) {
+func TestConcurrentAppliesConflict(t *testing.T) {
 	d := deployStandalone(t)
 	platform := d.platform.address(0)
-	type end struct {
+	type applyResult struct {
 		output string
 		code   int
 	}
 	conflicts := 0
 	for round := range 6 {
-		ends := make(chan end, 2)
-		for rival := range 2 {
+		results := make(chan applyResult, 2)
+		for writer := range 2 {
 			folder := t.TempDir()
-			object := "apiVersion: pathtally.dev/v1\nkind: Limit\nmetadata: {name: shared}\nspec: {groups: urgency=live, maxQueue: " + string(rune('1'+round)) + string(rune('1'+rival)) + "}\n"
+			object := "apiVersion: pathtally.dev/v1\nkind: Limit\nmetadata: {name: shared}\nspec: {groups: urgency=live, maxQueue: " + string(rune('1'+round)) + string(rune('1'+writer)) + "}\n"
 			data, err := os.ReadFile(filepath.Join(d.folder, "objects.yaml"))
 			if err != nil {
 				t.Fatal(err)
@@ -76,11 +76,11 @@
 			}
 			go func() {
 				output, code := runCommand("apply", "-f", folder, "-platform", platform)
-				ends <- end{output, code}
+				results <- applyResult{output, code}
 			}()
 		}
 		for range 2 {
-			switch e := <-ends; e.code {
+			switch e := <-results; e.code {
 			case 0:
 			case 3:
 				conflicts++
@@ -95,7 +95,7 @@
 	t.Logf("%d of 6 races ended in a conflict", conflicts)
 }
 
-func TestLostAnswerOfApplyIsSettled(t *testing.T) {
+func TestApplySucceedsAfterLostResponse(t *testing.T) {
 	d := deployStandalone(t)
 	platform := d.platform.address(0)
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -120,10 +120,10 @@
 	}
 }
 
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestGracefulShutdownUnderLoad(t *testing.T) {
 	d := deployStandalone(t)
-	stop := d.load(60, 0.2, func() []string { return d.addresses()[1:] })
-	onlyStopped := d.load(90, 0.2, func() []string { return d.addresses()[:1] })
+	stop := d.startLoad(60, 0.2, func() []string { return d.addresses()[1:] })
+	onlyStopped := d.startLoad(90, 0.2, func() []string { return d.addresses()[:1] })
 	time.Sleep(time.Second)
 	d.nodes[0].signal(15)
 	<-d.nodes[0].exited
@@ -144,7 +144,7 @@
 }
 
 // What apply -wait says is in force can serve at once, at every node.
-func TestAppliedMeansServing(t *testing.T) {
+func TestApplyWaitMeansServing(t *testing.T) {
 	d := deployStandaloneUnconfigured(t)
 	for number := range standaloneNodes {
 		d.startNode(number)
--- a/test/tenants_test.go
+++ b/test/tenants_test.go
@@ -22,10 +22,10 @@
 	otherKeyOfOne = "k2-88d1e4a06c"
 	keyOfTwo      = "k3-c7720fb91d"
 	sharedKey     = "k4-0a5be6f3d8"
-	strangeKey    = "k5-e91c40d7a2"
+	unknownKey    = "k5-e91c40d7a2"
 )
 
-var everyKey = []string{keyOfOne, otherKeyOfOne, keyOfTwo, sharedKey, strangeKey}
+var allKeys = []string{keyOfOne, otherKeyOfOne, keyOfTwo, sharedKey, unknownKey}
 
 func twoTenants() []map[string]any {
 	return []map[string]any{
@@ -35,10 +35,10 @@
 	}
 }
 
-func bearing(key string) http.Header { return http.Header{"Authorization": {"Token " + key}} }
+func authorization(key string) http.Header { return http.Header{"Authorization": {"Token " + key}} }
 
 // ran returns what all replicas ran of one request.
-func (d *platformDeployment) ran(id string) []replica.Run {
+func (d *platformDeployment) runsOf(id string) []replica.Run {
 	var found []replica.Run
 	for _, server := range append(d.engines, d.apps...) {
 		for _, run := range server.Runs() {
@@ -52,13 +52,13 @@
 
 // checkNoKeyIsKept searches the logs of all nodes and the objects that they have
 // stored for the keys of the test.
-func (d *platformDeployment) checkNoKeyIsKept() {
+func (d *platformDeployment) checkNoKeyLeaked() {
 	d.t.Helper()
 	for number, node := range d.nodes {
 		node.mutex.Lock()
 		written := bytes.Clone(node.log.Bytes())
 		node.mutex.Unlock()
-		for _, key := range everyKey {
+		for _, key := range allKeys {
 			if bytes.Contains(written, []byte(key)) {
 				d.t.Errorf("node %d has logged a key", number)
 			}
@@ -67,11 +67,11 @@
 		if err != nil {
 			continue
 		}
-		var figures bytes.Buffer
-		figures.ReadFrom(response.Body)
+		var metrics bytes.Buffer
+		metrics.ReadFrom(response.Body)
 		response.Body.Close()
-		for _, key := range everyKey {
-			if strings.Contains(figures.String(), key) {
+		for _, key := range allKeys {
+			if strings.Contains(metrics.String(), key) {
 				d.t.Errorf("node %d has a metric with a key", number)
 			}
 		}
@@ -84,7 +84,7 @@
 		}
 		for _, object := range page.Objects {
 			objects++
-			for _, key := range everyKey {
+			for _, key := range allKeys {
 				if bytes.Contains(object.Spec, []byte(key)) || bytes.Contains(object.Status, []byte(key)) {
 					d.t.Errorf("%s/%s holds a key", kind, object.Name)
 				}
@@ -96,8 +96,8 @@
 	}
 }
 
-func TestTenantsAreToldByTheirKeys(t *testing.T) {
-	d := deployPlatform(t, shape{nodes: 2, engines: 2, apps: 2, eventInterval: time.Millisecond, tenants: twoTenants()})
+func TestTenantIsIdentifiedByAPIKey(t *testing.T) {
+	d := deployPlatform(t, deploymentSpec{nodes: 2, engines: 2, apps: 2, eventInterval: time.Millisecond, tenants: twoTenants()})
 	for number, test := range []struct {
 		name   string
 		target string
@@ -105,34 +105,34 @@
 		status int
 		tenant string
 	}{
-		{"a key", "/live/a", bearing(keyOfOne), http.StatusOK, "one"},
-		{"another key of the tenant", "/live/a", bearing(otherKeyOfOne), http.StatusOK, "one"},
+		{"a key", "/live/a", authorization(keyOfOne), http.StatusOK, "one"},
+		{"another key of the tenant", "/live/a", authorization(otherKeyOfOne), http.StatusOK, "one"},
 		{"scheme in other letters", "/live/a", http.Header{"Authorization": {"token  " + keyOfTwo}}, http.StatusOK, "two"},
 		{"a tenant that the caller claims", "/live/a", http.Header{"Authorization": {"Token " + keyOfTwo}, "Pathtally-Tenant": {"one"}}, http.StatusOK, "two"},
-		{"a request that runs once", "/once/a", bearing(keyOfOne), http.StatusOK, "one"},
+		{"a request that runs once", "/once/a", authorization(keyOfOne), http.StatusOK, "one"},
 		{"a public route without a key", "/open/a", nil, http.StatusOK, ""},
 		{"a public route with a key", "/open/a", http.Header{"Authorization": {"Token " + keyOfOne}, "Pathtally-Tenant": {"one"}}, http.StatusOK, ""},
 		{"no key", "/live/a", nil, http.StatusUnauthorized, ""},
 		{"only a claim", "/live/a", http.Header{"Pathtally-Tenant": {"one"}}, http.StatusUnauthorized, ""},
 		{"two keys", "/live/a", http.Header{"Authorization": {"Token " + keyOfOne, "Token " + keyOfTwo}}, http.StatusUnauthorized, ""},
-		{"two keys in one line", "/live/a", bearing(keyOfOne + ", Token " + keyOfTwo), http.StatusUnauthorized, ""},
+		{"two keys in one line", "/live/a", authorization(keyOfOne + ", Token " + keyOfTwo), http.StatusUnauthorized, ""},
 		{"another scheme", "/live/a", http.Header{"Authorization": {"Basic " + keyOfOne}}, http.StatusUnauthorized, ""},
 		{"no scheme", "/live/a", http.Header{"Authorization": {keyOfOne}}, http.StatusUnauthorized, ""},
 		{"an empty value", "/live/a", http.Header{"Authorization": {""}}, http.StatusUnauthorized, ""},
-		{"an empty key", "/live/a", bearing(""), http.StatusUnauthorized, ""},
-		{"a huge key", "/live/a", bearing(strings.Repeat(strangeKey, 300)), http.StatusUnauthorized, ""},
-		{"an unknown key", "/live/a", bearing(strangeKey), http.StatusUnauthorized, ""},
-		{"a key of two tenants", "/live/a", bearing(sharedKey), http.StatusUnauthorized, ""},
+		{"an empty key", "/live/a", authorization(""), http.StatusUnauthorized, ""},
+		{"a huge key", "/live/a", authorization(strings.Repeat(unknownKey, 300)), http.StatusUnauthorized, ""},
+		{"an unknown key", "/live/a", authorization(unknownKey), http.StatusUnauthorized, ""},
+		{"a key of two tenants", "/live/a", authorization(sharedKey), http.StatusUnauthorized, ""},
 		{"a stream without a key", "/chat/a", nil, http.StatusUnauthorized, ""},
-		{"a stream", "/chat/a", bearing(keyOfTwo), http.StatusOK, "two"},
-		{"no route", "/nowhere/a", bearing(keyOfOne), http.StatusNotFound, ""},
+		{"a stream", "/chat/a", authorization(keyOfTwo), http.StatusOK, "two"},
+		{"no route", "/nowhere/a", authorization(keyOfOne), http.StatusNotFound, ""},
 	} {
 		id := fmt.Sprintf("tenants.%d", number)
-		answer, err := d.send(d.nodes[number%2], http.MethodPost, liveHost, test.target, id, []byte("x"), test.header)
-		if err != nil || answer.status != test.status {
-			t.Errorf("%s: %+v, %v", test.name, answer, err)
+		response, err := d.send(d.nodes[number%2], http.MethodPost, liveHost, test.target, id, []byte("x"), test.header)
+		if err != nil || response.status != test.status {
+			t.Errorf("%s: %+v, %v", test.name, response, err)
 		}
-		runs := d.ran(id)
+		runs := d.runsOf(id)
 		if test.status != http.StatusOK && len(runs) > 0 {
 			t.Errorf("%s: refused, and ran", test.name)
 		}
@@ -151,25 +151,25 @@
 	if d.nodes[0].find("tenant declaration passed over in part", `\"two\"`) == nil {
 		t.Error("the shared key is not told")
 	}
-	d.submitAs(d.nodes[0], bearing(keyOfOne), "kept", 4, 1)
-	d.checkNoKeyIsKept()
+	d.submitAs(d.nodes[0], authorization(keyOfOne), "kept", 4, 1)
+	d.checkNoKeyLeaked()
 }
 
 // A tenant's batch job is its own at every node, also after a takeover, and its
 // items and reward calls run for that tenant.
-func TestBatchJobsBelongToTheirTenants(t *testing.T) {
-	d := deployPlatform(t, shape{nodes: 3, engines: 2, apps: 2, eventInterval: 15 * time.Millisecond, tenants: twoTenants()})
+func TestBatchJobIsVisibleToItsTenantOnly(t *testing.T) {
+	d := deployPlatform(t, deploymentSpec{nodes: 3, engines: 2, apps: 2, eventInterval: 15 * time.Millisecond, tenants: twoTenants()})
 	const job, items = "owned", 24
-	d.submitAs(d.nodes[0], bearing(keyOfOne), job, items, 1)
+	d.submitAs(d.nodes[0], authorization(keyOfOne), job, items, 1)
 	expect := func(what string, node *platformNode, method, target string, header http.Header, status int) {
 		t.Helper()
 		d.eventually(what, func() bool {
-			answer, err := d.send(node, method, draftHost, target, "asker", nil, header)
-			if err == nil && answer.status == status {
+			response, err := d.send(node, method, draftHost, target, "asker", nil, header)
+			if err == nil && response.status == status {
 				return true
 			}
-			if err == nil && answer.status != http.StatusServiceUnavailable {
-				t.Fatalf("%s: status %d", what, answer.status)
+			if err == nil && response.status != http.StatusServiceUnavailable {
+				t.Fatalf("%s: status %d", what, response.status)
 			}
 			return false
 		})
@@ -179,36 +179,36 @@
 			{"read", http.MethodGet, "/-/lots/" + job}, {"body", http.MethodGet, "/-/items/" + job + "?id=" + job + ".23"}, {"end", http.MethodDelete, "/-/lots/" + job},
 		} {
 			expect(fmt.Sprint(call.name, " without a key at ", number), node, call.method, call.target, nil, http.StatusUnauthorized)
-			expect(fmt.Sprint(call.name, " by another tenant at ", number), node, call.method, call.target, bearing(keyOfTwo), http.StatusNotFound)
+			expect(fmt.Sprint(call.name, " by another tenant at ", number), node, call.method, call.target, authorization(keyOfTwo), http.StatusNotFound)
 		}
-		expect(fmt.Sprint("read by the tenant at ", number), node, http.MethodGet, "/-/lots/"+job, bearing(otherKeyOfOne), http.StatusOK)
+		expect(fmt.Sprint("read by the tenant at ", number), node, http.MethodGet, "/-/lots/"+job, authorization(otherKeyOfOne), http.StatusOK)
 	}
 	body, err := json.Marshal(map[string]any{"model": draftModel, "requests": []map[string]any{draftItem(job, 0)}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for number, node := range d.nodes {
-		if answer, err := d.send(node, http.MethodPost, draftHost, "/drafts/"+job, job, body, bearing(keyOfTwo)); err != nil || answer.status != http.StatusConflict {
-			t.Errorf("the id of another tenant's job at %d: %+v, %v", number, answer, err)
+		if response, err := d.send(node, http.MethodPost, draftHost, "/drafts/"+job, job, body, authorization(keyOfTwo)); err != nil || response.status != http.StatusConflict {
+			t.Errorf("the id of another tenant's job at %d: %+v, %v", number, response, err)
 		}
 	}
 	// The node that runs the job is lost.
-	runner := -1
+	owner := -1
 	for number, node := range d.nodes {
 		if node.find("batch job started", `"epoch":1`) != nil {
-			runner = number
+			owner = number
 		}
 	}
-	if runner < 0 {
+	if owner < 0 {
 		t.Fatal("no node has started the job")
 	}
-	d.nodes[runner].signal(syscall.SIGKILL)
-	next := d.nodes[(runner+1)%3]
-	results := d.readAs(func() *platformNode { return next }, bearing(otherKeyOfOne), job, items)
-	d.check(results, items, 1)
+	d.nodes[owner].signal(syscall.SIGKILL)
+	next := d.nodes[(owner+1)%3]
+	results := d.readAs(func() *platformNode { return next }, authorization(otherKeyOfOne), job, items)
+	d.checkResults(results, items, 1)
 	for number := range items {
 		for _, id := range []string{fmt.Sprintf("%s.%d", job, number), fmt.Sprintf("score.%s.%d", job, number)} {
-			runs := d.ran(id)
+			runs := d.runsOf(id)
 			if len(runs) == 0 {
 				t.Errorf("%s ran nowhere", id)
 			}
@@ -222,52 +222,52 @@
 			}
 		}
 	}
-	expect("the end by the tenant", next, http.MethodDelete, "/-/lots/"+job, bearing(keyOfOne), http.StatusOK)
-	d.checkNoKeyIsKept()
+	expect("the end by the tenant", next, http.MethodDelete, "/-/lots/"+job, authorization(keyOfOne), http.StatusOK)
+	d.checkNoKeyLeaked()
 }
 
 // An item that names credentials would have them kept with the job.
-func TestItemsMustNotCarryCredentials(t *testing.T) {
-	d := deployPlatform(t, shape{nodes: 1, engines: 1, apps: 1, eventInterval: time.Millisecond, tenants: twoTenants()})
+func TestBatchItemWithCredentialsIsRejected(t *testing.T) {
+	d := deployPlatform(t, deploymentSpec{nodes: 1, engines: 1, apps: 1, eventInterval: time.Millisecond, tenants: twoTenants()})
 	item := draftItem("secretive", 0)
 	item["headers"] = map[string]string{"authorization": "Token " + keyOfOne}
 	body, err := json.Marshal(map[string]any{"model": draftModel, "requests": []map[string]any{item}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	answer, err := d.send(d.nodes[0], http.MethodPost, draftHost, "/drafts/secretive", "secretive", body, bearing(keyOfOne))
-	if err != nil || answer.status != http.StatusBadRequest {
-		t.Errorf("%+v, %v", answer, err)
+	response, err := d.send(d.nodes[0], http.MethodPost, draftHost, "/drafts/secretive", "secretive", body, authorization(keyOfOne))
+	if err != nil || response.status != http.StatusBadRequest {
+		t.Errorf("%+v, %v", response, err)
 	}
-	if runs := d.ran("secretive.0"); len(runs) > 0 {
+	if runs := d.runsOf("secretive.0"); len(runs) > 0 {
 		t.Error("the item ran")
 	}
-	d.checkNoKeyIsKept()
+	d.checkNoKeyLeaked()
 }
 
 // A key that is taken away is refused from then on, the other keys of its tenant
 // go on, and so do the tenant's batch jobs.
-func TestKeysAreTakenAway(t *testing.T) {
-	d := deployPlatform(t, shape{nodes: 3, engines: 2, apps: 2, eventInterval: 10 * time.Millisecond, tenants: twoTenants()})
+func TestRevokedAPIKeyIsRefused(t *testing.T) {
+	d := deployPlatform(t, deploymentSpec{nodes: 3, engines: 2, apps: 2, eventInterval: 10 * time.Millisecond, tenants: twoTenants()})
 	const items = 16
-	d.submitAs(d.nodes[0], bearing(keyOfOne), "going-on", items, 1)
-	d.tenants = []map[string]any{{"name": "one", "apiKeys": []string{otherKeyOfOne}}, {"name": "two", "apiKeys": []string{keyOfTwo, strangeKey}}}
+	d.submitAs(d.nodes[0], authorization(keyOfOne), "going-on", items, 1)
+	d.tenants = []map[string]any{{"name": "one", "apiKeys": []string{otherKeyOfOne}}, {"name": "two", "apiKeys": []string{keyOfTwo, unknownKey}}}
 	d.configure(2)
 	for number, node := range d.nodes {
-		ask := func(key string) int {
-			answer, err := d.send(node, http.MethodPost, liveHost, "/live/a", fmt.Sprint("revoked.", number), []byte("x"), bearing(key))
+		statusOf := func(key string) int {
+			response, err := d.send(node, http.MethodPost, liveHost, "/live/a", fmt.Sprint("revoked.", number), []byte("x"), authorization(key))
 			if err != nil {
 				return 0
 			}
-			return answer.status
+			return response.status
 		}
-		d.eventually("the key is refused", func() bool { return ask(keyOfOne) == http.StatusUnauthorized })
-		for key, want := range map[string]int{otherKeyOfOne: http.StatusOK, keyOfTwo: http.StatusOK, strangeKey: http.StatusOK, sharedKey: http.StatusUnauthorized} {
-			if status := ask(key); status != want {
+		d.eventually("the key is refused", func() bool { return statusOf(keyOfOne) == http.StatusUnauthorized })
+		for key, want := range map[string]int{otherKeyOfOne: http.StatusOK, keyOfTwo: http.StatusOK, unknownKey: http.StatusOK, sharedKey: http.StatusUnauthorized} {
+			if status := statusOf(key); status != want {
 				t.Errorf("node %d: status %d, want %d", number, status, want)
 			}
 		}
 	}
-	d.check(d.readAs(func() *platformNode { return d.nodes[1] }, bearing(otherKeyOfOne), "going-on", items), items, 1)
-	d.checkNoKeyIsKept()
+	d.checkResults(d.readAs(func() *platformNode { return d.nodes[1] }, authorization(otherKeyOfOne), "going-on", items), items, 1)
+	d.checkNoKeyLeaked()
 }
--- a/test/usage_test.go
+++ b/test/usage_test.go
@@ -16,7 +16,7 @@
 const usageLate = 10 * time.Second
 
 // began counts by tenant and window what the replicas ran of live requests.
-func (d *platformDeployment) began() map[int64]map[string]uint64 {
+func (d *platformDeployment) runsByWindow() map[int64]map[string]uint64 {
 	counts := map[int64]map[string]uint64{}
 	for _, app := range d.apps {
 		for _, run := range app.Runs() {
@@ -36,7 +36,7 @@
 
 // keepAsking has callers of two tenants send requests to all living nodes until
 // the returned function is called.
-func (d *platformDeployment) keepAsking(avoid func(node int) bool) (stop func()) {
+func (d *platformDeployment) generateLoad(avoid func(node int) bool) (stop func()) {
 	ended := make(chan struct{})
 	var callers sync.WaitGroup
 	for caller := range 4 {
@@ -50,7 +50,7 @@
 				}
 				node := (caller + number) % len(d.nodes)
 				if !avoid(node) {
-					d.send(d.nodes[node], http.MethodPost, liveHost, "/live/a", fmt.Sprintf("usage.%d.%d", caller, number), []byte("x"), bearing(key))
+					d.send(d.nodes[node], http.MethodPost, liveHost, "/live/a", fmt.Sprintf("usage.%d.%d", caller, number), []byte("x"), authorization(key))
 				}
 			}
 		})
@@ -62,13 +62,13 @@
 }
 
 // off is by how many requests a report differs from the truth.
-func off(report dutyapi.Report, truth map[string]uint64) (difference, total uint64) {
-	for tenant, count := range truth {
+func countDifference(report dutyapi.Report, want map[string]uint64) (difference, total uint64) {
+	for tenant, count := range want {
 		total += count
-		if told := report.Counts[tenant]; told > count {
-			difference += told - count
+		if reported := report.Counts[tenant]; reported > count {
+			difference += reported - count
 		} else {
-			difference += count - told
+			difference += count - reported
 		}
 	}
 	return difference, total
@@ -77,23 +77,23 @@
 // Usage is reported window by window, also when the node that reports is killed
 // and when another stops as planned. No window is reported in two ways, and no
 // fence falls.
-func TestUsageIsReportedByOneNodeAtATime(t *testing.T) {
-	d := deployPlatform(t, shape{nodes: 4, engines: 1, apps: 2, eventInterval: time.Millisecond, tenants: twoTenants(), usageWindow: time.Second})
-	var gone sync.Map
-	stop := d.keepAsking(func(node int) bool { _, known := gone.Load(node); return known })
+func TestUsageReportsSurviveNodeLoss(t *testing.T) {
+	d := deployPlatform(t, deploymentSpec{nodes: 4, engines: 1, apps: 2, eventInterval: time.Millisecond, tenants: twoTenants(), usageWindow: time.Second})
+	var stopped sync.Map
+	stop := d.generateLoad(func(node int) bool { _, known := stopped.Load(node); return known })
 	d.eventually("a window is reported", func() bool { return len(d.duties.Reports()) > 1 })
-	d.submitAs(d.nodes[0], bearing(keyOfOne), "uncounted", 8, 1)
+	d.submitAs(d.nodes[0], authorization(keyOfOne), "uncounted", 8, 1)
 	holder := -1
 	for _, report := range d.duties.Reports() {
 		fmt.Sscanf(report.Holder, "node-%d", &holder)
 	}
-	gone.Store(holder, true)
+	stopped.Store(holder, true)
 	d.nodes[holder].signal(syscall.SIGKILL)
 	killed := time.Now()
 	time.Sleep(3 * time.Second)
-	leaver := (holder + 1) % 4
-	gone.Store(leaver, true)
-	d.nodes[leaver].signal(syscall.SIGTERM)
+	stoppedNode := (holder + 1) % 4
+	stopped.Store(stoppedNode, true)
+	d.nodes[stoppedNode].signal(syscall.SIGTERM)
 	time.Sleep(3 * time.Second)
 	stop()
 	last := time.Now().UnixNano()/int64(d.usageWindow) - 1
@@ -101,18 +101,18 @@
 	for _, finding := range d.duties.Findings() {
 		t.Error(finding)
 	}
-	truth, reports := d.began(), d.duties.Reports()
+	want, reports := d.runsByWindow(), d.duties.Reports()
 	first := last
-	for window := range truth {
+	for window := range want {
 		first = min(first, window)
 	}
 	missed := 0
 	for window := first + 1; window <= last; window++ {
 		report, known := reports[window]
-		difference, total := off(report, truth[window])
+		difference, total := countDifference(report, want[window])
 		if !known || float64(difference) > 0.05*float64(total) {
 			missed++
-			t.Logf("window %d: %v, known %v, truth %v, %s after the kill", window, report.Counts, known, truth[window],
+			t.Logf("window %d: %v, known %v, truth %v, %s after the kill", window, report.Counts, known, want[window],
 				time.Unix(0, window*int64(d.usageWindow)).Sub(killed))
 		}
 	}
@@ -120,5 +120,5 @@
 	if missed > 1 || last-first < 5 {
 		t.Errorf("%d of %d windows are missed or off", missed, last-first)
 	}
-	d.checkNoKeyIsKept()
+	d.checkNoKeyLeaked()
 }
