--- a/internal/jobs/batch/publish.go
+++ b/internal/jobs/batch/publish.go
@@ -9,50 +9,51 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// publish appends the finished results of a job, and the texts of long items on
-// their way, until the job ends.
-func (s *Service) publish(published *job) {
-	saving := time.NewTimer(textPeriod)
+// publish appends the finished results of a job, and saves the texts of its running
+// items, until the job ends.
+func (s *Service) publish(held *job) {
+	saving := time.NewTimer(textSaveInterval)
 	defer saving.Stop()
 	appended := time.Now()
 	for {
 		select {
-		case <-published.ctx.Done():
+		case <-held.ctx.Done():
 			return
-		case <-published.flush:
-			s.gather(published, appended)
+		case <-held.flush:
+			s.coalesce(held, appended)
 		case <-saving.C:
 		}
 		appended = time.Now()
-		for s.appendOnce(published) {
-			s.gather(published, appended)
+		for s.appendChunk(held) {
+			s.coalesce(held, appended)
 			appended = time.Now()
 		}
-		saving.Reset(textPeriod)
+		saving.Reset(textSaveInterval)
 	}
 }
 
 const (
-	// groupGather is how long results wait for others once a group is whole and
-	// its trainer may soon have what it waits for. Before that nobody waits for
-	// single results, and appends are resultGather apart, as savings of texts are:
-	// an owner that is lost costs the running of what finished since. From that long
-	// before the job is due they are dueGather apart, since whole groups count for
-	// less afterwards.
-	groupGather  = 40 * time.Millisecond
-	resultGather = textPeriod
-	dueGather    = 500 * time.Millisecond
-	// endGather is how much longer results wait for texts that are about to end.
-	endGather          = 500 * time.Millisecond
-	gatherPollInterval = 20 * time.Millisecond
+	// groupCoalesceDelay is how long results wait for others once a group is complete and
+	// the trainer may soon have the groups that it waits for. Before that, nobody waits
+	// for single results, and appends are coalesceDelay apart. If the owner fails, the
+	// results of that time are computed again. From coalesceDelay before the job is due,
+	// appends are coalesceDelayNearDeadline apart, since groups that complete late count
+	// for less.
+	groupCoalesceDelay        = 40 * time.Millisecond
+	coalesceDelay             = textSaveInterval
+	coalesceDelayNearDeadline = 500 * time.Millisecond
+	// endingTextCoalesceDelay is how much longer results wait for texts that are about to
+	// end.
+	endingTextCoalesceDelay = 500 * time.Millisecond
+	coalescePollInterval    = 20 * time.Millisecond
 )
 
-// gather waits a little after the last append, so that results close together are one
-// object.
-func (s *Service) gather(published *job, appended time.Time) {
+// coalesce waits after the last append, so that results that finish close together share a
+// chunk.
+func (s *Service) coalesce(held *job, appended time.Time) {
 	for {
-		pause, done := s.gatherPause(published, time.Since(appended))
-		if pause > 0 && !objectstore.Sleep(published.ctx, pause) {
+		pause, done := s.coalescePause(held, time.Since(appended))
+		if pause > 0 && !objectstore.Sleep(held.ctx, pause) {
 			return
 		}
 		if done {
@@ -61,130 +62,130 @@
 	}
 }
 
-// gatherPause is how long to gather results before the next check, or before they are
-// listed if done.
-func (s *Service) gatherPause(published *job, waited time.Duration) (pause time.Duration, done bool) {
+// coalescePause returns the time until the next check, or, if done, until the results are
+// to be appended.
+func (s *Service) coalescePause(held *job, waited time.Duration) (pause time.Duration, done bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	switch {
-	case published.hasDesired() && published.listsSoon(time.Now()):
+	case held.hasDesiredGroups() && held.shouldListSoon(time.Now()):
 		return 0, true
-	case published.listsSoon(time.Now()):
-		return groupGather, true
-	case waited >= published.gatherTime(time.Now(), s.eventRates.Of(published.submission.Model).Longest()):
+	case held.shouldListSoon(time.Now()):
+		return groupCoalesceDelay, true
+	case waited >= held.maxCoalesceDelay(time.Now(), s.eventRates.Of(held.submission.Model).Longest()):
 		return 0, true
 	}
-	return gatherPollInterval, false
+	return coalescePollInterval, false
 }
 
-// remaining counts the items without a result.
-func (j *job) remaining() int { return len(j.items) - len(j.listed) - len(j.finished) }
+// remainingItems returns the number of items without a result.
+func (j *job) remainingItems() int { return len(j.items) - len(j.listed) - len(j.finished) }
 
-// appendOnce writes one chunk of finished results and lists what the store has at its
-// index then. It tells whether there is more to write.
-func (s *Service) appendOnce(published *job) bool {
-	written, index, due := s.nextChunk(published)
+// appendChunk appends one chunk and lists what the store then has at its index, which may
+// be another node's chunk. It reports whether there is more to append.
+func (s *Service) appendChunk(held *job) bool {
+	written, index, due := s.nextChunk(held)
 	if !due {
 		return false
 	}
 	began := time.Now()
-	// The end of the job does not cut the append off: the store may have done it, and a
-	// result that others read there would be missing here.
-	stored, own, err := s.config.JobStore.Append(s.within(published.appends, published.record), published.id, index, written)
+	// The end of the job does not cancel the append: the store may have applied it, and
+	// readers may have seen results there that would be missing here.
+	stored, own, err := s.config.JobStore.Append(s.withRegionBounds(held.appends, held.record), held.id, index, written)
 	s.mutex.Lock()
-	published.saving = false
+	held.saving = false
 	s.mutex.Unlock()
 	if err != nil {
-		s.config.Logger.Error(err, "results not appended", "request", published.id, "chunk", index, "results", len(written.Results),
-			"ended", published.ctx.Err() != nil)
-		return published.ctx.Err() == nil
+		s.config.Logger.Error(err, "results not appended", "request", held.id, "chunk", index, "results", len(written.Results),
+			"ended", held.ctx.Err() != nil)
+		return held.ctx.Err() == nil
 	}
-	s.recordChunk(published, stored, own)
-	s.config.Logger.Info("results listed", "request", published.id, "chunk", index, "results", len(stored.Results), "texts", len(stored.Texts),
-		"ageMs", time.Since(published.takenUp).Milliseconds(), "tookMs", time.Since(began).Milliseconds())
+	s.recordChunk(held, stored, own)
+	s.config.Logger.Info("results listed", "request", held.id, "chunk", index, "results", len(stored.Results), "texts", len(stored.Texts),
+		"ageMs", time.Since(held.startedAt).Milliseconds(), "tookMs", time.Since(began).Milliseconds())
 	if !own {
-		s.config.Logger.Info("results of another node adopted", "request", published.id, "chunk", index, "writer", stored.Writer)
-		s.settleOwner(published)
+		s.config.Logger.Info("results appended by another node adopted", "request", held.id, "chunk", index, "writer", stored.Writer)
+		s.awaitOwnership(held)
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return len(published.finished) > 0 && published.ctx.Err() == nil
+	return len(held.finished) > 0 && held.ctx.Err() == nil
 }
 
-// nextChunk is what is to be written of a job now, and at which place; false if that is
-// nothing.
-func (s *Service) nextChunk(published *job) (written jobstore.Chunk, index int, due bool) {
+// nextChunk returns the chunk to append now and its index. It returns false if there is
+// nothing to append.
+func (s *Service) nextChunk(held *job) (written jobstore.Chunk, index int, due bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if published.ended || published.displaced {
+	if held.ended || held.superseded {
 		return jobstore.Chunk{}, 0, false
 	}
-	results := boundedPart(published.finished)
-	published.flushSoon = false
-	published.serial++
-	written = jobstore.Chunk{Writer: s.writerName(), Serial: published.serial, Results: results, Texts: published.unsavedTexts(len(results) > 0)}
+	results := firstChunkOf(held.finished)
+	held.flushSoon = false
+	held.serial++
+	written = jobstore.Chunk{Writer: s.writerID(), Serial: held.serial, Results: results, Texts: held.unsavedTexts(len(results) > 0)}
 	if len(results) == 0 && len(written.Texts) == 0 {
 		return jobstore.Chunk{}, 0, false
 	}
 	if len(written.Texts) > 0 {
-		published.textsSaved, published.saving = time.Now(), true
+		held.textsSavedAt, held.saving = time.Now(), true
 	}
 	if len(results) > 0 {
-		published.appendingSince = time.Now()
+		held.appendingSince = time.Now()
 	}
-	return written, published.chunks, true
+	return written, held.chunks, true
 }
 
-// settleOwner finds out whether this node still owns a job in which another
-// has written. Until then it appends nothing: the other may be its successor,
-// which knows only what stood before its own chunk.
-func (s *Service) settleOwner(held *job) {
+// awaitOwnership waits until it is known whether this node still owns a job to which
+// another node has appended a chunk. This node must not append before that: the other may
+// be its successor, which knows only the chunks before its own.
+func (s *Service) awaitOwnership(held *job) {
 	s.mutex.Lock()
-	held.markSuspect()
+	held.markUnconfirmed()
 	s.mutex.Unlock()
 	for {
 		s.confirmOwner(held)
 		s.mutex.Lock()
-		settled := !held.suspect || held.displaced
+		settled := !held.unconfirmed || held.superseded
 		s.mutex.Unlock()
-		if settled || !objectstore.Sleep(held.ctx, readRetryPause) {
+		if settled || !objectstore.Sleep(held.ctx, readRetryDelay) {
 			return
 		}
 	}
 }
 
-// writerName names this process in what it writes.
-func (s *Service) writerName() string {
+// writerID identifies this process in the chunks that it writes.
+func (s *Service) writerID() string {
 	return s.config.Self.Node + "@" + formatIncarnation(s.config.Self.Incarnation)
 }
 
-// recordChunk adds a chunk that the store has to the listed results.
-func (s *Service) recordChunk(published *job, stored jobstore.Chunk, own bool) {
+// recordChunk lists the results of a stored chunk.
+func (s *Service) recordChunk(held *job, stored jobstore.Chunk, own bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if own {
-		published.recordSaved(stored.Texts)
+		held.recordSaved(stored.Texts)
 	}
 	inStore := map[string]bool{}
 	for _, result := range stored.Results {
 		inStore[result.ID] = true
-		published.settle(result.ID)
+		held.settle(result.ID)
 	}
-	published.listed = append(published.listed, stored.Results...)
-	published.chunks++
-	kept := published.finished[:0:0]
-	for _, result := range published.finished {
+	held.listed = append(held.listed, stored.Results...)
+	held.chunks++
+	kept := held.finished[:0:0]
+	for _, result := range held.finished {
 		if !inStore[result.ID] {
 			kept = append(kept, result)
 		}
 	}
-	published.finished = kept
-	published.appendingSince = time.Time{}
-	published.notify()
+	held.finished = kept
+	held.appendingSince = time.Time{}
+	held.notify()
 }
 
-// boundedPart returns the first results that fit into one object.
-func boundedPart(results []jobstore.Result) []jobstore.Result {
+// firstChunkOf returns the first results that fit into one chunk, at least one.
+func firstChunkOf(results []jobstore.Result) []jobstore.Result {
 	size := 0
 	for i, result := range results {
 		size += len(result.Text) + resultOverhead
@@ -195,10 +196,10 @@
 	return results[:len(results):len(results)]
 }
 
-// resultOverhead is about what a result takes besides its text, in bytes.
+// resultOverhead is the approximate size of an encoded result without its text, in bytes.
 const resultOverhead = 300
 
-// confirmOwner reads whether this node still owns a job, and gives it up if not.
+// confirmOwner reads whether this node still owns a job, and stops the job if not.
 func (s *Service) confirmOwner(held *job) {
 	ctx, cancel := context.WithTimeout(s.base, recordReadTimeout)
 	defer cancel()
@@ -211,26 +212,26 @@
 	}
 }
 
-// applyRecord applies the record of a held job that a call of the store returned which
-// began at an instant. The mutex must be held.
+// applyRecord applies the record of a held job that a store call returned. began is when
+// that call began. The mutex must be held.
 func (s *Service) applyRecord(held *job, stored jobstore.StoredJob, began time.Time) {
 	if s.jobs[held.id] != held {
 		return
 	}
 	held.confirmedAt = began
 	if stored.Record.Owner == s.config.Self {
-		held.suspect = held.suspect && began.Before(held.suspectedAt)
+		held.unconfirmed = held.unconfirmed && began.Before(held.unconfirmedAt)
 		switch {
 		case stored.Ended:
 			held.endStored = true
-			s.endLocally(held.id)
+			s.applyEnd(held.id)
 		case held.ended:
-			// Whoever announced the end may have failed before the store had it.
+			// The node that announced the end may have failed before storing it.
 			go s.persistEnd(held.id)
 		}
 		return
 	}
-	s.displace(held)
+	s.stopSuperseded(held)
 	s.learnStored(stored)
 }
 
--- a/internal/replicas/routing/policy_test.go
+++ b/internal/replicas/routing/policy_test.go
@@ -9,12 +9,12 @@
 
 // Each step makes one more filter refuse, from the last to the first, so that the reason must
 // always be that of the added one.
-func TestFiltersRefuseInOrder(t *testing.T) {
+func TestRequestChainRefusalOrder(t *testing.T) {
 	endpoint := testPlan(1).Endpoints()[0]
 	endpoint.Region = "north"
 	query := &Query{}
 	for _, step := range []struct {
-		spoil  func()
+		modify func()
 		reason Reason
 	}{
 		{func() {}, ""},
@@ -25,14 +25,14 @@
 		{func() { query.Tried = []string{endpoint.Name} }, ReasonUnavailable},
 		{func() { endpoint.TakesRequests = false }, ReasonRole},
 	} {
-		step.spoil()
+		step.modify()
 		if reason, refused := RequestChain.Refuse(query, endpoint); reason != step.reason || refused != (step.reason != "") {
 			t.Errorf("refused by %q, want %q", reason, step.reason)
 		}
 	}
 }
 
-func TestChainsAreInOrder(t *testing.T) {
+func TestChainOrder(t *testing.T) {
 	reasons := func(chain Chain) (order []Reason) {
 		for _, filter := range chain {
 			order = append(order, filter.Reason())
--- a/test/virtual_test.go
+++ b/test/virtual_test.go
@@ -91,7 +91,7 @@
 	d.jobs = batch.NewService(ctx, batch.Config{
 		Clock: clock.Steady,
 		Self:  jobstore.Owner{Node: "node", Address: "node", Incarnation: 1}, JobStore: jobstore.New(d.store), Codec: platform.Jobs{},
-		Directory: table, Dispatcher: dispatcher, Peers: noPeers{}, Table: peers, Logger: logger, Registry: registry,
+		Directory: table, Dispatcher: dispatcher, Peers: noPeers{}, PeerTable: peers, Logger: logger, Registry: registry,
 		Forwarder: forward.New(forward.Config{Directory: table, Dispatcher: dispatcher, Logger: logger, Metrics: forward.NewMetrics(registry)}),
 	})
 	elector := lease.NewElector(lease.Config{
@@ -100,7 +100,7 @@
 	})
 	coordinator := weightorders.NewCoordinator(weightorders.Config{
 		Elector: elector, Directory: table, Replicas: platform.NewOrders(pool), Logger: logger, Registry: registry,
-		RunningItems: d.jobs.Load, Tolerance: d.jobs.Tolerance, Demand: d.jobs.Demand, OnChange: d.jobs.LearnVersion, Announce: func() {},
+		RunningItems: d.jobs.RunningItems, Tolerance: d.jobs.VersionTolerance, Demand: d.jobs.Demand, OnChange: d.jobs.LearnVersion, Announce: func() {},
 	})
 	go d.jobs.Run(ctx)
 	go coordinator.Run(ctx)
@@ -121,11 +121,11 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	submission, err := platform.Jobs{}.Submission(payload)
+	submission, err := platform.Jobs{}.DecodeSubmission(payload)
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	if err := d.jobs.Submit(ctx, &batch.Arrival{ID: job, Route: "drafts", Host: draftHost, Payload: payload, Submission: submission}); err != nil {
+	if err := d.jobs.Submit(ctx, &batch.SubmitRequest{ID: job, Route: "drafts", Host: draftHost, Payload: payload, Submission: submission}); err != nil {
 		d.t.Fatalf("job %s: %v", job, err)
 	}
 	var results []itemResult
