--- a/test/platform_callers_test.go
+++ b/test/platform_callers_test.go
@@ -11,15 +11,14 @@
 	"github.com/pathtally/pathtally/standin/replica"
 )
 
-// reply is an answer as a caller gets it.
+// callerResponse is an HTTP response as a caller receives it.
 type callerResponse struct {
 	status int
 	header http.Header
 	body   string
 }
 
-// call is one request of a caller, on a connection of its own unless it has a
-// client.
+// call is one request of a caller. It uses a new connection unless client is set.
 type call struct {
 	client  *http.Client
 	address string
@@ -29,11 +28,11 @@
 	id      string
 	body    []byte
 	header  http.Header
-	// limit bounds how long the caller waits.
+	// limit is the timeout of the caller.
 	limit time.Duration
 }
 
-// do sends a call and reads the whole answer.
+// do sends the request and reads the whole response.
 func (c call) do() (callerResponse, error) {
 	request, err := http.NewRequest(c.method, "http://"+c.address+c.target, bytes.NewReader(c.body))
 	if err != nil {
@@ -57,12 +56,12 @@
 	return callerResponse{status: response.StatusCode, header: response.Header, body: string(read)}, err
 }
 
-// send makes one request of a caller on a connection of its own.
+// send sends one request to a node on a new connection.
 func (d *platformDeployment) send(node *platformNode, method, host, target, id string, body []byte, header http.Header) (callerResponse, error) {
 	return call{address: node.http, method: method, host: host, target: target, id: id, body: body, header: header, limit: startLimit}.do()
 }
 
-// draftItem is an item of a batch job as a trainer sends it.
+// draftItem returns an item of a batch job in the format of the users' trainers.
 func draftItem(job string, number int) map[string]any {
 	id := fmt.Sprintf("%s.%d", job, number)
 	return map[string]any{
@@ -72,23 +71,23 @@
 	}
 }
 
-// submit hands in a batch job until a node takes it.
+// submit submits a batch job until the node accepts it.
 func (d *platformDeployment) submit(node *platformNode, job string, items int, minVersion int64) {
 	d.t.Helper()
 	d.submitAs(node, nil, job, items, minVersion)
 }
 
-// submitAs hands in a batch job with headers of its caller's.
+// submitAs is submit with request headers.
 func (d *platformDeployment) submitAs(node *platformNode, header http.Header, job string, items int, minVersion int64) {
 	d.t.Helper()
 	body := d.payload(job, items, minVersion)
-	d.eventually("the batch job is taken", func() bool {
+	d.eventually("the batch job to be accepted", func() bool {
 		response, err := d.send(node, http.MethodPost, draftHost, "/drafts/"+job, job, body, header)
 		return err == nil && response.status == http.StatusAccepted
 	})
 }
 
-// payload is a batch job as a trainer sends it.
+// payload returns the body of a batch job submission.
 func (d *platformDeployment) payload(job string, items int, minVersion int64) []byte {
 	d.t.Helper()
 	var requests []map[string]any
@@ -102,7 +101,7 @@
 	return body
 }
 
-// listed is a result as a trainer reads it.
+// itemResult is the result of an item as a trainer reads it.
 type itemResult struct {
 	ID       string
 	State    string
@@ -111,19 +110,19 @@
 	Score    string
 }
 
-// read reads a job from a node until all results are there.
+// read reads a job, each time from the node that node returns, until it has all results.
 func (d *platformDeployment) read(node func() *platformNode, job string, items int) []itemResult {
 	d.t.Helper()
 	return d.readAs(node, http.Header{}, job, items)
 }
 
-// readAs reads a job with headers of its caller's.
+// readAs is read with request headers.
 func (d *platformDeployment) readAs(node func() *platformNode, header http.Header, job string, items int) []itemResult {
 	d.t.Helper()
 	header = header.Clone()
 	header.Set("Pathtally-Wait-Ms", "200")
 	var results []itemResult
-	d.eventually("all results are read", func() bool {
+	d.eventually("all results of the batch job", func() bool {
 		response, err := d.send(node(), http.MethodGet, draftHost, fmt.Sprintf("/-/lots/%s?sinceRev=%d", job, len(results)), "reader", nil,
 			header)
 		if err != nil || response.status != http.StatusOK {
@@ -135,10 +134,10 @@
 			Results   []itemResult
 		}
 		if err := json.Unmarshal([]byte(response.body), &page); err != nil {
-			d.t.Fatalf("page of results: %v", err)
+			d.t.Fatalf("decode page of results: %v", err)
 		}
 		if page.Total != items || page.NextToken != len(results)+len(page.Results) {
-			d.t.Fatalf("page: total %d of %d, next %d after %d with %d", page.Total, items, page.NextToken, len(results), len(page.Results))
+			d.t.Fatalf("page of results: total %d, want %d; next token %d after %d results and a page of %d", page.Total, items, page.NextToken, len(results), len(page.Results))
 		}
 		results = append(results, page.Results...)
 		return len(results) == items
@@ -146,7 +145,8 @@
 	return results
 }
 
-// check judges a job's results by what the replicas made.
+// checkResults checks that each item is listed once, with the text that the replicas
+// generate for it, a score and sufficiently recent versions.
 func (d *platformDeployment) checkResults(results []itemResult, items int, minVersion int64) {
 	d.t.Helper()
 	seen := map[string]bool{}
@@ -156,18 +156,18 @@
 		}
 		seen[result.ID] = true
 		if result.State != "succeeded" || result.Message != replica.Text(result.ID) || result.Score == "" {
-			d.t.Errorf("item %s: %s, text %q, score %q", result.ID, result.State, result.Message, result.Score)
+			d.t.Errorf("item %s: state %s, text %q, score %q", result.ID, result.State, result.Message, result.Score)
 		}
 		for _, version := range result.Versions {
 			if version < minVersion {
-				d.t.Errorf("item %s was made by version %d, the least is %d", result.ID, version, minVersion)
+				d.t.Errorf("item %s was generated by version %d, want at least %d", result.ID, version, minVersion)
 			}
 		}
 		if len(result.Versions) == 0 {
-			d.t.Errorf("item %s names no version", result.ID)
+			d.t.Errorf("item %s has no version", result.ID)
 		}
 	}
 	if len(seen) != items {
-		d.t.Errorf("%d items are listed, want %d", len(seen), items)
+		d.t.Errorf("%d items listed, want %d", len(seen), items)
 	}
 }
--- a/test/platform_deployment_test.go
+++ b/test/platform_deployment_test.go
@@ -23,8 +23,8 @@
 	liveHost   = "live.example"
 )
 
-// platformDeployment is a set of real node processes before stand-ins of the
-// users' platform.
+// platformDeployment is a set of node processes that use stand-ins for the users'
+// platform.
 type platformDeployment struct {
 	t            *testing.T
 	store        *metastore.Store
@@ -33,18 +33,17 @@
 	nodes        []*platformNode
 	storeAddress string
 	folder       string
-	// tenants are declared in the configurations written from now on; nil for
-	// none.
+	// tenants are declared in each configuration that is written; nil for none.
 	tenants []map[string]any
-	// duties takes usage reports, in windows of a length; nil for none.
+	// duties receives usage reports, one for each usageWindow; nil if usage is not reported.
 	duties      *dutyapi.Server
 	usageWindow time.Duration
-	// regions are those of nodes, engines and apps in turn, each with one zone of its
-	// name; nil for one zone.
+	// regions are assigned to nodes, engines and apps in turn. Each has one zone of the
+	// same name. nil puts everything into zone-a.
 	regions []string
-	// homes are those of routes, by name.
+	// allowedRegions are the allowed regions of routes, by route name.
 	allowedRegions map[string][]string
-	// links are those of the nodes, where there are regions.
+	// links are the proxies of each node, by its number; used only with regions.
 	links map[int]*nodeLinks
 }
 
@@ -58,21 +57,21 @@
 	log       bytes.Buffer
 }
 
-// shape is what a deployment is like.
+// deploymentSpec describes a deployment to start.
 type deploymentSpec struct {
 	nodes, engines, apps int
 	eventInterval        time.Duration
 	tenants              []map[string]any
-	// usageWindow has usage reported, in windows of that length.
+	// usageWindow is the length of usage windows; 0 disables usage reports.
 	usageWindow time.Duration
-	// regions and homes are those of the deployment.
+	// regions and allowedRegions are as in platformDeployment.
 	regions        []string
 	allowedRegions map[string][]string
-	// crashOn is the text in the body of requests that end whoever runs them.
+	// crashOn makes replicas crash on requests whose body contains it.
 	crashOn string
 }
 
-// deployPlatform starts stand-ins and nodes.
+// deployPlatform starts stand-ins and nodes and waits until every node is ready.
 func deployPlatform(t *testing.T, spec deploymentSpec) *platformDeployment {
 	t.Helper()
 	d := &platformDeployment{t: t, store: metastore.New(), folder: t.TempDir(), tenants: spec.tenants, regions: spec.regions, allowedRegions: spec.allowedRegions, links: map[int]*nodeLinks{}}
@@ -124,7 +123,7 @@
 	}
 }
 
-// configure writes a version of the configuration.
+// configure writes the configuration with the given version number.
 func (d *platformDeployment) configure(version int) {
 	configuration := map[string]any{
 		"version": version,
@@ -158,7 +157,7 @@
 	d.store.Write("config", "main", configuration)
 }
 
-// settingsOf is the settings file of a node.
+// writeSettings writes the settings file of a node and returns its path.
 func (d *platformDeployment) writeSettings(number int, grace string) string {
 	path := filepath.Join(d.folder, fmt.Sprintf("node-%d.yaml", number))
 	settings := fmt.Sprintf("node: node-%d\nhttp: 127.0.0.1:0\npeer: 127.0.0.1:0\nreadiness: 127.0.0.1:0\nmetrics: 127.0.0.1:0\ngrace: %s\n", number, grace)
@@ -177,7 +176,7 @@
 	node := &platformNode{program: start(d.t, 0, "pathtally", "node", "-settings", d.writeSettings(number, "6s"), "-v")}
 	go node.collect()
 	var started struct{ HTTP, Readiness, Metrics, Peer string }
-	d.eventually("the node has started", func() bool {
+	d.eventually("the node to start", func() bool {
 		line := node.find("node started")
 		return line != nil && json.Unmarshal(line, &started) == nil
 	})
@@ -189,7 +188,7 @@
 	return node
 }
 
-// collect keeps what a node writes.
+// collect appends the output of the process to the log until the process ends.
 func (n *platformNode) collect() {
 	buffer := make([]byte, 64<<10)
 	for {
@@ -203,7 +202,7 @@
 	}
 }
 
-// find returns the first log line that holds all words, or nil.
+// find returns the first log line that contains all words, or nil.
 func (n *platformNode) find(words ...string) []byte {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -226,7 +225,7 @@
 
 func (d *platformDeployment) waitReady(node *platformNode) {
 	d.t.Helper()
-	d.eventually("the node is ready", func() bool {
+	d.eventually("the node to become ready", func() bool {
 		response, err := http.Get("http://" + node.readiness + "/-/readyz")
 		if err != nil {
 			return false
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -15,7 +15,7 @@
 	"github.com/pathtally/pathtally/standin/replica"
 )
 
-// kotukuShape and cauceShape are like the users' deployments, on one machine.
+// kotukuSpec and cauceSpec have the replica counts of the users' deployments.
 var (
 	kotukuSpec = deploymentSpec{nodes: 3, engines: 8, apps: 3, eventInterval: 2 * time.Millisecond}
 	cauceSpec  = deploymentSpec{nodes: 3, engines: 9, apps: 4, eventInterval: 2 * time.Millisecond}
@@ -41,7 +41,7 @@
 				d.checkResults(results, test.items, minVersion)
 				d.liveRequests(step)
 				if response, err := d.send(d.nodes[0], http.MethodDelete, draftHost, "/-/lots/"+job, "end", nil, nil); err != nil || response.status != http.StatusOK {
-					t.Fatalf("end of %s: %+v, %v", job, response, err)
+					t.Fatalf("end batch job %s: %+v, %v", job, response, err)
 				}
 			}
 			d.checkFencingTokens()
@@ -49,7 +49,7 @@
 	}
 }
 
-// liveRequests sends plain requests to all nodes and checks their answers.
+// liveRequests sends non-streaming requests to all nodes and checks their responses.
 func (d *platformDeployment) liveRequests(step int) {
 	d.t.Helper()
 	for number := range 12 {
@@ -68,8 +68,8 @@
 	}
 }
 
-// checkOrders checks that tokens never fall at a replica and each names one
-// owner.
+// checkFencingTokens checks that the fencing tokens of weight orders never decrease at a
+// replica and that each token belongs to one owner.
 func (d *platformDeployment) checkFencingTokens() {
 	d.t.Helper()
 	owners := map[uint64]string{}
@@ -77,17 +77,17 @@
 		last := uint64(0)
 		for _, order := range engine.Orders() {
 			if order.Token < last {
-				d.t.Errorf("engine %d got token %d after %d", number, order.Token, last)
+				d.t.Errorf("engine %d received fencing token %d after %d", number, order.Token, last)
 			}
 			last = order.Token
 			if owner := owners[order.Token]; owner != "" && owner != order.Owner {
-				d.t.Errorf("token %d was used by %s and %s", order.Token, owner, order.Owner)
+				d.t.Errorf("fencing token %d was used by %s and %s", order.Token, owner, order.Owner)
 			}
 			owners[order.Token] = order.Owner
 		}
 	}
 	if len(owners) == 0 {
-		d.t.Error("no order was given")
+		d.t.Error("no weight order was sent")
 	}
 }
 
@@ -109,12 +109,12 @@
 	d := deployPlatform(t, deploymentSpec{nodes: 2, engines: 2, apps: 2, eventInterval: 20 * time.Millisecond})
 	d.submit(d.nodes[0], "job", 24, 1)
 	d.nodes[0].signal(syscall.SIGTERM)
-	// A stopping node still answers what comes, and ends its connections.
+	// A node that shuts down still serves new requests and then closes their connections.
 	response, err := d.send(d.nodes[0], http.MethodPost, liveHost, "/live/x", "late", []byte("x"), nil)
 	if err != nil || response.status != http.StatusOK {
-		t.Errorf("request to a stopping node: %+v, %v", response, err)
+		t.Errorf("request to a node that shuts down: %+v, %v", response, err)
 	}
-	d.eventually("the node calls itself unready", func() bool {
+	d.eventually("the node to become unready", func() bool {
 		response, err := http.Get("http://" + d.nodes[0].readiness + "/-/readyz")
 		if err != nil {
 			return true
@@ -131,9 +131,9 @@
 	d := deployPlatform(t, deploymentSpec{nodes: 1, engines: 1, apps: 1, eventInterval: time.Millisecond})
 	d.writeSettings(0, "3s")
 	d.nodes[0].signal(syscall.SIGHUP)
-	d.eventually("the change is in force", func() bool { return d.nodes[0].find("settings reloaded", `"grace":"3s"`) != nil })
+	d.eventually("the settings to be reloaded", func() bool { return d.nodes[0].find("settings reloaded", `"grace":"3s"`) != nil })
 	if response, err := d.send(d.nodes[0], http.MethodPost, liveHost, "/live/x", "after", []byte("x"), nil); err != nil || response.status != http.StatusOK {
-		t.Errorf("request after a reload: %+v, %v", response, err)
+		t.Errorf("request after the reload: %+v, %v", response, err)
 	}
 }
 
@@ -152,15 +152,14 @@
 			t.Fatalf("request %s: %v", id, err)
 		}
 		if response.status == http.StatusOK && response.body != "answer to "+id+": x" {
-			t.Errorf("request %s got %q", id, response.body)
+			t.Errorf("request %s received %q", id, response.body)
 		}
 	}
 	d.submit(d.nodes[0], "job", 40, 1)
 	d.checkResults(d.read(func() *platformNode { return d.nodes[0] }, "job", 40), 40, 1)
 }
 
-// checkRanOnce checks that no request ran more than once at replicas that ran
-// some.
+// checkRanOnce checks that replicas ran requests, and none more than once.
 func checkRanOnce(t *testing.T, replicas []*replica.Server) {
 	t.Helper()
 	runs := map[string]int{}
@@ -170,7 +169,7 @@
 		}
 	}
 	if len(runs) == 0 {
-		t.Error("nothing ran, so this test shows nothing")
+		t.Error("no request ran, so the check proves nothing")
 	}
 	for id, count := range runs {
 		if count > 1 {
@@ -179,7 +178,7 @@
 	}
 }
 
-// A request that must not run twice is given up after an answer that was lost.
+// An unsafe request must not be retried after a lost response.
 func TestUnsafeRequestRunsOnce(t *testing.T) {
 	d := deployPlatform(t, deploymentSpec{nodes: 1, engines: 1, apps: 2, eventInterval: time.Millisecond})
 	for _, app := range d.apps {
@@ -191,22 +190,22 @@
 	checkRanOnce(t, d.apps)
 }
 
-// An id found at a caller leads to its cause in the logs.
+// The cause of a failed request must be found in the logs by its request id.
 func TestFailedRequestIsLoggedAndCounted(t *testing.T) {
 	d := deployPlatform(t, deploymentSpec{nodes: 1, engines: 1, apps: 1, eventInterval: time.Millisecond})
 	d.apps[0].SetFaults(replica.Faults{WrongIDEvery: 1})
 	failed, err := d.send(d.nodes[0], http.MethodPost, liveHost, "/once/x", "puzzle", []byte("x"), nil)
 	if err != nil || failed.status != http.StatusBadGateway {
-		t.Fatalf("request whose answer was lost: %+v, %v", failed, err)
+		t.Fatalf("request whose response was lost: %+v, %v", failed, err)
 	}
-	d.eventually("the log names the cause", func() bool {
+	d.eventually("the cause of the failure in the log", func() bool {
 		return d.nodes[0].find(`"request":"puzzle"`, "response belongs to another request", `"route":"once"`) != nil
 	})
 	failed, err = d.send(d.nodes[0], http.MethodPost, liveHost, "/nowhere/", "lost", nil, nil)
 	if err != nil || failed.status != http.StatusNotFound {
 		t.Fatalf("request without a route: %+v, %v", failed, err)
 	}
-	d.eventually("the log names the refusal", func() bool { return d.nodes[0].find(`"request":"lost"`, "no route") != nil })
+	d.eventually("the refusal in the log", func() bool { return d.nodes[0].find(`"request":"lost"`, "no route") != nil })
 	response, err := http.Get("http://" + d.nodes[0].metrics + "/metrics")
 	if err != nil {
 		t.Fatal(err)
@@ -218,7 +217,7 @@
 	}
 }
 
-// streamText reads the events of a whole stream as a caller does.
+// streamText joins the data of the server-sent events in a response body.
 func streamText(body string) string {
 	var parts []string
 	for _, line := range strings.Split(body, "\n") {
@@ -231,8 +230,8 @@
 
 func TestStreamsAreForwardedAndResumed(t *testing.T) {
 	d := deployPlatform(t, deploymentSpec{nodes: 1, engines: 3, apps: 1, eventInterval: time.Millisecond})
-	// One engine never answers for the right request, and the others cut every
-	// second stream after one event: each stream can be whole all the same.
+	// One engine answers every request with the id of another one, and the other engines
+	// cut every second stream after one event. Resumption must still complete each stream.
 	d.engines[0].SetFaults(replica.Faults{WrongIDEvery: 1})
 	for _, engine := range d.engines[1:] {
 		engine.SetFaults(replica.Faults{CutEvery: 2})
@@ -246,18 +245,18 @@
 		}
 	}
 	if len(d.engines[0].Runs()) == 0 {
-		t.Error("the engine that answers for others was never asked, so this test shows less than it says")
+		t.Error("the engine that responds with wrong ids received no request, so the test does not cover it")
 	}
-	// A client picks a stream up after an event.
+	// A client resumes a stream after an event.
 	response, err := d.send(d.nodes[0], http.MethodPost, liveHost, "/chat/x", "again", []byte("hello"), http.Header{"Last-Event-Id": {"2"}})
 	want := strings.Join(strings.Split(replica.Text("again"), "\n")[2:], "\n")
 	if err != nil || streamText(response.body) != want {
-		t.Errorf("continued stream: %q, want %q, %v", streamText(response.body), want, err)
+		t.Errorf("resumed stream: %q, want %q, %v", streamText(response.body), want, err)
 	}
 }
 
-// A stream that may not be resumed runs once, and one that breaks off does not
-// look complete.
+// A non-resumable stream must not run twice, and a caller must not take a broken one for
+// complete.
 func TestBrokenStreamIsNotReportedComplete(t *testing.T) {
 	d := deployPlatform(t, deploymentSpec{nodes: 1, engines: 2, apps: 1, eventInterval: time.Millisecond})
 	for _, engine := range d.engines {
@@ -276,37 +275,37 @@
 		}
 	}
 	if broken == 0 {
-		t.Error("no stream was cut, so this test shows nothing")
+		t.Error("no stream was cut, so the test proves nothing")
 	}
 	checkRanOnce(t, d.engines)
 }
 
-// A request to empty a machine is answered, once.
+// A request to retire a machine must be reported as succeeded.
 func TestRetirementSucceeds(t *testing.T) {
 	d := deployPlatform(t, deploymentSpec{nodes: 2, engines: 1, apps: 1, eventInterval: time.Millisecond})
 	d.store.Write("retirements", "storage-1", map[string]any{"durationS": 10})
-	d.eventually("the machine may be taken away", func() bool {
+	d.eventually("the retirement to succeed", func() bool {
 		object, err := d.store.Get(context.Background(), "retirements", "storage-1", objectstore.Linearizable)
 		return err == nil && string(object.Status) == `{"state":"succeeded"}`
 	})
 }
 
-// A node that starts while the store is away serves once it is back, and says
-// until then that it knows no configuration rather than that a route is gone.
+// A node that starts during a store outage must respond with 503 until it has a
+// configuration, not with 404 for unknown routes and jobs.
 func TestNodeWithoutConfigurationReturns503(t *testing.T) {
 	d := deployPlatform(t, deploymentSpec{nodes: 1, engines: 1, apps: 1, eventInterval: time.Millisecond})
 	d.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Refused })
 	late := d.startNode(1)
 	response, err := d.send(late, http.MethodPost, liveHost, "/live/x", "early", []byte("x"), nil)
 	if err != nil || response.status != http.StatusServiceUnavailable || response.header.Get("Retry-After") == "" {
-		t.Errorf("request before any configuration: %+v, %v", response, err)
+		t.Errorf("request before the first configuration: %+v, %v", response, err)
 	}
 	if response, err := d.send(late, http.MethodGet, draftHost, "/-/lots/unknown", "early", nil, nil); err != nil || response.status != http.StatusServiceUnavailable {
-		t.Errorf("a job that cannot be looked up: %+v, %v", response, err)
+		t.Errorf("read of a job during the store outage: %+v, %v", response, err)
 	}
 	d.store.SetFault(nil)
 	d.waitReady(late)
 	if response, err := d.send(late, http.MethodGet, draftHost, "/-/lots/unknown", "sure", nil, nil); err != nil || response.status != http.StatusNotFound {
-		t.Errorf("a job that is not there: %+v, %v", response, err)
+		t.Errorf("read of an unknown job: %+v, %v", response, err)
 	}
 }
--- a/test/programs_test.go
+++ b/test/programs_test.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// startLimit bounds how long a test waits for something that has to happen.
+	// startLimit is the timeout for conditions that a test waits for.
 	startLimit   = 20 * time.Second
 	pollInterval = 25 * time.Millisecond
 )
 
-// binaries is the folder of the built programs.
+// binaries is the folder that contains the built programs.
 var binaries string
 
 func TestMain(m *testing.M) {
@@ -38,18 +38,18 @@
 	os.Exit(code)
 }
 
-// program is a running process of a test.
+// program is a process started by a test.
 type program struct {
 	t       *testing.T
 	command *exec.Cmd
 	lines   []string
-	// output is what follows the lines.
+	// output is the standard output after lines.
 	output *bufio.Reader
 	exited chan struct{}
 }
 
-// start runs a program and waits for as many lines of standard output as it
-// prints once it listens.
+// start starts a program and reads the given number of lines from its standard output,
+// which it prints once it listens.
 func start(t *testing.T, lines int, name string, args ...string) *program {
 	t.Helper()
 	p := &program{t: t, command: exec.Command(filepath.Join(binaries, name), args...), exited: make(chan struct{})}
@@ -67,7 +67,7 @@
 	for range lines {
 		line, err := reader.ReadString('\n')
 		if err != nil {
-			t.Fatalf("%s %v ended: %s", name, args, failure.String())
+			t.Fatalf("%s %v exited before it was listening: %s", name, args, failure.String())
 		}
 		p.lines = append(p.lines, strings.TrimSpace(line))
 	}
@@ -79,7 +79,7 @@
 	return p
 }
 
-// address is the last word of the line that a program printed.
+// address returns the last word of an output line, the address that the program listens on.
 func (p *program) address(line int) string {
 	words := strings.Fields(p.lines[line])
 	return words[len(words)-1]
@@ -103,8 +103,8 @@
 	return string(output), command.ProcessState.ExitCode()
 }
 
-// eventually waits for something that takes a while; the limit only ends a
-// test that would never end.
+// eventually polls check until it returns true, and fails the test after startLimit.
+// what completes the sentence "timed out waiting for ...".
 func eventually(t *testing.T, what string, check func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(startLimit); time.Now().Before(limit); time.Sleep(pollInterval) {
@@ -112,5 +112,5 @@
 			return
 		}
 	}
-	t.Fatalf("never happened: %s", what)
+	t.Fatalf("timed out waiting for %s", what)
 }
--- a/test/proxy_test.go
+++ b/test/proxy_test.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// proxyMode is what a proxy does to the bytes that pass.
+// proxyMode is how a proxy treats connections and their bytes.
 type proxyMode int32
 
 const (
 	proxyPass proxyMode = iota
-	// proxyCut refuses and resets connections.
+	// proxyReset resets open and new connections.
 	proxyReset
-	// proxyFreeze keeps connections open and passes nothing.
+	// proxyFreeze keeps connections open and holds back their bytes.
 	proxyFreeze
-	// proxyOneWay passes requests and drops answers.
+	// proxyOneWay forwards requests and drops responses.
 	proxyOneWay
 )
 
@@ -34,20 +34,20 @@
 	listener net.Listener
 	target   atomic.Pointer[string]
 	mode     atomic.Int32
-	// resetAfter, when above 0, resets each connection once so many bytes of
-	// answers have passed.
+	// resetResponseAfter, if above 0, is the number of response bytes after which each
+	// connection is reset.
 	resetResponseAfter atomic.Int64
-	// cutRequestAt, when not below 0, resets each connection once so many
-	// bytes of requests have passed.
+	// resetRequestAfter, if not negative, is the number of request bytes after which each
+	// connection is reset.
 	resetRequestAfter atomic.Int64
 	delay             atomic.Int64
-	// marker is looked for in all bytes that come, and marked counts the times that it
-	// was found; empty looks for nothing.
+	// markerCount counts the occurrences of marker in all forwarded bytes; an empty
+	// marker counts nothing.
 	marker      string
 	markerCount atomic.Int64
 	mutex       sync.Mutex
 	open        map[net.Conn]bool
-	// silent are the connections that pass nothing for good.
+	// blackholed are the connections that never forward anything again.
 	blackholed map[net.Conn]bool
 }
 
@@ -69,12 +69,12 @@
 	return p
 }
 
-// setTarget changes where new connections go.
+// setTarget sets the address that new connections are forwarded to.
 func (p *proxy) setTarget(target string) { p.target.Store(&target) }
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-// set changes the mode; a cut also resets what is open.
+// set changes the mode. proxyReset also resets the open connections.
 func (p *proxy) set(mode proxyMode) {
 	p.mode.Store(int32(mode))
 	if mode == proxyReset {
@@ -82,8 +82,8 @@
 	}
 }
 
-// close has the proxy refuse new connections for good, as a machine does whose process
-// has ended.
+// close stops listening, so that new connections are refused as after the end of a
+// process.
 func (p *proxy) close() { p.listener.Close() }
 
 func (p *proxy) resetOpen() {
@@ -94,8 +94,8 @@
 	}
 }
 
-// silence has the connections that are open now pass nothing for good, not even
-// their ends. New ones work.
+// blackhole makes the open connections drop all bytes and their close for good. New
+// connections are not affected. It returns the number of connections affected so far.
 func (p *proxy) blackhole() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -112,7 +112,7 @@
 	return p.blackholed[connection]
 }
 
-// resetSilent ends the connections that pass nothing.
+// resetBlackholed resets the connections that blackhole affected.
 func (p *proxy) resetBlackholed() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -198,8 +198,8 @@
 	}
 }
 
-// countMarkers counts the markers in the bytes and returns their end, in which the next
-// marker may have begun.
+// countMarkers counts the markers in the bytes and returns the tail that may hold the
+// start of another marker.
 func (p *proxy) countMarkers(seen []byte) []byte {
 	if p.marker == "" {
 		return nil
@@ -208,7 +208,8 @@
 	return bytes.Clone(seen[max(0, len(seen)-len(p.marker)+1):])
 }
 
-// limit is how many bytes of a direction pass before the connection is reset.
+// limit returns the number of bytes of a direction after which the connection is reset,
+// and whether there is such a limit.
 func (p *proxy) limit(responses bool) (int64, bool) {
 	if responses {
 		limit := p.resetResponseAfter.Load()
@@ -218,13 +219,13 @@
 	return limit, limit >= 0
 }
 
-// A connection that fell silent passes nothing and does not end, whatever
-// becomes of the link; a new one works.
+// A blackholed connection must stay open without data when the link is reset and
+// restored, while new connections work.
 func TestBlackholedConnectionStaysBlackholed(t *testing.T) {
 	link := newProxy(t, startEcho(t))
 	old := dialEcho(t, link)
 	if count := link.blackhole(); count != 1 {
-		t.Errorf("%d connections were silenced, want 1", count)
+		t.Errorf("%d connections were blackholed, want 1", count)
 	}
 	link.set(proxyReset)
 	link.set(proxyPass)
@@ -235,12 +236,12 @@
 	old.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	var timeout net.Error
 	if _, err := old.Read(make([]byte, 1)); !errors.As(err, &timeout) || !timeout.Timeout() {
-		t.Errorf("the silent connection gave %v", err)
+		t.Errorf("read from the blackholed connection: %v, want a timeout", err)
 	}
 	fresh.Close()
 }
 
-// startEcho returns the address of a server that sends back what it gets.
+// startEcho starts an echo server and returns its address.
 func startEcho(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -263,7 +264,7 @@
 	return listener.Addr().String()
 }
 
-// dialEcho opens a connection through a proxy and sees that it works.
+// dialEcho opens a connection through a proxy and checks that it echoes.
 func dialEcho(t *testing.T, link *proxy) net.Conn {
 	t.Helper()
 	connection, err := net.Dial("tcp", link.address())
--- a/test/quarantine_test.go
+++ b/test/quarantine_test.go
@@ -13,29 +13,22 @@
 	"github.com/pathtally/pathtally/standin/replica"
 )
 
-// A replica ended under one request each time it began to run it. The caller sent the
-// request again, under a new id and through another node, and each try took two more
-// replicas with it: nothing of what a run had done to its replica outlived the try. Twenty
-// replicas ended under one body within 45 s, each time with the same line at another node:
-// "request not served" attempts=2 "no answer, may have run: no whole answer from
-// 10.1.64.46:8126: unexpected EOF". All requests that came while the four replicas of the
-// service were down were turned away.
-
 const (
+	// crashingText is the text in a request body on which replicas crash.
 	crashingText = "ends whoever runs it"
-	// crashAfter is for how long a replica runs the request before it ends.
+	// crashAfter is how long a replica runs such a request before it crashes.
 	crashAfter = 20 * time.Millisecond
-	// endsAllowed is how many replicas may end under one request.
+	// maxCrashes is how many replicas may crash under one request before it is quarantined.
 	maxCrashes = 3
-	// spreadTime is within which all nodes are to know of the third end.
+	// propagationTime is how long the nodes may take to learn of the last of these crashes.
 	propagationTime = 2 * time.Second
-	// successorAfter is how long after the end of a replica its successor is there.
+	// replacementDelay is the time from the crash of a replica to the start of its replacement.
 	replacementDelay  = 300 * time.Millisecond
 	superviseInterval = 20 * time.Millisecond
 )
 
-// crashWorld is a deployment whose replicas end under a request, each with a successor
-// soon after.
+// crashDeployment is a deployment whose replicas crash under requests that contain
+// crashingText and are replaced soon after.
 type crashDeployment struct {
 	*platformDeployment
 	mutex   sync.Mutex
@@ -68,7 +61,7 @@
 	return d
 }
 
-// supervise replaces a replica whenever it has ended, under a new id.
+// supervise replaces a replica whenever it has crashed, each time under a new id.
 func (d *crashDeployment) supervise(service, id string, number int, config replica.Config, running *replica.Server) {
 	for incarnation := 1; ; {
 		select {
@@ -90,7 +83,7 @@
 		config.ID = id
 		replacement, err := replica.Start(config)
 		if err != nil {
-			d.t.Errorf("no successor of a replica: %v", err)
+			d.t.Errorf("start replacement of a replica: %v", err)
 			return
 		}
 		running = replacement
@@ -98,20 +91,20 @@
 	}
 }
 
-// endedReplicas counts the replicas that have ended so far.
+// crashCount returns how many replicas have crashed so far.
 func (d *crashDeployment) crashCount() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.crashes
 }
 
-// awaitSuccessors waits until no replica is about to be replaced.
+// awaitReplacements waits until crashed replicas have been replaced.
 func (d *crashDeployment) awaitReplacements() {
 	time.Sleep(replacementDelay + 10*superviseInterval)
 }
 
-// sendAgain sends the request that crashes replicas a number of times, each under a new
-// id and through the next node, and returns the last answer.
+// sendRepeatedly sends the crashing request a number of times, each under a new id and
+// through the next node, and returns the last response.
 func (d *crashDeployment) sendRepeatedly(prefix, target string, times int) callerResponse {
 	d.t.Helper()
 	var last callerResponse
@@ -127,30 +120,32 @@
 	return last
 }
 
-// checkServed checks that other requests for a target are served.
+// checkServed checks that other requests for a target are served by every node.
 func (d *crashDeployment) checkServed(target string) {
 	d.t.Helper()
 	for number, node := range d.nodes {
 		id := fmt.Sprint("good-", number)
 		response, err := d.send(node, http.MethodPost, liveHost, target, id, []byte("good body of "+id), http.Header{"Pathtally-Model": {draftModel}})
 		if err != nil || response.status != http.StatusOK {
-			d.t.Errorf("another request gets %d, error %v", response.status, err)
+			d.t.Errorf("another request: status %d, error %v", response.status, err)
 		}
 	}
 }
 
-// checkRefused checks that an answer refuses a request and says when to come back.
+// checkRefused checks that a response is a refusal with a Retry-After header.
 func (d *crashDeployment) checkRefused(response callerResponse) {
 	d.t.Helper()
 	wait, err := strconv.ParseFloat(response.header.Get("Retry-After"), 64)
 	if response.status != http.StatusServiceUnavailable || err != nil || wait <= 0 {
-		d.t.Errorf("the request gets %d, to come back after %q", response.status, response.header.Get("Retry-After"))
+		d.t.Errorf("crashing request: status %d, Retry-After %q; want 503 and a positive Retry-After", response.status, response.header.Get("Retry-After"))
 	}
 }
 
+// A request that crashes replicas must be refused after maxCrashes of them, also when it is
+// sent again under new ids and through other nodes.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	for _, kind := range []struct{ name, target string }{
-		{"safe", "/live/pay"}, {"unsafe", "/once/pay"}, {"resumable stream", "/chat/say"}, {"other stream", "/chat-once/say"},
+		{"safe", "/live/pay"}, {"unsafe", "/once/pay"}, {"resumable stream", "/chat/say"}, {"non-resumable stream", "/chat-once/say"},
 	} {
 		t.Run(kind.name, func(t *testing.T) {
 			t.Parallel()
@@ -158,23 +153,23 @@
 			d.sendRepeatedly("early", kind.target, maxCrashes)
 			time.Sleep(propagationTime)
 			if crashes := d.crashCount(); crashes < maxCrashes {
-				t.Fatalf("%d replicas have ended, the test needs %d", crashes, maxCrashes)
+				t.Fatalf("%d replicas crashed before the check, the test needs %d", crashes, maxCrashes)
 			}
 			before := d.crashCount()
 			d.checkRefused(d.sendRepeatedly("late", kind.target, 2*len(d.nodes)))
 			if crashes := d.crashCount(); crashes > before {
-				t.Errorf("%d more replicas ended under a request that had ended %d", crashes-before, before)
+				t.Errorf("%d more replicas crashed under a request that had crashed %d", crashes-before, before)
 			}
 			if before > maxCrashes {
-				t.Errorf("%d replicas ended under a request, at most %d may", before, maxCrashes)
+				t.Errorf("%d replicas crashed under one request, want at most %d", before, maxCrashes)
 			}
 			d.checkServed(kind.target)
 		})
 	}
 }
 
-// A popular request is always under way at every replica, so that each end cuts off some
-// of its runs, which say nothing against it.
+// A frequent request that runs at every replica when it crashes must not be quarantined
+// for the crashes of another one.
 func TestPopularRequestIsNotQuarantined(t *testing.T) {
 	t.Parallel()
 	d := deployCrashing(t, deploymentSpec{nodes: 3, apps: 4})
@@ -189,7 +184,7 @@
 				case <-time.After(time.Millisecond):
 				}
 				node := d.nodes[(number+try)%len(d.nodes)]
-				// Those that meet an end may fail; what counts is that they are served after.
+				// Requests cut off by a crash may fail; the test checks those sent afterwards.
 				_, _ = d.send(node, http.MethodPost, liveHost, "/live/popular", fmt.Sprintf("popular-%d-%d", number, try), []byte("popular"), nil)
 			}
 		})
@@ -200,15 +195,15 @@
 	for number, node := range d.nodes {
 		response, err := d.send(node, http.MethodPost, liveHost, "/live/popular", fmt.Sprint("after-", number), []byte("popular"), nil)
 		if err != nil || response.status != http.StatusOK {
-			t.Errorf("the popular request gets %d, error %v", response.status, err)
+			t.Errorf("popular request after the crashes: status %d, error %v", response.status, err)
 		}
 	}
 	if crashes := d.crashCount(); crashes != maxCrashes {
-		t.Errorf("%d replicas ended under the other request, want %d", crashes, maxCrashes)
+		t.Errorf("%d replicas crashed under the crashing request, want %d", crashes, maxCrashes)
 	}
 }
 
-// All nodes are started anew after the third end: what they knew lives on in the store.
+// Quarantine must survive a restart of all nodes; it is kept in the store.
 func TestQuarantineSurvivesNodeRestarts(t *testing.T) {
 	t.Parallel()
 	d := deployCrashing(t, deploymentSpec{nodes: 2, apps: 4})
@@ -227,11 +222,11 @@
 	}
 	d.checkRefused(d.sendRepeatedly("late", "/live/pay", 2*len(d.nodes)))
 	if crashes := d.crashCount(); crashes > before {
-		t.Errorf("%d more replicas ended after the nodes had been started anew", crashes-before)
+		t.Errorf("%d more replicas crashed after the restart of all nodes", crashes-before)
 	}
 }
 
-// crashingJob is a batch job of which one item, or one scorer's call, ends whoever runs it.
+// crashingJob returns the body of a batch job whose first item was changed by alter.
 func crashingJob(t *testing.T, job string, items int, alter func(item map[string]any)) []byte {
 	t.Helper()
 	var requests []map[string]any
@@ -246,51 +241,51 @@
 	return body
 }
 
-// The item of a batch job, and the call of its scorer, are repeated by the node that runs
-// the job, and by the next one after a takeover.
+// A batch item or scorer call that crashes replicas must be quarantined, also after a
+// takeover of its job.
 func TestCrashingBatchItemIsQuarantined(t *testing.T) {
 	for _, kind := range []struct {
 		name  string
 		alter func(item map[string]any)
 	}{
 		{"item", func(item map[string]any) { item["body"] = []byte(crashingText) }},
-		{"scorer's call", func(item map[string]any) { item["scorer"].(map[string]any)["body"] = []byte(crashingText) }},
+		{"scorer call", func(item map[string]any) { item["scorer"].(map[string]any)["body"] = []byte(crashingText) }},
 	} {
 		t.Run(kind.name, func(t *testing.T) {
 			t.Parallel()
 			const items = 8
 			d := deployCrashing(t, deploymentSpec{nodes: 3, engines: 5, apps: 5, eventInterval: time.Millisecond})
 			body := crashingJob(t, "job", items, kind.alter)
-			d.eventually("the batch job is taken", func() bool {
+			d.eventually("the batch job to be accepted", func() bool {
 				response, err := d.send(d.nodes[0], http.MethodPost, draftHost, "/drafts/job", "job", body, nil)
 				return err == nil && response.status == http.StatusAccepted
 			})
 			d.awaitResults("job", items-1)
 			time.Sleep(propagationTime)
 			if crashes := d.crashCount(); crashes != maxCrashes {
-				t.Errorf("%d replicas ended under one item, want %d", crashes, maxCrashes)
+				t.Errorf("%d replicas crashed under one item, want %d", crashes, maxCrashes)
 			}
 			owner := d.jobOwner("job")
 			owner.signal(syscall.SIGKILL)
 			time.Sleep(2 * propagationTime)
 			if crashes := d.crashCount(); crashes > maxCrashes {
-				t.Errorf("%d replicas ended under one item once its job was taken over", crashes)
+				t.Errorf("%d replicas crashed under one item after the takeover of its job", crashes)
 			}
 		})
 	}
 }
 
-// awaitListed waits until a job has a number of results.
+// awaitResults waits until a job has at least count results.
 func (d *crashDeployment) awaitResults(job string, count int) {
 	d.t.Helper()
-	d.eventually(fmt.Sprintf("%d items are listed", count), func() bool {
+	d.eventually(fmt.Sprintf("%d results of the batch job", count), func() bool {
 		response, err := d.send(d.nodes[1], http.MethodGet, draftHost, "/-/lots/"+job+"?sinceRev=0", "reader", nil, nil)
 		var page struct{ NextToken int }
 		return err == nil && response.status == http.StatusOK && json.Unmarshal([]byte(response.body), &page) == nil && page.NextToken >= count
 	})
 }
 
-// ownerOf is the node that runs a job.
+// jobOwner returns the node that runs a job.
 func (d *crashDeployment) jobOwner(job string) *platformNode {
 	d.t.Helper()
 	for _, node := range d.nodes {
@@ -298,6 +293,6 @@
 			return node
 		}
 	}
-	d.t.Fatalf("no node runs job %s", job)
+	d.t.Fatalf("no node has started job %s", job)
 	return nil
 }
--- a/test/regions_test.go
+++ b/test/regions_test.go
@@ -12,10 +12,10 @@
 	"github.com/pathtally/pathtally/standin/replica"
 )
 
-// nodeLinks lead from a node to the store and from its peers to it.
+// nodeLinks are the proxies from a node to the store and from its peers to the node.
 type nodeLinks struct{ store, peer *proxy }
 
-// zoneOf is the zone of the node, engine or app with a number.
+// zone returns the zone of the node, engine or app with the given number.
 func (d *platformDeployment) zone(number int) string {
 	if d.regions == nil {
 		return "zone-a"
@@ -23,7 +23,8 @@
 	return d.regions[number%len(d.regions)]
 }
 
-// placeOf is what the settings of a node say of where it is and how it reaches others.
+// locationSettings returns the settings for a node's zone and region and for its
+// connections to the store and to its peers.
 func (d *platformDeployment) locationSettings(number int) string {
 	if d.regions == nil {
 		return fmt.Sprintf("zone: zone-a\nregion: region\nobjectStore: %s\n", d.storeAddress)
@@ -36,7 +37,8 @@
 	}
 	share := 0.2
 	if d.zone(number) == "west" {
-		// Jobs go to the largest nodes where they may.
+		// The largest nodes are preferred as owners of jobs, so a job that ignored its
+		// allowed regions would run here.
 		share = 0.8
 	}
 	settings := fmt.Sprintf("zone: %s\nregion: %s\ncpuShare: %g\nobjectStore: %s\npeerAdvertised: %s\nregions:\n",
@@ -47,26 +49,26 @@
 	return settings
 }
 
-// boundBody begins the body of each item whose job's id begins with "bound", as it is
-// in a payload.
+// boundBodyPrefix is the start of the item bodies of jobs whose ids begin with "bound",
+// in the base64 encoding of a job payload. All such jobs are restricted to the south.
 var boundBodyPrefix = base64.StdEncoding.EncodeToString([]byte("prompt of bound"))
 
-// cutFromStore cuts or heals the links of nodes to the store.
+// setStoreLinks sets the proxy mode of the links from nodes to the store.
 func (d *platformDeployment) setStoreLinks(mode proxyMode, nodes ...int) {
 	for _, number := range nodes {
 		d.links[number].store.set(mode)
 	}
 }
 
-// checkAtHome checks where requests whose ids begin with "bound" ran, and that no body
-// of theirs has passed a wire of the nodes in the west.
+// checkAllowedRegions checks that requests whose ids begin with "bound" ran in the south
+// only, and that none of their bodies was sent to or from a node in the west.
 func (d *platformDeployment) checkAllowedRegions() {
 	d.t.Helper()
 	for _, servers := range [][]*replica.Server{d.engines, d.apps} {
 		for number, server := range servers {
 			for _, run := range server.Runs() {
 				if strings.Contains(run.ID, "bound") && d.zone(number) != "south" {
-					d.t.Errorf("%s ran in the %s", run.ID, d.zone(number))
+					d.t.Errorf("request %s ran in the %s, want the south", run.ID, d.zone(number))
 				}
 			}
 		}
@@ -76,19 +78,19 @@
 		seen := links.store.markerCount.Load() + links.peer.markerCount.Load()
 		passed += seen
 		if d.zone(number) == "west" && seen > 0 {
-			d.t.Errorf("node %d in the west has had %d bodies", number, seen)
+			d.t.Errorf("node %d in the west sent or received %d request bodies, want none", number, seen)
 		}
 	}
 	if passed == 0 {
-		d.t.Error("no body was seen on any wire")
+		d.t.Error("no request body was seen on any link, so the check proves nothing")
 	}
 }
 
-// owner is the node that runs a job, by the logs.
+// owner returns the number of the node whose log says that it runs the job.
 func (d *platformDeployment) owner(job string) int {
 	d.t.Helper()
 	found := -1
-	d.eventually("some node runs the job", func() bool {
+	d.eventually("a node to start the batch job", func() bool {
 		for number, node := range d.nodes {
 			if node.find(`"batch job started"`, fmt.Sprintf("%q", job)) != nil {
 				found = number
@@ -99,8 +101,8 @@
 	return found
 }
 
-// TestRequestsStayAtHome has callers in the north, homes in the south, and a west that
-// is neither, with two nodes, engines and apps each.
+// Requests must run, and their bodies be sent, in the allowed regions only. Callers are in
+// the north, the south is allowed, the west is neither.
 func TestRequestsStayInAllowedRegions(t *testing.T) {
 	south := []string{"south"}
 	tenants := []map[string]any{
@@ -124,27 +126,28 @@
 	for target, id := range map[string]string{"/live/x": "bound.none", "/chat/x": "bound.none.stream"} {
 		response, err := d.send(north, http.MethodPost, liveHost, target, id, []byte("x"), authorization(otherKeyOfOne))
 		if err != nil || response.status != http.StatusServiceUnavailable || response.header.Get("Retry-After") != "2" || !strings.Contains(response.body, "allowed regions") {
-			t.Errorf("a request with no home: %+v, %v", response, err)
+			t.Errorf("request without a replica in its allowed regions: %+v, %v", response, err)
 		}
 	}
 	if response, err := d.send(north, http.MethodPost, draftHost, "/drafts/x", "bound-refused", d.payload("bound-refused", 4, 1), authorization(otherKeyOfOne)); err != nil ||
 		response.status != http.StatusServiceUnavailable {
-		t.Errorf("a job with no home: %+v, %v", response, err)
+		t.Errorf("job without a replica in its allowed regions: %+v, %v", response, err)
 	}
 
-	// The owner freezes and is cut off; a node inside goes on, and the owner wakes.
+	// The owner is paused and cut off from its peers; another allowed node takes the job
+	// over before the owner resumes.
 	d.submitAs(north, authorization(keyOfOne), "bound-a", 64, 1)
 	owner := d.owner("bound-a")
 	for _, number := range allowedNodes {
-		// Once it has been read everywhere, all of them know of it.
+		// A read at a node makes the job known to that node.
 		if response, err := d.send(d.nodes[number], http.MethodGet, draftHost, "/-/lots/bound-a?sinceRev=0", "reader", nil, authorization(keyOfOne)); err != nil || response.status != http.StatusOK {
-			t.Errorf("first look at the job: %+v, %v", response, err)
+			t.Errorf("first read of the job: %+v, %v", response, err)
 		}
 	}
 	d.links[owner].peer.set(proxyReset)
 	d.nodes[owner].signal(syscall.SIGSTOP)
 	var successor int
-	d.eventually("a node takes the job over", func() bool {
+	d.eventually("a node to take over the batch job", func() bool {
 		for number, node := range d.nodes {
 			if node.find(`"batch job taken over"`, `"bound-a"`) != nil {
 				successor = number
@@ -156,28 +159,28 @@
 	d.nodes[owner].signal(syscall.SIGCONT)
 	d.links[owner].peer.set(proxyPass)
 	if d.zone(owner) == "west" || d.zone(successor) == "west" {
-		t.Errorf("run by nodes %d and %d", owner, successor)
+		t.Errorf("job owned by nodes %d and %d, want none in the west", owner, successor)
 	}
 	d.checkResults(d.readAs(func() *platformNode { return d.nodes[3] }, authorization(keyOfOne), "bound-a", 64), 64, 1)
 	d.checkAllowedRegions()
 
-	// The store answers the west alone: no way through it for bodies, which is so for
-	// jobs only.
+	// Only the west can reach the store. Job payloads must not pass through it; live
+	// requests do not need the store.
 	d.setStoreLinks(proxyReset, allowedNodes...)
 	time.Sleep(time.Second)
 	response, err := d.send(north, http.MethodPost, draftHost, "/drafts/x", "bound-b", d.payload("bound-b", 4, 1),
 		http.Header{"Authorization": authorization(keyOfOne)["Authorization"], "Pathtally-Deadline-Ms": {"3000"}})
 	if err != nil || response.status != http.StatusServiceUnavailable && response.status != http.StatusGatewayTimeout {
-		t.Errorf("a job that only the west could store: %+v, %v", response, err)
+		t.Errorf("job that only the west could store: %+v, %v", response, err)
 	}
 	if response, err := d.send(north, http.MethodPost, liveHost, "/live/x", "bound.cut", []byte("x"), authorization(keyOfOne)); err != nil || response.status != http.StatusOK {
-		t.Errorf("a live request meanwhile: %+v, %v", response, err)
+		t.Errorf("live request without access to the store: %+v, %v", response, err)
 	}
 	d.checkAllowedRegions()
 	d.setStoreLinks(proxyPass, allowedNodes...)
 	d.submitAs(north, authorization(keyOfOne), "bound-c", 8, 1)
 	d.checkResults(d.readAs(func() *platformNode { return north }, authorization(keyOfOne), "bound-c", 8), 8, 1)
-	// A caller of the west's reads results there; the payload stays where it is.
+	// Results may be read in the west; the payload must not get there.
 	d.checkResults(d.readAs(func() *platformNode { return d.nodes[2] }, authorization(keyOfOne), "bound-c", 8), 8, 1)
 	d.checkAllowedRegions()
 }
--- a/test/soak_callers_test.go
+++ b/test/soak_callers_test.go
@@ -16,18 +16,18 @@
 	soakTrainers = 6
 	callInterval = 15 * time.Millisecond
 	callTimeout  = 4 * time.Second
-	// stepTime is when a trainer gives a step up.
+	// stepTimeout is how long a trainer waits for the results of a step.
 	stepTimeout = 8 * time.Second
-	// wantedShare is the part of a step's results that its trainer waits for.
+	// wantedShare is the fraction of a step's results that its trainer waits for.
 	wantedShare = 0.9
 )
 
-// call sends one request to a node's process of now, on a connection of its own.
+// call sends one request to a node's current process on a new connection.
 func (w *soakRun) call(node *soakNode, method, host, target, id string, body []byte, header http.Header) (callerResponse, error) {
 	return w.callOn(nil, node, method, host, target, id, body, header)
 }
 
-// callOn is call for a caller that may have a client.
+// callOn is call with a client, or on a new connection if the client is nil.
 func (w *soakRun) callOn(client *http.Client, node *soakNode, method, host, target, id string, body []byte, header http.Header) (callerResponse, error) {
 	process, _ := node.process()
 	header = header.Clone()
@@ -40,8 +40,8 @@
 	}.do()
 }
 
-// callers send live requests to all nodes. Every other one keeps its connections
-// open and uses them until the process is gone.
+// runCaller sends live requests to all nodes. Callers with odd numbers reuse their
+// connections.
 func (w *soakRun) runCaller(number int) {
 	random := newRandomStream(w.seed, streamCallers+uint64(number))
 	var client *http.Client
@@ -63,7 +63,7 @@
 	}
 }
 
-// recordEnd records how a request ended.
+// recordEnd records the outcome of a request.
 func (w *soakRun) recordEnd(request *soakRequest, response callerResponse, err error) {
 	w.record.mutex.Lock()
 	defer w.record.mutex.Unlock()
@@ -78,7 +78,7 @@
 	response, err := w.callOn(client, node, http.MethodPost, liveHost, request.target, request.id, []byte(request.body), nil)
 	w.recordEnd(request, response, err)
 	if err == nil && response.status == http.StatusOK && response.body != "answer to "+request.id+": "+request.body {
-		w.record.fail("MIXED", "request %s got %q", request.id, response.body)
+		w.record.fail("MIXED", "request %s received %q", request.id, response.body)
 	}
 }
 
@@ -92,7 +92,7 @@
 	}
 }
 
-// trainer asks for one step after the other.
+// runTrainer submits, reads and ends one job after the other.
 func (w *soakRun) runTrainer(number int) {
 	for step := 0; w.sleep(0); step++ {
 		job := drawJob(w.seed, number, step)
@@ -116,7 +116,7 @@
 	return w.weightVersion
 }
 
-// renewWeights names the next version of the model's weights.
+// publishWeights publishes the next weight version of the model.
 func (w *soakRun) publishWeights() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -124,7 +124,7 @@
 	w.store.Write("versions", draftModel, map[string]any{"model": draftModel, "version": w.weightVersion})
 }
 
-// submit hands a job in until it is taken, and gives up after a while.
+// submit submits a job until it is accepted or stepTimeout has passed.
 func (w *soakRun) submit(job *soakJob, step int64) bool {
 	var requests []map[string]any
 	for number := range job.items {
@@ -160,13 +160,13 @@
 	return false
 }
 
-// page reads results of a job at a node and judges them.
+// page reads results of a job at a node, from a position on, and checks them.
 func (w *soakRun) page(node *soakNode, job *soakJob, from int) (callerResponse, error) {
 	known := w.record.resultCount(job)
 	response, err := w.call(node, http.MethodGet, draftHost, fmt.Sprintf("/-/lots/%s?sinceRev=%d", job.id, from), "reader", nil,
 		http.Header{"Pathtally-Wait-Ms": {"300"}})
 	if err == nil && (response.status == http.StatusNotFound || response.status == http.StatusGone) {
-		w.record.fail("LOST", "job %s was accepted and %s answers %d", job.id, node.name, response.status)
+		w.record.fail("LOST", "job %s was accepted, but %s responds with %d", job.id, node.name, response.status)
 	}
 	if err != nil || response.status != http.StatusOK {
 		return response, err
@@ -177,15 +177,15 @@
 		Results   []itemResult
 	}
 	if err := json.Unmarshal([]byte(response.body), &page); err != nil || page.Total != job.items || page.NextToken != from+len(page.Results) {
-		w.record.fail("MIXED", "job %s read at %s: total %d, next %d from %d with %d, %v", job.id, node.name, page.Total, page.NextToken, from, len(page.Results), err)
+		w.record.fail("MIXED", "page of job %s at %s: total %d, next token %d from position %d with %d results, %v", job.id, node.name, page.Total, page.NextToken, from, len(page.Results), err)
 		return response, err
 	}
 	w.record.checkPage(job, from, known, page.Results, node.name)
 	return response, nil
 }
 
-// follow reads a job's results, now and then from an earlier position, until its
-// trainer ends it.
+// follow reads a job's results, now and then from an earlier position, until it is time
+// to end the job.
 func (w *soakRun) follow(job *soakJob) {
 	if job.endPlan.awaitsEvent() {
 		w.awaitEndTrigger(job)
@@ -213,14 +213,13 @@
 }
 
 const (
-	// longestAwait is for how long a job waits for what it is to be ended at, and
-	// awaitPollInterval the time between checks.
+	// endTriggerTimeout bounds the wait for the event at which a job is to be ended.
 	endTriggerTimeout = 12 * time.Second
 	awaitPollInterval = 10 * time.Millisecond
 )
 
-// awaitEnding waits for the moment that a job is to be ended at. It reads nothing
-// itself, since a read may take longer than the moment lasts.
+// awaitEndTrigger waits for the event at which a job is to be ended. It reads no results,
+// since a read may take longer than the event lasts.
 func (w *soakRun) awaitEndTrigger(job *soakJob) {
 	restarts, began := w.restarts.Load(), time.Now()
 	for !w.isTriggered(job, restarts) {
@@ -232,8 +231,8 @@
 	w.sleep(job.endPlan.delay)
 }
 
-// isMet tells whether what a job's end waits for has come, where so many node
-// processes had ended before.
+// isTriggered reports whether the event at which a job is to be ended has happened.
+// restarts is the restart count at the beginning of the wait.
 func (w *soakRun) isTriggered(job *soakJob, restarts int64) bool {
 	switch job.endPlan.trigger {
 	case endAfterRestart:
@@ -246,7 +245,7 @@
 	return false
 }
 
-// endJob ends a job, some at two nodes at once and some again later.
+// endJob ends a job, depending on its plan at two nodes at once or again later.
 func (w *soakRun) endJob(job *soakJob) {
 	var ends sync.WaitGroup
 	if job.endPlan.concurrent {
@@ -259,7 +258,7 @@
 	}
 }
 
-// endOnce ends a job until that is acknowledged, but not for ever.
+// endOnce retries to end a job until that is acknowledged or stepTimeout has passed.
 func (w *soakRun) endOnce(job *soakJob) {
 	for end := time.Now().Add(stepTimeout); time.Now().Before(end); {
 		response, err := w.call(w.randomNode(job.random), http.MethodDelete, draftHost, "/-/lots/"+job.id, "end", nil, nil)
@@ -276,12 +275,12 @@
 const (
 	soakReaders    = 10
 	readerInterval = 40 * time.Millisecond
-	// recentJobs is how many of the newest jobs most reads are for.
+	// recentJobs is the number of newest jobs that most reads are for.
 	recentJobs = 8
 )
 
-// reader reads jobs that are open or have ended at any node: the newest, and now
-// and then any, from where the results end or from an earlier position.
+// runReader reads accepted jobs, running and ended, at random nodes: mostly recent jobs,
+// from the end of the known results or from an earlier position.
 func (w *soakRun) runReader(number int) {
 	random := newRandomStream(w.seed, streamReaders+uint64(number))
 	for w.sleep(readerInterval) {
@@ -301,7 +300,7 @@
 	}
 }
 
-// replicaHeartbeats keeps the entries of engines current.
+// refreshEngineEntries rewrites the entries of engines whose weight version has changed.
 func (w *soakRun) refreshEngineEntries() {
 	written := map[string]int64{}
 	for w.sleep(200 * time.Millisecond) {
@@ -314,7 +313,7 @@
 	}
 }
 
-// refresh writes a living replica's entry again.
+// rewriteEntry writes the entry of a replica unless it has been removed or drains.
 func (w *soakRun) rewriteEntry(living *soakReplica) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -325,8 +324,7 @@
 	}
 }
 
-// versionProber watches that no node goes back to an older configuration
-// within one life of its process.
+// probeConfigVersion checks that no process of a node returns to an older configuration.
 func (w *soakRun) probeConfigVersion(node *soakNode) {
 	seenIncarnation, seenVersion := 0, 0
 	for count := 0; w.sleep(100 * time.Millisecond); count++ {
@@ -350,7 +348,7 @@
 		case response.status == http.StatusOK:
 			seenVersion = max(seenVersion, asked)
 		case response.status == http.StatusNotFound && seenVersion >= asked && newestAfter <= asked+1:
-			w.record.fail("CONFIG", "%s knew version %d and answers 404 on the route of version %d", node.name, seenVersion, asked)
+			w.record.fail("CONFIG", "%s had configuration version %d and responds with 404 on the route of version %d", node.name, seenVersion, asked)
 		}
 	}
 }
--- a/test/soak_checks_test.go
+++ b/test/soak_checks_test.go
@@ -7,8 +7,8 @@
 	"github.com/pathtally/pathtally/standin/replica"
 )
 
-// Each check of the soak finds a history that breaks its promise, and only
-// that one.
+// Each check of the soak must report the history that violates it, and no other check
+// must report that history.
 func TestSoakChecksDetectViolations(t *testing.T) {
 	now := time.Now()
 	whole := itemResult{ID: "i", State: "succeeded", Message: replica.Text("i"), Score: "s", Versions: []int64{3}}
@@ -46,68 +46,68 @@
 		name, rule string
 		apply      func(*soakRecord)
 	}{
-		{"a sound run", "", runs(request(true, 200), run)},
-		{"a request that was never sent", "UNASKED", runs(func(*soakRecord) {}, run)},
+		{"a correct run", "", runs(request(true, 200), run)},
+		{"a request that was not sent", "UNASKED", runs(func(*soakRecord) {}, run)},
 		{"a request with another body", "UNASKED", runs(request(false, 200), replica.Run{ID: "a", Target: "/x", Body: "c"})},
 		{"a safe request that ran twice", "", runs(request(false, 200), run, run)},
 		{"an unsafe request that ran twice", "TWICE", runs(request(true, 200), run, run)},
-		{"an unsafe request refused and run", "REFUSED", runs(request(true, 503), run)},
-		{"an unsafe request lost and run", "", runs(request(true, 502), run)},
+		{"an unsafe request that was refused and ran", "REFUSED", runs(request(true, 503), run)},
+		{"an unsafe request whose response was lost", "", runs(request(true, 502), run)},
 		{"a refused job whose item ran", "REFUSED", func(r *soakRecord) {
 			r.jobs = []*soakJob{{id: "j", refused: true}}
 			r.checkRefused([]replica.Run{{ID: "j.1"}})
 		}},
-		{"sound results", "", page(whole, changed(func(l *itemResult) { l.ID, l.Message = "k", replica.Text("k") }))},
+		{"correct results", "", page(whole, changed(func(l *itemResult) { l.ID, l.Message = "k", replica.Text("k") }))},
 		{"an item listed twice", "TWICE", page(whole, whole)},
 		{"a position with another result", "TWICE", func(r *soakRecord) {
 			job := &soakJob{id: "j", minVersion: 3}
 			r.checkPage(job, 0, 0, []itemResult{whole}, "one")
 			r.checkPage(job, 0, 1, []itemResult{changed(func(l *itemResult) { l.Message = "other" })}, "two")
 		}},
-		{"a position that was read and is empty", "LOST", func(r *soakRecord) {
+		{"a position that held a result and is empty", "LOST", func(r *soakRecord) {
 			job := &soakJob{id: "j", minVersion: 3, endedAt: now}
 			r.checkPage(job, 0, 0, []itemResult{whole}, "one")
 			r.checkPage(job, 0, 1, nil, "two")
 		}},
-		{"a position that was read while the page was on its way", "", func(r *soakRecord) {
+		{"a position that got its result after the page was requested", "", func(r *soakRecord) {
 			job := &soakJob{id: "j", minVersion: 3}
 			r.checkPage(job, 0, 0, []itemResult{whole}, "one")
 			r.checkPage(job, 0, 0, nil, "two")
 		}},
-		{"nothing behind the last position", "", func(r *soakRecord) {
+		{"an empty page after the last position", "", func(r *soakRecord) {
 			job := &soakJob{id: "j", minVersion: 3}
 			r.checkPage(job, 0, 0, []itemResult{whole}, "one")
 			r.checkPage(job, 1, 1, nil, "two")
 		}},
 		{"an item long after its job's end", "ENDED", ended(at("j.1", cancelBound+time.Second))},
-		{"a reward call long after its job's end", "ENDED", ended(at("score.j.1", cancelBound+time.Second))},
+		{"a scorer call long after its job's end", "ENDED", ended(at("score.j.1", cancelBound+time.Second))},
 		{"an item soon after its job's end", "", ended(at("j.1", cancelBound-time.Second))},
-		{"an item of a job that was not ended", "", ended(at("k.1", cancelBound+time.Second))},
+		{"an item of a running job", "", ended(at("k.1", cancelBound+time.Second))},
 		{"an item while a node is paused", "", ended(at("j.1", cancelBound+time.Second), disturbed("", time.Second, 4*time.Second))},
-		{"an item soon after a node was woken", "", ended(at("j.1", 4*time.Second+cancelBound/2), disturbed("", -time.Second, 4*time.Second))},
-		{"an item long after a node was woken", "ENDED", ended(at("j.1", 5*time.Second+cancelBound), disturbed("", -time.Second, 4*time.Second))},
-		{"an item although the pause was before the end", "ENDED", ended(at("j.1", cancelBound+time.Second), disturbed("", -2*time.Second, -time.Second))},
-		{"an item although the pause was after the bound", "ENDED", ended(at("j.1", cancelBound+2*time.Second), disturbed("", cancelBound+time.Second, cancelBound+3*time.Second))},
-		{"an item that a frozen link held back", "", ended(at("j.1", cancelBound+time.Second), disturbed("engine", time.Second, cancelBound+time.Second))},
+		{"an item soon after a node was resumed", "", ended(at("j.1", 4*time.Second+cancelBound/2), disturbed("", -time.Second, 4*time.Second))},
+		{"an item long after a node was resumed", "ENDED", ended(at("j.1", 5*time.Second+cancelBound), disturbed("", -time.Second, 4*time.Second))},
+		{"an item after a pause that was before the end", "ENDED", ended(at("j.1", cancelBound+time.Second), disturbed("", -2*time.Second, -time.Second))},
+		{"an item before a pause that was after the bound", "ENDED", ended(at("j.1", cancelBound+2*time.Second), disturbed("", cancelBound+time.Second, cancelBound+3*time.Second))},
+		{"an item delayed by a frozen link", "", ended(at("j.1", cancelBound+time.Second), disturbed("engine", time.Second, cancelBound+time.Second))},
 		{"an item while another replica's link is frozen", "ENDED", ended(at("j.1", cancelBound+time.Second), disturbed("other", time.Second, cancelBound+time.Second))},
 		{"a text with a gap", "ORDER", page(changed(func(l *itemResult) { l.Message = "i-1" }))},
 		{"a result without a score", "MIXED", page(changed(func(l *itemResult) { l.Score = "" }))},
 		{"a result without versions", "VERSION", page(changed(func(l *itemResult) { l.Versions = nil }))},
-		{"a result of old weights", "VERSION", page(changed(func(l *itemResult) { l.Versions = []int64{2, 3} }))},
-		{"a token that falls", "ONE", orders(nil, replica.OrderSeen{Owner: "a", Token: 5, At: now}, replica.OrderSeen{Owner: "b", Token: 4, At: now})},
-		{"an order that a healed link brought late", "", orders([]time.Time{now}, replica.OrderSeen{Owner: "a", Token: 5, At: now},
+		{"a result of an old weight version", "VERSION", page(changed(func(l *itemResult) { l.Versions = []int64{2, 3} }))},
+		{"a fencing token that decreases", "ONE", orders(nil, replica.OrderSeen{Owner: "a", Token: 5, At: now}, replica.OrderSeen{Owner: "b", Token: 4, At: now})},
+		{"an order that arrives late over a healed link", "", orders([]time.Time{now}, replica.OrderSeen{Owner: "a", Token: 5, At: now},
 			replica.OrderSeen{Owner: "b", Token: 4, At: now.Add(healGrace / 2)})},
-		{"a token of two owners", "ONE", orders(nil, replica.OrderSeen{Owner: "a", Token: 5, At: now}, replica.OrderSeen{Owner: "b", Token: 5, At: now})},
-		{"a late request at a leaving replica", "DRAIN", func(r *soakRecord) {
+		{"a fencing token of two owners", "ONE", orders(nil, replica.OrderSeen{Owner: "a", Token: 5, At: now}, replica.OrderSeen{Owner: "b", Token: 5, At: now})},
+		{"a late request at a draining replica", "DRAIN", func(r *soakRecord) {
 			r.checkDrained("app", now, time.Second, []replica.Run{{ID: "a", At: now.Add(2 * time.Second)}})
 		}},
-		{"requests before the bound", "", func(r *soakRecord) {
+		{"requests at a draining replica before the bound", "", func(r *soakRecord) {
 			r.checkDrained("app", now, time.Second, []replica.Run{{ID: "a", At: now.Add(time.Second / 2)}})
 		}},
 		{"a request in an evacuated zone", "EVAC", func(r *soakRecord) {
 			r.checkEvacuated("app", now, now.Add(2*time.Second), []replica.Run{{ID: "a", At: now.Add(time.Second)}})
 		}},
-		{"requests before the bound of an evacuation and after it", "", func(r *soakRecord) {
+		{"requests before the bound of an evacuation and after its end", "", func(r *soakRecord) {
 			r.checkEvacuated("app", now, now.Add(time.Second), []replica.Run{{ID: "a", At: now.Add(-time.Second)}, {ID: "b", At: now.Add(2 * time.Second)}})
 		}},
 	} {
@@ -118,7 +118,7 @@
 			found = finding.rule
 		}
 		if found != test.rule || len(record.findings) > 1 {
-			t.Errorf("%s: found %v, want %q", test.name, record.findings, test.rule)
+			t.Errorf("%s: findings %v, want rule %q", test.name, record.findings, test.rule)
 		}
 	}
 }
--- a/test/soak_crashes_test.go
+++ b/test/soak_crashes_test.go
@@ -9,34 +9,35 @@
 	"github.com/pathtally/pathtally/internal/callers/forward"
 )
 
-// crashingRequest is a request that ends each replica that begins to run it.
+// crashingRequest is a request under which each replica that runs it crashes.
 type crashingRequest struct{ target, body string }
 
-// crashingRequests are those of each run: one that engines run and one that apps run.
+// crashingRequests are sent in each run: one to apps and one to engines.
 var crashingRequests = []crashingRequest{
 	{target: "/live/crash", body: crashingText + " as a plain request"},
 	{target: "/chat/crash", body: crashingText + " as a stream"},
 }
 
-// popularBody is that of a good request which comes again and again.
+// popularBody is the body of a harmless request that is sent again and again.
 const popularBody = "everybody asks this"
 
 const (
-	// shortestCrashPause and longestCrashPause are the time between requests that end
-	// replicas: with less, those that remain have no time to show anything else.
+	// minCrashInterval and maxCrashInterval bound the time between crashing requests, so
+	// that the other checks have replicas between the crashes.
 	minCrashInterval = 800 * time.Millisecond
 	maxCrashInterval = 2500 * time.Millisecond
-	// entryLapse is how long the entry of a replica that has ended stands.
+	// entryRemovalDelay is the time from the crash of a replica to the removal of its entry.
 	entryRemovalDelay = 400 * time.Millisecond
-	// calmTries bounds how often a request is sent in calm until it is refused: each try
-	// that a replica takes ends one at the least, and what was known of ends before may be
-	// lost.
+	// quarantineTries bounds how often a crashing request is sent after the last fault until
+	// it is refused: each try that a replica accepts crashes at least one, and earlier
+	// crashes may have been forgotten.
 	quarantineTries = maxCrashes + 1
-	// maxFullTries bounds the further tries for those that every replica turned away.
+	// maxAllFullRetries bounds the retries of requests that were refused because all replicas
+	// were full.
 	maxAllFullRetries = 8
 )
 
-// replaceEnded replaces the replicas that have ended by themselves.
+// replaceCrashed replaces the replicas that have crashed.
 func (w *soakRun) replaceCrashed() {
 	for w.sleep(superviseInterval) {
 		w.mutex.Lock()
@@ -51,13 +52,13 @@
 	}
 }
 
-// replace has an ended replica start again: under a new id once its entry has lapsed, or
-// under the id that it had, before that or after.
+// replace starts the replacement of a crashed replica: under a new id, or under the same
+// id with its entry removed before or not.
 func (w *soakRun) replace(ended *soakReplica) {
 	w.mutex.Lock()
 	way := w.replicasStarted % 3
 	if !ended.drainedAt.IsZero() {
-		// Whoever drains it takes the entry of its id away later.
+		// The drain removes the entry of this id later, so the id cannot be reused.
 		way = 1
 	}
 	w.mutex.Unlock()
@@ -72,8 +73,8 @@
 	w.startReplica(ended.service, ended.id)
 }
 
-// crashers send the requests that end replicas, and a popular one beside them, while
-// faults come.
+// sendCrashingRequests sends crashing requests, each with a popular one, until the last
+// fault has ended.
 func (w *soakRun) sendCrashingRequests() {
 	random := newRandomStream(w.seed, streamCrashes)
 	for count := 0; w.sleep(random.duration(minCrashInterval, maxCrashInterval)) && !w.faultsEnded.Load(); count++ {
@@ -83,7 +84,7 @@
 	}
 }
 
-// sendCrashing sends a request that ends replicas to a node.
+// sendCrashing sends a crashing request to a node.
 func (w *soakRun) sendCrashing(node *soakNode, crashing crashingRequest, id string) (callerResponse, error) {
 	request := &soakRequest{id: id, target: crashing.target, body: crashing.body}
 	w.record.recordRequest(request)
@@ -102,7 +103,7 @@
 	return response, err
 }
 
-// runsOf counts the runs of requests with a body.
+// runCount counts the runs of requests whose body contains a text.
 func (w *soakRun) runCount(body string) int {
 	count := 0
 	for _, seen := range w.allReplicas() {
@@ -115,11 +116,10 @@
 	return count
 }
 
-// checkCrashing sends the requests that end replicas in calm until they are refused, and
-// checks that no more replicas end under each than may, and that all nodes then refuse
-// them and serve the popular one. Ends from before the calm may be forgotten: where all
-// nodes lose power, those that are less than enough are known to nobody any more, and up
-// to as many more replicas end than otherwise.
+// checkCrashing sends the crashing requests until they are refused. It checks that at most
+// maxCrashes replicas crash under each, and that all nodes then refuse them and serve the
+// popular request. It counts from the last fault on, since a loss of power of all nodes
+// loses the crashes of requests that are not quarantined yet.
 func (w *soakRun) checkCrashing() {
 	for number, crashing := range crashingRequests {
 		before := w.runCount(crashing.body)
@@ -130,13 +130,13 @@
 				break
 			}
 			if isRefusal(response, err, forward.ReasonAllFull) && full < maxAllFullRetries {
-				// No replica took it, so none has ended under it.
+				// No replica accepted it, so none crashed under it.
 				full++
 			}
 			time.Sleep(entryRemovalDelay + propagationTime/2)
 		}
 		if after := w.runCount(crashing.body); after-before > maxCrashes {
-			w.record.fail("BUDGET", "a request ran %d times in calm until it was refused, %d times before", after-before, before)
+			w.record.fail("BUDGET", "a crashing request ran %d times after the last fault until it was refused, and %d times before", after-before, before)
 		}
 	}
 	time.Sleep(propagationTime)
@@ -144,28 +144,28 @@
 	for _, node := range w.nodes {
 		response, err := w.sendPopular(node, "popular.calm."+node.name)
 		if err != nil || response.status != http.StatusOK {
-			w.record.fail("REFUSED", "%s answers the popular request with %d, %v", node.name, response.status, err)
+			w.record.fail("REFUSED", "%s responds to the popular request with %d, %v", node.name, response.status, err)
 		}
 	}
 }
 
-// isRefusal tells whether an answer refuses a request as not run, for a reason.
+// isRefusal reports whether a response refuses a request as not run, for the given reason.
 func isRefusal(response callerResponse, err error, reason string) bool {
 	return err == nil && response.status == http.StatusServiceUnavailable && strings.Contains(response.body, reason)
 }
 
-// checkQuarantined checks that no node sends on the requests that end replicas.
+// checkQuarantined checks that every node refuses the crashing requests without running them.
 func (w *soakRun) checkQuarantined(when string) {
 	for number, crashing := range crashingRequests {
 		before := w.runCount(crashing.body)
 		for _, node := range w.nodes {
 			response, err := w.sendCrashing(node, crashing, fmt.Sprintf("check.%s.%d.%s", strings.ReplaceAll(when, " ", "-"), number, node.name))
 			if err != nil || response.status != http.StatusServiceUnavailable || response.header.Get("Retry-After") == "" {
-				w.record.fail("BUDGET", "%s answers a request under which %d replicas have ended with %d %s, %v", node.name, before, response.status, when, err)
+				w.record.fail("BUDGET", "%s responds to a request under which %d replicas crashed with %d %s, %v", node.name, before, response.status, when, err)
 			}
 		}
 		if after := w.runCount(crashing.body); after > before {
-			w.record.fail("BUDGET", "a request under which %d replicas have ended ran %d times more %s", before, after-before, when)
+			w.record.fail("BUDGET", "a request under which %d replicas crashed ran %d times more %s", before, after-before, when)
 		}
 	}
 }
