--- a/test/soak_crashes_test.go
+++ b/test/soak_crashes_test.go
@@ -56,6 +56,7 @@
 // id with its entry removed before or not.
 func (w *soakRun) replace(ended *soakReplica) {
 	w.mutex.Lock()
+	// 0: same id, entry kept; 1: new id, entry removed; 2: same id, entry removed.
 	way := w.replicasStarted % 3
 	if !ended.drainedAt.IsZero() {
 		// The drain removes the entry of this id later, so the id cannot be reused.
--- a/test/soak_ends_test.go
+++ b/test/soak_ends_test.go
@@ -8,21 +8,22 @@
 	"github.com/pathtally/pathtally/standin/replica"
 )
 
-// endBound is within which nothing more of an ended job reaches a replica: the
-// deployment's cancelMs.
+// cancelBound is the time after the end of a job from which no item of it may reach a
+// replica: the deployment's cancelMs.
 const cancelBound = 3 * time.Second
 
-// hiding is a time in which the report of an end may reach a node late, or a link may
-// hold back what was sent to a replica before the end.
+// disturbance is a period in which nodes may learn of the end of a job late, or a link may
+// delay requests that were sent to a replica before the end.
 type disturbance struct {
-	// replica is the one whose link is disturbed, empty for a node or the store.
+	// replica is the replica whose link is disturbed, empty for a node or the store.
 	replica string
 	from    time.Time
-	// to is zero while it lasts.
+	// to is zero until the disturbance ends.
 	to time.Time
 }
 
-// hide records that a hiding begins and returns what ends it.
+// beginDisturbance records the start of a disturbance and returns a function that records
+// its end.
 func (r *soakRecord) beginDisturbance(replica string) func() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -35,8 +36,9 @@
 	}
 }
 
-// quietAfter is when the bound of an end has passed at a replica: it starts
-// anew after each hiding that touches it. The mutex must be held.
+// cancelDeadline returns the time from which no item of an ended job may reach a replica.
+// The bound restarts after each disturbance that overlaps it. The disturbances must be
+// sorted by their start. r.mutex must be held.
 func (r *soakRecord) cancelDeadline(endedAt time.Time, replica string) time.Time {
 	bound := endedAt.Add(cancelBound)
 	for _, disturbed := range r.disturbances {
@@ -54,8 +56,8 @@
 	return bound
 }
 
-// checkEnded judges the runs of a replica: no item and no reward call of a job
-// comes later than the bound after its end was acknowledged.
+// checkEnded checks that no item and no scorer call of a job reached a replica after the
+// cancel deadline that follows the acknowledged end of the job.
 func (r *soakRecord) checkEnded(name string, runs []replica.Run) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -70,13 +72,13 @@
 	for _, run := range runs {
 		job := jobID(run.ID)
 		if bound, isEnded := bounds[job]; isEnded && run.At.After(bound) {
-			r.add("ENDED", "item %s reached %s at %s, its job's end was acknowledged at %s, the bound passed at %s",
+			r.add("ENDED", "item %s reached %s at %s; the end of its job was acknowledged at %s and the cancel deadline was %s",
 				run.ID, name, formatTime(run.At), formatTime(ends[job]), formatTime(bound))
 		}
 	}
 }
 
-// ends counts the jobs whose end was acknowledged.
+// endedJobCount counts the jobs whose end was acknowledged.
 func (r *soakRecord) endedJobCount() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -89,7 +91,7 @@
 	return count
 }
 
-// jobOf is the job that an item or a reward call belongs to.
+// jobID returns the id of the job that an item or a scorer call belongs to.
 func jobID(id string) string {
 	id = strings.TrimPrefix(id, "score.")
 	if dot := strings.LastIndexByte(id, '.'); dot >= 0 {
@@ -98,7 +100,7 @@
 	return id
 }
 
-// clockTime writes a time as logs of faults have it.
+// formatTime formats a time as in the log of faults.
 func formatTime(at time.Time) string {
 	if at.IsZero() {
 		return "never"
--- a/test/soak_evacuation_test.go
+++ b/test/soak_evacuation_test.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// soakZones are where replicas stand, in turns; all nodes stand in the first.
+// soakZones are the zones of replicas, assigned in turn; all nodes are in the first.
 var soakZones = []string{"zone-a", "zone-b"}
 
 const (
-	// evacuationBound is the nodes' setting: when after the word that a zone is
-	// evacuated nothing may reach it any more.
+	// evacuationBound is the nodes' setting of that name: the time after the start of a
+	// zone's evacuation from which no request may reach the zone.
 	evacuationBound = 3 * time.Second
-	// evacuatedTime is for how long the zone is watched from then on.
+	// evacuationWatch is how long the zone is watched from then on.
 	evacuationWatch = time.Second
 )
 
-// evacuate has a zone evacuated while nothing else is disturbed, and checks that
-// nothing is sent there from the bound until the evacuation is taken back.
+// evacuate evacuates a zone while there is no other fault, and checks that no request
+// reaches it from the bound until the evacuation ends.
 func (w *soakRun) evacuate() {
 	zone := soakZones[1]
 	w.store.Write("evacuations", zone, struct{}{})
--- a/test/soak_faults_test.go
+++ b/test/soak_faults_test.go
@@ -14,15 +14,16 @@
 	"github.com/pathtally/pathtally/standin/replica"
 )
 
-// soakFault is a kind of trouble. It begins, lasts for a time and is mended.
+// soakFault is a kind of fault. It is injected, lasts for a time and is then healed.
 type soakFault struct {
 	name string
-	// inject begins the fault and returns what mends it; nil mends itself.
+	// inject begins the fault and returns its description and the function that heals it;
+	// nil if the fault needs no healing.
 	inject func(w *soakRun, from *randomStream) (what string, mend func())
 }
 
-// soakFaults are the kinds that a run draws from; some are listed more than once
-// to be drawn more often.
+// soakFaults are the kinds that a run draws from. Kinds listed more than once are drawn
+// more often.
 var soakFaults = []soakFault{
 	{"node killed", killNode}, {"node stopped as planned", stopNode}, {"node paused", pauseNode}, {"settings changed", changeSettings},
 	{"store link", disturbStoreLink}, {"peer link", disturbPeerLink}, {"replica link", disturbReplicaLink},
@@ -31,11 +32,11 @@
 	{"store slow", slowStore}, {"store slow", slowStore}, {"replica drains", drainReplica}, {"replica vanishes", hideReplicaEntry}, {"configurations", changeConfiguration},
 }
 
-// restartPause is the time between the end of a process and its next start.
+// restartDelay is the time between the end of a process and its next start.
 const restartDelay = 300 * time.Millisecond
 
-// anyNode draws a node that runs, more often than others the one with the newest
-// job: all jobs of a model are run by few nodes.
+// randomRunningNode draws a running node, or nil for none. It prefers the owner of the
+// newest job, since few nodes own all jobs of a model.
 func (w *soakRun) randomRunningNode(random *randomStream) *soakNode {
 	first := random.intN(len(w.nodes))
 	if owner := w.newestOwner(); random.intN(2) == 0 && owner >= 0 {
@@ -49,8 +50,8 @@
 	return nil
 }
 
-// newestOwner is the number of the node that owns the newest job as the store
-// has it, below 0 for none.
+// newestOwner returns the number of the node that owns the newest job in the store, or a
+// negative number for none.
 func (w *soakRun) newestOwner() int {
 	jobs := w.store.Objects(jobstore.KindJobs)
 	if len(jobs) == 0 {
@@ -63,7 +64,7 @@
 	return slices.IndexFunc(w.nodes, func(node *soakNode) bool { return node.name == record.Owner.Node })
 }
 
-// anyReplica draws a living replica of any service.
+// randomReplica draws a running replica of any service.
 func (w *soakRun) randomReplica(random *randomStream) *soakReplica {
 	service := "apps"
 	if random.intN(2) == 0 {
@@ -71,7 +72,7 @@
 	}
 	living := w.ofService(service)
 	for len(living) == 0 {
-		// All have ended under requests: their successors are about to start.
+		// All replicas of the service have crashed; their replacements are about to start.
 		time.Sleep(superviseInterval)
 		living = w.ofService(service)
 	}
@@ -115,8 +116,7 @@
 	}
 }
 
-// longestPause is what a pause may last beyond the time of a fault, so that some
-// last for nine seconds.
+// maxExtraPause is how much longer than other faults a pause may last.
 const maxExtraPause = 5 * time.Second
 
 func changeSettings(w *soakRun, random *randomStream) (string, func()) {
@@ -129,12 +129,12 @@
 	return node.name, nil
 }
 
-// disturb draws what happens to a link.
+// disturb draws and injects a fault of a link.
 func (w *soakRun) disturb(random *randomStream, link *proxy, replica, description string) (string, func()) {
 	endDisturbance := w.record.beginDisturbance(replica)
 	switch random.intN(5) {
 	case 0:
-		// Those who use it notice by their own bounds.
+		// Its users notice by their own timeouts.
 		description += fmt.Sprintf(" silenced for good on %d connections", link.blackhole())
 		return description, endDisturbance
 	case 1:
@@ -153,7 +153,7 @@
 	return description, func() {
 		link.delay.Store(0)
 		link.set(proxyPass)
-		// Bytes were lost on connections that were cut one way.
+		// Connections in one-way mode have lost bytes.
 		link.resetOpen()
 		w.recordHeal()
 		endDisturbance()
@@ -175,7 +175,7 @@
 	return w.disturb(random, disturbed.link, disturbed.id, disturbed.id)
 }
 
-// disturbStore makes the store itself misbehave for everybody.
+// disturbStore injects a fault of the store, for all nodes.
 func disturbStore(w *soakRun, random *randomStream) (string, func()) {
 	kinds := []struct {
 		name  string
@@ -199,41 +199,40 @@
 }
 
 const (
-	// fastestAnswer and slowestAnswer are what a slow store takes for an answer.
-	// Nodes wait longer than that for one.
+	// minStoreDelay and maxStoreDelay bound the delay of a slow store call. It is shorter
+	// than the nodes' timeout.
 	minStoreDelay = 300 * time.Millisecond
 	maxStoreDelay = time.Second
 )
 
-// slowCalls are the store's slow calls about jobs. It is safe for use by many
-// goroutines.
+// slowCalls holds the delayed store calls about jobs. It is safe for concurrent use.
 type slowCalls struct {
 	mutex sync.Mutex
-	// until is when the last one of a kind will be answered.
+	// until is when the last such call completes. The name of each call is a job's.
 	until map[metastore.Call]time.Time
 }
 
-// add records a call that is answered after a time.
+// add records a call that is delayed by a time.
 func (s *slowCalls) add(call metastore.Call, takes time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.until == nil {
 		s.until = map[metastore.Call]time.Time{}
 	}
-	// Names of parts are those of their jobs with a number.
+	// Stored parts of a job are named after the job, with a number.
 	call.Name = call.Name[:max(0, strings.LastIndexByte(call.Name, '-'))]
 	s.until[call] = time.Now().Add(takes)
 }
 
-// isOn tells whether a call about a job is under way.
+// inProgress reports whether a delayed call about a job is in progress.
 func (s *slowCalls) inProgress(kind, verb, job string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return time.Now().Before(s.until[metastore.Call{Verb: verb, Kind: kind, Name: job}])
 }
 
-// slowStore has the store answer late, having carried the call out before or
-// after that time. Nobody is hidden by it.
+// slowStore delays store calls, either before or after they take effect. It is not recorded
+// as a disturbance, since no call fails.
 func slowStore(w *soakRun, random *randomStream) (string, func()) {
 	extra := random.duration(0, maxExtraSlowTime)
 	w.store.SetDelay(func(call metastore.Call) metastore.Delay {
@@ -250,11 +249,11 @@
 	}
 }
 
-// longestSlow is how much longer than other faults a slow store may last.
+// maxExtraSlowTime is how much longer than other faults a slow store may last.
 const maxExtraSlowTime = 3 * time.Second
 
-// powerLoss kills all nodes that run at once and starts them again, mostly before
-// a store that is slow at first.
+// powerLoss kills all running nodes at once and starts them again, mostly with a store that
+// is slow at first.
 func powerLoss(w *soakRun, random *randomStream) (string, func()) {
 	var killed []*soakNode
 	for _, node := range w.nodes {
@@ -278,11 +277,11 @@
 	}
 }
 
-// slowAfterRestart is for how long the store stays slow after a power loss at the
-// least: nodes need some of its answers until they read jobs.
+// slowStoreAfterRestart is how long the store stays slow after a power loss, so that it is
+// still slow when the nodes read jobs.
 const slowStoreAfterRestart = 3 * time.Second
 
-// signalSeries stops a node by signals that overlap.
+// overlappingSignals terminates a node and sends further signals during its shutdown.
 func overlappingSignals(w *soakRun, random *randomStream) (string, func()) {
 	node := w.randomRunningNode(random)
 	if node == nil {
@@ -312,8 +311,8 @@
 	}
 }
 
-// longestBetween is the time between signals of a series at most: a planned stop
-// takes about as long.
+// maxSignalInterval bounds the time between signals; a graceful shutdown takes about as
+// long.
 const maxSignalInterval = 1500 * time.Millisecond
 
 func compactStoreHistory(w *soakRun, random *randomStream) (string, func()) {
@@ -327,7 +326,7 @@
 	return corrupted.id, func() { corrupted.server.SetFaults(replica.Faults{}) }
 }
 
-// crashReplica ends a replica; its entry lapses later and another one comes.
+// crashReplica ends a replica. Later its entry is removed and another replica starts.
 func crashReplica(w *soakRun, random *randomStream) (string, func()) {
 	crashed := w.randomReplica(random)
 	w.removeReplica(crashed)
@@ -339,7 +338,7 @@
 	}
 }
 
-// drainReplica has a replica say that it leaves; another one comes first.
+// drainReplica marks a replica as draining after it has started another one.
 func drainReplica(w *soakRun, random *randomStream) (string, func()) {
 	leaving := w.randomReplica(random)
 	w.addReplica(leaving.service)
@@ -355,11 +354,10 @@
 	}
 }
 
-// drainServes is how much longer a leaving replica serves after the time that
-// the fault lasts.
+// serveAfterDrain is how much longer than the fault a draining replica serves.
 const serveAfterDrain = 2500 * time.Millisecond
 
-// vanishReplica takes a living replica's entry away for a while.
+// hideReplicaEntry removes the entry of a running replica for a while.
 func hideReplicaEntry(w *soakRun, random *randomStream) (string, func()) {
 	hidden := w.randomReplica(random)
 	w.store.Remove("servers", hidden.id)
@@ -374,7 +372,7 @@
 	}
 }
 
-// changeConfiguration writes several versions in quick succession.
+// changeConfiguration writes several configuration versions in quick succession.
 func changeConfiguration(w *soakRun, random *randomStream) (string, func()) {
 	count := 1 + random.intN(6)
 	for range count {
--- a/test/soak_random_test.go
+++ b/test/soak_random_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Streams of a seed. Each duty, job and fault draws from one of its own, so
-// that what it draws does not depend on how goroutines are scheduled.
+// Random streams of a seed. Each task, job and fault has its own stream, so that its draws
+// do not depend on how goroutines are scheduled.
 const (
 	streamSpec = uint64(iota+1) << 32
 	streamFaults
@@ -21,10 +21,10 @@
 	streamCrashes
 )
 
-// jobsOfTrainer parts the streams of the trainers' jobs.
+// jobStreamsPerTrainer separates the streams of the trainers' jobs.
 const jobStreamsPerTrainer = 1 << 16
 
-// draws is one stream of a seed. It is safe for use by many goroutines.
+// randomStream is one random stream of a seed. It is safe for concurrent use.
 type randomStream struct {
 	mutex sync.Mutex
 	rand  *rand.Rand
@@ -34,35 +34,35 @@
 	return &randomStream{rand: rand.New(rand.NewPCG(seed, stream))}
 }
 
-// chance draws a number below a bound.
+// intN draws a number from 0 up to, but not including, a bound.
 func (d *randomStream) intN(bound int) int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.rand.IntN(bound)
 }
 
-// span draws a time between two.
+// duration draws a duration between two, in whole milliseconds.
 func (d *randomStream) duration(from, to time.Duration) time.Duration {
 	return from + time.Duration(d.intN(int((to-from).Milliseconds())+1))*time.Millisecond
 }
 
 const (
 	soakNodes = 4
-	// manyNodes is how many processes one run in manyNodesEvery has.
+	// manyNodes is the number of nodes in one of manyNodesEvery runs.
 	manyNodes      = 12
 	manyNodesEvery = 8
 )
 
-// soakShape is what the run of a seed is like.
+// soakSpec is what a seed determines about a whole run.
 type soakSpec struct {
 	nodes int
-	// closing is a fault shortly before the load ends, so that what it does to
-	// jobs is still there when they are read for the last time; nil for none.
+	// finalFault is injected shortly before the load ends, so that its effects on jobs are
+	// not yet repaired when they are read for the last time; nil for none.
 	finalFault func(w *soakRun, from *randomStream) (string, func())
 	random     *randomStream
 }
 
-// shapeOf draws the shape of a run.
+// drawSpec draws the spec of a run.
 func drawSpec(seed uint64) soakSpec {
 	spec := soakSpec{nodes: soakNodes, random: newRandomStream(seed, streamSpec)}
 	if spec.random.intN(manyNodesEvery) == 0 {
@@ -78,21 +78,21 @@
 }
 
 const (
-	// shortestFault and longestFault bound how long a fault lasts.
+	// minFaultDuration and maxFaultDuration bound how long a fault lasts.
 	minFaultDuration = 300 * time.Millisecond
 	maxFaultDuration = 3800 * time.Millisecond
 )
 
-// drawnFault is one of the faults of a run.
+// drawnFault is a fault of a run with its drawn parameters.
 type drawnFault struct {
 	soakFault
 	duration time.Duration
-	// alone faults are mended before the next begins.
+	// exclusive faults end before the next one is injected.
 	exclusive bool
 	random    *randomStream
 }
 
-// drawFault draws the fault with a number.
+// drawFault draws the fault with the given number.
 func drawFault(seed uint64, number int) drawnFault {
 	stream := newRandomStream(seed, streamFaults+uint64(number))
 	return drawnFault{
@@ -100,18 +100,18 @@
 	}
 }
 
-// soakEnding is what a trainer ends a job after.
+// endPlan is when and how a trainer ends a job.
 type endPlan struct {
 	trigger endTrigger
-	// after is the time to the end from the acceptance or from the restart or call
-	// that is waited for.
+	// delay is the time from the acceptance of the job, or from the restart or store call
+	// that triggers the end.
 	delay time.Duration
-	// again is set where the end is repeated at another node, and together where
-	// that is done at the same time.
+	// repeated ends the job again later, and concurrent ends it twice at the same time,
+	// each at a random node.
 	repeated, concurrent bool
 }
 
-// waits tells whether the end is at something that happens to the nodes.
+// awaitsEvent reports whether the end is triggered by a restart or a store call.
 func (e endPlan) awaitsEvent() bool {
 	return e.trigger != endAfterResults && e.trigger != endAfterDelay
 }
@@ -119,14 +119,14 @@
 type endTrigger int
 
 const (
-	// endAtShare is once the trainer has what it waits for.
+	// endAfterResults is once the trainer has wantedShare of the results.
 	endAfterResults endTrigger = iota
-	// endAtTime is at a time from the acceptance.
+	// endAfterDelay is after a delay from the acceptance.
 	endAfterDelay
-	// endAtRestart is at a time from the next end of a node.
+	// endAfterRestart is after a delay from the next end of a node process.
 	endAfterRestart
-	// endInAppend is while the store is slow to answer an append of the job's
-	// results, and endInReading while it is slow to give its payload to a node.
+	// endDuringAppend is while a slow store call appends results of the job, and
+	// endDuringPayloadRead while a slow store call reads its payload.
 	endDuringAppend
 	endDuringPayloadRead
 )
@@ -134,17 +134,17 @@
 var endTriggers = []endTrigger{endAfterResults, endAfterDelay, endAfterRestart, endDuringAppend, endDuringAppend, endDuringPayloadRead, endDuringPayloadRead}
 
 const (
-	// latestEnd bounds the time to an end: a job of middling size lasts as long.
+	// maxEndDelay bounds the delay of an end; jobs of medium size run about as long.
 	maxEndDelay = 3 * time.Second
-	// firstTrainer ends its jobs at the share, so that steps are made.
+	// firstTrainer ends its jobs after their results, so that each run has complete steps.
 	firstTrainer = 0
 )
 
-// jobSizes are how many items jobs have. The largest lasts some seconds even
-// where it is alone.
+// jobSizes are the item counts of jobs. The largest job runs for some seconds even without
+// other load.
 var jobSizes = []int{24, 120, 300}
 
-// drawJob draws a trainer's job of a step.
+// drawJob draws the job of a trainer for a step.
 func drawJob(seed uint64, trainer, step int) *soakJob {
 	stream := newRandomStream(seed, streamJobs+uint64(trainer*jobStreamsPerTrainer+step))
 	job := &soakJob{id: fmt.Sprintf("job%d-%d", trainer, step), items: jobSizes[0], random: stream}
@@ -165,21 +165,21 @@
 	return job
 }
 
-// A seed always draws the same faults and jobs.
+// A seed must always draw the same faults and jobs, so that a run can be replayed.
 func TestSoakSeedIsDeterministic(t *testing.T) {
 	const several = 40
 	kinds := map[string]bool{}
 	for number := range several {
 		one, other := drawFault(3, number), drawFault(3, number)
 		if one.name != other.name || one.duration != other.duration || one.exclusive != other.exclusive || one.random.intN(1<<30) != other.random.intN(1<<30) {
-			t.Errorf("fault %d: %s for %s and %s for %s", number, one.name, one.duration, other.name, other.duration)
+			t.Errorf("fault %d: drew %s for %s, then %s for %s", number, one.name, one.duration, other.name, other.duration)
 		}
 		kinds[one.name] = true
 		if job, same := drawJob(3, 1, number), drawJob(3, 1, number); job.items != same.items || !reflect.DeepEqual(job.endPlan, same.endPlan) {
-			t.Errorf("job %d: %d items and %d, %v and %v", number, job.items, same.items, job.endPlan, same.endPlan)
+			t.Errorf("job %d: drew %d items, then %d; end plan %v, then %v", number, job.items, same.items, job.endPlan, same.endPlan)
 		}
 	}
 	if len(kinds) < len(soakFaults)/2 {
-		t.Errorf("%d faults are of %d kinds", several, len(kinds))
+		t.Errorf("%d faults are of only %d kinds", several, len(kinds))
 	}
 }
--- a/test/soak_reads_test.go
+++ b/test/soak_reads_test.go
@@ -14,17 +14,16 @@
 	"github.com/pathtally/pathtally/standin/replica"
 )
 
-// What a run reads at nodes finds a result that was read and is gone, and a job
-// that is gone.
+// The reads of the soak must detect a result or a job that was read before and is gone.
 func TestSoakReadsDetectLostResults(t *testing.T) {
 	for _, test := range []struct {
 		name, rule string
-		// shows tells what a read shows by how many came before: how many results,
-		// below 0 for no such job.
+		// shown returns how many results a read returns after a number of earlier reads;
+		// negative if the job is not found.
 		shown func(before int) int
 	}{
-		{"a result that stands", "", func(int) int { return 1 }},
-		{"a result that comes late", "", func(before int) int { return min(before, 1) }},
+		{"a result that stays", "", func(int) int { return 1 }},
+		{"a result that is added later", "", func(before int) int { return min(before, 1) }},
 		{"a result that is gone", "LOST", func(before int) int { return max(0, 1-before) }},
 		{"a job that is gone", "LOST", func(before int) int { return 1 - 2*before }},
 	} {
@@ -54,12 +53,12 @@
 			found[finding.rule] = true
 		}
 		if len(found) > 1 || (test.rule != "") != (len(found) == 1) || (test.rule != "" && !found[test.rule]) {
-			t.Errorf("%s: found %v, want %q", test.name, w.record.findings, test.rule)
+			t.Errorf("%s: findings %v, want rule %q", test.name, w.record.findings, test.rule)
 		}
 	}
 }
 
-// A slow call about a job is known while it lasts, by the job's name.
+// A delayed call must be found by the job of its object, and only while it is in progress.
 func TestSlowCallsAreFoundByJob(t *testing.T) {
 	var slow slowCalls
 	slow.add(metastore.Call{Verb: "create", Kind: jobstore.KindResults, Name: "job1-2-000003"}, time.Minute)
@@ -75,7 +74,7 @@
 		{jobstore.KindPayloads, "get", "job1-2", false},
 	} {
 		if on := slow.inProgress(test.kind, test.verb, test.job); on != test.on {
-			t.Errorf("%s of %s about %s: %v", test.verb, test.kind, test.job, on)
+			t.Errorf("%s of %s for job %s: in progress %v", test.verb, test.kind, test.job, on)
 		}
 	}
 }
--- a/test/soak_record_test.go
+++ b/test/soak_record_test.go
@@ -9,37 +9,38 @@
 	"github.com/pathtally/pathtally/standin/replica"
 )
 
-// soakRequest is one request of a caller and how it ended.
+// soakRequest is one request of a caller and its outcome.
 type soakRequest struct {
 	id     string
 	target string
 	body   string
-	// once requests must not run twice.
+	// once is set for unsafe requests, which must not run twice.
 	once   bool
 	status int
 	failed bool
 }
 
-// soakJob is a batch job as its trainer and other readers saw it.
+// soakJob is a batch job and what its trainer and other readers have seen of it.
 type soakJob struct {
 	id         string
 	items      int
 	minVersion int64
 	accepted   time.Time
-	// refused is set once every try was answered with a promise.
+	// refused is set if every submission was refused with a status that promises that nothing
+	// ran or will run.
 	refused bool
 	results []itemResult
-	// endedAt is when an end of the job was acknowledged first, zero for never.
+	// endedAt is when the end of the job was first acknowledged, zero for never.
 	endedAt time.Time
 	endPlan endPlan
-	// draws decides what happens to this job.
+	// random is the random stream of this job.
 	random *randomStream
 }
 
-// soakFinding is a promise that was broken.
+// soakFinding is a violation of a rule that the soak checks.
 type soakFinding struct{ rule, text string }
 
-// soakRecord is everything seen in one run.
+// soakRecord is everything observed in one run.
 type soakRecord struct {
 	mutex    sync.Mutex
 	requests map[string]*soakRequest
@@ -49,9 +50,9 @@
 	logs     map[string][]byte
 	served   int
 	steps    int
-	// hidings are times in which the report of an end may be late.
+	// disturbances are the periods that extend the bounds for ended jobs.
 	disturbances []*disturbance
-	// met counts the ends that had what they waited for.
+	// triggered counts the jobs whose end was triggered by the event they waited for.
 	triggered map[endTrigger]int
 }
 
@@ -59,7 +60,7 @@
 	return &soakRecord{requests: map[string]*soakRequest{}, logs: map[string][]byte{}, triggered: map[endTrigger]int{}}
 }
 
-// fail records a broken promise.
+// fail records a finding.
 func (r *soakRecord) fail(rule, format string, args ...any) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -78,14 +79,14 @@
 	r.faults = append(r.faults, time.Now().Format("15:04:05.000")+" "+what)
 }
 
-// known is how many results of a job have been read.
+// resultCount returns how many results of a job have been read.
 func (r *soakRecord) resultCount(job *soakJob) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return len(job.results)
 }
 
-// accepted lists the jobs that were taken.
+// acceptedJobs returns the jobs that a node has accepted.
 func (r *soakRecord) acceptedJobs() []*soakJob {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -98,21 +99,21 @@
 	return taken
 }
 
-// addStep counts a job that gave its trainer what it waited for.
+// addStep counts a job of which the trainer received wantedShare of the results.
 func (r *soakRecord) addStep() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.steps++
 }
 
-// addMet counts a job whose end had what it waited for.
+// addTriggered counts a job whose end was triggered by the event it waited for.
 func (r *soakRecord) addTriggered(kind endTrigger) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.triggered[kind]++
 }
 
-// recordJobEnd records that an end of a job was acknowledged.
+// recordJobEnd records that the end of a job was acknowledged.
 func (r *soakRecord) recordJobEnd(job *soakJob) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -121,21 +122,21 @@
 	}
 }
 
-// sent records a request before it is sent.
+// recordRequest records a request before it is sent.
 func (r *soakRecord) recordRequest(request *soakRequest) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.requests[request.id] = request
 }
 
-// isPromise tells whether a status promises that the request never runs.
+// isNotRunStatus reports whether a status promises that the request never runs.
 func isNotRunStatus(status int) bool {
 	return status == 503 || status == 429 || status == 408 || status == 421
 }
 
-// checkRuns judges what replicas ran by what was sent: nothing that was not
-// sent, nothing changed, nothing twice that must not be, nothing that was
-// refused with a promise.
+// checkRuns checks the runs of replicas against the requests: each was sent, with the same
+// target and body, no unsafe one ran twice, and no unsafe one ran that was refused as not
+// run.
 func (r *soakRecord) checkRuns(runs []replica.Run) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -145,22 +146,21 @@
 		request := r.requests[run.ID]
 		switch {
 		case request == nil:
-			r.add("UNASKED", "request %s was never sent", run.ID)
+			r.add("UNASKED", "request %s ran but was not sent", run.ID)
 		case request.target != run.Target || request.body != run.Body:
-			r.add("UNASKED", "request %s ran as %s %q, was sent as %s %q", run.ID, run.Target, run.Body, request.target, request.body)
+			r.add("UNASKED", "request %s ran as %s %q, but was sent as %s %q", run.ID, run.Target, run.Body, request.target, request.body)
 		case request.once && times[run.ID] > 1:
 			r.add("TWICE", "request %s ran %d times", run.ID, times[run.ID])
 		}
 	}
 	for id, request := range r.requests {
 		if request.once && isNotRunStatus(request.status) && times[id] > 0 {
-			r.add("REFUSED", "request %s ran and was answered %d", id, request.status)
+			r.add("REFUSED", "request %s ran, but its response was %d", id, request.status)
 		}
 	}
 }
 
-// checkRefused judges jobs that were refused with a promise at every try: none
-// of their items runs.
+// checkRefused checks that no item ran of a job whose submissions were all refused.
 func (r *soakRecord) checkRefused(runs []replica.Run) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -173,29 +173,29 @@
 	}
 }
 
-// add records a finding. The mutex must be held.
+// add records a finding. r.mutex must be held.
 func (r *soakRecord) add(rule, format string, args ...any) {
 	r.findings = append(r.findings, soakFinding{rule, fmt.Sprintf(format, args...)})
 }
 
-// checkOrders judges the orders that one replica got: a token never falls but
-// for orders that a healed link or a woken process brought late, and each
-// token has one owner.
+// checkOrders checks the weight orders that a replica received: fencing tokens do not
+// decrease, except for orders delayed by a link or process that has just recovered, and
+// each token has one owner.
 func (r *soakRecord) checkOrders(name string, orders []replica.OrderSeen, heals []time.Time, owners map[uint64]string) {
 	last := uint64(0)
 	for _, order := range orders {
 		if order.Token < last && !nearHeal(order.At, heals) {
-			r.fail("ONE", "%s got token %d of %s after %d", name, order.Token, order.Owner, last)
+			r.fail("ONE", "%s received fencing token %d of %s after %d", name, order.Token, order.Owner, last)
 		}
 		last = max(last, order.Token)
 		if owner := owners[order.Token]; owner != "" && owner != order.Owner {
-			r.fail("ONE", "token %d was used by %s and %s", order.Token, owner, order.Owner)
+			r.fail("ONE", "fencing token %d was used by %s and %s", order.Token, owner, order.Owner)
 		}
 		owners[order.Token] = order.Owner
 	}
 }
 
-// thawTime is for how long after a link was healed orders may be late.
+// healGrace is how long after the recovery of a link or process delayed orders may arrive.
 const healGrace = 300 * time.Millisecond
 
 func nearHeal(at time.Time, heals []time.Time) bool {
@@ -207,40 +207,40 @@
 	return false
 }
 
-// checkDrained judges the runs of a replica that said it leaves while nothing
-// else was disturbed.
+// checkDrained checks that a replica got no request later than the bound after it was
+// marked as draining. It is for replicas drained while there was no other fault.
 func (r *soakRecord) checkDrained(name string, drainedAt time.Time, bound time.Duration, runs []replica.Run) {
 	for _, run := range runs {
 		if late := run.At.Sub(drainedAt); late > bound {
-			r.fail("DRAIN", "request %s reached %s %s after it said that it leaves", run.ID, name, late)
+			r.fail("DRAIN", "request %s reached %s %s after it was marked as draining", run.ID, name, late)
 		}
 	}
 }
 
-// checkEvacuated judges the runs of a replica whose zone was evacuated while nothing
-// else was disturbed, from the bound on until the evacuation was taken back.
+// checkEvacuated checks that a replica of an evacuated zone got no request between the
+// bound and the end of the evacuation. It is for evacuations without other faults.
 func (r *soakRecord) checkEvacuated(name string, bound, end time.Time, runs []replica.Run) {
 	for _, run := range runs {
 		if run.At.After(bound) && run.At.Before(end) {
-			r.fail("EVAC", "request %s reached %s %s after the bound of its zone's evacuation", run.ID, name, run.At.Sub(bound))
+			r.fail("EVAC", "request %s reached %s in an evacuated zone %s after the bound", run.ID, name, run.At.Sub(bound))
 		}
 	}
 }
 
-// checkPage judges a page of results by those read before: positions keep
-// what they held, and a result is whole and fresh. A position before known, the
-// number of those read before the page was asked for, is never empty.
+// checkPage checks a page of results, from a position on: results read before stay at their
+// positions, no item is listed twice, and new results are correct. known is the number of
+// results read before the page was requested; a page from a position below it is not empty.
 func (r *soakRecord) checkPage(job *soakJob, from, known int, page []itemResult, node string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if len(page) == 0 && from < known {
-		r.add("LOST", "job %s (ended %s) has nothing at position %d at %s, of %d read before", job.id, formatTime(job.endedAt), from, node, known)
+		r.add("LOST", "job %s (ended %s) has no result at position %d at %s, but %d were read before", job.id, formatTime(job.endedAt), from, node, known)
 	}
 	for offset, result := range page {
 		position := from + offset
 		if position < len(job.results) {
 			if job.results[position].ID != result.ID || job.results[position].Message != result.Message {
-				r.add("TWICE", "job %s position %d holds %s at %s, held %s before", job.id, position, result.ID, node, job.results[position].ID)
+				r.add("TWICE", "job %s, position %d: %s at %s, but %s before", job.id, position, result.ID, node, job.results[position].ID)
 			}
 			continue
 		}
@@ -256,20 +256,20 @@
 	}
 }
 
-// checkResult judges one whole result. The mutex must be held.
+// checkResult checks a succeeded result. r.mutex must be held.
 func (r *soakRecord) checkResult(job *soakJob, result itemResult) {
 	if result.Message != replica.Text(result.ID) {
-		r.add("ORDER", "item %s has the text %q", result.ID, result.Message)
+		r.add("ORDER", "item %s has the wrong text %q", result.ID, result.Message)
 	}
 	if result.Score == "" {
 		r.add("MIXED", "item %s has no score", result.ID)
 	}
 	if len(result.Versions) == 0 {
-		r.add("VERSION", "item %s names no version", result.ID)
+		r.add("VERSION", "item %s has no version", result.ID)
 	}
 	for _, version := range result.Versions {
 		if version < job.minVersion {
-			r.add("VERSION", "item %s was made by version %d, the least is %d", result.ID, version, job.minVersion)
+			r.add("VERSION", "item %s was generated by version %d, want at least %d", result.ID, version, job.minVersion)
 		}
 	}
 }
--- a/test/soak_run_test.go
+++ b/test/soak_run_test.go
@@ -20,30 +20,30 @@
 const (
 	soakEngines = 5
 	soakApps    = 3
-	// engineSlots and the time between the events of a stream are such that the
-	// largest jobs last for some seconds.
+	// engineSlots and the interval between the events of a stream are chosen such that the
+	// largest jobs run for some seconds.
 	engineSlots      = 8
 	minEventInterval = 50 * time.Millisecond
 	maxEventInterval = 170 * time.Millisecond
-	// soakGrace is the grace of a planned stop in a soak.
+	// soakGrace is the nodes' grace period for a shutdown.
 	soakGrace = 8 * time.Second
 )
 
-// soakNode is a node process whose ways to the store and from its peers lead
-// through proxies. Its process changes at each start.
+// soakNode is a node whose connections to the store and from its peers pass through
+// proxies. Each start gives it a new process.
 type soakNode struct {
 	name      string
 	storeLink *proxy
 	peerLink  *proxy
 	mutex     sync.Mutex
 	current   *platformNode
-	// life counts the starts.
+	// incarnation counts the starts.
 	incarnation int
 	// down is set while the process is stopped, paused or starting.
 	down atomic.Bool
 }
 
-// process returns the process of now and the number of its life.
+// process returns the current process and its incarnation.
 func (n *soakNode) process() (*platformNode, int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -56,13 +56,12 @@
 	service string
 	server  *replica.Server
 	link    *proxy
-	// zone is where it stands.
-	zone string
-	// drainedAt is when the store had its entry as leaving, zero for never.
+	zone    string
+	// drainedAt is when the replica was marked as draining, zero for never.
 	drainedAt time.Time
 }
 
-// soakWorld is one run: real node processes, stand-ins and what was seen.
+// soakRun is one run of the soak: node processes, stand-ins and what was observed.
 type soakRun struct {
 	t            *testing.T
 	seed         uint64
@@ -73,21 +72,21 @@
 
 	mutex    sync.Mutex
 	replicas []*soakReplica
-	// gone are replicas that have ended; what they ran still counts.
+	// formerReplicas are replicas that have ended; their runs are still checked.
 	formerReplicas  []*soakReplica
 	replicasStarted int
 	configVersion   int
-	// versionAt is when the newest configuration was written.
+	// configuredAt is when the newest configuration was written.
 	configuredAt time.Time
-	// heals are when links were healed or processes woken.
+	// heals are the times at which links or processes recovered.
 	heals []time.Time
-	// weights is the newest version of the model's.
+	// weightVersion is the newest weight version of the model.
 	weightVersion int64
 
 	slowCalls slowCalls
 	// restarts counts the ends of node processes.
 	restarts atomic.Int64
-	// isCalm is set after the last fault.
+	// faultsEnded is set after the last fault.
 	faultsEnded atomic.Bool
 
 	record *soakRecord
@@ -95,7 +94,7 @@
 	tasks  sync.WaitGroup
 }
 
-// newSoakWorld starts everything of a run.
+// newSoakRun starts the stand-ins and nodes of a run.
 func newSoakRun(t *testing.T, seed uint64) *soakRun {
 	t.Helper()
 	w := &soakRun{
@@ -138,16 +137,16 @@
 	all.Wait()
 }
 
-// nodeAt draws a node.
+// randomNode draws a node, running or not.
 func (w *soakRun) randomNode(random *randomStream) *soakNode {
 	return w.nodes[random.intN(len(w.nodes))]
 }
 
-// addReplica starts a replica and lists it.
+// addReplica starts a replica under a new id and writes its entry to the store.
 func (w *soakRun) addReplica(service string) { w.startReplica(service, "") }
 
-// startReplica starts a replica under an id that an ended one had, or under a new one,
-// and lists it.
+// startReplica starts a replica and writes its entry to the store. An empty id stands for a
+// new one.
 func (w *soakRun) startReplica(service, id string) {
 	w.mutex.Lock()
 	w.replicasStarted++
@@ -183,7 +182,7 @@
 	return entry
 }
 
-// ofService lists the living replicas of a service.
+// ofService returns the running replicas of a service that do not drain.
 func (w *soakRun) ofService(service string) []*soakReplica {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -196,7 +195,7 @@
 	return found
 }
 
-// retire takes a replica out of the world; it serves no longer.
+// removeReplica moves a replica to formerReplicas.
 func (w *soakRun) removeReplica(ended *soakReplica) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -209,15 +208,15 @@
 	}
 }
 
-// everyReplica lists the living replicas and those that have ended.
+// allReplicas returns the running replicas and those that have ended.
 func (w *soakRun) allReplicas() []*soakReplica {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return append(append([]*soakReplica(nil), w.replicas...), w.formerReplicas...)
 }
 
-// configure writes the next version of the configuration. Each version has a
-// route of its own, which the one after it keeps and the next drops.
+// configure writes the next version of the configuration. Each version adds a route, which
+// the next version keeps and the one after it drops.
 func (w *soakRun) configure() {
 	w.mutex.Lock()
 	w.configVersion++
@@ -251,14 +250,14 @@
 
 func versionPath(version int) string { return fmt.Sprintf("/version-%d/", version) }
 
-// newestVersion is the configuration written last, and when.
+// newestConfigVersion returns the newest configuration version and when it was written.
 func (w *soakRun) newestConfigVersion() (int, time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.configVersion, w.configuredAt
 }
 
-// startNode starts a node's process anew.
+// startNode starts a new process of a node.
 func (w *soakRun) startNode(node *soakNode) {
 	w.t.Helper()
 	path := filepath.Join(w.folder, node.name+".yaml")
@@ -278,7 +277,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			w.t.Errorf("%s has not started", node.name)
+			w.t.Errorf("%s did not start in time", node.name)
 			return
 		}
 	}
@@ -291,7 +290,7 @@
 	node.down.Store(false)
 }
 
-// stopNode ends a node's process with a signal and keeps its log.
+// stopNode ends a node's process with a signal, waits for its exit and keeps its log.
 func (w *soakRun) stopNode(node *soakNode, signal syscall.Signal) {
 	node.down.Store(true)
 	process, _ := node.process()
@@ -301,7 +300,7 @@
 	w.keepLog(node, process)
 }
 
-// killNodes ends the processes of several nodes at once.
+// killNodes kills the processes of several nodes at once.
 func (w *soakRun) killNodes(nodes []*soakNode) {
 	var all sync.WaitGroup
 	for _, node := range nodes {
@@ -310,7 +309,7 @@
 	all.Wait()
 }
 
-// keepLog adds what a process wrote to the record of the run.
+// keepLog adds the log of a process to the record of the run.
 func (w *soakRun) keepLog(node *soakNode, process *platformNode) {
 	process.mutex.Lock()
 	defer process.mutex.Unlock()
@@ -331,13 +330,13 @@
 	w.t.Helper()
 	for end := time.Now().Add(startLimit); !w.isReady(node); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			w.record.fail("RECOVER", "%s does not become ready", node.name)
+			w.record.fail("RECOVER", "%s did not become ready in time", node.name)
 			return
 		}
 	}
 }
 
-// pauseProcess stops a node's process where it is and returns what wakes it.
+// pauseNode suspends a node's process and returns a function that resumes it.
 func (w *soakRun) pauseNode(node *soakNode) func() {
 	process, _ := node.process()
 	node.down.Store(true)
@@ -351,17 +350,17 @@
 	}
 }
 
-// recordHeal records that a link was healed or a process woken.
+// recordHeal records that a link or process has just recovered.
 func (w *soakRun) recordHeal() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.heals = append(w.heals, time.Now())
 }
 
-// run starts a duty that goes on until the run has ended.
+// startTask starts a background task, which must return once sleep returns false.
 func (w *soakRun) startTask(task func()) { w.tasks.Go(task) }
 
-// pause waits and tells whether the run goes on.
+// sleep waits and reports whether the run continues.
 func (w *soakRun) sleep(duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -20,31 +20,30 @@
 	soakLogs = flag.String("soak.logs", "", "folder for the logs of runs that failed")
 )
 
-// soakSeeds are run each time. A seed draws the same faults and jobs in each run; what
-// they strike depends on the machine, so a seed that has failed may well pass.
+// soakSeeds are the seeds of every test run. A seed always draws the same faults and jobs,
+// but their effects depend on timing, so a seed that has failed may pass.
 var soakSeeds = []uint64{
-	// Many kinds of faults close together.
+	// Many kinds of faults in quick succession.
 	114277,
-	// Results that had been read were gone: an append that the end of its job cut off.
+	// Loss of results that had been read: an append interrupted by the end of its job.
 	1,
-	// The same, and items that reached replicas after the end of their job.
+	// The same, and items that reach replicas after the end of their job.
 	24,
 }
 
 const (
-	// faultyTime is for how long faults come in one run.
+	// faultPhase is how long faults are injected in one run.
 	faultPhase = 18 * time.Second
-	// calmTime is for how long everything is left alone after the last fault.
+	// recoveryTime is the time without faults before the bounds of recovery are checked.
 	recoveryTime = 6 * time.Second
-	// drainBound is within which a leaving replica gets its last request, and
-	// configurationBound within which a configuration is in force.
+	// drainBound is the time within which a draining replica receives its last request, and
+	// configurationBound the time within which all nodes apply a configuration.
 	drainBound         = 2 * time.Second
 	configurationBound = 2 * time.Second
 )
 
-// TestSoak runs the node program in separate processes and injects faults from
-// outside them, drawn from a seed, while it watches what callers, trainers and
-// replicas see.
+// TestSoak runs node processes under faults drawn from a seed and checks what callers,
+// trainers and replicas see.
 func TestSoak(t *testing.T) {
 	if *soakSeed != 0 {
 		soak(t, *soakSeed)
@@ -59,17 +58,17 @@
 	}
 }
 
-// seedOfQuarantine is that of a run in which a request under which three replicas had ended
-// ran once more after all nodes had lost power.
+// seedOfQuarantine draws faults that kill all nodes after a request has crashed maxCrashes
+// replicas.
 const seedOfQuarantine = 795716164
 
-// TestSoakOfQuarantineAfterPowerLoss is a run of TestSoak for itself, since it fails now
-// and then (KNOWN-RED.txt).
+// A quarantined request must not run again after all nodes were killed. This seed is a test
+// of its own since it sometimes fails (KNOWN-RED.txt).
 func TestSoakOfQuarantineAfterPowerLoss(t *testing.T) {
 	soak(t, seedOfQuarantine)
 }
 
-// soak makes one run.
+// soak runs one seed.
 func soak(t *testing.T, seed uint64) {
 	w := newSoakRun(t, seed)
 	for number := range soakCallers {
@@ -102,7 +101,7 @@
 	w.report()
 }
 
-// injectFaults begins faults one after the other, at times two at once.
+// injectFaults injects one fault after the other, some of which overlap.
 func (w *soakRun) injectFaults() {
 	var open sync.WaitGroup
 	began := time.Now()
@@ -127,8 +126,9 @@
 	open.Wait()
 }
 
-// calm lets the deployment recover and checks the bounds that hold then: a
-// configuration comes into force and a leaving replica gets no more work.
+// checkRecovery lets the deployment recover and checks the bounds that hold without faults:
+// nodes apply a new configuration, and draining replicas and evacuated zones receive no more
+// requests.
 func (w *soakRun) checkRecovery() {
 	w.faultsEnded.Store(true)
 	for _, node := range w.nodes {
@@ -152,7 +152,7 @@
 		response, err := w.call(node, http.MethodPost, liveHost, request.target, id, []byte(request.body), nil)
 		w.recordEnd(request, response, err)
 		if err != nil || response.status != http.StatusOK {
-			w.record.fail("CONFIG", "%s answers %d on the newest route after the bound, %v", node.name, response.status, err)
+			w.record.fail("CONFIG", "%s responds with %d on the route of the newest configuration after the bound, %v", node.name, response.status, err)
 		}
 	}
 	time.Sleep(time.Second)
@@ -161,14 +161,14 @@
 }
 
 const (
-	// closingTime is for how long the closing fault lasts at the least, and
-	// closingCalm for how long the load goes on behind it: the bound of an end and
-	// a second.
+	// finalFaultDuration is the minimum duration of the final fault, and finalRecoveryTime
+	// how long the load continues after it, longer than cancelBound.
 	finalFaultDuration = 2 * time.Second
 	finalRecoveryTime  = cancelBound + time.Second
 )
 
-// closing injects the fault that some runs have shortly before their load ends.
+// runFinalFault injects the final fault of the run, if it has one, shortly before the load
+// ends.
 func (w *soakRun) runFinalFault() {
 	spec := drawSpec(w.seed)
 	if spec.finalFault == nil {
@@ -185,7 +185,7 @@
 	time.Sleep(finalRecoveryTime)
 }
 
-// judge checks what can be checked once all is quiet.
+// checkRuns checks the runs and orders of all replicas after the load has ended.
 func (w *soakRun) checkRuns() {
 	var runs []replica.Run
 	owners := map[uint64]string{}
@@ -197,19 +197,19 @@
 	w.record.checkRuns(runs)
 	w.record.checkRefused(runs)
 	if endedJobs := w.record.endedJobCount(); w.record.served == 0 || w.record.steps == 0 || endedJobs == 0 || len(runs) == 0 {
-		w.record.fail("TEST", "%d requests served, %d steps, %d ends, %d runs: this run shows nothing", w.record.served, w.record.steps, endedJobs, len(runs))
+		w.record.fail("TEST", "%d requests served, %d complete steps, %d ended jobs, %d runs: want some of each, or the run proves nothing", w.record.served, w.record.steps, endedJobs, len(runs))
 	}
 }
 
 const (
-	// readsAtOnce is how many jobs are read at a time once the load has ended.
+	// concurrentReads is how many jobs are read at a time after the load has ended.
 	concurrentReads = 40
-	// pastOwners is how many of the newest jobs are read past their owners: so
-	// many fit into one pause.
+	// jobsReadWithoutOwners is how many of the newest jobs are read while their owners are
+	// paused. It bounds the length of the pause.
 	jobsReadWithoutOwners = 80
 )
 
-// forJobs does something for several jobs at a time.
+// forEachJob calls do for each job, concurrently.
 func forEachJob(jobs []*soakJob, do func(*soakJob)) {
 	var all sync.WaitGroup
 	free := make(chan struct{}, concurrentReads)
@@ -223,8 +223,8 @@
 	all.Wait()
 }
 
-// readPastOwners pauses one half of the nodes after the other and reads at the
-// rest what the store has of the newest jobs.
+// readWithoutOwners pauses each half of the nodes in turn and reads the newest jobs at a node
+// of the other half, which has them from the store where their owners are paused.
 func (w *soakRun) readWithoutOwners() {
 	jobs := w.record.acceptedJobs()
 	jobs = jobs[max(0, len(jobs)-jobsReadWithoutOwners):]
@@ -248,7 +248,7 @@
 	}
 }
 
-// readOn reads what a node has behind the results that are known.
+// readRemaining reads the results that a node has after those read before.
 func (w *soakRun) readRemaining(node *soakNode, job *soakJob) {
 	for range job.items {
 		known := w.record.resultCount(job)
@@ -259,8 +259,8 @@
 	}
 }
 
-// restartAll ends all nodes at once and starts them again, so that they have the
-// store alone to answer from.
+// restartAllNodes kills all nodes at once and starts them again, so that they can serve
+// results from the store only.
 func (w *soakRun) restartAllNodes() {
 	w.killNodes(w.nodes)
 	w.startNodes(w.nodes)
@@ -271,19 +271,20 @@
 
 func (w *soakRun) verifyAllResults() { forEachJob(w.record.acceptedJobs(), w.verifyResults) }
 
-// readBack reads a job from the start at every node: what was read stands.
+// verifyResults reads a job from the start at every node and checks that no result has
+// changed or is gone.
 func (w *soakRun) verifyResults(job *soakJob) {
 	known := w.record.resultCount(job)
 	for _, node := range w.nodes {
 		for position := 0; position < known; {
 			response, err := w.page(node, job, position)
 			if err != nil || response.status != http.StatusOK {
-				w.record.fail("LOST", "job %s cannot be read at %s: status %d, %v", job.id, node.name, response.status, err)
+				w.record.fail("LOST", "read job %s at %s: status %d, %v", job.id, node.name, response.status, err)
 				break
 			}
 			read := strings.Count(response.body, `"state"`)
 			if read == 0 {
-				// That is a finding of the page's check.
+				// checkPage has recorded a finding.
 				break
 			}
 			position += read
@@ -291,7 +292,8 @@
 	}
 }
 
-// report fails the test with all findings and keeps the logs.
+// report fails the test if there are findings, prints them and the faults, and writes the
+// logs to the folder of -soak.logs.
 func (w *soakRun) report() {
 	for _, node := range w.nodes {
 		process, _ := node.process()
--- a/test/standalone_deployment_test.go
+++ b/test/standalone_deployment_test.go
@@ -20,10 +20,10 @@
 	standaloneNodes   = 3
 )
 
-// loadSeeds gives each load of the run prompts of its own.
+// loadSeeds is the source of distinct seeds, so that no two loads send the same prompts.
 var loadSeeds atomic.Uint64
 
-// standaloneNode is a node process with what is needed to start it again.
+// standaloneNode is a node process and the arguments to start it again.
 type standaloneNode struct {
 	*program
 	name string
@@ -32,22 +32,22 @@
 	peer string
 }
 
-// standaloneDeployment is a whole set of processes of the standalone stack: the
-// platform, a scorer, engines and nodes.
+// standaloneDeployment is the set of processes of a standalone stack: the platform, a
+// scorer, engines and nodes.
 type standaloneDeployment struct {
 	t        *testing.T
 	platform *program
 	scorer   *program
 	engines  *program
-	// engineProxies stand between nodes and engines, platformProxy between
-	// nodes and the platform.
+	// engineProxies are between nodes and engines, platformProxy between nodes and the
+	// platform.
 	engineProxies []*proxy
 	platformProxy *proxy
 	nodes         []*standaloneNode
 	folder        string
 }
 
-// deployStandalone starts everything and waits until every node is ready.
+// deployStandalone starts a stack, applies its objects and waits until every node is ready.
 func deployStandalone(t *testing.T) *standaloneDeployment {
 	t.Helper()
 	d := deployStandaloneUnconfigured(t)
@@ -61,7 +61,7 @@
 	return d
 }
 
-// deployStandaloneUnconfigured starts all but the nodes; nothing is applied yet.
+// deployStandaloneUnconfigured starts a stack without nodes and applies no objects.
 func deployStandaloneUnconfigured(t *testing.T) *standaloneDeployment {
 	t.Helper()
 	t.Parallel()
@@ -77,7 +77,7 @@
 	return d
 }
 
-// declare writes the objects of the deployment.
+// writeObjects writes the manifest of the deployment to its folder.
 func (d *standaloneDeployment) writeObjects() {
 	var objects strings.Builder
 	for i, engineProxy := range d.engineProxies {
@@ -125,7 +125,7 @@
 	d.startProcess(added)
 }
 
-// run starts a node's process; one that ran before gets its addresses again.
+// startProcess starts a node's process, at its former addresses if it ran before.
 func (d *standaloneDeployment) startProcess(n *standaloneNode) {
 	d.t.Helper()
 	args := n.args
@@ -134,7 +134,7 @@
 	}
 	n.program = start(d.t, 1, "pathtally", args...)
 	if n.http == "" {
-		// Loads read the addresses at any time; they stay over restarts.
+		// Loads read the addresses concurrently, so they are set only once.
 		words := strings.Fields(n.lines[0])
 		n.peer, n.http = words[3], words[5]
 	}
@@ -152,7 +152,7 @@
 
 func (d *standaloneDeployment) waitReady(n *standaloneNode) {
 	d.t.Helper()
-	d.eventually("node "+n.name+" ready", func() bool {
+	d.eventually(n.name+" to become ready", func() bool {
 		code, _, err := fasthttp.GetTimeout(nil, "http://"+n.http+"/readyz", time.Second)
 		return err == nil && code == fasthttp.StatusOK
 	})
@@ -163,12 +163,12 @@
 	eventually(d.t, what, check)
 }
 
-// pathtally runs a command of the operator's and checks its exit code.
+// pathtally runs the pathtally command and checks its exit code.
 func (d *standaloneDeployment) pathtally(expected int, args ...string) string {
 	d.t.Helper()
 	output, code := runCommand(args...)
 	if code != expected {
-		d.t.Fatalf("pathtally %v: exit code %d, expected %d: %s", args, code, expected, output)
+		d.t.Fatalf("pathtally %v: exit code %d, want %d: %s", args, code, expected, output)
 	}
 	return output
 }
@@ -181,8 +181,8 @@
 	return addresses
 }
 
-// load sends requests until the function returned is called, which waits for
-// the open ones and returns what callers saw.
+// startLoad sends requests until the returned function is called, which waits for the
+// requests in flight and returns the generator with their outcomes.
 func (d *standaloneDeployment) startLoad(perSecond, unsafeShare float64, to func() []string) func() *loadgen.Generator {
 	ctx, cancel := context.WithCancel(context.Background())
 	generator := loadgen.New(loadgen.Config{Nodes: to, Seed: loadSeeds.Add(1000), Streams: []loadgen.Stream{{
@@ -200,7 +200,7 @@
 	}
 }
 
-// runs is how often the engines together ran a prompt anew.
+// runCount returns how often the engines started to run a prompt, in total.
 func (d *standaloneDeployment) runCount(prompt string) int {
 	d.t.Helper()
 	total := 0
@@ -222,27 +222,27 @@
 	return total
 }
 
-// checkRuns checks that no unsafe request ran twice and that nothing said to
-// be not run has run.
+// checkRuns checks that no unsafe request ran twice and that no request ran that was
+// refused as not run.
 func (d *standaloneDeployment) checkRuns(generator *loadgen.Generator) {
 	d.t.Helper()
 	unsafe := generator.Unsafe()
 	if len(unsafe) == 0 {
-		d.t.Error("no unsafe request was sent")
+		d.t.Error("no unsafe request was sent, so the check proves nothing")
 	}
 	for prompt := range unsafe {
 		if count := d.runCount(prompt); count > 1 {
-			d.t.Errorf("%q ran %d times", prompt, count)
+			d.t.Errorf("unsafe request %q ran %d times", prompt, count)
 		}
 	}
 	for _, prompt := range generator.NotRun() {
 		if count := d.runCount(prompt); count > 0 {
-			d.t.Errorf("%q was said to be not run and ran %d times", prompt, count)
+			d.t.Errorf("request %q was refused as not run, but ran %d times", prompt, count)
 		}
 	}
 }
 
-// metric reads one metric of a node.
+// metric returns the value of a metric of a node, 0 if it is absent.
 func (d *standaloneDeployment) metric(n *standaloneNode, name string) float64 {
 	d.t.Helper()
 	_, body, err := fasthttp.GetTimeout(nil, "http://"+n.http+"/metrics", time.Second)
--- a/test/standalone_faults_test.go
+++ b/test/standalone_faults_test.go
@@ -26,7 +26,7 @@
 	generator := stop()
 	counts := generator.Counts()
 	if counts.Wrong > 0 || counts.Answered == 0 {
-		t.Errorf("callers saw %+v", counts)
+		t.Errorf("outcomes at callers: %+v", counts)
 	}
 	d.checkRuns(generator)
 	checkTrainerCounts(t, d.runTrainer("2"), 2)
@@ -43,7 +43,7 @@
 	}
 	generator := stop()
 	if counts := generator.Counts(); counts.Wrong+counts.Truncated > 0 || counts.Answered == 0 {
-		t.Errorf("callers saw %+v", counts)
+		t.Errorf("outcomes at callers: %+v", counts)
 	}
 	d.checkRuns(generator)
 }
@@ -87,7 +87,7 @@
 			time.Sleep(300 * time.Millisecond)
 			generator := stop()
 			if counts := generator.Counts(); counts.Wrong+counts.Truncated+counts.Unreachable > 0 || counts.Answered == 0 {
-				t.Errorf("callers saw %+v, codes %v", counts, generator.Codes())
+				t.Errorf("outcomes at callers: %+v, error codes %v", counts, generator.Codes())
 			}
 			d.checkRuns(generator)
 		})
@@ -107,7 +107,7 @@
 			Model: "m", Group: "live", Prompt: fmt.Sprint("in the outage ", i), MaxTokens: 8, Key: fmt.Sprint("outage-", i), Deadline: 5 * time.Second,
 		})
 		if verdict.Kind != loadgen.Answered {
-			t.Errorf("request %d in the outage: %+v", i, verdict)
+			t.Errorf("request %d during the platform outage: %+v", i, verdict)
 		}
 	}
 	d.platformProxy.set(proxyPass)
@@ -124,12 +124,12 @@
 	stop := d.startLoad(30, 0, d.addresses)
 	time.Sleep(time.Second)
 	if counts := stop().Counts(); counts.Answered == 0 || counts.Wrong+counts.Truncated+counts.Unknown+counts.Unreachable > 0 {
-		t.Errorf("callers saw %+v", counts)
+		t.Errorf("outcomes at callers: %+v", counts)
 	}
 }
 
-// TestDispatchCutAtEveryByte cuts the request to each engine after a growing
-// number of bytes. Whatever the node says, it must be true.
+// A connection to an engine that is reset at any byte of a request must not lead to a second
+// run of an unsafe request or to a wrong outcome for the caller.
 func TestDispatchCutAtByteOffsets(t *testing.T) {
 	const step, longest = 7, 700
 	d := deployStandalone(t)
@@ -148,34 +148,33 @@
 		outcomes[verdict.Kind]++
 		runs := d.runCount(request.Prompt)
 		if verdict.Kind == loadgen.RefusedNotRun && runs > 0 {
-			t.Errorf("cut at %d: said to be not run, ran %d times", limit, runs)
+			t.Errorf("reset after %d bytes: request was refused as not run, but ran %d times", limit, runs)
 		}
 		if request.Key != "" && runs > 1 {
-			t.Errorf("cut at %d: an unsafe request ran %d times", limit, runs)
+			t.Errorf("reset after %d bytes: unsafe request ran %d times", limit, runs)
 		}
 		if verdict.Kind == loadgen.Wrong || verdict.Kind == loadgen.Truncated {
-			t.Errorf("cut at %d: %+v", limit, verdict)
+			t.Errorf("reset after %d bytes: %+v", limit, verdict)
 		}
 	}
-	t.Logf("answered %d, not run %d, unknown %d", outcomes[loadgen.Answered], outcomes[loadgen.RefusedNotRun], outcomes[loadgen.Unknown])
+	t.Logf("outcomes: %d answered, %d refused as not run, %d unknown", outcomes[loadgen.Answered], outcomes[loadgen.RefusedNotRun], outcomes[loadgen.Unknown])
 	if outcomes[loadgen.Unknown] == 0 {
-		t.Error("no cut was late enough for an unknown outcome")
+		t.Error("no reset was late enough for an unknown outcome")
 	}
 }
 
-// TestDrainedEngineMovesItsStreams drains an engine that is in the middle of
-// streams; they go on at another one.
+// Streams of an engine that drains must continue at another engine.
 func TestEngineDrainMovesStreams(t *testing.T) {
 	d := deployStandalone(t)
 	stop := d.startLoad(150, 0.3, d.addresses)
 	time.Sleep(time.Second)
 	if code, _, err := fasthttp.Post(nil, "http://"+d.engines.address(0)+"/drain", nil); err != nil || code != fasthttp.StatusOK {
-		t.Fatalf("drain: %d, %v", code, err)
+		t.Fatalf("drain engine: status %d, %v", code, err)
 	}
 	time.Sleep(1500 * time.Millisecond)
 	generator := stop()
 	if counts := generator.Counts(); counts.Wrong+counts.Truncated+counts.Unreachable > 0 || generator.Codes()["engine_failed"] > 0 {
-		t.Errorf("callers saw %+v, codes %v", counts, generator.Codes())
+		t.Errorf("outcomes at callers: %+v, error codes %v", counts, generator.Codes())
 	}
 	d.checkRuns(generator)
 	moved := 0.0
@@ -183,12 +182,12 @@
 		moved += d.metric(n, "pathtally_streams_moved_total")
 	}
 	if moved == 0 {
-		t.Error("no stream was moved")
+		t.Error("no stream was moved, so the test proves nothing")
 	}
 	t.Logf("%.0f streams moved", moved)
 }
 
-// TestRollingStopOfAllNodes stops and replaces every node in turn under load.
+// A rolling restart of all nodes must not fail requests.
 func TestRollingRestartUnderLoad(t *testing.T) {
 	d := deployStandalone(t)
 	var stopping atomic.Int32
@@ -215,7 +214,7 @@
 	}
 	generator := stop()
 	if counts := generator.Counts(); counts.Wrong+counts.Truncated+counts.Unreachable > 0 || generator.Codes()["engine_failed"] > 0 {
-		t.Errorf("callers saw %+v, codes %v", counts, generator.Codes())
+		t.Errorf("outcomes at callers: %+v, error codes %v", counts, generator.Codes())
 	}
 	d.checkRuns(generator)
 	checkTrainerCounts(t, d.runTrainer("2"), 2)
--- a/test/standalone_path_test.go
+++ b/test/standalone_path_test.go
@@ -30,7 +30,7 @@
 func checkTrainerCounts(t *testing.T, counts trainer.Counts, steps int) {
 	t.Helper()
 	if counts.Steps != steps || counts.Delivered != steps*32 || counts.Duplicate+counts.Lost+counts.Stale+counts.Unversioned+counts.Wrong > 0 {
-		t.Errorf("the trainer saw %+v", counts)
+		t.Errorf("counts at the trainer: %+v", counts)
 	}
 }
 
@@ -41,11 +41,11 @@
 	generator := stop()
 	counts := generator.Counts()
 	if counts.Answered == 0 || counts.Wrong+counts.Truncated+counts.Unreachable > 0 {
-		t.Errorf("callers saw %+v", counts)
+		t.Errorf("outcomes at callers: %+v", counts)
 	}
 	d.checkRuns(generator)
 	if output := d.pathtally(0, "status", "-node-address", d.nodes[0].http); !strings.Contains(output, "node-2") {
-		t.Errorf("status does not show every node: %s", output)
+		t.Errorf("status does not list every node: %s", output)
 	}
 	d.pathtally(0, "get", "Engine", "engine-1", "-platform", d.platform.address(0), "-o", "yaml")
 	d.pathtally(1, "get", "Engine", "none", "-platform", d.platform.address(0))
@@ -54,7 +54,7 @@
 	d.pathtally(1, "node", "-node", "n", "-zone", "z", "-region", "r", "-peer", d.nodes[0].peer, "-http", "127.0.0.1:0", "-platform", d.platform.address(0))
 }
 
-func TestConcurrentAppliesConflict(t *testing.T) {
+func TestConcurrentAppliesReportConflicts(t *testing.T) {
 	d := deployStandalone(t)
 	platform := d.platform.address(0)
 	type applyResult struct {
@@ -85,14 +85,14 @@
 			case 3:
 				conflicts++
 				if !strings.Contains(e.output, "Limit/shared") {
-					t.Errorf("the conflict does not name what changed: %s", e.output)
+					t.Errorf("conflict message does not name the changed object: %s", e.output)
 				}
 			default:
-				t.Errorf("exit code %d: %s", e.code, e.output)
+				t.Errorf("apply: exit code %d, want 0 or 3: %s", e.code, e.output)
 			}
 		}
 	}
-	t.Logf("%d of 6 races ended in a conflict", conflicts)
+	t.Logf("%d of 6 rounds had a conflict", conflicts)
 }
 
 func TestApplySucceedsAfterLostResponse(t *testing.T) {
@@ -116,7 +116,7 @@
 	d.pathtally(0, "apply", "-f", d.folder, "-platform", platform, "-wait", "-node-address", d.nodes[0].http)
 	output := d.pathtally(0, "get", "TrafficGroup", "live", "-platform", platform, "-o", "yaml")
 	if !strings.Contains(output, "priority: 81") {
-		t.Errorf("the change is not in force: %s", output)
+		t.Errorf("priority was not changed: %s", output)
 	}
 }
 
@@ -131,19 +131,19 @@
 	for _, generator := range []*loadgen.Generator{stopped, others} {
 		counts := generator.Counts()
 		if counts.Wrong+counts.Truncated > 0 || counts.Answered == 0 {
-			t.Errorf("callers saw %+v, codes %v", counts, generator.Codes())
+			t.Errorf("outcomes at callers: %+v, error codes %v", counts, generator.Codes())
 		}
 		if int64(counts.Unknown) > generator.Codes()["still_running"] {
-			t.Errorf("requests had no known outcome: %v", generator.Codes())
+			t.Errorf("requests have an unknown outcome other than still_running: %v", generator.Codes())
 		}
 		d.checkRuns(generator)
 	}
 	if unknown := stopped.Codes()["engine_failed"]; unknown > 0 {
-		t.Errorf("%d requests failed at the stopping node", unknown)
+		t.Errorf("%d requests failed at the node that shut down", unknown)
 	}
 }
 
-// What apply -wait says is in force can serve at once, at every node.
+// Every node must serve new objects as soon as apply -wait has returned.
 func TestApplyWaitMeansServing(t *testing.T) {
 	d := deployStandaloneUnconfigured(t)
 	for number := range standaloneNodes {
@@ -164,7 +164,7 @@
 		answer, _ := io.ReadAll(response.Body)
 		response.Body.Close()
 		if response.StatusCode != http.StatusOK {
-			t.Errorf("%s: status %d right after apply -wait: %s", node.name, response.StatusCode, answer)
+			t.Errorf("%s: status %d after apply -wait: %s", node.name, response.StatusCode, answer)
 		}
 	}
 }
--- a/test/tenants_test.go
+++ b/test/tenants_test.go
@@ -15,8 +15,7 @@
 	"github.com/pathtally/pathtally/standin/replica"
 )
 
-// Keys of the tenants in these tests. Each is searched for in everything that
-// the nodes write.
+// API keys in these tests. None of them may appear in logs, metrics or stored objects.
 const (
 	keyOfOne      = "k1-3f9a7c5e2b"
 	otherKeyOfOne = "k2-88d1e4a06c"
@@ -37,7 +36,7 @@
 
 func authorization(key string) http.Header { return http.Header{"Authorization": {"Token " + key}} }
 
-// ran returns what all replicas ran of one request.
+// runsOf returns the runs of a request at all replicas.
 func (d *platformDeployment) runsOf(id string) []replica.Run {
 	var found []replica.Run
 	for _, server := range append(d.engines, d.apps...) {
@@ -50,8 +49,8 @@
 	return found
 }
 
-// checkNoKeyIsKept searches the logs of all nodes and the objects that they have
-// stored for the keys of the test.
+// checkNoKeyLeaked checks that no API key of the tests is in the logs or metrics of the nodes
+// or in the objects that they store.
 func (d *platformDeployment) checkNoKeyLeaked() {
 	d.t.Helper()
 	for number, node := range d.nodes {
@@ -60,7 +59,7 @@
 		node.mutex.Unlock()
 		for _, key := range allKeys {
 			if bytes.Contains(written, []byte(key)) {
-				d.t.Errorf("node %d has logged a key", number)
+				d.t.Errorf("log of node %d contains an API key", number)
 			}
 		}
 		response, err := http.Get("http://" + node.metrics + "/metrics")
@@ -72,7 +71,7 @@
 		response.Body.Close()
 		for _, key := range allKeys {
 			if strings.Contains(metrics.String(), key) {
-				d.t.Errorf("node %d has a metric with a key", number)
+				d.t.Errorf("metrics of node %d contain an API key", number)
 			}
 		}
 	}
@@ -86,13 +85,13 @@
 			objects++
 			for _, key := range allKeys {
 				if bytes.Contains(object.Spec, []byte(key)) || bytes.Contains(object.Status, []byte(key)) {
-					d.t.Errorf("%s/%s holds a key", kind, object.Name)
+					d.t.Errorf("object %s/%s contains an API key", kind, object.Name)
 				}
 			}
 		}
 	}
 	if objects == 0 {
-		d.t.Error("no stored object was searched")
+		d.t.Error("no stored object was found, so the check proves nothing")
 	}
 }
 
@@ -107,15 +106,15 @@
 	}{
 		{"a key", "/live/a", authorization(keyOfOne), http.StatusOK, "one"},
 		{"another key of the tenant", "/live/a", authorization(otherKeyOfOne), http.StatusOK, "one"},
-		{"scheme in other letters", "/live/a", http.Header{"Authorization": {"token  " + keyOfTwo}}, http.StatusOK, "two"},
-		{"a tenant that the caller claims", "/live/a", http.Header{"Authorization": {"Token " + keyOfTwo}, "Pathtally-Tenant": {"one"}}, http.StatusOK, "two"},
-		{"a request that runs once", "/once/a", authorization(keyOfOne), http.StatusOK, "one"},
+		{"scheme in lower case", "/live/a", http.Header{"Authorization": {"token  " + keyOfTwo}}, http.StatusOK, "two"},
+		{"a key and a tenant header of another tenant", "/live/a", http.Header{"Authorization": {"Token " + keyOfTwo}, "Pathtally-Tenant": {"one"}}, http.StatusOK, "two"},
+		{"an unsafe request", "/once/a", authorization(keyOfOne), http.StatusOK, "one"},
 		{"a public route without a key", "/open/a", nil, http.StatusOK, ""},
 		{"a public route with a key", "/open/a", http.Header{"Authorization": {"Token " + keyOfOne}, "Pathtally-Tenant": {"one"}}, http.StatusOK, ""},
 		{"no key", "/live/a", nil, http.StatusUnauthorized, ""},
-		{"only a claim", "/live/a", http.Header{"Pathtally-Tenant": {"one"}}, http.StatusUnauthorized, ""},
+		{"a tenant header without a key", "/live/a", http.Header{"Pathtally-Tenant": {"one"}}, http.StatusUnauthorized, ""},
 		{"two keys", "/live/a", http.Header{"Authorization": {"Token " + keyOfOne, "Token " + keyOfTwo}}, http.StatusUnauthorized, ""},
-		{"two keys in one line", "/live/a", authorization(keyOfOne + ", Token " + keyOfTwo), http.StatusUnauthorized, ""},
+		{"two keys in one header", "/live/a", authorization(keyOfOne + ", Token " + keyOfTwo), http.StatusUnauthorized, ""},
 		{"another scheme", "/live/a", http.Header{"Authorization": {"Basic " + keyOfOne}}, http.StatusUnauthorized, ""},
 		{"no scheme", "/live/a", http.Header{"Authorization": {keyOfOne}}, http.StatusUnauthorized, ""},
 		{"an empty value", "/live/a", http.Header{"Authorization": {""}}, http.StatusUnauthorized, ""},
@@ -134,29 +133,29 @@
 		}
 		runs := d.runsOf(id)
 		if test.status != http.StatusOK && len(runs) > 0 {
-			t.Errorf("%s: refused, and ran", test.name)
+			t.Errorf("%s: request was refused, but ran", test.name)
 		}
 		if test.status == http.StatusOK && len(runs) == 0 {
-			t.Errorf("%s: answered, and ran nowhere", test.name)
+			t.Errorf("%s: request was served, but ran at no replica", test.name)
 		}
 		for _, run := range runs {
 			if run.Tenant != test.tenant || run.Credentials != "" {
 				t.Errorf("%s: ran for %q with credentials %q", test.name, run.Tenant, run.Credentials)
 			}
 			if strings.HasPrefix(test.target, "/chat/") && run.Priority != "0" {
-				t.Errorf("%s: ran with priority %q, want that of its tenant", test.name, run.Priority)
+				t.Errorf("%s: ran with priority %q, want 0, the priority of its tenant", test.name, run.Priority)
 			}
 		}
 	}
 	if d.nodes[0].find("ignoring invalid part of tenant declaration", `\"two\"`) == nil {
-		t.Error("the shared key is not told")
+		t.Error("the log does not report the key that two tenants share")
 	}
 	d.submitAs(d.nodes[0], authorization(keyOfOne), "kept", 4, 1)
 	d.checkNoKeyLeaked()
 }
 
-// A tenant's batch job is its own at every node, also after a takeover, and its
-// items and reward calls run for that tenant.
+// Only a job's tenant may read or end it, at every node and after a takeover, and its items
+// and scorer calls must run for that tenant.
 func TestBatchJobIsVisibleToItsTenantOnly(t *testing.T) {
 	d := deployPlatform(t, deploymentSpec{nodes: 3, engines: 2, apps: 2, eventInterval: 15 * time.Millisecond, tenants: twoTenants()})
 	const job, items = "owned", 24
@@ -189,10 +188,10 @@
 	}
 	for number, node := range d.nodes {
 		if response, err := d.send(node, http.MethodPost, draftHost, "/drafts/"+job, job, body, authorization(keyOfTwo)); err != nil || response.status != http.StatusConflict {
-			t.Errorf("the id of another tenant's job at %d: %+v, %v", number, response, err)
+			t.Errorf("submission with the id of another tenant's job at node %d: %+v, %v", number, response, err)
 		}
 	}
-	// The node that runs the job is lost.
+	// The owner of the job is killed.
 	owner := -1
 	for number, node := range d.nodes {
 		if node.find("batch job started", `"epoch":1`) != nil {
@@ -210,23 +209,23 @@
 		for _, id := range []string{fmt.Sprintf("%s.%d", job, number), fmt.Sprintf("score.%s.%d", job, number)} {
 			runs := d.runsOf(id)
 			if len(runs) == 0 {
-				t.Errorf("%s ran nowhere", id)
+				t.Errorf("request %s ran at no replica", id)
 			}
 			for _, run := range runs {
 				if run.Tenant != "one" || run.Credentials != "" {
-					t.Errorf("%s ran for %q with credentials %q", id, run.Tenant, run.Credentials)
+					t.Errorf("request %s ran for %q with credentials %q", id, run.Tenant, run.Credentials)
 				}
 				if !strings.HasPrefix(id, "score.") && run.Priority != "1" {
-					t.Errorf("%s ran with priority %q, want that of its tenant", id, run.Priority)
+					t.Errorf("request %s ran with priority %q, want 1, the priority of its tenant", id, run.Priority)
 				}
 			}
 		}
 	}
-	expect("the end by the tenant", next, http.MethodDelete, "/-/lots/"+job, authorization(keyOfOne), http.StatusOK)
+	expect("end by the tenant", next, http.MethodDelete, "/-/lots/"+job, authorization(keyOfOne), http.StatusOK)
 	d.checkNoKeyLeaked()
 }
 
-// An item that names credentials would have them kept with the job.
+// Credentials in the headers of an item must be rejected, since items are stored.
 func TestBatchItemWithCredentialsIsRejected(t *testing.T) {
 	d := deployPlatform(t, deploymentSpec{nodes: 1, engines: 1, apps: 1, eventInterval: time.Millisecond, tenants: twoTenants()})
 	item := draftItem("secretive", 0)
@@ -237,16 +236,16 @@
 	}
 	response, err := d.send(d.nodes[0], http.MethodPost, draftHost, "/drafts/secretive", "secretive", body, authorization(keyOfOne))
 	if err != nil || response.status != http.StatusBadRequest {
-		t.Errorf("%+v, %v", response, err)
+		t.Errorf("submission with credentials in an item: %+v, %v", response, err)
 	}
 	if runs := d.runsOf("secretive.0"); len(runs) > 0 {
-		t.Error("the item ran")
+		t.Error("the item of a rejected job ran")
 	}
 	d.checkNoKeyLeaked()
 }
 
-// A key that is taken away is refused from then on, the other keys of its tenant
-// go on, and so do the tenant's batch jobs.
+// A revoked key must be refused while the other keys of its tenant stay valid and the
+// tenant's batch jobs continue.
 func TestRevokedAPIKeyIsRefused(t *testing.T) {
 	d := deployPlatform(t, deploymentSpec{nodes: 3, engines: 2, apps: 2, eventInterval: 10 * time.Millisecond, tenants: twoTenants()})
 	const items = 16
@@ -261,7 +260,7 @@
 			}
 			return response.status
 		}
-		d.eventually("the key is refused", func() bool { return statusOf(keyOfOne) == http.StatusUnauthorized })
+		d.eventually("the revoked key to be refused", func() bool { return statusOf(keyOfOne) == http.StatusUnauthorized })
 		for key, want := range map[string]int{otherKeyOfOne: http.StatusOK, keyOfTwo: http.StatusOK, unknownKey: http.StatusOK, sharedKey: http.StatusUnauthorized} {
 			if status := statusOf(key); status != want {
 				t.Errorf("node %d: status %d, want %d", number, status, want)
--- a/test/usage_test.go
+++ b/test/usage_test.go
@@ -12,17 +12,18 @@
 	"github.com/pathtally/pathtally/standin/dutyapi"
 )
 
-// usageLate is how long after its end a window's report is due in these tests.
+// usageLate is the nodes' setting of that name: when the report of a window is due after the
+// window's end.
 const usageLate = 10 * time.Second
 
-// began counts by tenant and window what the replicas ran of live requests.
+// runsByWindow counts the runs of live requests by usage window and tenant.
 func (d *platformDeployment) runsByWindow() map[int64]map[string]uint64 {
 	counts := map[int64]map[string]uint64{}
 	for _, app := range d.apps {
 		for _, run := range app.Runs() {
 			window := run.At.UnixNano() / int64(d.usageWindow)
 			if run.Tenant == "" || !strings.HasPrefix(run.ID, "usage.") {
-				// Calls of scorers are no usage.
+				// Scorer calls are not metered.
 				continue
 			}
 			if counts[window] == nil {
@@ -34,8 +35,8 @@
 	return counts
 }
 
-// keepAsking has callers of two tenants send requests to all living nodes until
-// the returned function is called.
+// generateLoad sends requests of two tenants to all nodes, except those that avoid excludes,
+// until the returned function is called.
 func (d *platformDeployment) generateLoad(avoid func(node int) bool) (stop func()) {
 	ended := make(chan struct{})
 	var callers sync.WaitGroup
@@ -61,7 +62,8 @@
 	}
 }
 
-// off is by how many requests a report differs from the truth.
+// countDifference returns by how many requests a report differs from the wanted counts, and
+// the total of these.
 func countDifference(report dutyapi.Report, want map[string]uint64) (difference, total uint64) {
 	for tenant, count := range want {
 		total += count
@@ -74,14 +76,13 @@
 	return difference, total
 }
 
-// Usage is reported window by window, also when the node that reports is killed
-// and when another stops as planned. No window is reported in two ways, and no
-// fence falls.
+// Each usage window must be reported, once and with rising fencing tokens, when the reporting
+// node is killed and another node shuts down.
 func TestUsageReportsSurviveNodeLoss(t *testing.T) {
 	d := deployPlatform(t, deploymentSpec{nodes: 4, engines: 1, apps: 2, eventInterval: time.Millisecond, tenants: twoTenants(), usageWindow: time.Second})
 	var stopped sync.Map
 	stop := d.generateLoad(func(node int) bool { _, known := stopped.Load(node); return known })
-	d.eventually("a window is reported", func() bool { return len(d.duties.Reports()) > 1 })
+	d.eventually("a usage window to be reported", func() bool { return len(d.duties.Reports()) > 1 })
 	d.submitAs(d.nodes[0], authorization(keyOfOne), "uncounted", 8, 1)
 	holder := -1
 	for _, report := range d.duties.Reports() {
@@ -97,7 +98,7 @@
 	time.Sleep(3 * time.Second)
 	stop()
 	last := time.Now().UnixNano()/int64(d.usageWindow) - 1
-	d.eventually("the last whole window is reported", func() bool { _, known := d.duties.Reports()[last]; return known })
+	d.eventually("the last complete usage window to be reported", func() bool { _, known := d.duties.Reports()[last]; return known })
 	for _, finding := range d.duties.Findings() {
 		t.Error(finding)
 	}
@@ -112,13 +113,13 @@
 		difference, total := countDifference(report, want[window])
 		if !known || float64(difference) > 0.05*float64(total) {
 			missed++
-			t.Logf("window %d: %v, known %v, truth %v, %s after the kill", window, report.Counts, known, want[window],
+			t.Logf("window %d: counts %v, reported %v, want %v, %s after the kill", window, report.Counts, known, want[window],
 				time.Unix(0, window*int64(d.usageWindow)).Sub(killed))
 		}
 	}
-	// What the killed node served in its last moments may be lost.
+	// The counts of the killed node since its last report may be lost.
 	if missed > 1 || last-first < 5 {
-		t.Errorf("%d of %d windows are missed or off", missed, last-first)
+		t.Errorf("%d of %d windows are missing or differ by more than 5 %%", missed, last-first)
 	}
 	d.checkNoKeyLeaked()
 }
--- a/test/virtual_test.go
+++ b/test/virtual_test.go
@@ -29,7 +29,7 @@
 	"github.com/pathtally/pathtally/standin/replica"
 )
 
-// alone is the link of a node without peers.
+// noPeers is the peer link of a node without peers.
 type noPeers struct{}
 
 func (noPeers) Send(string, wire.Message)        {}
@@ -39,18 +39,18 @@
 	done(nil, context.Canceled)
 }
 
-// virtualDay is a node before stand-ins, all on the virtual clock of a test.
+// virtualDeployment is one node with stand-ins, all on the virtual clock of a test.
 type virtualDeployment struct {
 	t       *testing.T
 	store   *metastore.Store
 	engines []*replica.Server
 	jobs    *batch.Service
-	// storeAway is set while the store answers nobody.
+	// storeDown is set during an outage of the store.
 	storeDown atomic.Bool
 }
 
-// startVirtualDay starts a node's duties with engines that take as long as the
-// users' replicas do.
+// deployVirtual starts the batch and weight-order services of a node and engines with the
+// speed of the users' replicas.
 func deployVirtual(ctx context.Context, t *testing.T, engines int) *virtualDeployment {
 	d := &virtualDeployment{t: t, store: metastore.New()}
 	network := replica.NewNetwork()
@@ -108,7 +108,7 @@
 	return d
 }
 
-// step submits a job and reads it to its end, and returns how long that took.
+// runStep submits a job, reads all its results, ends it, and returns how long that took.
 func (d *virtualDeployment) runStep(ctx context.Context, number, items int, minVersion int64) time.Duration {
 	d.t.Helper()
 	began := time.Now()
@@ -135,7 +135,7 @@
 			d.t.Fatalf("read %s: %v", job, err)
 		}
 		if err != nil {
-			// A node that cannot look at the store for what it may have listed says so.
+			// During the outage the node refuses reads that it cannot check against the store.
 			time.Sleep(resultsReadInterval)
 			continue
 		}
@@ -152,10 +152,10 @@
 	return time.Since(began)
 }
 
-// readPeriod is about how often trainers read a job.
+// resultsReadInterval is the time between reads of a job.
 const resultsReadInterval = 500 * time.Millisecond
 
-// objective is the time within which the users want a step read.
+// stepObjective is the longest time that a step may take.
 const stepObjective = 7500 * time.Millisecond
 
 func TestVirtualClockSteadyState(t *testing.T) {
@@ -173,7 +173,7 @@
 						d.store.Write("versions", draftModel, map[string]any{"model": draftModel, "version": step + 1})
 					}
 					if took := d.runStep(ctx, step, test.items, max(1, int64(step-1))); took > stepObjective {
-						t.Errorf("step %d took %s of virtual time", step, took)
+						t.Errorf("step %d took %s of virtual time, longer than the objective", step, took)
 					}
 				}
 				(&platformDeployment{t: t, engines: d.engines}).checkFencingTokens()
@@ -182,12 +182,12 @@
 	}
 }
 
-// outageSlack is how long after an outage of the store a step may take: a try of what
-// was on its way, and a reader that comes back.
+// outageRecoveryTime is how long after a store outage a step may take: for one retry of the
+// calls in progress and one read interval.
 const outageRecoveryTime = 1500 * time.Millisecond
 
-// An outage of the store in the middle of a step loses nothing, and the step is
-// whole once the store is back.
+// A store outage during a step must not lose results, and the step must complete soon after
+// it.
 func TestVirtualClockStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -203,10 +203,10 @@
 		})
 		took := d.runStep(ctx, 0, 40, 1)
 		if took < 6*time.Second {
-			t.Errorf("the step was whole after %s, so the outage did not strike it", took)
+			t.Errorf("step completed after %s, before the end of the outage, so the test proves nothing", took)
 		}
 		if took > 6*time.Second+outageRecoveryTime {
-			t.Errorf("the step was whole %s after the outage", took-6*time.Second)
+			t.Errorf("step completed %s after the outage, want less", took-6*time.Second)
 		}
 	})
 }
