--- a/test/standalone_deployment_test.go
+++ b/test/standalone_deployment_test.go
@@ -152,7 +152,7 @@
 
 func (d *standaloneDeployment) waitReady(n *standaloneNode) {
 	d.t.Helper()
-	d.eventually(n.name+" to become ready", func() bool {
+	d.eventually("node "+n.name+" to become ready", func() bool {
 		code, _, err := fasthttp.GetTimeout(nil, "http://"+n.http+"/readyz", time.Second)
 		return err == nil && code == fasthttp.StatusOK
 	})
