--- a/test/platform_callers_test.go
+++ b/test/platform_callers_test.go
@@ -28,8 +28,7 @@
 	id      string
 	body    []byte
 	header  http.Header
-	// limit is the timeout of the caller.
-	limit time.Duration
+	timeout time.Duration
 }
 
 // do sends the request and reads the whole response.
@@ -45,7 +44,7 @@
 	request.Header.Set("Pathtally-Request-Id", c.id)
 	client := c.client
 	if client == nil {
-		client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}, Timeout: c.limit}
+		client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}, Timeout: c.timeout}
 	}
 	response, err := client.Do(request)
 	if err != nil {
@@ -58,7 +57,7 @@
 
 // send sends one request to a node on a new connection.
 func (d *platformDeployment) send(node *platformNode, method, host, target, id string, body []byte, header http.Header) (callerResponse, error) {
-	return call{address: node.http, method: method, host: host, target: target, id: id, body: body, header: header, limit: startLimit}.do()
+	return call{address: node.http, method: method, host: host, target: target, id: id, body: body, header: header, timeout: waitTimeout}.do()
 }
 
 // draftItem returns an item of a batch job in the format of the users' trainers.
--- a/test/programs_test.go
+++ b/test/programs_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// startLimit is the timeout for conditions that a test waits for.
-	startLimit   = 20 * time.Second
+	// waitTimeout is the timeout for conditions that a test waits for.
+	waitTimeout  = 20 * time.Second
 	pollInterval = 25 * time.Millisecond
 )
 
@@ -103,11 +103,11 @@
 	return string(output), command.ProcessState.ExitCode()
 }
 
-// eventually polls check until it returns true, and fails the test after startLimit.
+// eventually polls check until it returns true, and fails the test after waitTimeout.
 // what completes the sentence "timed out waiting for ...".
 func eventually(t *testing.T, what string, check func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(startLimit); time.Now().Before(limit); time.Sleep(pollInterval) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if check() {
 			return
 		}
--- a/test/proxy_test.go
+++ b/test/proxy_test.go
@@ -184,7 +184,7 @@
 		if p.isBlackholed(from) || (responses && proxyMode(p.mode.Load()) == proxyOneWay) {
 			continue
 		}
-		limit, limited := p.limit(responses)
+		limit, limited := p.resetLimit(responses)
 		if limited && passed+int64(count) > limit {
 			to.Write(buffer[:max(0, limit-passed)])
 			reset(to)
@@ -208,9 +208,9 @@
 	return bytes.Clone(seen[max(0, len(seen)-len(p.marker)+1):])
 }
 
-// limit returns the number of bytes of a direction after which the connection is reset,
+// resetLimit returns the number of bytes of a direction after which the connection is reset,
 // and whether there is such a limit.
-func (p *proxy) limit(responses bool) (int64, bool) {
+func (p *proxy) resetLimit(responses bool) (int64, bool) {
 	if responses {
 		limit := p.resetResponseAfter.Load()
 		return limit, limit > 0
@@ -272,7 +272,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { connection.Close() })
-	connection.SetDeadline(time.Now().Add(startLimit))
+	connection.SetDeadline(time.Now().Add(waitTimeout))
 	if _, err := connection.Write([]byte("a")); err != nil {
 		t.Fatal(err)
 	}
--- a/test/regions_test.go
+++ b/test/regions_test.go
@@ -50,7 +50,7 @@
 }
 
 // boundBodyPrefix is the start of the item bodies of jobs whose ids begin with "bound",
-// in the base64 encoding of a job payload. All such jobs are restricted to the south.
+// in the base64 encoding of a job payload. They may run in the south only.
 var boundBodyPrefix = base64.StdEncoding.EncodeToString([]byte("prompt of bound"))
 
 // setStoreLinks sets the proxy mode of the links from nodes to the store.
@@ -101,8 +101,8 @@
 	return found
 }
 
-// Requests must run, and their bodies be sent, in the allowed regions only. Callers are in
-// the north, the south is allowed, the west is neither.
+// Requests must run in their allowed regions only, and no other region may receive their
+// bodies. Callers are in the north, the south is allowed, the west must receive nothing.
 func TestRequestsStayInAllowedRegions(t *testing.T) {
 	south := []string{"south"}
 	tenants := []map[string]any{
--- a/test/soak_callers_test.go
+++ b/test/soak_callers_test.go
@@ -23,12 +23,12 @@
 )
 
 // call sends one request to a node's current process on a new connection.
-func (w *soakRun) call(node *soakNode, method, host, target, id string, body []byte, header http.Header) (callerResponse, error) {
-	return w.callOn(nil, node, method, host, target, id, body, header)
+func (s *soakRun) call(node *soakNode, method, host, target, id string, body []byte, header http.Header) (callerResponse, error) {
+	return s.callOn(nil, node, method, host, target, id, body, header)
 }
 
 // callOn is call with a client, or on a new connection if the client is nil.
-func (w *soakRun) callOn(client *http.Client, node *soakNode, method, host, target, id string, body []byte, header http.Header) (callerResponse, error) {
+func (s *soakRun) callOn(client *http.Client, node *soakNode, method, host, target, id string, body []byte, header http.Header) (callerResponse, error) {
 	process, _ := node.process()
 	header = header.Clone()
 	if header == nil {
@@ -36,137 +36,137 @@
 	}
 	header.Set("Pathtally-Deadline-Ms", fmt.Sprint(callTimeout.Milliseconds()))
 	return call{
-		client: client, address: process.http, method: method, host: host, target: target, id: id, body: body, header: header, limit: callTimeout + time.Second,
+		client: client, address: process.http, method: method, host: host, target: target, id: id, body: body, header: header, timeout: callTimeout + time.Second,
 	}.do()
 }
 
 // runCaller sends live requests to all nodes. Callers with odd numbers reuse their
 // connections.
-func (w *soakRun) runCaller(number int) {
-	random := newRandomStream(w.seed, streamCallers+uint64(number))
+func (s *soakRun) runCaller(number int) {
+	random := newRandomStream(s.seed, streamCallers+uint64(number))
 	var client *http.Client
 	if number%2 == 1 {
 		client = &http.Client{Transport: &http.Transport{DisableCompression: true}, Timeout: callTimeout + time.Second}
 		defer client.CloseIdleConnections()
 	}
-	for count := 0; w.sleep(callInterval); count++ {
-		node := w.randomNode(random)
+	for count := 0; s.sleep(callInterval); count++ {
+		node := s.randomNode(random)
 		id := fmt.Sprintf("call.%d.%d", number, count)
 		switch random.intN(4) {
 		case 0:
-			w.callOnce(client, node, &soakRequest{id: id, target: "/once/a%2Fb?q=%20" + id, body: "transfer " + id, once: true})
+			s.callOnce(client, node, &soakRequest{id: id, target: "/once/a%2Fb?q=%20" + id, body: "transfer " + id, once: true})
 		case 1:
-			w.callStream(client, node, &soakRequest{id: id, target: "/chat/" + id, body: "hello " + id})
+			s.callStream(client, node, &soakRequest{id: id, target: "/chat/" + id, body: "hello " + id})
 		default:
-			w.callOnce(client, node, &soakRequest{id: id, target: "/live/" + id, body: "look up " + id})
+			s.callOnce(client, node, &soakRequest{id: id, target: "/live/" + id, body: "look up " + id})
 		}
 	}
 }
 
 // recordEnd records the outcome of a request.
-func (w *soakRun) recordEnd(request *soakRequest, response callerResponse, err error) {
-	w.record.mutex.Lock()
-	defer w.record.mutex.Unlock()
+func (s *soakRun) recordEnd(request *soakRequest, response callerResponse, err error) {
+	s.record.mutex.Lock()
+	defer s.record.mutex.Unlock()
 	request.status, request.failed = response.status, err != nil
 	if err == nil && response.status == http.StatusOK {
-		w.record.served++
+		s.record.served++
 	}
 }
 
-func (w *soakRun) callOnce(client *http.Client, node *soakNode, request *soakRequest) {
-	w.record.recordRequest(request)
-	response, err := w.callOn(client, node, http.MethodPost, liveHost, request.target, request.id, []byte(request.body), nil)
-	w.recordEnd(request, response, err)
+func (s *soakRun) callOnce(client *http.Client, node *soakNode, request *soakRequest) {
+	s.record.recordRequest(request)
+	response, err := s.callOn(client, node, http.MethodPost, liveHost, request.target, request.id, []byte(request.body), nil)
+	s.recordEnd(request, response, err)
 	if err == nil && response.status == http.StatusOK && response.body != "answer to "+request.id+": "+request.body {
-		w.record.fail("MIXED", "request %s received %q", request.id, response.body)
+		s.record.fail("MIXED", "request %s received %q", request.id, response.body)
 	}
 }
 
-func (w *soakRun) callStream(client *http.Client, node *soakNode, request *soakRequest) {
-	w.record.recordRequest(request)
+func (s *soakRun) callStream(client *http.Client, node *soakNode, request *soakRequest) {
+	s.record.recordRequest(request)
 	prompt := http.Header{"Pathtally-Model": {draftModel}, "Pathtally-Token-Usage": {"10,10"}, "Pathtally-Prefix-Hash": {"ab:5," + fmt.Sprintf("%x", len(request.id)) + ":5"}}
-	response, err := w.callOn(client, node, http.MethodPost, liveHost, request.target, request.id, []byte(request.body), prompt)
-	w.recordEnd(request, response, err)
+	response, err := s.callOn(client, node, http.MethodPost, liveHost, request.target, request.id, []byte(request.body), prompt)
+	s.recordEnd(request, response, err)
 	if err == nil && response.status == http.StatusOK && streamText(response.body) != replica.Text(request.id) {
-		w.record.fail("ORDER", "stream %s looks complete with %q", request.id, streamText(response.body))
+		s.record.fail("ORDER", "stream %s looks complete with %q", request.id, streamText(response.body))
 	}
 }
 
 // runTrainer submits, reads and ends one job after the other.
-func (w *soakRun) runTrainer(number int) {
-	for step := 0; w.sleep(0); step++ {
-		job := drawJob(w.seed, number, step)
-		w.record.mutex.Lock()
-		w.record.jobs = append(w.record.jobs, job)
-		w.record.mutex.Unlock()
-		job.minVersion = max(1, w.newestWeightVersion()-1)
-		if w.submit(job, int64(step)) {
-			w.follow(job)
-			w.endJob(job)
+func (s *soakRun) runTrainer(number int) {
+	for step := 0; s.sleep(0); step++ {
+		job := drawJob(s.seed, number, step)
+		s.record.mutex.Lock()
+		s.record.jobs = append(s.record.jobs, job)
+		s.record.mutex.Unlock()
+		job.minVersion = max(1, s.newestWeightVersion()-1)
+		if s.submit(job, int64(step)) {
+			s.follow(job)
+			s.endJob(job)
 		}
 		if number == firstTrainer {
-			w.publishWeights()
+			s.publishWeights()
 		}
 	}
 }
 
-func (w *soakRun) newestWeightVersion() int64 {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.weightVersion
+func (s *soakRun) newestWeightVersion() int64 {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.weightVersion
 }
 
 // publishWeights publishes the next weight version of the model.
-func (w *soakRun) publishWeights() {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.weightVersion++
-	w.store.Write("versions", draftModel, map[string]any{"model": draftModel, "version": w.weightVersion})
+func (s *soakRun) publishWeights() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.weightVersion++
+	s.store.Write("versions", draftModel, map[string]any{"model": draftModel, "version": s.weightVersion})
 }
 
 // submit submits a job until it is accepted or stepTimeout has passed.
-func (w *soakRun) submit(job *soakJob, step int64) bool {
+func (s *soakRun) submit(job *soakJob, step int64) bool {
 	var requests []map[string]any
 	for number := range job.items {
 		item := draftItem(job.id, number)
 		requests = append(requests, item)
 		id := item["id"].(string)
-		w.record.recordRequest(&soakRequest{id: id, target: item["path"].(string), body: string(item["body"].([]byte))})
-		w.record.recordRequest(&soakRequest{id: "score." + id, target: "/score/" + id, body: "text"})
+		s.record.recordRequest(&soakRequest{id: id, target: item["path"].(string), body: string(item["body"].([]byte))})
+		s.record.recordRequest(&soakRequest{id: "score." + id, target: "/score/" + id, body: "text"})
 	}
 	body, err := json.Marshal(map[string]any{"step": step, "model": draftModel, "minVersion": job.minVersion, "desired": job.items / 4, "requests": requests})
 	if err != nil {
-		w.record.fail("TEST", "%v", err)
+		s.record.fail("TEST", "%v", err)
 		return false
 	}
 	refused := true
-	for end := time.Now().Add(stepTimeout); time.Now().Before(end); {
-		node := w.randomNode(job.random)
-		response, err := w.call(node, http.MethodPost, draftHost, "/drafts/"+job.id, job.id, body, nil)
+	for deadline := time.Now().Add(stepTimeout); time.Now().Before(deadline); {
+		node := s.randomNode(job.random)
+		response, err := s.call(node, http.MethodPost, draftHost, "/drafts/"+job.id, job.id, body, nil)
 		if err == nil && response.status == http.StatusAccepted {
-			w.record.mutex.Lock()
+			s.record.mutex.Lock()
 			job.accepted = time.Now()
-			w.record.mutex.Unlock()
+			s.record.mutex.Unlock()
 			return true
 		}
 		refused = refused && err == nil && isNotRunStatus(response.status)
-		if !w.sleep(100 * time.Millisecond) {
+		if !s.sleep(100 * time.Millisecond) {
 			break
 		}
 	}
-	w.record.mutex.Lock()
+	s.record.mutex.Lock()
 	job.refused = refused
-	w.record.mutex.Unlock()
+	s.record.mutex.Unlock()
 	return false
 }
 
 // page reads results of a job at a node, from a position on, and checks them.
-func (w *soakRun) page(node *soakNode, job *soakJob, from int) (callerResponse, error) {
-	known := w.record.resultCount(job)
-	response, err := w.call(node, http.MethodGet, draftHost, fmt.Sprintf("/-/lots/%s?sinceRev=%d", job.id, from), "reader", nil,
+func (s *soakRun) page(node *soakNode, job *soakJob, from int) (callerResponse, error) {
+	known := s.record.resultCount(job)
+	response, err := s.call(node, http.MethodGet, draftHost, fmt.Sprintf("/-/lots/%s?sinceRev=%d", job.id, from), "reader", nil,
 		http.Header{"Pathtally-Wait-Ms": {"300"}})
 	if err == nil && (response.status == http.StatusNotFound || response.status == http.StatusGone) {
-		w.record.fail("LOST", "job %s was accepted, but %s responds with %d", job.id, node.name, response.status)
+		s.record.fail("LOST", "job %s was accepted, but %s responds with %d", job.id, node.name, response.status)
 	}
 	if err != nil || response.status != http.StatusOK {
 		return response, err
@@ -177,25 +177,25 @@
 		Results   []itemResult
 	}
 	if err := json.Unmarshal([]byte(response.body), &page); err != nil || page.Total != job.items || page.NextToken != from+len(page.Results) {
-		w.record.fail("MIXED", "page of job %s at %s: total %d, next token %d from position %d with %d results, %v", job.id, node.name, page.Total, page.NextToken, from, len(page.Results), err)
+		s.record.fail("MIXED", "page of job %s at %s: total %d, next token %d from position %d with %d results, %v", job.id, node.name, page.Total, page.NextToken, from, len(page.Results), err)
 		return response, err
 	}
-	w.record.checkPage(job, from, known, page.Results, node.name)
+	s.record.checkPage(job, from, known, page.Results, node.name)
 	return response, nil
 }
 
 // follow reads a job's results, now and then from an earlier position, until it is time
 // to end the job.
-func (w *soakRun) follow(job *soakJob) {
+func (s *soakRun) follow(job *soakJob) {
 	if job.endPlan.awaitsEvent() {
-		w.awaitEndTrigger(job)
+		s.awaitEndTrigger(job)
 		return
 	}
 	began := time.Now()
 	for time.Since(began) < stepTimeout {
-		known := w.record.resultCount(job)
+		known := s.record.resultCount(job)
 		if known >= int(wantedShare*float64(job.items)) {
-			w.record.addStep()
+			s.record.addStep()
 			return
 		}
 		if job.endPlan.trigger == endAfterDelay && time.Since(began) >= job.endPlan.delay {
@@ -205,8 +205,8 @@
 		if known > 0 && job.random.intN(4) == 0 {
 			from = job.random.intN(known)
 		}
-		w.page(w.randomNode(job.random), job, from)
-		if !w.sleep(60 * time.Millisecond) {
+		s.page(s.randomNode(job.random), job, from)
+		if !s.sleep(60 * time.Millisecond) {
 			return
 		}
 	}
@@ -220,53 +220,53 @@
 
 // awaitEndTrigger waits for the event at which a job is to be ended. It reads no results,
 // since a read may take longer than the event lasts.
-func (w *soakRun) awaitEndTrigger(job *soakJob) {
-	restarts, began := w.restarts.Load(), time.Now()
-	for !w.isTriggered(job, restarts) {
-		if time.Since(began) > endTriggerTimeout || w.record.resultCount(job) == job.items || !w.sleep(awaitPollInterval) {
+func (s *soakRun) awaitEndTrigger(job *soakJob) {
+	restarts, began := s.restarts.Load(), time.Now()
+	for !s.isTriggered(job, restarts) {
+		if time.Since(began) > endTriggerTimeout || s.record.resultCount(job) == job.items || !s.sleep(awaitPollInterval) {
 			return
 		}
 	}
-	w.record.addTriggered(job.endPlan.trigger)
-	w.sleep(job.endPlan.delay)
+	s.record.addTriggered(job.endPlan.trigger)
+	s.sleep(job.endPlan.delay)
 }
 
 // isTriggered reports whether the event at which a job is to be ended has happened.
 // restarts is the restart count at the beginning of the wait.
-func (w *soakRun) isTriggered(job *soakJob, restarts int64) bool {
+func (s *soakRun) isTriggered(job *soakJob, restarts int64) bool {
 	switch job.endPlan.trigger {
 	case endAfterRestart:
-		return w.restarts.Load() > restarts
+		return s.restarts.Load() > restarts
 	case endDuringAppend:
-		return w.slowCalls.inProgress(jobstore.KindResults, "create", job.id)
+		return s.slowCalls.inProgress(jobstore.KindResults, "create", job.id)
 	case endDuringPayloadRead:
-		return w.slowCalls.inProgress(jobstore.KindPayloads, "get", job.id)
+		return s.slowCalls.inProgress(jobstore.KindPayloads, "get", job.id)
 	}
 	return false
 }
 
-// endJob ends a job, depending on its plan at two nodes at once or again later.
-func (w *soakRun) endJob(job *soakJob) {
+// endJob ends a job; depending on its plan, twice at the same time, or again later.
+func (s *soakRun) endJob(job *soakJob) {
 	var ends sync.WaitGroup
 	if job.endPlan.concurrent {
-		ends.Go(func() { w.endOnce(job) })
+		ends.Go(func() { s.endUntilAcknowledged(job) })
 	}
-	w.endOnce(job)
+	s.endUntilAcknowledged(job)
 	ends.Wait()
-	if job.endPlan.repeated && w.sleep(job.random.duration(0, time.Second)) {
-		w.endOnce(job)
+	if job.endPlan.repeated && s.sleep(job.random.duration(0, time.Second)) {
+		s.endUntilAcknowledged(job)
 	}
 }
 
-// endOnce retries to end a job until that is acknowledged or stepTimeout has passed.
-func (w *soakRun) endOnce(job *soakJob) {
-	for end := time.Now().Add(stepTimeout); time.Now().Before(end); {
-		response, err := w.call(w.randomNode(job.random), http.MethodDelete, draftHost, "/-/lots/"+job.id, "end", nil, nil)
+// endUntilAcknowledged retries to end a job until that is acknowledged or stepTimeout has passed.
+func (s *soakRun) endUntilAcknowledged(job *soakJob) {
+	for deadline := time.Now().Add(stepTimeout); time.Now().Before(deadline); {
+		response, err := s.call(s.randomNode(job.random), http.MethodDelete, draftHost, "/-/lots/"+job.id, "end", nil, nil)
 		if err == nil && response.status == http.StatusOK {
-			w.record.recordJobEnd(job)
+			s.record.recordJobEnd(job)
 			return
 		}
-		if !w.sleep(100 * time.Millisecond) {
+		if !s.sleep(100 * time.Millisecond) {
 			return
 		}
 	}
@@ -281,10 +281,10 @@
 
 // runReader reads accepted jobs, running and ended, at random nodes: mostly recent jobs,
 // from the end of the known results or from an earlier position.
-func (w *soakRun) runReader(number int) {
-	random := newRandomStream(w.seed, streamReaders+uint64(number))
-	for w.sleep(readerInterval) {
-		jobs := w.record.acceptedJobs()
+func (s *soakRun) runReader(number int) {
+	random := newRandomStream(s.seed, streamReaders+uint64(number))
+	for s.sleep(readerInterval) {
+		jobs := s.record.acceptedJobs()
 		if len(jobs) == 0 {
 			continue
 		}
@@ -292,63 +292,63 @@
 			jobs = jobs[max(0, len(jobs)-recentJobs):]
 		}
 		job := jobs[random.intN(len(jobs))]
-		position := w.record.resultCount(job)
+		position := s.record.resultCount(job)
 		if position > 0 && random.intN(2) == 0 {
 			position = max(0, position-1-random.intN(3))
 		}
-		w.page(w.randomNode(random), job, position)
+		s.page(s.randomNode(random), job, position)
 	}
 }
 
 // refreshEngineEntries rewrites the entries of engines whose weight version has changed.
-func (w *soakRun) refreshEngineEntries() {
+func (s *soakRun) refreshEngineEntries() {
 	written := map[string]int64{}
-	for w.sleep(200 * time.Millisecond) {
-		for _, engine := range w.ofService("engines") {
+	for s.sleep(200 * time.Millisecond) {
+		for _, engine := range s.ofService("engines") {
 			if version := engine.server.Version(); written[engine.id] != version {
 				written[engine.id] = version
-				w.rewriteEntry(engine)
+				s.rewriteEntry(engine)
 			}
 		}
 	}
 }
 
 // rewriteEntry writes the entry of a replica unless it has been removed or drains.
-func (w *soakRun) rewriteEntry(living *soakReplica) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	for _, candidate := range w.replicas {
-		if candidate == living && living.drainedAt.IsZero() {
-			w.store.Write("servers", living.id, living.entry("ready"))
+func (s *soakRun) rewriteEntry(running *soakReplica) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	for _, candidate := range s.replicas {
+		if candidate == running && running.drainedAt.IsZero() {
+			s.store.Write("servers", running.id, running.entry("ready"))
 		}
 	}
 }
 
 // probeConfigVersion checks that no process of a node returns to an older configuration.
-func (w *soakRun) probeConfigVersion(node *soakNode) {
+func (s *soakRun) probeConfigVersion(node *soakNode) {
 	seenIncarnation, seenVersion := 0, 0
-	for count := 0; w.sleep(100 * time.Millisecond); count++ {
+	for count := 0; s.sleep(100 * time.Millisecond); count++ {
 		_, incarnation := node.process()
 		if incarnation != seenIncarnation {
 			seenIncarnation, seenVersion = incarnation, 0
 		}
-		newest, _ := w.newestConfigVersion()
-		asked := max(seenVersion, newest-1)
+		newest, _ := s.newestConfigVersion()
+		probed := max(seenVersion, newest-1)
 		if count%2 == 0 {
-			asked = newest
+			probed = newest
 		}
-		request := &soakRequest{id: fmt.Sprintf("probe.%s.%d", node.name, count), target: versionPath(asked) + "x", body: "probe"}
-		w.record.recordRequest(request)
-		response, err := w.call(node, http.MethodPost, liveHost, request.target, request.id, []byte(request.body), nil)
-		w.recordEnd(request, response, err)
+		request := &soakRequest{id: fmt.Sprintf("probe.%s.%d", node.name, count), target: versionPath(probed) + "x", body: "probe"}
+		s.record.recordRequest(request)
+		response, err := s.call(node, http.MethodPost, liveHost, request.target, request.id, []byte(request.body), nil)
+		s.recordEnd(request, response, err)
 		_, incarnationAfter := node.process()
-		newestAfter, _ := w.newestConfigVersion()
+		newestAfter, _ := s.newestConfigVersion()
 		switch {
 		case err != nil || incarnationAfter != incarnation:
 		case response.status == http.StatusOK:
-			seenVersion = max(seenVersion, asked)
-		case response.status == http.StatusNotFound && seenVersion >= asked && newestAfter <= asked+1:
-			w.record.fail("CONFIG", "%s had configuration version %d and responds with 404 on the route of version %d", node.name, seenVersion, asked)
+			seenVersion = max(seenVersion, probed)
+		case response.status == http.StatusNotFound && seenVersion >= probed && newestAfter <= probed+1:
+			s.record.fail("CONFIG", "%s had configuration version %d and responds with 404 on the route of version %d", node.name, seenVersion, probed)
 		}
 	}
 }
--- a/test/soak_crashes_test.go
+++ b/test/soak_crashes_test.go
@@ -38,15 +38,15 @@
 )
 
 // replaceCrashed replaces the replicas that have crashed.
-func (w *soakRun) replaceCrashed() {
-	for w.sleep(superviseInterval) {
-		w.mutex.Lock()
-		started := append([]*soakReplica(nil), w.replicas...)
-		w.mutex.Unlock()
-		for _, seen := range started {
-			if seen.server.Ended() {
-				w.removeReplica(seen)
-				w.startTask(func() { w.replace(seen) })
+func (s *soakRun) replaceCrashed() {
+	for s.sleep(superviseInterval) {
+		s.mutex.Lock()
+		started := append([]*soakReplica(nil), s.replicas...)
+		s.mutex.Unlock()
+		for _, candidate := range started {
+			if candidate.server.Ended() {
+				s.removeReplica(candidate)
+				s.startTask(func() { s.replace(candidate) })
 			}
 		}
 	}
@@ -54,61 +54,61 @@
 
 // replace starts the replacement of a crashed replica: under a new id, or under the same
 // id with its entry removed before or not.
-func (w *soakRun) replace(ended *soakReplica) {
-	w.mutex.Lock()
+func (s *soakRun) replace(ended *soakReplica) {
+	s.mutex.Lock()
 	// 0: same id, entry kept; 1: new id, entry removed; 2: same id, entry removed.
-	way := w.replicasStarted % 3
+	way := s.replicasStarted % 3
 	if !ended.drainedAt.IsZero() {
 		// The drain removes the entry of this id later, so the id cannot be reused.
 		way = 1
 	}
-	w.mutex.Unlock()
+	s.mutex.Unlock()
 	time.Sleep(entryRemovalDelay)
 	if way != 0 {
-		w.store.Remove("servers", ended.id)
+		s.store.Remove("servers", ended.id)
 	}
 	if way == 1 {
-		w.addReplica(ended.service)
+		s.addReplica(ended.service)
 		return
 	}
-	w.startReplica(ended.service, ended.id)
+	s.startReplica(ended.service, ended.id)
 }
 
 // sendCrashingRequests sends crashing requests, each with a popular one, until the last
 // fault has ended.
-func (w *soakRun) sendCrashingRequests() {
-	random := newRandomStream(w.seed, streamCrashes)
-	for count := 0; w.sleep(random.duration(minCrashInterval, maxCrashInterval)) && !w.faultsEnded.Load(); count++ {
-		node := w.randomNode(random)
-		w.sendCrashing(node, crashingRequests[random.intN(len(crashingRequests))], fmt.Sprint("crash.", count))
-		w.sendPopular(node, fmt.Sprint("popular.", count))
+func (s *soakRun) sendCrashingRequests() {
+	random := newRandomStream(s.seed, streamCrashes)
+	for count := 0; s.sleep(random.duration(minCrashInterval, maxCrashInterval)) && !s.faultsEnded.Load(); count++ {
+		node := s.randomNode(random)
+		s.sendCrashing(node, crashingRequests[random.intN(len(crashingRequests))], fmt.Sprint("crash.", count))
+		s.sendPopular(node, fmt.Sprint("popular.", count))
 	}
 }
 
 // sendCrashing sends a crashing request to a node.
-func (w *soakRun) sendCrashing(node *soakNode, crashing crashingRequest, id string) (callerResponse, error) {
+func (s *soakRun) sendCrashing(node *soakNode, crashing crashingRequest, id string) (callerResponse, error) {
 	request := &soakRequest{id: id, target: crashing.target, body: crashing.body}
-	w.record.recordRequest(request)
+	s.record.recordRequest(request)
 	header := http.Header{"Pathtally-Model": {draftModel}, "Pathtally-Token-Usage": {"10,10"}}
-	response, err := w.call(node, http.MethodPost, liveHost, request.target, id, []byte(request.body), header)
-	w.recordEnd(request, response, err)
+	response, err := s.call(node, http.MethodPost, liveHost, request.target, id, []byte(request.body), header)
+	s.recordEnd(request, response, err)
 	return response, err
 }
 
 // sendPopular sends the popular request to a node.
-func (w *soakRun) sendPopular(node *soakNode, id string) (callerResponse, error) {
+func (s *soakRun) sendPopular(node *soakNode, id string) (callerResponse, error) {
 	request := &soakRequest{id: id, target: "/live/popular", body: popularBody}
-	w.record.recordRequest(request)
-	response, err := w.call(node, http.MethodPost, liveHost, request.target, id, []byte(request.body), nil)
-	w.recordEnd(request, response, err)
+	s.record.recordRequest(request)
+	response, err := s.call(node, http.MethodPost, liveHost, request.target, id, []byte(request.body), nil)
+	s.recordEnd(request, response, err)
 	return response, err
 }
 
 // runCount counts the runs of requests whose body contains a text.
-func (w *soakRun) runCount(body string) int {
+func (s *soakRun) runCount(body string) int {
 	count := 0
-	for _, seen := range w.allReplicas() {
-		for _, run := range seen.server.Runs() {
+	for _, candidate := range s.allReplicas() {
+		for _, run := range candidate.server.Runs() {
 			if strings.Contains(run.Body, body) {
 				count++
 			}
@@ -121,12 +121,12 @@
 // maxCrashes replicas crash under each, and that all nodes then refuse them and serve the
 // popular request. It counts from the last fault on, since a loss of power of all nodes
 // loses the crashes of requests that are not quarantined yet.
-func (w *soakRun) checkCrashing() {
+func (s *soakRun) checkCrashing() {
 	for number, crashing := range crashingRequests {
-		before := w.runCount(crashing.body)
+		before := s.runCount(crashing.body)
 		full := 0
 		for try := 0; try < quarantineTries+full; try++ {
-			response, err := w.sendCrashing(w.nodes[try%len(w.nodes)], crashing, fmt.Sprintf("calm.%d.%d", number, try))
+			response, err := s.sendCrashing(s.nodes[try%len(s.nodes)], crashing, fmt.Sprintf("calm.%d.%d", number, try))
 			if isRefusal(response, err, forward.ReasonQuarantined) {
 				break
 			}
@@ -136,16 +136,16 @@
 			}
 			time.Sleep(entryRemovalDelay + propagationTime/2)
 		}
-		if after := w.runCount(crashing.body); after-before > maxCrashes {
-			w.record.fail("BUDGET", "a crashing request ran %d times after the last fault until it was refused, and %d times before", after-before, before)
+		if after := s.runCount(crashing.body); after-before > maxCrashes {
+			s.record.fail("BUDGET", "a crashing request ran %d times after the last fault until it was refused, and %d times before", after-before, before)
 		}
 	}
 	time.Sleep(propagationTime)
-	w.checkQuarantined("in calm")
-	for _, node := range w.nodes {
-		response, err := w.sendPopular(node, "popular.calm."+node.name)
+	s.checkQuarantined("in calm")
+	for _, node := range s.nodes {
+		response, err := s.sendPopular(node, "popular.calm."+node.name)
 		if err != nil || response.status != http.StatusOK {
-			w.record.fail("REFUSED", "%s responds to the popular request with %d, %v", node.name, response.status, err)
+			s.record.fail("REFUSED", "%s responds to the popular request with %d, %v", node.name, response.status, err)
 		}
 	}
 }
@@ -156,17 +156,17 @@
 }
 
 // checkQuarantined checks that every node refuses the crashing requests without running them.
-func (w *soakRun) checkQuarantined(when string) {
+func (s *soakRun) checkQuarantined(when string) {
 	for number, crashing := range crashingRequests {
-		before := w.runCount(crashing.body)
-		for _, node := range w.nodes {
-			response, err := w.sendCrashing(node, crashing, fmt.Sprintf("check.%s.%d.%s", strings.ReplaceAll(when, " ", "-"), number, node.name))
+		before := s.runCount(crashing.body)
+		for _, node := range s.nodes {
+			response, err := s.sendCrashing(node, crashing, fmt.Sprintf("check.%s.%d.%s", strings.ReplaceAll(when, " ", "-"), number, node.name))
 			if err != nil || response.status != http.StatusServiceUnavailable || response.header.Get("Retry-After") == "" {
-				w.record.fail("BUDGET", "%s responds to a request under which %d replicas crashed with %d %s, %v", node.name, before, response.status, when, err)
+				s.record.fail("BUDGET", "%s responds to a request under which %d replicas crashed with %d %s, %v", node.name, before, response.status, when, err)
 			}
 		}
-		if after := w.runCount(crashing.body); after > before {
-			w.record.fail("BUDGET", "a request under which %d replicas crashed ran %d times more %s", before, after-before, when)
+		if after := s.runCount(crashing.body); after > before {
+			s.record.fail("BUDGET", "a request under which %d replicas crashed ran %d times more %s", before, after-before, when)
 		}
 	}
 }
--- a/test/soak_evacuation_test.go
+++ b/test/soak_evacuation_test.go
@@ -15,19 +15,19 @@
 
 // evacuate evacuates a zone while there is no other fault, and checks that no request
 // reaches it from the bound until the evacuation ends.
-func (w *soakRun) evacuate() {
+func (s *soakRun) evacuate() {
 	zone := soakZones[1]
-	w.store.Write("evacuations", zone, struct{}{})
+	s.store.Write("evacuations", zone, struct{}{})
 	bound := time.Now().Add(evacuationBound)
 	time.Sleep(evacuationBound + evacuationWatch)
 	end := time.Now()
-	w.store.Remove("evacuations", zone)
-	w.mutex.Lock()
-	replicas := append([]*soakReplica(nil), w.replicas...)
-	w.mutex.Unlock()
+	s.store.Remove("evacuations", zone)
+	s.mutex.Lock()
+	replicas := append([]*soakReplica(nil), s.replicas...)
+	s.mutex.Unlock()
 	for _, candidate := range replicas {
 		if candidate.zone == zone {
-			w.record.checkEvacuated(candidate.id, bound, end, candidate.server.Runs())
+			s.record.checkEvacuated(candidate.id, bound, end, candidate.server.Runs())
 		}
 	}
 }
--- a/test/soak_faults_test.go
+++ b/test/soak_faults_test.go
@@ -14,12 +14,12 @@
 	"github.com/pathtally/pathtally/standin/replica"
 )
 
-// soakFault is a kind of fault. It is injected, lasts for a time and is then healed.
+// soakFault is one kind of fault. It is injected, lasts for a time and is then healed.
 type soakFault struct {
 	name string
 	// inject begins the fault and returns its description and the function that heals it;
 	// nil if the fault needs no healing.
-	inject func(w *soakRun, from *randomStream) (what string, mend func())
+	inject func(s *soakRun, random *randomStream) (description string, heal func())
 }
 
 // soakFaults are the kinds that a run draws from. Kinds listed more than once are drawn
@@ -37,13 +37,13 @@
 
 // randomRunningNode draws a running node, or nil for none. It prefers the owner of the
 // newest job, since few nodes own all jobs of a model.
-func (w *soakRun) randomRunningNode(random *randomStream) *soakNode {
-	first := random.intN(len(w.nodes))
-	if owner := w.newestOwner(); random.intN(2) == 0 && owner >= 0 {
+func (s *soakRun) randomRunningNode(random *randomStream) *soakNode {
+	first := random.intN(len(s.nodes))
+	if owner := s.newestOwner(); random.intN(2) == 0 && owner >= 0 {
 		first = owner
 	}
-	for offset := range w.nodes {
-		if node := w.nodes[(first+offset)%len(w.nodes)]; !node.down.Load() {
+	for offset := range s.nodes {
+		if node := s.nodes[(first+offset)%len(s.nodes)]; !node.down.Load() {
 			return node
 		}
 	}
@@ -52,8 +52,8 @@
 
 // newestOwner returns the number of the node that owns the newest job in the store, or a
 // negative number for none.
-func (w *soakRun) newestOwner() int {
-	jobs := w.store.Objects(jobstore.KindJobs)
+func (s *soakRun) newestOwner() int {
+	jobs := s.store.Objects(jobstore.KindJobs)
 	if len(jobs) == 0 {
 		return -1
 	}
@@ -61,51 +61,51 @@
 	if err := json.Unmarshal(jobs[len(jobs)-1].Spec, &record); err != nil {
 		return -1
 	}
-	return slices.IndexFunc(w.nodes, func(node *soakNode) bool { return node.name == record.Owner.Node })
+	return slices.IndexFunc(s.nodes, func(node *soakNode) bool { return node.name == record.Owner.Node })
 }
 
 // randomReplica draws a running replica of any service.
-func (w *soakRun) randomReplica(random *randomStream) *soakReplica {
+func (s *soakRun) randomReplica(random *randomStream) *soakReplica {
 	service := "apps"
 	if random.intN(2) == 0 {
 		service = "engines"
 	}
-	living := w.ofService(service)
-	for len(living) == 0 {
+	running := s.ofService(service)
+	for len(running) == 0 {
 		// All replicas of the service have crashed; their replacements are about to start.
 		time.Sleep(superviseInterval)
-		living = w.ofService(service)
+		running = s.ofService(service)
 	}
-	return living[random.intN(len(living))]
+	return running[random.intN(len(running))]
 }
 
-func killNode(w *soakRun, random *randomStream) (string, func()) {
-	node := w.randomRunningNode(random)
+func killNode(s *soakRun, random *randomStream) (string, func()) {
+	node := s.randomRunningNode(random)
 	if node == nil {
 		return "none", nil
 	}
-	w.stopNode(node, syscall.SIGKILL)
+	s.endProcess(node, syscall.SIGKILL)
 	return node.name, func() {
 		time.Sleep(restartDelay)
-		w.startNode(node)
+		s.startNode(node)
 	}
 }
 
-func stopNode(w *soakRun, random *randomStream) (string, func()) {
-	node := w.randomRunningNode(random)
+func stopNode(s *soakRun, random *randomStream) (string, func()) {
+	node := s.randomRunningNode(random)
 	if node == nil {
 		return "none", nil
 	}
-	w.stopNode(node, syscall.SIGTERM)
-	return node.name, func() { w.startNode(node) }
+	s.endProcess(node, syscall.SIGTERM)
+	return node.name, func() { s.startNode(node) }
 }
 
-func pauseNode(w *soakRun, random *randomStream) (string, func()) {
-	node := w.randomRunningNode(random)
+func pauseNode(s *soakRun, random *randomStream) (string, func()) {
+	node := s.randomRunningNode(random)
 	if node == nil {
 		return "none", nil
 	}
-	resume := w.pauseNode(node)
+	resume := s.pauseProcess(node)
 	extra := time.Duration(0)
 	if random.intN(3) == 0 {
 		extra = random.duration(0, maxExtraPause)
@@ -119,8 +119,8 @@
 // maxExtraPause is how much longer than other faults a pause may last.
 const maxExtraPause = 5 * time.Second
 
-func changeSettings(w *soakRun, random *randomStream) (string, func()) {
-	node := w.randomRunningNode(random)
+func changeSettings(s *soakRun, random *randomStream) (string, func()) {
+	node := s.randomRunningNode(random)
 	if node == nil {
 		return "none", nil
 	}
@@ -130,8 +130,8 @@
 }
 
 // disturb draws and injects a fault of a link.
-func (w *soakRun) disturb(random *randomStream, link *proxy, replica, description string) (string, func()) {
-	endDisturbance := w.record.beginDisturbance(replica)
+func (s *soakRun) disturb(random *randomStream, link *proxy, replica, description string) (string, func()) {
+	endDisturbance := s.record.beginDisturbance(replica)
 	switch random.intN(5) {
 	case 0:
 		// Its users notice by their own timeouts.
@@ -155,36 +155,36 @@
 		link.set(proxyPass)
 		// Connections in one-way mode have lost bytes.
 		link.resetOpen()
-		w.recordHeal()
+		s.recordHeal()
 		endDisturbance()
 	}
 }
 
-func disturbStoreLink(w *soakRun, random *randomStream) (string, func()) {
-	node := w.nodes[random.intN(len(w.nodes))]
-	return w.disturb(random, node.storeLink, "", node.name)
+func disturbStoreLink(s *soakRun, random *randomStream) (string, func()) {
+	node := s.nodes[random.intN(len(s.nodes))]
+	return s.disturb(random, node.storeLink, "", node.name)
 }
 
-func disturbPeerLink(w *soakRun, random *randomStream) (string, func()) {
-	node := w.nodes[random.intN(len(w.nodes))]
-	return w.disturb(random, node.peerLink, "", node.name)
+func disturbPeerLink(s *soakRun, random *randomStream) (string, func()) {
+	node := s.nodes[random.intN(len(s.nodes))]
+	return s.disturb(random, node.peerLink, "", node.name)
 }
 
-func disturbReplicaLink(w *soakRun, random *randomStream) (string, func()) {
-	disturbed := w.randomReplica(random)
-	return w.disturb(random, disturbed.link, disturbed.id, disturbed.id)
+func disturbReplicaLink(s *soakRun, random *randomStream) (string, func()) {
+	disturbed := s.randomReplica(random)
+	return s.disturb(random, disturbed.link, disturbed.id, disturbed.id)
 }
 
 // disturbStore injects a fault of the store, for all nodes.
-func disturbStore(w *soakRun, random *randomStream) (string, func()) {
+func disturbStore(s *soakRun, random *randomStream) (string, func()) {
 	kinds := []struct {
 		name  string
 		fault metastore.Fault
 		share int
 	}{{"busy", metastore.Refused, 1}, {"silent", metastore.Silent, 1}, {"answers lost", metastore.Unanswered, 3}, {"writes late", metastore.Late, 3}}
 	kind := kinds[random.intN(len(kinds))]
-	endDisturbance := w.record.beginDisturbance("")
-	w.store.SetFault(func(call metastore.Call) metastore.Fault {
+	endDisturbance := s.record.beginDisturbance("")
+	s.store.SetFault(func(call metastore.Call) metastore.Fault {
 		isWrite := call.Verb == "create" || call.Verb == "replace" || call.Verb == "status"
 		if (kind.share > 1 && !isWrite) || random.intN(kind.share) != 0 {
 			return metastore.Sound
@@ -192,8 +192,8 @@
 		return kind.fault
 	})
 	return kind.name, func() {
-		w.store.SetFault(nil)
-		w.store.ApplyLate()
+		s.store.SetFault(nil)
+		s.store.ApplyLate()
 		endDisturbance()
 	}
 }
@@ -208,7 +208,8 @@
 // slowCalls holds the delayed store calls about jobs. It is safe for concurrent use.
 type slowCalls struct {
 	mutex sync.Mutex
-	// until is when the last such call completes. The name of each call is a job's.
+	// until maps each kind of call, named by job instead of object, to when the last one
+	// completes.
 	until map[metastore.Call]time.Time
 }
 
@@ -233,11 +234,11 @@
 
 // slowStore delays store calls, either before or after they take effect. It is not recorded
 // as a disturbance, since no call fails.
-func slowStore(w *soakRun, random *randomStream) (string, func()) {
+func slowStore(s *soakRun, random *randomStream) (string, func()) {
 	extra := random.duration(0, maxExtraSlowTime)
-	w.store.SetDelay(func(call metastore.Call) metastore.Delay {
+	s.store.SetDelay(func(call metastore.Call) metastore.Delay {
 		takes := random.duration(minStoreDelay, maxStoreDelay)
-		w.slowCalls.add(call, takes)
+		s.slowCalls.add(call, takes)
 		if random.intN(2) == 0 {
 			return metastore.Delay{Before: takes}
 		}
@@ -245,7 +246,7 @@
 	})
 	return fmt.Sprintf("%s longer", extra), func() {
 		time.Sleep(extra)
-		w.store.SetDelay(nil)
+		s.store.SetDelay(nil)
 	}
 }
 
@@ -254,9 +255,9 @@
 
 // powerLoss kills all running nodes at once and starts them again, mostly with a store that
 // is slow at first.
-func powerLoss(w *soakRun, random *randomStream) (string, func()) {
+func powerLoss(s *soakRun, random *randomStream) (string, func()) {
 	var killed []*soakNode
-	for _, node := range w.nodes {
+	for _, node := range s.nodes {
 		if !node.down.Load() {
 			killed = append(killed, node)
 		}
@@ -264,12 +265,12 @@
 	isSlow, restartAfter := random.intN(3) > 0, random.duration(0, restartDelay)
 	healStore := func() {}
 	if isSlow {
-		_, healStore = slowStore(w, random)
+		_, healStore = slowStore(s, random)
 	}
-	w.killNodes(killed)
+	s.killNodes(killed)
 	return fmt.Sprintf("%d nodes, store slow: %v", len(killed), isSlow), func() {
 		time.Sleep(restartAfter)
-		w.startNodes(killed)
+		s.startNodes(killed)
 		if isSlow {
 			time.Sleep(slowStoreAfterRestart)
 		}
@@ -282,8 +283,8 @@
 const slowStoreAfterRestart = 3 * time.Second
 
 // overlappingSignals terminates a node and sends further signals during its shutdown.
-func overlappingSignals(w *soakRun, random *randomStream) (string, func()) {
-	node := w.randomRunningNode(random)
+func overlappingSignals(s *soakRun, random *randomStream) (string, func()) {
+	node := s.randomRunningNode(random)
 	if node == nil {
 		return "none", nil
 	}
@@ -293,21 +294,21 @@
 	}[random.intN(7)]
 	process, _ := node.process()
 	node.down.Store(true)
-	endDisturbance := w.record.beginDisturbance("")
+	endDisturbance := s.record.beginDisturbance("")
 	_ = process.command.Process.Signal(syscall.SIGTERM)
 	for _, next := range signals {
 		time.Sleep(random.duration(0, maxSignalInterval))
 		_ = process.command.Process.Signal(next)
 		if next == syscall.SIGCONT {
-			w.recordHeal()
+			s.recordHeal()
 		}
 	}
 	return fmt.Sprintf("%s terminated, then %v", node.name, signals), func() {
 		<-process.exited
 		endDisturbance()
-		w.restarts.Add(1)
-		w.keepLog(node, process)
-		w.startNode(node)
+		s.restarts.Add(1)
+		s.keepLog(node, process)
+		s.startNode(node)
 	}
 }
 
@@ -315,68 +316,68 @@
 // long.
 const maxSignalInterval = 1500 * time.Millisecond
 
-func compactStoreHistory(w *soakRun, random *randomStream) (string, func()) {
-	w.store.Forget()
+func compactStoreHistory(s *soakRun, random *randomStream) (string, func()) {
+	s.store.Forget()
 	return "", nil
 }
 
-func corruptReplica(w *soakRun, random *randomStream) (string, func()) {
-	corrupted := w.randomReplica(random)
+func corruptReplica(s *soakRun, random *randomStream) (string, func()) {
+	corrupted := s.randomReplica(random)
 	corrupted.server.SetFaults(replica.Faults{CutEvery: 3, SurplusEvery: 4, WrongIDEvery: 5})
 	return corrupted.id, func() { corrupted.server.SetFaults(replica.Faults{}) }
 }
 
 // crashReplica ends a replica. Later its entry is removed and another replica starts.
-func crashReplica(w *soakRun, random *randomStream) (string, func()) {
-	crashed := w.randomReplica(random)
-	w.removeReplica(crashed)
+func crashReplica(s *soakRun, random *randomStream) (string, func()) {
+	crashed := s.randomReplica(random)
+	s.removeReplica(crashed)
 	crashed.server.Close()
 	crashed.link.set(proxyReset)
 	return crashed.id, func() {
-		w.store.Remove("servers", crashed.id)
-		w.addReplica(crashed.service)
+		s.store.Remove("servers", crashed.id)
+		s.addReplica(crashed.service)
 	}
 }
 
-// drainReplica marks a replica as draining after it has started another one.
-func drainReplica(w *soakRun, random *randomStream) (string, func()) {
-	leaving := w.randomReplica(random)
-	w.addReplica(leaving.service)
-	w.store.Write("servers", leaving.id, leaving.entry("draining"))
-	w.mutex.Lock()
-	leaving.drainedAt = time.Now()
-	w.mutex.Unlock()
-	return leaving.id, func() {
+// drainReplica marks a replica as draining after starting another one.
+func drainReplica(s *soakRun, random *randomStream) (string, func()) {
+	draining := s.randomReplica(random)
+	s.addReplica(draining.service)
+	s.store.Write("servers", draining.id, draining.entry("draining"))
+	s.mutex.Lock()
+	draining.drainedAt = time.Now()
+	s.mutex.Unlock()
+	return draining.id, func() {
 		time.Sleep(serveAfterDrain)
-		w.store.Remove("servers", leaving.id)
-		leaving.server.Close()
-		w.removeReplica(leaving)
+		s.store.Remove("servers", draining.id)
+		draining.server.Close()
+		s.removeReplica(draining)
 	}
 }
 
-// serveAfterDrain is how much longer than the fault a draining replica serves.
+// serveAfterDrain is how long a draining replica still serves after the duration of the fault.
 const serveAfterDrain = 2500 * time.Millisecond
 
 // hideReplicaEntry removes the entry of a running replica for a while.
-func hideReplicaEntry(w *soakRun, random *randomStream) (string, func()) {
-	hidden := w.randomReplica(random)
-	w.store.Remove("servers", hidden.id)
+func hideReplicaEntry(s *soakRun, random *randomStream) (string, func()) {
+	hidden := s.randomReplica(random)
+	s.store.Remove("servers", hidden.id)
 	return hidden.id, func() {
-		w.mutex.Lock()
-		defer w.mutex.Unlock()
-		for _, candidate := range w.replicas {
+		s.mutex.Lock()
+		defer s.mutex.Unlock()
+		for _, candidate := range s.replicas {
 			if candidate == hidden && hidden.drainedAt.IsZero() {
-				w.store.Write("servers", hidden.id, hidden.entry("ready"))
+				s.store.Write("servers", hidden.id, hidden.entry("ready"))
 			}
 		}
 	}
 }
 
 // changeConfiguration writes several configuration versions in quick succession.
-func changeConfiguration(w *soakRun, random *randomStream) (string, func()) {
+func changeConfiguration(s *soakRun, random *randomStream) (string, func()) {
 	count := 1 + random.intN(6)
 	for range count {
-		w.configure()
+		s.configure()
 		time.Sleep(60 * time.Millisecond)
 	}
 	return fmt.Sprint(count), nil
--- a/test/soak_random_test.go
+++ b/test/soak_random_test.go
@@ -35,22 +35,22 @@
 }
 
 // intN draws a number from 0 up to, but not including, a bound.
-func (d *randomStream) intN(bound int) int {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return d.rand.IntN(bound)
+func (s *randomStream) intN(bound int) int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.rand.IntN(bound)
 }
 
 // duration draws a duration between two, in whole milliseconds.
-func (d *randomStream) duration(from, to time.Duration) time.Duration {
-	return from + time.Duration(d.intN(int((to-from).Milliseconds())+1))*time.Millisecond
+func (s *randomStream) duration(from, to time.Duration) time.Duration {
+	return from + time.Duration(s.intN(int((to-from).Milliseconds())+1))*time.Millisecond
 }
 
 const (
 	soakNodes = 4
-	// manyNodes is the number of nodes in one of manyNodesEvery runs.
-	manyNodes      = 12
-	manyNodesEvery = 8
+	// largeRunNodes is the number of nodes in one of largeRunEvery runs.
+	largeRunNodes = 12
+	largeRunEvery = 8
 )
 
 // soakSpec is what a seed determines about a whole run.
@@ -58,15 +58,15 @@
 	nodes int
 	// finalFault is injected shortly before the load ends, so that its effects on jobs are
 	// not yet repaired when they are read for the last time; nil for none.
-	finalFault func(w *soakRun, from *randomStream) (string, func())
+	finalFault func(s *soakRun, random *randomStream) (string, func())
 	random     *randomStream
 }
 
 // drawSpec draws the spec of a run.
 func drawSpec(seed uint64) soakSpec {
 	spec := soakSpec{nodes: soakNodes, random: newRandomStream(seed, streamSpec)}
-	if spec.random.intN(manyNodesEvery) == 0 {
-		spec.nodes = manyNodes
+	if spec.random.intN(largeRunEvery) == 0 {
+		spec.nodes = largeRunNodes
 	}
 	switch spec.random.intN(3) {
 	case 1:
--- a/test/soak_reads_test.go
+++ b/test/soak_reads_test.go
@@ -43,17 +43,17 @@
 		defer server.Close()
 		job := &soakJob{id: "j", items: 9, minVersion: 3, accepted: time.Now(), endedAt: time.Now()}
 		node := &soakNode{name: "node", current: &platformNode{http: strings.TrimPrefix(server.URL, "http://")}}
-		w := &soakRun{record: newSoakRecord(), nodes: []*soakNode{node}}
-		w.record.jobs = []*soakJob{job}
-		w.readRemaining(node, job)
+		s := &soakRun{record: newSoakRecord(), nodes: []*soakNode{node}}
+		s.record.jobs = []*soakJob{job}
+		s.readRemaining(node, job)
 		reads = max(reads, 1)
-		w.verifyAllResults()
+		s.verifyAllResults()
 		found := map[string]bool{}
-		for _, finding := range w.record.findings {
+		for _, finding := range s.record.findings {
 			found[finding.rule] = true
 		}
 		if len(found) > 1 || (test.rule != "") != (len(found) == 1) || (test.rule != "" && !found[test.rule]) {
-			t.Errorf("%s: findings %v, want rule %q", test.name, w.record.findings, test.rule)
+			t.Errorf("%s: findings %v, want rule %q", test.name, s.record.findings, test.rule)
 		}
 	}
 }
--- a/test/soak_record_test.go
+++ b/test/soak_record_test.go
@@ -240,7 +240,7 @@
 		position := from + offset
 		if position < len(job.results) {
 			if job.results[position].ID != result.ID || job.results[position].Message != result.Message {
-				r.add("TWICE", "job %s, position %d: %s at %s, but %s before", job.id, position, result.ID, node, job.results[position].ID)
+				r.add("TWICE", "job %s, position %d: item %s at %s, but item %s before", job.id, position, result.ID, node, job.results[position].ID)
 			}
 			continue
 		}
--- a/test/soak_run_test.go
+++ b/test/soak_run_test.go
@@ -97,7 +97,7 @@
 // newSoakRun starts the stand-ins and nodes of a run.
 func newSoakRun(t *testing.T, seed uint64) *soakRun {
 	t.Helper()
-	w := &soakRun{
+	s := &soakRun{
 		t: t, seed: seed, folder: t.TempDir(), store: metastore.New(), weightVersion: 1,
 		record: newSoakRecord(), done: make(chan struct{}),
 	}
@@ -105,75 +105,75 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &http.Server{Handler: &metastore.Server{Store: w.store}}
+	server := &http.Server{Handler: &metastore.Server{Store: s.store}}
 	go server.Serve(listener)
 	t.Cleanup(func() { server.Close() })
-	w.storeAddress = listener.Addr().String()
+	s.storeAddress = listener.Addr().String()
 	for range soakEngines {
-		w.addReplica("engines")
+		s.addReplica("engines")
 	}
 	for range soakApps {
-		w.addReplica("apps")
+		s.addReplica("apps")
 	}
-	w.configure()
+	s.configure()
 	for number := range drawSpec(seed).nodes {
-		w.nodes = append(w.nodes, &soakNode{
-			name: fmt.Sprintf("node-%d", number), storeLink: newProxy(t, w.storeAddress), peerLink: newProxy(t, w.storeAddress),
+		s.nodes = append(s.nodes, &soakNode{
+			name: fmt.Sprintf("node-%d", number), storeLink: newProxy(t, s.storeAddress), peerLink: newProxy(t, s.storeAddress),
 		})
 	}
-	w.startNodes(w.nodes)
-	for _, node := range w.nodes {
-		w.awaitReady(node)
+	s.startNodes(s.nodes)
+	for _, node := range s.nodes {
+		s.awaitReady(node)
 	}
-	return w
+	return s
 }
 
 // startNodes starts several nodes at once.
-func (w *soakRun) startNodes(nodes []*soakNode) {
+func (s *soakRun) startNodes(nodes []*soakNode) {
 	var all sync.WaitGroup
 	for _, node := range nodes {
-		all.Go(func() { w.startNode(node) })
+		all.Go(func() { s.startNode(node) })
 	}
 	all.Wait()
 }
 
 // randomNode draws a node, running or not.
-func (w *soakRun) randomNode(random *randomStream) *soakNode {
-	return w.nodes[random.intN(len(w.nodes))]
+func (s *soakRun) randomNode(random *randomStream) *soakNode {
+	return s.nodes[random.intN(len(s.nodes))]
 }
 
 // addReplica starts a replica under a new id and writes its entry to the store.
-func (w *soakRun) addReplica(service string) { w.startReplica(service, "") }
+func (s *soakRun) addReplica(service string) { s.startReplica(service, "") }
 
-// startReplica starts a replica and writes its entry to the store. An empty id stands for a
-// new one.
-func (w *soakRun) startReplica(service, id string) {
-	w.mutex.Lock()
-	w.replicasStarted++
+// startReplica starts a replica and writes its entry to the store. An empty id stands
+// for a new one.
+func (s *soakRun) startReplica(service, id string) {
+	s.mutex.Lock()
+	s.replicasStarted++
 	if id == "" {
-		id = fmt.Sprintf("%s-%d", service, w.replicasStarted)
+		id = fmt.Sprintf("%s-%d", service, s.replicasStarted)
 	}
-	drawn := newRandomStream(w.seed, streamReplicas+uint64(w.replicasStarted))
-	zone := soakZones[w.replicasStarted%len(soakZones)]
-	w.mutex.Unlock()
+	random := newRandomStream(s.seed, streamReplicas+uint64(s.replicasStarted))
+	zone := soakZones[s.replicasStarted%len(soakZones)]
+	s.mutex.Unlock()
 	config := replica.Config{ID: id, Slots: 16, Work: 3 * time.Millisecond}
 	if service == "engines" {
-		config = replica.Config{ID: id, Slots: engineSlots, Model: draftModel, EventInterval: drawn.duration(minEventInterval, maxEventInterval), LoadTime: 150 * time.Millisecond}
+		config = replica.Config{ID: id, Slots: engineSlots, Model: draftModel, EventInterval: random.duration(minEventInterval, maxEventInterval), LoadTime: 150 * time.Millisecond}
 	}
 	started := &soakReplica{id: id, service: service, zone: zone}
 	config.CrashOn, config.CrashAfter, config.Born = crashingText, crashAfter, time.Now().UnixMilli()
 	config.OnCrash = func() { started.link.close() }
 	server, err := replica.Start(config)
 	if err != nil {
-		w.t.Error(err)
+		s.t.Error(err)
 		return
 	}
-	started.server, started.link = server, newProxy(w.t, server.Address())
-	w.t.Cleanup(server.Close)
-	w.store.Write("servers", id, started.entry("ready"))
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.replicas = append(w.replicas, started)
+	started.server, started.link = server, newProxy(s.t, server.Address())
+	s.t.Cleanup(server.Close)
+	s.store.Write("servers", id, started.entry("ready"))
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.replicas = append(s.replicas, started)
 }
 
 func (r *soakReplica) entry(state string) map[string]any {
@@ -183,11 +183,11 @@
 }
 
 // ofService returns the running replicas of a service that do not drain.
-func (w *soakRun) ofService(service string) []*soakReplica {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+func (s *soakRun) ofService(service string) []*soakReplica {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	var found []*soakReplica
-	for _, candidate := range w.replicas {
+	for _, candidate := range s.replicas {
 		if candidate.service == service && candidate.drainedAt.IsZero() {
 			found = append(found, candidate)
 		}
@@ -196,32 +196,32 @@
 }
 
 // removeReplica moves a replica to formerReplicas.
-func (w *soakRun) removeReplica(ended *soakReplica) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	for number, candidate := range w.replicas {
+func (s *soakRun) removeReplica(ended *soakReplica) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	for number, candidate := range s.replicas {
 		if candidate == ended {
-			w.replicas = append(w.replicas[:number:number], w.replicas[number+1:]...)
-			w.formerReplicas = append(w.formerReplicas, ended)
+			s.replicas = append(s.replicas[:number:number], s.replicas[number+1:]...)
+			s.formerReplicas = append(s.formerReplicas, ended)
 			return
 		}
 	}
 }
 
 // allReplicas returns the running replicas and those that have ended.
-func (w *soakRun) allReplicas() []*soakReplica {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return append(append([]*soakReplica(nil), w.replicas...), w.formerReplicas...)
+func (s *soakRun) allReplicas() []*soakReplica {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return append(append([]*soakReplica(nil), s.replicas...), s.formerReplicas...)
 }
 
 // configure writes the next version of the configuration. Each version adds a route, which
 // the next version keeps and the one after it drops.
-func (w *soakRun) configure() {
-	w.mutex.Lock()
-	w.configVersion++
-	version := w.configVersion
-	w.mutex.Unlock()
+func (s *soakRun) configure() {
+	s.mutex.Lock()
+	s.configVersion++
+	version := s.configVersion
+	s.mutex.Unlock()
 	routes := []map[string]any{
 		{"name": "drafts", "host": draftHost, "pathPrefix": "/drafts/", "type": "rollout", "service": "engines", "maxAttempts": 3, "sloMs": 400,
 			"timeoutMs": 10000, "runTargetMs": 7500, "retentionS": 60},
@@ -235,7 +235,7 @@
 		routes = append(routes, map[string]any{"name": fmt.Sprintf("version-%d", kept), "host": liveHost, "pathPrefix": versionPath(kept),
 			"type": "safe", "service": "apps", "maxAttempts": 3, "sloMs": 300, "timeoutMs": 3000})
 	}
-	w.store.Write("config", "main", map[string]any{
+	s.store.Write("config", "main", map[string]any{
 		"version": version, "routes": routes,
 		"services": []map[string]any{
 			{"name": "engines", "maxConns": 100, "engine": map[string]any{"slots": engineSlots, "models": []map[string]any{{"name": draftModel}}}},
@@ -243,41 +243,41 @@
 		},
 		"limits": map[string]any{"maxHeaderBytes": 16384, "maxBodyBytes": 1 << 20, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000},
 	})
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.configuredAt = time.Now()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.configuredAt = time.Now()
 }
 
 func versionPath(version int) string { return fmt.Sprintf("/version-%d/", version) }
 
 // newestConfigVersion returns the newest configuration version and when it was written.
-func (w *soakRun) newestConfigVersion() (int, time.Time) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.configVersion, w.configuredAt
+func (s *soakRun) newestConfigVersion() (int, time.Time) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.configVersion, s.configuredAt
 }
 
 // startNode starts a new process of a node.
-func (w *soakRun) startNode(node *soakNode) {
-	w.t.Helper()
-	path := filepath.Join(w.folder, node.name+".yaml")
+func (s *soakRun) startNode(node *soakNode) {
+	s.t.Helper()
+	path := filepath.Join(s.folder, node.name+".yaml")
 	settings := fmt.Sprintf("node: %s\nzone: zone-a\nregion: region\nhttp: 127.0.0.1:0\npeer: 127.0.0.1:0\npeerAdvertised: %s\n"+
 		"readiness: 127.0.0.1:0\nmetrics: 127.0.0.1:0\nobjectStore: %s\ngrace: %s\ndutyLease: 3s\ndrain: 2s\nmemoryMB: 200\nevacuationBound: 3s\n",
 		node.name, node.peerLink.address(), node.storeLink.address(), soakGrace)
 	if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
-		w.t.Error(err)
+		s.t.Error(err)
 		return
 	}
-	process := &platformNode{program: start(w.t, 0, "pathtally", "node", "-settings", path)}
+	process := &platformNode{program: start(s.t, 0, "pathtally", "node", "-settings", path)}
 	go process.collect()
 	var started struct{ HTTP, Readiness, Metrics, Peer string }
-	for end := time.Now().Add(startLimit); ; time.Sleep(pollInterval) {
+	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(pollInterval) {
 		line := process.find(`"node started"`)
 		if line != nil && json.Unmarshal(line, &started) == nil {
 			break
 		}
-		if time.Now().After(end) {
-			w.t.Errorf("%s did not start in time", node.name)
+		if time.Now().After(deadline) {
+			s.t.Errorf("%s did not start in time", node.name)
 			return
 		}
 	}
@@ -290,33 +290,33 @@
 	node.down.Store(false)
 }
 
-// stopNode ends a node's process with a signal, waits for its exit and keeps its log.
-func (w *soakRun) stopNode(node *soakNode, signal syscall.Signal) {
+// endProcess ends a node's process with a signal, waits for its exit and keeps its log.
+func (s *soakRun) endProcess(node *soakNode, signal syscall.Signal) {
 	node.down.Store(true)
 	process, _ := node.process()
 	_ = process.command.Process.Signal(signal)
 	<-process.exited
-	w.restarts.Add(1)
-	w.keepLog(node, process)
+	s.restarts.Add(1)
+	s.keepLog(node, process)
 }
 
 // killNodes kills the processes of several nodes at once.
-func (w *soakRun) killNodes(nodes []*soakNode) {
+func (s *soakRun) killNodes(nodes []*soakNode) {
 	var all sync.WaitGroup
 	for _, node := range nodes {
-		all.Go(func() { w.stopNode(node, syscall.SIGKILL) })
+		all.Go(func() { s.endProcess(node, syscall.SIGKILL) })
 	}
 	all.Wait()
 }
 
 // keepLog adds the log of a process to the record of the run.
-func (w *soakRun) keepLog(node *soakNode, process *platformNode) {
+func (s *soakRun) keepLog(node *soakNode, process *platformNode) {
 	process.mutex.Lock()
 	defer process.mutex.Unlock()
-	w.record.addLog(node.name, process.log.Bytes())
+	s.record.addLog(node.name, process.log.Bytes())
 }
 
-func (w *soakRun) isReady(node *soakNode) bool {
+func (s *soakRun) isReady(node *soakNode) bool {
 	process, _ := node.process()
 	response, err := http.Get("http://" + process.readiness + "/-/readyz")
 	if err != nil {
@@ -326,46 +326,46 @@
 	return response.StatusCode == http.StatusOK
 }
 
-func (w *soakRun) awaitReady(node *soakNode) {
-	w.t.Helper()
-	for end := time.Now().Add(startLimit); !w.isReady(node); time.Sleep(pollInterval) {
-		if time.Now().After(end) {
-			w.record.fail("RECOVER", "%s did not become ready in time", node.name)
+func (s *soakRun) awaitReady(node *soakNode) {
+	s.t.Helper()
+	for deadline := time.Now().Add(waitTimeout); !s.isReady(node); time.Sleep(pollInterval) {
+		if time.Now().After(deadline) {
+			s.record.fail("RECOVER", "%s did not become ready in time", node.name)
 			return
 		}
 	}
 }
 
-// pauseNode suspends a node's process and returns a function that resumes it.
-func (w *soakRun) pauseNode(node *soakNode) func() {
+// pauseProcess stops a node's process with SIGSTOP and returns a function that resumes it.
+func (s *soakRun) pauseProcess(node *soakNode) func() {
 	process, _ := node.process()
 	node.down.Store(true)
-	endDisturbance := w.record.beginDisturbance("")
+	endDisturbance := s.record.beginDisturbance("")
 	_ = process.command.Process.Signal(syscall.SIGSTOP)
 	return func() {
 		_ = process.command.Process.Signal(syscall.SIGCONT)
-		w.recordHeal()
+		s.recordHeal()
 		endDisturbance()
 		node.down.Store(false)
 	}
 }
 
 // recordHeal records that a link or process has just recovered.
-func (w *soakRun) recordHeal() {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.heals = append(w.heals, time.Now())
+func (s *soakRun) recordHeal() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.heals = append(s.heals, time.Now())
 }
 
 // startTask starts a background task, which must return once sleep returns false.
-func (w *soakRun) startTask(task func()) { w.tasks.Go(task) }
+func (s *soakRun) startTask(task func()) { s.tasks.Go(task) }
 
 // sleep waits and reports whether the run continues.
-func (w *soakRun) sleep(duration time.Duration) bool {
+func (s *soakRun) sleep(duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
-	case <-w.done:
+	case <-s.done:
 		return false
 	case <-timer.C:
 		return true
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -58,106 +58,106 @@
 	}
 }
 
-// seedOfQuarantine draws faults that kill all nodes after a request has crashed maxCrashes
+// quarantineSeed draws faults that kill all nodes after a request has crashed maxCrashes
 // replicas.
-const seedOfQuarantine = 795716164
+const quarantineSeed = 795716164
 
 // A quarantined request must not run again after all nodes were killed. This seed is a test
 // of its own since it sometimes fails (KNOWN-RED.txt).
 func TestSoakOfQuarantineAfterPowerLoss(t *testing.T) {
-	soak(t, seedOfQuarantine)
+	soak(t, quarantineSeed)
 }
 
 // soak runs one seed.
 func soak(t *testing.T, seed uint64) {
-	w := newSoakRun(t, seed)
+	s := newSoakRun(t, seed)
 	for number := range soakCallers {
-		w.startTask(func() { w.runCaller(number) })
+		s.startTask(func() { s.runCaller(number) })
 	}
 	for number := range soakTrainers {
-		w.startTask(func() { w.runTrainer(number) })
+		s.startTask(func() { s.runTrainer(number) })
 	}
 	for number := range soakReaders {
-		w.startTask(func() { w.runReader(number) })
+		s.startTask(func() { s.runReader(number) })
 	}
-	w.startTask(w.refreshEngineEntries)
-	w.startTask(w.replaceCrashed)
-	w.startTask(w.sendCrashingRequests)
-	for _, node := range w.nodes {
-		w.startTask(func() { w.probeConfigVersion(node) })
+	s.startTask(s.refreshEngineEntries)
+	s.startTask(s.replaceCrashed)
+	s.startTask(s.sendCrashingRequests)
+	for _, node := range s.nodes {
+		s.startTask(func() { s.probeConfigVersion(node) })
 	}
-	w.injectFaults()
-	w.checkRecovery()
-	w.checkCrashing()
-	w.runFinalFault()
-	close(w.done)
-	w.tasks.Wait()
-	w.readWithoutOwners()
-	w.verifyAllResults()
-	w.restartAllNodes()
-	w.verifyAllResults()
-	w.checkQuarantined("after a new start of all nodes")
-	w.checkRuns()
-	w.report()
+	s.injectFaults()
+	s.checkRecovery()
+	s.checkCrashing()
+	s.runFinalFault()
+	close(s.done)
+	s.tasks.Wait()
+	s.readWithoutOwners()
+	s.verifyAllResults()
+	s.restartAllNodes()
+	s.verifyAllResults()
+	s.checkQuarantined("after a new start of all nodes")
+	s.checkReplicas()
+	s.report()
 }
 
 // injectFaults injects one fault after the other, some of which overlap.
-func (w *soakRun) injectFaults() {
-	var open sync.WaitGroup
+func (s *soakRun) injectFaults() {
+	var active sync.WaitGroup
 	began := time.Now()
 	for number := 0; time.Since(began) < faultPhase; number++ {
-		fault := drawFault(w.seed, number)
+		fault := drawFault(s.seed, number)
 		started := time.Now()
-		description, heal := fault.inject(w, fault.random)
-		w.record.addFault(fmt.Sprintf("%s from %s: %s, %s", fault.name, formatTime(started), description, fault.duration))
+		description, heal := fault.inject(s, fault.random)
+		s.record.addFault(fmt.Sprintf("%s from %s: %s, %s", fault.name, formatTime(started), description, fault.duration))
 		if heal != nil {
-			open.Go(func() {
+			active.Go(func() {
 				time.Sleep(fault.duration)
 				heal()
-				w.record.addFault(fmt.Sprintf("%s mended: %s", fault.name, description))
+				s.record.addFault(fmt.Sprintf("%s mended: %s", fault.name, description))
 			})
 		}
 		if fault.exclusive {
-			open.Wait()
+			active.Wait()
 		} else {
 			time.Sleep(fault.duration / 2)
 		}
 	}
-	open.Wait()
+	active.Wait()
 }
 
 // checkRecovery lets the deployment recover and checks the bounds that hold without faults:
 // nodes apply a new configuration, and draining replicas and evacuated zones receive no more
 // requests.
-func (w *soakRun) checkRecovery() {
-	w.faultsEnded.Store(true)
-	for _, node := range w.nodes {
-		w.awaitReady(node)
+func (s *soakRun) checkRecovery() {
+	s.faultsEnded.Store(true)
+	for _, node := range s.nodes {
+		s.awaitReady(node)
 	}
 	time.Sleep(recoveryTime)
-	w.configure()
-	leaving := w.ofService("apps")[0]
-	w.addReplica("apps")
-	w.store.Write("servers", leaving.id, leaving.entry("draining"))
+	s.configure()
+	draining := s.ofService("apps")[0]
+	s.addReplica("apps")
+	s.store.Write("servers", draining.id, draining.entry("draining"))
 	drainedAt := time.Now()
-	w.mutex.Lock()
-	leaving.drainedAt = drainedAt
-	w.mutex.Unlock()
+	s.mutex.Lock()
+	draining.drainedAt = drainedAt
+	s.mutex.Unlock()
 	time.Sleep(configurationBound)
-	version, _ := w.newestConfigVersion()
-	for _, node := range w.nodes {
+	version, _ := s.newestConfigVersion()
+	for _, node := range s.nodes {
 		id := fmt.Sprintf("force.%s", node.name)
 		request := &soakRequest{id: id, target: versionPath(version) + "x", body: "probe"}
-		w.record.recordRequest(request)
-		response, err := w.call(node, http.MethodPost, liveHost, request.target, id, []byte(request.body), nil)
-		w.recordEnd(request, response, err)
+		s.record.recordRequest(request)
+		response, err := s.call(node, http.MethodPost, liveHost, request.target, id, []byte(request.body), nil)
+		s.recordEnd(request, response, err)
 		if err != nil || response.status != http.StatusOK {
-			w.record.fail("CONFIG", "%s responds with %d on the route of the newest configuration after the bound, %v", node.name, response.status, err)
+			s.record.fail("CONFIG", "%s responds with %d on the route of the newest configuration after the bound, %v", node.name, response.status, err)
 		}
 	}
 	time.Sleep(time.Second)
-	w.record.checkDrained(leaving.id, drainedAt, drainBound, leaving.server.Runs())
-	w.evacuate()
+	s.record.checkDrained(draining.id, drainedAt, drainBound, draining.server.Runs())
+	s.evacuate()
 }
 
 const (
@@ -169,35 +169,35 @@
 
 // runFinalFault injects the final fault of the run, if it has one, shortly before the load
 // ends.
-func (w *soakRun) runFinalFault() {
-	spec := drawSpec(w.seed)
+func (s *soakRun) runFinalFault() {
+	spec := drawSpec(s.seed)
 	if spec.finalFault == nil {
 		return
 	}
-	description, heal := spec.finalFault(w, spec.random)
-	w.record.addFault("closing fault: " + description)
+	description, heal := spec.finalFault(s, spec.random)
+	s.record.addFault("closing fault: " + description)
 	time.Sleep(finalFaultDuration)
 	heal()
-	w.record.addFault("closing fault mended: " + description)
-	for _, node := range w.nodes {
-		w.awaitReady(node)
+	s.record.addFault("closing fault mended: " + description)
+	for _, node := range s.nodes {
+		s.awaitReady(node)
 	}
 	time.Sleep(finalRecoveryTime)
 }
 
-// checkRuns checks the runs and orders of all replicas after the load has ended.
-func (w *soakRun) checkRuns() {
+// checkReplicas checks the runs and weight orders of all replicas after the load has ended.
+func (s *soakRun) checkReplicas() {
 	var runs []replica.Run
 	owners := map[uint64]string{}
-	for _, seen := range w.allReplicas() {
-		runs = append(runs, seen.server.Runs()...)
-		w.record.checkOrders(seen.id, seen.server.Orders(), w.heals, owners)
-		w.record.checkEnded(seen.id, seen.server.Runs())
+	for _, candidate := range s.allReplicas() {
+		runs = append(runs, candidate.server.Runs()...)
+		s.record.checkOrders(candidate.id, candidate.server.Orders(), s.heals, owners)
+		s.record.checkEnded(candidate.id, candidate.server.Runs())
 	}
-	w.record.checkRuns(runs)
-	w.record.checkRefused(runs)
-	if endedJobs := w.record.endedJobCount(); w.record.served == 0 || w.record.steps == 0 || endedJobs == 0 || len(runs) == 0 {
-		w.record.fail("TEST", "%d requests served, %d complete steps, %d ended jobs, %d runs: want some of each, or the run proves nothing", w.record.served, w.record.steps, endedJobs, len(runs))
+	s.record.checkRuns(runs)
+	s.record.checkRefused(runs)
+	if endedJobs := s.record.endedJobCount(); s.record.served == 0 || s.record.steps == 0 || endedJobs == 0 || len(runs) == 0 {
+		s.record.fail("TEST", "%d requests served, %d complete steps, %d ended jobs, %d runs: want some of each, or the run proves nothing", s.record.served, s.record.steps, endedJobs, len(runs))
 	}
 }
 
@@ -209,15 +209,15 @@
 	jobsReadWithoutOwners = 80
 )
 
-// forEachJob calls do for each job, concurrently.
+// forEachJob calls do for each job, for up to concurrentReads jobs at a time.
 func forEachJob(jobs []*soakJob, do func(*soakJob)) {
 	var all sync.WaitGroup
-	free := make(chan struct{}, concurrentReads)
+	slots := make(chan struct{}, concurrentReads)
 	for _, job := range jobs {
-		free <- struct{}{}
+		slots <- struct{}{}
 		all.Go(func() {
 			do(job)
-			<-free
+			<-slots
 		})
 	}
 	all.Wait()
@@ -225,35 +225,35 @@
 
 // readWithoutOwners pauses each half of the nodes in turn and reads the newest jobs at a node
 // of the other half, which has them from the store where their owners are paused.
-func (w *soakRun) readWithoutOwners() {
-	jobs := w.record.acceptedJobs()
+func (s *soakRun) readWithoutOwners() {
+	jobs := s.record.acceptedJobs()
 	jobs = jobs[max(0, len(jobs)-jobsReadWithoutOwners):]
-	half := len(w.nodes) / 2
-	for _, paused := range [][]*soakNode{w.nodes[:half], w.nodes[half:]} {
+	half := len(s.nodes) / 2
+	for _, paused := range [][]*soakNode{s.nodes[:half], s.nodes[half:]} {
 		var resumes []func()
 		for _, node := range paused {
-			resumes = append(resumes, w.pauseNode(node))
+			resumes = append(resumes, s.pauseProcess(node))
 		}
-		reader := w.nodes[half]
+		reader := s.nodes[half]
 		if paused[0] == reader {
-			reader = w.nodes[0]
+			reader = s.nodes[0]
 		}
-		forEachJob(jobs, func(job *soakJob) { w.readRemaining(reader, job) })
+		forEachJob(jobs, func(job *soakJob) { s.readRemaining(reader, job) })
 		for _, resume := range resumes {
 			resume()
 		}
 		for _, node := range paused {
-			w.awaitReady(node)
+			s.awaitReady(node)
 		}
 	}
 }
 
 // readRemaining reads the results that a node has after those read before.
-func (w *soakRun) readRemaining(node *soakNode, job *soakJob) {
+func (s *soakRun) readRemaining(node *soakNode, job *soakJob) {
 	for range job.items {
-		known := w.record.resultCount(job)
-		response, err := w.page(node, job, known)
-		if err != nil || response.status != http.StatusOK || w.record.resultCount(job) == known {
+		known := s.record.resultCount(job)
+		response, err := s.page(node, job, known)
+		if err != nil || response.status != http.StatusOK || s.record.resultCount(job) == known {
 			return
 		}
 	}
@@ -261,25 +261,25 @@
 
 // restartAllNodes kills all nodes at once and starts them again, so that they can serve
 // results from the store only.
-func (w *soakRun) restartAllNodes() {
-	w.killNodes(w.nodes)
-	w.startNodes(w.nodes)
-	for _, node := range w.nodes {
-		w.awaitReady(node)
+func (s *soakRun) restartAllNodes() {
+	s.killNodes(s.nodes)
+	s.startNodes(s.nodes)
+	for _, node := range s.nodes {
+		s.awaitReady(node)
 	}
 }
 
-func (w *soakRun) verifyAllResults() { forEachJob(w.record.acceptedJobs(), w.verifyResults) }
+func (s *soakRun) verifyAllResults() { forEachJob(s.record.acceptedJobs(), s.verifyResults) }
 
 // verifyResults reads a job from the start at every node and checks that no result has
 // changed or is gone.
-func (w *soakRun) verifyResults(job *soakJob) {
-	known := w.record.resultCount(job)
-	for _, node := range w.nodes {
+func (s *soakRun) verifyResults(job *soakJob) {
+	known := s.record.resultCount(job)
+	for _, node := range s.nodes {
 		for position := 0; position < known; {
-			response, err := w.page(node, job, position)
+			response, err := s.page(node, job, position)
 			if err != nil || response.status != http.StatusOK {
-				w.record.fail("LOST", "read job %s at %s: status %d, %v", job.id, node.name, response.status, err)
+				s.record.fail("LOST", "read job %s at %s: status %d, %v", job.id, node.name, response.status, err)
 				break
 			}
 			read := strings.Count(response.body, `"state"`)
@@ -294,27 +294,27 @@
 
 // report fails the test if there are findings, prints them and the faults, and writes the
 // logs to the folder of -soak.logs.
-func (w *soakRun) report() {
-	for _, node := range w.nodes {
+func (s *soakRun) report() {
+	for _, node := range s.nodes {
 		process, _ := node.process()
-		w.keepLog(node, process)
+		s.keepLog(node, process)
 	}
-	w.t.Logf("seed %d: %d nodes, %d requests served, %d steps, %d jobs, %d ended at a restart, %d in an append, %d in a reading, %d faults", w.seed, len(w.nodes), w.record.served,
-		w.record.steps, len(w.record.jobs), w.record.triggered[endAfterRestart], w.record.triggered[endDuringAppend], w.record.triggered[endDuringPayloadRead], len(w.record.faults))
-	if len(w.record.findings) == 0 {
+	s.t.Logf("seed %d: %d nodes, %d requests served, %d steps, %d jobs, %d ended at a restart, %d in an append, %d in a reading, %d faults", s.seed, len(s.nodes), s.record.served,
+		s.record.steps, len(s.record.jobs), s.record.triggered[endAfterRestart], s.record.triggered[endDuringAppend], s.record.triggered[endDuringPayloadRead], len(s.record.faults))
+	if len(s.record.findings) == 0 {
 		return
 	}
-	for _, finding := range w.record.findings {
-		w.t.Errorf("seed %d: %s: %s", w.seed, finding.rule, finding.text)
+	for _, finding := range s.record.findings {
+		s.t.Errorf("seed %d: %s: %s", s.seed, finding.rule, finding.text)
 	}
-	w.t.Logf("faults of seed %d:\n%s", w.seed, strings.Join(w.record.faults, "\n"))
+	s.t.Logf("faults of seed %d:\n%s", s.seed, strings.Join(s.record.faults, "\n"))
 	if *soakLogs == "" {
 		return
 	}
-	for name, log := range w.record.logs {
-		path := filepath.Join(*soakLogs, fmt.Sprintf("seed-%d-%s.log", w.seed, name))
+	for name, log := range s.record.logs {
+		path := filepath.Join(*soakLogs, fmt.Sprintf("seed-%d-%s.log", s.seed, name))
 		if err := os.WriteFile(path, log, 0o600); err != nil {
-			w.t.Error(err)
+			s.t.Error(err)
 		}
 	}
 }
