--- a/test/platform_deployment_test.go
+++ b/test/platform_deployment_test.go
@@ -35,8 +35,8 @@
 	folder       string
 	// tenants are declared in each configuration that is written; nil for none.
 	tenants []map[string]any
-	// duties receives usage reports, one for each usageWindow; nil if usage is not reported.
-	duties      *dutyapi.Server
+	// dutyAPI receives usage reports, one for each usageWindow; nil if usage is not reported.
+	dutyAPI     *dutyapi.Server
 	usageWindow time.Duration
 	// regions are assigned to nodes, engines and apps in turn. Each has one zone of the
 	// same name. nil puts everything into zone-a.
@@ -85,10 +85,10 @@
 	d.storeAddress = listener.Addr().String()
 	if spec.usageWindow > 0 {
 		d.usageWindow = spec.usageWindow
-		if d.duties, err = dutyapi.Start(); err != nil {
+		if d.dutyAPI, err = dutyapi.Start(); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(d.duties.Close)
+		t.Cleanup(d.dutyAPI.Close)
 	}
 	d.startReplicas(spec)
 	d.configure(1)
@@ -162,8 +162,8 @@
 	path := filepath.Join(d.folder, fmt.Sprintf("node-%d.yaml", number))
 	settings := fmt.Sprintf("node: node-%d\nhttp: 127.0.0.1:0\npeer: 127.0.0.1:0\nreadiness: 127.0.0.1:0\nmetrics: 127.0.0.1:0\ngrace: %s\n", number, grace)
 	settings += d.locationSettings(number)
-	if d.duties != nil {
-		settings += fmt.Sprintf("dutyAPI: %s\nduties: [metering]\nusageWindow: %s\nusageLate: %s\n", d.duties.Address(), d.usageWindow, usageLate)
+	if d.dutyAPI != nil {
+		settings += fmt.Sprintf("dutyAPI: %s\nduties: [metering]\nusageWindow: %s\nusageLate: %s\n", d.dutyAPI.Address(), d.usageWindow, usageLate)
 	}
 	if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
 		d.t.Fatal(err)
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -230,7 +230,7 @@
 
 func TestStreamsAreForwardedAndResumed(t *testing.T) {
 	d := deployPlatform(t, deploymentSpec{nodes: 1, engines: 3, apps: 1, eventInterval: time.Millisecond})
-	// One engine answers every request with the id of another one, and the other engines
+	// One engine responds to every request with the id of another one, and the other engines
 	// cut every second stream after one event. Resumption must still complete each stream.
 	d.engines[0].SetFaults(replica.Faults{WrongIDEvery: 1})
 	for _, engine := range d.engines[1:] {
--- a/test/soak_checks_test.go
+++ b/test/soak_checks_test.go
@@ -11,9 +11,9 @@
 // must report that history.
 func TestSoakChecksDetectViolations(t *testing.T) {
 	now := time.Now()
-	whole := itemResult{ID: "i", State: "succeeded", Message: replica.Text("i"), Score: "s", Versions: []int64{3}}
+	valid := itemResult{ID: "i", State: "succeeded", Message: replica.Text("i"), Score: "s", Versions: []int64{3}}
 	changed := func(change func(*itemResult)) itemResult {
-		result := whole
+		result := valid
 		change(&result)
 		return result
 	}
@@ -57,26 +57,26 @@
 			r.jobs = []*soakJob{{id: "j", refused: true}}
 			r.checkRefused([]replica.Run{{ID: "j.1"}})
 		}},
-		{"correct results", "", page(whole, changed(func(l *itemResult) { l.ID, l.Message = "k", replica.Text("k") }))},
-		{"an item listed twice", "TWICE", page(whole, whole)},
+		{"correct results", "", page(valid, changed(func(l *itemResult) { l.ID, l.Message = "k", replica.Text("k") }))},
+		{"an item listed twice", "TWICE", page(valid, valid)},
 		{"a position with another result", "TWICE", func(r *soakRecord) {
 			job := &soakJob{id: "j", minVersion: 3}
-			r.checkPage(job, 0, 0, []itemResult{whole}, "one")
+			r.checkPage(job, 0, 0, []itemResult{valid}, "one")
 			r.checkPage(job, 0, 1, []itemResult{changed(func(l *itemResult) { l.Message = "other" })}, "two")
 		}},
 		{"a position that held a result and is empty", "LOST", func(r *soakRecord) {
 			job := &soakJob{id: "j", minVersion: 3, endedAt: now}
-			r.checkPage(job, 0, 0, []itemResult{whole}, "one")
+			r.checkPage(job, 0, 0, []itemResult{valid}, "one")
 			r.checkPage(job, 0, 1, nil, "two")
 		}},
 		{"a position that got its result after the page was requested", "", func(r *soakRecord) {
 			job := &soakJob{id: "j", minVersion: 3}
-			r.checkPage(job, 0, 0, []itemResult{whole}, "one")
+			r.checkPage(job, 0, 0, []itemResult{valid}, "one")
 			r.checkPage(job, 0, 0, nil, "two")
 		}},
 		{"an empty page after the last position", "", func(r *soakRecord) {
 			job := &soakJob{id: "j", minVersion: 3}
-			r.checkPage(job, 0, 0, []itemResult{whole}, "one")
+			r.checkPage(job, 0, 0, []itemResult{valid}, "one")
 			r.checkPage(job, 1, 1, nil, "two")
 		}},
 		{"an item long after its job's end", "ENDED", ended(at("j.1", cancelBound+time.Second))},
--- a/test/soak_crashes_test.go
+++ b/test/soak_crashes_test.go
@@ -57,17 +57,17 @@
 func (s *soakRun) replace(ended *soakReplica) {
 	s.mutex.Lock()
 	// 0: same id, entry kept; 1: new id, entry removed; 2: same id, entry removed.
-	way := s.replicasStarted % 3
+	variant := s.replicasStarted % 3
 	if !ended.drainedAt.IsZero() {
 		// The drain removes the entry of this id later, so the id cannot be reused.
-		way = 1
+		variant = 1
 	}
 	s.mutex.Unlock()
 	time.Sleep(entryRemovalDelay)
-	if way != 0 {
+	if variant != 0 {
 		s.store.Remove("servers", ended.id)
 	}
-	if way == 1 {
+	if variant == 1 {
 		s.addReplica(ended.service)
 		return
 	}
--- a/test/soak_faults_test.go
+++ b/test/soak_faults_test.go
@@ -214,7 +214,7 @@
 }
 
 // add records a call that is delayed by a time.
-func (s *slowCalls) add(call metastore.Call, takes time.Duration) {
+func (s *slowCalls) add(call metastore.Call, delay time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.until == nil {
@@ -222,7 +222,7 @@
 	}
 	// Stored parts of a job are named after the job, with a number.
 	call.Name = call.Name[:max(0, strings.LastIndexByte(call.Name, '-'))]
-	s.until[call] = time.Now().Add(takes)
+	s.until[call] = time.Now().Add(delay)
 }
 
 // inProgress reports whether a delayed call about a job is in progress.
@@ -237,12 +237,12 @@
 func slowStore(s *soakRun, random *randomStream) (string, func()) {
 	extra := random.duration(0, maxExtraSlowTime)
 	s.store.SetDelay(func(call metastore.Call) metastore.Delay {
-		takes := random.duration(minStoreDelay, maxStoreDelay)
-		s.slowCalls.add(call, takes)
+		delay := random.duration(minStoreDelay, maxStoreDelay)
+		s.slowCalls.add(call, delay)
 		if random.intN(2) == 0 {
-			return metastore.Delay{Before: takes}
+			return metastore.Delay{Before: delay}
 		}
-		return metastore.Delay{After: takes}
+		return metastore.Delay{After: delay}
 	})
 	return fmt.Sprintf("%s longer", extra), func() {
 		time.Sleep(extra)
--- a/test/soak_record_test.go
+++ b/test/soak_record_test.go
@@ -26,8 +26,8 @@
 	items      int
 	minVersion int64
 	accepted   time.Time
-	// refused is set if every submission was refused with a status that promises that nothing
-	// ran or will run.
+	// refused is set if every submission was refused with a status that promises that the job
+	// does not run.
 	refused bool
 	results []itemResult
 	// endedAt is when the end of the job was first acknowledged, zero for never.
@@ -73,10 +73,10 @@
 	r.logs[node] = append(r.logs[node], log...)
 }
 
-func (r *soakRecord) addFault(what string) {
+func (r *soakRecord) addFault(description string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.faults = append(r.faults, time.Now().Format("15:04:05.000")+" "+what)
+	r.faults = append(r.faults, time.Now().Format("15:04:05.000")+" "+description)
 }
 
 // resultCount returns how many results of a job have been read.
@@ -90,13 +90,13 @@
 func (r *soakRecord) acceptedJobs() []*soakJob {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var taken []*soakJob
+	var accepted []*soakJob
 	for _, job := range r.jobs {
 		if !job.accepted.IsZero() {
-			taken = append(taken, job)
+			accepted = append(accepted, job)
 		}
 	}
-	return taken
+	return accepted
 }
 
 // addStep counts a job of which the trainer received wantedShare of the results.
@@ -107,10 +107,10 @@
 }
 
 // addTriggered counts a job whose end was triggered by the event it waited for.
-func (r *soakRecord) addTriggered(kind endTrigger) {
+func (r *soakRecord) addTriggered(trigger endTrigger) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.triggered[kind]++
+	r.triggered[trigger]++
 }
 
 // recordJobEnd records that the end of a job was acknowledged.
--- a/test/usage_test.go
+++ b/test/usage_test.go
@@ -82,10 +82,10 @@
 	d := deployPlatform(t, deploymentSpec{nodes: 4, engines: 1, apps: 2, eventInterval: time.Millisecond, tenants: twoTenants(), usageWindow: time.Second})
 	var stopped sync.Map
 	stop := d.generateLoad(func(node int) bool { _, known := stopped.Load(node); return known })
-	d.eventually("a usage window to be reported", func() bool { return len(d.duties.Reports()) > 1 })
+	d.eventually("a usage window to be reported", func() bool { return len(d.dutyAPI.Reports()) > 1 })
 	d.submitAs(d.nodes[0], authorization(keyOfOne), "uncounted", 8, 1)
 	holder := -1
-	for _, report := range d.duties.Reports() {
+	for _, report := range d.dutyAPI.Reports() {
 		fmt.Sscanf(report.Holder, "node-%d", &holder)
 	}
 	stopped.Store(holder, true)
@@ -98,11 +98,11 @@
 	time.Sleep(3 * time.Second)
 	stop()
 	last := time.Now().UnixNano()/int64(d.usageWindow) - 1
-	d.eventually("the last complete usage window to be reported", func() bool { _, known := d.duties.Reports()[last]; return known })
-	for _, finding := range d.duties.Findings() {
+	d.eventually("the last complete usage window to be reported", func() bool { _, known := d.dutyAPI.Reports()[last]; return known })
+	for _, finding := range d.dutyAPI.Findings() {
 		t.Error(finding)
 	}
-	want, reports := d.runsByWindow(), d.duties.Reports()
+	want, reports := d.runsByWindow(), d.dutyAPI.Reports()
 	first := last
 	for window := range want {
 		first = min(first, window)
--- a/test/virtual_test.go
+++ b/test/virtual_test.go
@@ -206,7 +206,7 @@
 			t.Errorf("step completed after %s, before the end of the outage, so the test proves nothing", took)
 		}
 		if took > 6*time.Second+outageRecoveryTime {
-			t.Errorf("step completed %s after the outage, want less", took-6*time.Second)
+			t.Errorf("step completed %s after the end of the outage, too late", took-6*time.Second)
 		}
 	})
 }
