--- a/test/standalone_path_test.go
+++ b/test/standalone_path_test.go
@@ -161,10 +161,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		answer, _ := io.ReadAll(response.Body)
+		content, _ := io.ReadAll(response.Body)
 		response.Body.Close()
 		if response.StatusCode != http.StatusOK {
-			t.Errorf("%s: status %d after apply -wait: %s", node.name, response.StatusCode, answer)
+			t.Errorf("%s: status %d after apply -wait: %s", node.name, response.StatusCode, content)
 		}
 	}
 }
