--- a/test/platform_deployment_test.go
+++ b/test/platform_deployment_test.go
@@ -23,28 +23,27 @@
 	liveHost   = "live.example"
 )
 
-// platformDeployment is a set of real node processes before stand-ins of the
-// users' platform.
+// platformDeployment is a set of node processes that use stand-ins for the users'
+// platform.
 type platformDeployment struct {
-	t       *testing.T
-	store   *metastore.Store
-	engines []*replica.Server
-	apps    []*replica.Server
-	nodes   []*platformNode
-	address string
-	folder  string
-	// tenants are declared in the configurations written from now on; nil for
-	// none.
+	t            *testing.T
+	store        *metastore.Store
+	engines      []*replica.Server
+	apps         []*replica.Server
+	nodes        []*platformNode
+	storeAddress string
+	folder       string
+	// tenants are declared in each configuration that is written; nil for none.
 	tenants []map[string]any
-	// duties takes usage reports, in windows of a length; nil for none.
-	duties      *dutyapi.Server
+	// dutyAPI receives usage reports, one for each usageWindow; nil if usage is not reported.
+	dutyAPI     *dutyapi.Server
 	usageWindow time.Duration
-	// regions are those of nodes, engines and apps in turn, each with one zone of its
-	// name; nil for one zone.
+	// regions are assigned to nodes, engines and apps in turn. Each has one zone of the
+	// same name. nil puts everything into zone-a.
 	regions []string
-	// homes are those of routes, by name.
-	homes map[string][]string
-	// links are those of the nodes, where there are regions.
+	// allowedRegions are the allowed regions of routes, by route name.
+	allowedRegions map[string][]string
+	// links are the proxies of each node, by its number; used only with regions.
 	links map[int]*nodeLinks
 }
 
@@ -58,24 +57,24 @@
 	log       bytes.Buffer
 }
 
-// shape is what a deployment is like.
-type shape struct {
+// deploymentSpec describes a deployment to start.
+type deploymentSpec struct {
 	nodes, engines, apps int
 	eventInterval        time.Duration
 	tenants              []map[string]any
-	// usageWindow has usage reported, in windows of that length.
+	// usageWindow is the length of usage windows; 0 disables usage reports.
 	usageWindow time.Duration
-	// regions and homes are those of the deployment.
-	regions []string
-	homes   map[string][]string
-	// crashOn is the text in the body of requests that end whoever runs them.
+	// regions and allowedRegions are as in platformDeployment.
+	regions        []string
+	allowedRegions map[string][]string
+	// crashOn makes replicas crash on requests whose body contains it.
 	crashOn string
 }
 
-// deployPlatform starts stand-ins and nodes.
-func deployPlatform(t *testing.T, shaped shape) *platformDeployment {
+// deployPlatform starts stand-ins and nodes and waits until every node is ready.
+func deployPlatform(t *testing.T, spec deploymentSpec) *platformDeployment {
 	t.Helper()
-	d := &platformDeployment{t: t, store: metastore.New(), folder: t.TempDir(), tenants: shaped.tenants, regions: shaped.regions, homes: shaped.homes, links: map[int]*nodeLinks{}}
+	d := &platformDeployment{t: t, store: metastore.New(), folder: t.TempDir(), tenants: spec.tenants, regions: spec.regions, allowedRegions: spec.allowedRegions, links: map[int]*nodeLinks{}}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -83,17 +82,17 @@
 	server := &http.Server{Handler: &metastore.Server{Store: d.store}}
 	go server.Serve(listener)
 	t.Cleanup(func() { server.Close() })
-	d.address = listener.Addr().String()
-	if shaped.usageWindow > 0 {
-		d.usageWindow = shaped.usageWindow
-		if d.duties, err = dutyapi.Start(); err != nil {
+	d.storeAddress = listener.Addr().String()
+	if spec.usageWindow > 0 {
+		d.usageWindow = spec.usageWindow
+		if d.dutyAPI, err = dutyapi.Start(); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(d.duties.Close)
+		t.Cleanup(d.dutyAPI.Close)
 	}
-	d.startReplicas(shaped)
+	d.startReplicas(spec)
 	d.configure(1)
-	for number := range shaped.nodes {
+	for number := range spec.nodes {
 		d.startNode(number)
 	}
 	for _, node := range d.nodes {
@@ -102,7 +101,7 @@
 	return d
 }
 
-func (d *platformDeployment) startReplicas(shaped shape) {
+func (d *platformDeployment) startReplicas(spec deploymentSpec) {
 	d.t.Helper()
 	start := func(config replica.Config, service string, number int) *replica.Server {
 		started, err := replica.Start(config)
@@ -110,21 +109,21 @@
 			d.t.Fatal(err)
 		}
 		d.t.Cleanup(started.Close)
-		d.store.Write("servers", config.ID, started.Entry(service, d.zoneOf(number)))
+		d.store.Write("servers", config.ID, started.Entry(service, d.zone(number)))
 		return started
 	}
-	for number := range shaped.engines {
+	for number := range spec.engines {
 		d.engines = append(d.engines, start(replica.Config{
-			ID: fmt.Sprintf("engine-%d", number), Slots: 8, Model: draftModel, EventInterval: shaped.eventInterval, LoadTime: 100 * time.Millisecond,
-			CrashOn: shaped.crashOn, CrashAfter: crashAfter,
+			ID: fmt.Sprintf("engine-%d", number), Slots: 8, Model: draftModel, EventInterval: spec.eventInterval, LoadTime: 100 * time.Millisecond,
+			CrashOn: spec.crashOn, CrashAfter: crashAfter,
 		}, "engines", number))
 	}
-	for number := range shaped.apps {
-		d.apps = append(d.apps, start(replica.Config{ID: fmt.Sprintf("app-%d", number), Slots: 16, Work: time.Millisecond, CrashOn: shaped.crashOn, CrashAfter: crashAfter}, "apps", number))
+	for number := range spec.apps {
+		d.apps = append(d.apps, start(replica.Config{ID: fmt.Sprintf("app-%d", number), Slots: 16, Work: time.Millisecond, CrashOn: spec.crashOn, CrashAfter: crashAfter}, "apps", number))
 	}
 }
 
-// configure writes a version of the configuration.
+// configure writes the configuration with the given version number.
 func (d *platformDeployment) configure(version int) {
 	configuration := map[string]any{
 		"version": version,
@@ -148,8 +147,8 @@
 		"limits": map[string]any{"maxHeaderBytes": 16384, "maxBodyBytes": 1 << 20, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000},
 	}
 	for _, route := range configuration["routes"].([]map[string]any) {
-		if homes := d.homes[route["name"].(string)]; homes != nil {
-			route["allowedRegions"] = homes
+		if regions := d.allowedRegions[route["name"].(string)]; regions != nil {
+			route["allowedRegions"] = regions
 		}
 	}
 	if d.tenants != nil {
@@ -158,13 +157,13 @@
 	d.store.Write("config", "main", configuration)
 }
 
-// settingsOf is the settings file of a node.
-func (d *platformDeployment) settingsOf(number int, grace string) string {
+// writeSettings writes the settings file of a node and returns its path.
+func (d *platformDeployment) writeSettings(number int, grace string) string {
 	path := filepath.Join(d.folder, fmt.Sprintf("node-%d.yaml", number))
 	settings := fmt.Sprintf("node: node-%d\nhttp: 127.0.0.1:0\npeer: 127.0.0.1:0\nreadiness: 127.0.0.1:0\nmetrics: 127.0.0.1:0\ngrace: %s\n", number, grace)
-	settings += d.placeOf(number)
-	if d.duties != nil {
-		settings += fmt.Sprintf("dutyAPI: %s\nduties: [metering]\nusageWindow: %s\nusageLate: %s\n", d.duties.Address(), d.usageWindow, usageLate)
+	settings += d.locationSettings(number)
+	if d.dutyAPI != nil {
+		settings += fmt.Sprintf("dutyAPI: %s\nduties: [metering]\nusageWindow: %s\nusageLate: %s\n", d.dutyAPI.Address(), d.usageWindow, usageLate)
 	}
 	if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
 		d.t.Fatal(err)
@@ -174,10 +173,10 @@
 
 func (d *platformDeployment) startNode(number int) *platformNode {
 	d.t.Helper()
-	node := &platformNode{program: start(d.t, 0, "pathtally", "node", "-settings", d.settingsOf(number, "6s"), "-v")}
+	node := &platformNode{program: start(d.t, 0, "pathtally", "node", "-settings", d.writeSettings(number, "6s"), "-v")}
 	go node.collect()
 	var started struct{ HTTP, Readiness, Metrics, Peer string }
-	d.eventually("the node has started", func() bool {
+	d.eventually("the node to start", func() bool {
 		line := node.find("node started")
 		return line != nil && json.Unmarshal(line, &started) == nil
 	})
@@ -189,7 +188,7 @@
 	return node
 }
 
-// collect keeps what a node writes.
+// collect appends the output of the process to the log until the process ends.
 func (n *platformNode) collect() {
 	buffer := make([]byte, 64<<10)
 	for {
@@ -203,7 +202,7 @@
 	}
 }
 
-// find returns the first log line that holds all words, or nil.
+// find returns the first log line that contains all words, or nil.
 func (n *platformNode) find(words ...string) []byte {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -226,7 +225,7 @@
 
 func (d *platformDeployment) waitReady(node *platformNode) {
 	d.t.Helper()
-	d.eventually("the node is ready", func() bool {
+	d.eventually("the node to become ready", func() bool {
 		response, err := http.Get("http://" + node.readiness + "/-/readyz")
 		if err != nil {
 			return false
--- a/test/standalone_path_test.go
+++ b/test/standalone_path_test.go
@@ -16,7 +16,7 @@
 	"github.com/pathtally/pathtally/internal/standalone/standin/trainer"
 )
 
-func (d *standaloneDeployment) train(steps string) trainer.Counts {
+func (d *standaloneDeployment) runTrainer(steps string) trainer.Counts {
 	d.t.Helper()
 	p := start(d.t, 1, "pathtally-standin", "trainer", "-name", "trainer", "-model", "m", "-nodes", strings.Join(d.addresses(), ","),
 		"-platform", d.platform.address(0), "-steps", steps, "-train-time", "200ms", "-max-tokens", "120")
@@ -27,25 +27,25 @@
 	return counts
 }
 
-func checkCounts(t *testing.T, counts trainer.Counts, steps int) {
+func checkTrainerCounts(t *testing.T, counts trainer.Counts, steps int) {
 	t.Helper()
 	if counts.Steps != steps || counts.Delivered != steps*32 || counts.Duplicate+counts.Lost+counts.Stale+counts.Unversioned+counts.Wrong > 0 {
-		t.Errorf("the trainer saw %+v", counts)
+		t.Errorf("counts at the trainer: %+v", counts)
 	}
 }
 
-func TestWholePathThroughProcesses(t *testing.T) {
+func TestStandaloneEndToEnd(t *testing.T) {
 	d := deployStandalone(t)
-	stop := d.load(30, 0.3, d.addresses)
-	checkCounts(t, d.train("3"), 3)
+	stop := d.startLoad(30, 0.3, d.addresses)
+	checkTrainerCounts(t, d.runTrainer("3"), 3)
 	generator := stop()
 	counts := generator.Counts()
 	if counts.Answered == 0 || counts.Wrong+counts.Truncated+counts.Unreachable > 0 {
-		t.Errorf("callers saw %+v", counts)
+		t.Errorf("outcomes at callers: %+v", counts)
 	}
 	d.checkRuns(generator)
 	if output := d.pathtally(0, "status", "-node-address", d.nodes[0].http); !strings.Contains(output, "node-2") {
-		t.Errorf("status does not show every node: %s", output)
+		t.Errorf("status does not list every node: %s", output)
 	}
 	d.pathtally(0, "get", "Engine", "engine-1", "-platform", d.platform.address(0), "-o", "yaml")
 	d.pathtally(1, "get", "Engine", "none", "-platform", d.platform.address(0))
@@ -54,19 +54,19 @@
 	d.pathtally(1, "node", "-node", "n", "-zone", "z", "-region", "r", "-peer", d.nodes[0].peer, "-http", "127.0.0.1:0", "-platform", d.platform.address(0))
 }
 
-func TestRivalAppliesHaveOneWinner(t *testing.T) {
+func TestConcurrentAppliesReportConflicts(t *testing.T) {
 	d := deployStandalone(t)
 	platform := d.platform.address(0)
-	type end struct {
+	type applyResult struct {
 		output string
 		code   int
 	}
 	conflicts := 0
 	for round := range 6 {
-		ends := make(chan end, 2)
-		for rival := range 2 {
+		results := make(chan applyResult, 2)
+		for writer := range 2 {
 			folder := t.TempDir()
-			object := "apiVersion: pathtally.dev/v1\nkind: Limit\nmetadata: {name: shared}\nspec: {groups: urgency=live, maxQueue: " + string(rune('1'+round)) + string(rune('1'+rival)) + "}\n"
+			object := "apiVersion: pathtally.dev/v1\nkind: Limit\nmetadata: {name: shared}\nspec: {groups: urgency=live, maxQueue: " + string(rune('1'+round)) + string(rune('1'+writer)) + "}\n"
 			data, err := os.ReadFile(filepath.Join(d.folder, "objects.yaml"))
 			if err != nil {
 				t.Fatal(err)
@@ -76,26 +76,26 @@
 			}
 			go func() {
 				output, code := runCommand("apply", "-f", folder, "-platform", platform)
-				ends <- end{output, code}
+				results <- applyResult{output, code}
 			}()
 		}
 		for range 2 {
-			switch e := <-ends; e.code {
+			switch e := <-results; e.code {
 			case 0:
 			case 3:
 				conflicts++
 				if !strings.Contains(e.output, "Limit/shared") {
-					t.Errorf("the conflict does not name what changed: %s", e.output)
+					t.Errorf("conflict message does not name the changed object: %s", e.output)
 				}
 			default:
-				t.Errorf("exit code %d: %s", e.code, e.output)
+				t.Errorf("apply: exit code %d, want 0 or 3: %s", e.code, e.output)
 			}
 		}
 	}
-	t.Logf("%d of 6 races ended in a conflict", conflicts)
+	t.Logf("%d of 6 rounds had a conflict", conflicts)
 }
 
-func TestLostAnswerOfApplyIsSettled(t *testing.T) {
+func TestApplySucceedsAfterLostResponse(t *testing.T) {
 	d := deployStandalone(t)
 	platform := d.platform.address(0)
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -116,14 +116,14 @@
 	d.pathtally(0, "apply", "-f", d.folder, "-platform", platform, "-wait", "-node-address", d.nodes[0].http)
 	output := d.pathtally(0, "get", "TrafficGroup", "live", "-platform", platform, "-o", "yaml")
 	if !strings.Contains(output, "priority: 81") {
-		t.Errorf("the change is not in force: %s", output)
+		t.Errorf("priority was not changed: %s", output)
 	}
 }
 
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestGracefulShutdownUnderLoad(t *testing.T) {
 	d := deployStandalone(t)
-	stop := d.load(60, 0.2, func() []string { return d.addresses()[1:] })
-	onlyStopped := d.load(90, 0.2, func() []string { return d.addresses()[:1] })
+	stop := d.startLoad(60, 0.2, func() []string { return d.addresses()[1:] })
+	onlyStopped := d.startLoad(90, 0.2, func() []string { return d.addresses()[:1] })
 	time.Sleep(time.Second)
 	d.nodes[0].signal(15)
 	<-d.nodes[0].exited
@@ -131,20 +131,20 @@
 	for _, generator := range []*loadgen.Generator{stopped, others} {
 		counts := generator.Counts()
 		if counts.Wrong+counts.Truncated > 0 || counts.Answered == 0 {
-			t.Errorf("callers saw %+v, codes %v", counts, generator.Codes())
+			t.Errorf("outcomes at callers: %+v, error codes %v", counts, generator.Codes())
 		}
 		if int64(counts.Unknown) > generator.Codes()["still_running"] {
-			t.Errorf("requests had no known outcome: %v", generator.Codes())
+			t.Errorf("requests have an unknown outcome other than still_running: %v", generator.Codes())
 		}
 		d.checkRuns(generator)
 	}
 	if unknown := stopped.Codes()["engine_failed"]; unknown > 0 {
-		t.Errorf("%d requests failed at the stopping node", unknown)
+		t.Errorf("%d requests failed at the node that shut down", unknown)
 	}
 }
 
-// What apply -wait says is in force can serve at once, at every node.
-func TestAppliedMeansServing(t *testing.T) {
+// Every node must serve new objects as soon as apply -wait has returned.
+func TestApplyWaitMeansServing(t *testing.T) {
 	d := deployStandaloneUnconfigured(t)
 	for number := range standaloneNodes {
 		d.startNode(number)
@@ -161,10 +161,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		answer, _ := io.ReadAll(response.Body)
+		content, _ := io.ReadAll(response.Body)
 		response.Body.Close()
 		if response.StatusCode != http.StatusOK {
-			t.Errorf("%s: status %d right after apply -wait: %s", node.name, response.StatusCode, answer)
+			t.Errorf("%s: status %d after apply -wait: %s", node.name, response.StatusCode, content)
 		}
 	}
 }
