--- a/internal/instance/adapter.go
+++ b/internal/instance/adapter.go
@@ -12,7 +12,7 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// Adapter is what a node needs of the platform that it runs on.
+// Adapter is what a node needs to run on a platform.
 type Adapter struct {
 	Store   objectstore.Store
 	Kinds   Kinds
@@ -20,14 +20,15 @@
 	Headers interface {
 		dispatch.HeaderCodec
 		ingress.Headers
-		// Prompt returns a number that prompts with the same beginning share.
+		// Prompt returns a hash of the first part of the prompt, 0 if the header names
+		// none.
 		Prompt(header http.Header) uint64
 	}
 	Jobs        batch.Codec
 	Retirements RetirementCodec
-	// Orders returns the client for orders to replicas over a pool.
+	// Orders returns a client of the replicas that uses a pool of connections.
 	Orders func(pool *exchange.Pool) weightorders.ReplicaClient
-	// Duties returns the client of the platform's API at an address, for those of
-	// the named duties that it takes.
+	// Duties returns clients of the platform's API at an address, for those of the named
+	// duties that it supports.
 	Duties func(address string, named []string) Duties
 }
--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -25,11 +25,11 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// nonceBase is the number base in which the lease names a process.
-const nonceBase = 36
+// incarnationBase is the number base in which the lease object names a node's incarnation.
+const incarnationBase = 36
 
-// assemble makes the parts of the node. Each step needs those before it.
-func (p *parts) assemble(ctx context.Context, peerListener net.Listener, duties Duties) {
+// assemble creates the components of the node. Each step depends on the previous ones.
+func (p *components) assemble(ctx context.Context, peerListener net.Listener, duties Duties) {
 	p.self = jobstore.Owner{Node: p.settings.Node, Address: p.settings.AdvertisedPeer(), Incarnation: uint64(p.started.UnixNano())}
 	dispatcher := p.assembleForwarding()
 	p.assemblePeers(ctx, peerListener)
@@ -47,8 +47,8 @@
 	close(p.assembled)
 }
 
-// assembleForwarding makes what brings requests to replicas.
-func (p *parts) assembleForwarding() *dispatch.Dispatcher {
+// assembleForwarding creates the components that forward requests to replicas.
+func (p *components) assembleForwarding() *dispatch.Dispatcher {
 	p.directory = directory.NewTable(p.settings.Node, p.settings.Zone, p.settings.Regions, p.logger)
 	p.directory.SetClock(p.clock)
 	unreadable := prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -61,18 +61,19 @@
 	dispatcher := dispatch.New(p.pool, p.adapter.Headers, dispatch.NewMetrics(p.registry))
 	p.forwarder = forward.New(forward.Config{
 		Zone: p.settings.Zone, Directory: p.directory, Dispatcher: dispatcher, Logger: p.logger, Metrics: forward.NewMetrics(p.registry),
-		PromptHash: p.adapter.Headers.Prompt, VersionField: p.adapter.Jobs.VersionField(), Meter: usageMeter{parts: p},
+		PromptHash: p.adapter.Headers.Prompt, VersionField: p.adapter.Jobs.VersionField(), Meter: usageMeter{components: p},
 	})
 	return dispatcher
 }
 
-// assemblePeers makes the list of the other nodes and listens to them.
-func (p *parts) assemblePeers(ctx context.Context, listener net.Listener) {
+// assemblePeers creates the table of the other nodes and starts to listen for their
+// connections.
+func (p *components) assemblePeers(ctx context.Context, listener net.Listener) {
 	p.transport = transport.Listen(listener, transport.Config{
 		Hello: wire.Hello{Protocol: wire.ProtocolVersion, Node: p.self.Node, Address: p.self.Address, Incarnation: p.self.Incarnation},
 		Post:  func(call func()) { go call() },
 		Handler: func(_ string, message wire.Message, reply func(wire.Message)) {
-			// Peers may send messages before all parts are there.
+			// Peers may send messages before all components exist.
 			<-p.assembled
 			p.handle(ctx, message, reply)
 		},
@@ -81,13 +82,13 @@
 	p.peers = peering.NewTable(peering.Config{
 		Node: p.self.Node, Address: p.self.Address, Zone: p.settings.Zone, Incarnation: p.self.Incarnation, Capacity: p.settings.Capacity(), Seeds: p.settings.Seeds,
 		Store: p.adapter.Store, Peers: p.transport, Logger: p.logger, FillHeartbeat: p.fillHeartbeat, OnHeartbeat: p.receiveHeartbeat,
-		HeartbeatTargets: p.watchers,
+		HeartbeatTargets: p.heartbeatTargets,
 	})
 	p.lookup = &peerLookup{peers: p.peers, directory: p.directory, settings: p.settings}
 }
 
-// assembleStore makes the copies of the metadata store and the way to it.
-func (p *parts) assembleStore() {
+// assembleStore creates the cache of the metadata store and the path for calls to it.
+func (p *components) assembleStore() {
 	p.source = watchcache.NewSource(watchcache.Config{
 		Self: watchcache.Node{Name: p.self.Node, Address: p.self.Address, Zone: p.settings.Zone, Capacity: p.settings.Capacity()}, Regions: p.settings.Regions, Store: p.adapter.Store, Peers: p.transport,
 		Nodes: p.lookup.storeNodes, JoinAttempted: p.peers.JoinAttempted, ProbeKind: peering.NodeKind, ProbeName: p.self.Node, Clock: p.clock, Logger: p.logger, Registry: p.registry,
@@ -97,22 +98,23 @@
 	})
 }
 
-// assembleQuarantine makes what keeps requests that end replicas from further ones.
-func (p *parts) assembleQuarantine(ctx context.Context) {
+// assembleQuarantine creates the service that quarantines requests suspected of crashing
+// replicas.
+func (p *components) assembleQuarantine(ctx context.Context) {
 	p.quarantine = quarantine.NewService(ctx, quarantine.Config{
 		Node: p.settings.Node, Duration: p.settings.Quarantine.Std(), Prober: p.pool, Store: p.store, Peers: p.transport, Logger: p.logger,
 		Registry: p.registry, Clock: p.clock, Nodes: p.peers.NodeNames, Address: p.lookup.address,
 	})
 }
 
-// assembleDuties makes the lease and what is done under it.
-func (p *parts) assembleDuties(duties Duties) {
-	p.lease = lease.NewLease(p.self.Node, strconv.FormatUint(p.self.Incarnation, nonceBase), p.settings.DutyLease.Std(), p.store, p.clock)
-	p.keeper = lease.NewElector(lease.Config{
-		Node: p.self.Node, Lease: p.lease, Clock: p.clock, Logger: p.logger, Nodes: p.peers.NodeNames, SinceHeartbeat: p.lookup.silence, Announce: p.peers.Announce,
+// assembleDuties creates the duty lease and the duties that require it.
+func (p *components) assembleDuties(duties Duties) {
+	p.lease = lease.NewLease(p.self.Node, strconv.FormatUint(p.self.Incarnation, incarnationBase), p.settings.DutyLease.Std(), p.store, p.clock)
+	p.elector = lease.NewElector(lease.Config{
+		Node: p.self.Node, Lease: p.lease, Clock: p.clock, Logger: p.logger, Nodes: p.peers.NodeNames, SinceHeartbeat: p.lookup.sinceHeartbeat, Announce: p.peers.Announce,
 	})
 	p.weights = weightorders.NewCoordinator(weightorders.Config{
-		Elector: p.keeper, Directory: p.directory, Replicas: p.adapter.Orders(p.pool), Logger: p.logger, Registry: p.registry,
+		Elector: p.elector, Directory: p.directory, Replicas: p.adapter.Orders(p.pool), Logger: p.logger, Registry: p.registry,
 		RunningItems: p.jobs.Load, Tolerance: p.jobs.Tolerance, Demand: p.jobs.Demand, OnChange: p.jobs.LearnVersion, Announce: p.peers.ScheduleHeartbeat,
 	})
 	if duties.Usage != nil {
@@ -120,7 +122,7 @@
 	}
 	if policy := autoscale.Policy(p.settings.ReplicaPolicy); duties.Replicas != nil && policy != autoscale.PolicyNone {
 		p.autoscale = autoscale.NewService(autoscale.Config{
-			Policy: policy, Elector: p.keeper, Store: p.store, Platform: duties.Replicas, Directory: p.directory, Logger: p.logger,
+			Policy: policy, Elector: p.elector, Store: p.store, Platform: duties.Replicas, Directory: p.directory, Logger: p.logger,
 			Registry: p.registry, Work: p.jobs.OpenWork,
 		})
 	}
@@ -130,11 +132,11 @@
 	}
 }
 
-// assembleIngress makes what answers callers.
-func (p *parts) assembleIngress() {
+// assembleIngress creates the handler of callers' requests.
+func (p *components) assembleIngress() {
 	p.handler = ingress.NewHandler(ingress.Config{
 		Directory: p.directory, Forwarder: p.forwarder, Headers: p.adapter.Headers, Logger: p.logger,
-		Jobs: &batch.Handler{Service: p.jobs, Headers: p.adapter.Headers}, BodyBytes: bodyBytes(p.settings.MemoryMB),
+		Jobs: &batch.Handler{Service: p.jobs, Headers: p.adapter.Headers}, BodyBytes: maxBodyBytes(p.settings.MemoryMB),
 		Metrics: ingress.NewMetrics(p.registry), ConfigurationAge: p.source.CacheAge,
 		KeyBound: p.live.keyBound,
 	})
--- a/internal/instance/catchup.go
+++ b/internal/instance/catchup.go
@@ -10,21 +10,21 @@
 // catchUpPollInterval is the time between checks whether the node is up to date.
 const catchUpPollInterval = 100 * time.Millisecond
 
-// logCatchUp logs when the starting node is up to date, and what it lacks if it is not
-// within the time of its settings.
-func (p *parts) logCatchUp(ctx context.Context) {
+// logCatchUp logs when the starting node is up to date. If it is not within the time of the
+// settings, it also logs which state is missing.
+func (p *components) logCatchUp(ctx context.Context) {
 	bound := p.live.catchUp()
 	late := false
 	for {
 		took := time.Since(p.started)
-		lacking := p.lacking()
-		if len(lacking) == 0 {
+		missing := p.missingState()
+		if len(missing) == 0 {
 			p.logger.Info("node up to date", "tookMs", took.Milliseconds(), "boundMs", bound.Milliseconds())
 			return
 		}
 		if took > bound && !late {
 			late = true
-			p.logger.Info("node not up to date in time", "lacking", lacking, "tookMs", took.Milliseconds(), "boundMs", bound.Milliseconds())
+			p.logger.Info("node not up to date in time", "lacking", missing, "tookMs", took.Milliseconds(), "boundMs", bound.Milliseconds())
 		}
 		if !objectstore.Sleep(ctx, catchUpPollInterval) {
 			return
--- a/internal/instance/parts.go
+++ b/internal/instance/components.go
@@ -26,21 +26,22 @@
 	"github.com/pathtally/pathtally/internal/store/watchcache"
 )
 
-// parts are what a node is assembled of. They do not change once assembled is closed.
-type parts struct {
-	// settings are those of the start, live those in force.
+// components are the components of a node. The fields do not change after assembled is
+// closed.
+type components struct {
+	// settings are the settings at the start, live the current ones.
 	settings settings.Settings
 	live     *liveSettings
 	adapter  Adapter
-	// clock counts suspensions of the machine.
+	// clock keeps counting while the machine is suspended.
 	clock    clock.Clock
 	logger   klog.Logger
 	registry *prometheus.Registry
 	started  time.Time
-	// self names this process to others.
+	// self identifies this process to other nodes.
 	self jobstore.Owner
 
-	// The world outside, and the way to the replicas.
+	// The directory of replicas, and the path of requests to them.
 	directory *directory.Table
 	pool      *exchange.Pool
 	forwarder *forward.Forwarder
@@ -50,22 +51,22 @@
 	lookup    *peerLookup
 	source    *watchcache.Source
 	store     *storerelay.Relay
-	// What serves callers.
+	// The handling of callers' requests.
 	quarantine *quarantine.Service
 	jobs       *batch.Service
 	handler    *ingress.Handler
 	server     *http.Server
-	// The duty lease, and what is done under it.
+	// The duty lease, and the duties that require it.
 	lease   *lease.Lease
-	keeper  *lease.Elector
+	elector *lease.Elector
 	weights *weightorders.Coordinator
-	// usage is nil where the platform takes no reports of it.
+	// usage is nil if the platform takes no usage reports.
 	usage *usage.Service
-	// autoscale is nil where no replicas are ordered.
+	// autoscale is nil if this system orders no replicas.
 	autoscale *autoscale.Service
-	// slowStart is nil where what replicas get while they warm up is not bounded.
+	// slowStart is nil if requests to warming replicas are not limited.
 	slowStart *slowStart
 
-	// assembled is closed once all parts of the node are there.
+	// assembled is closed once all components exist.
 	assembled chan struct{}
 }
--- a/internal/instance/connections.go
+++ b/internal/instance/connections.go
@@ -11,39 +11,40 @@
 )
 
 const (
-	// connectionShare is the part of a service's connections, between 0 and 1,
-	// that the nodes use together; the rest is for replicas' health checks and for nodes that
-	// are not known here.
-	connectionShare = 0.8
-	// connectionsPerSlot is how many connections for each slot of a replica a
-	// node may have whatever its share is: few nodes use one replica at a time,
-	// and those that do would open new ones over and over.
-	connectionsPerSlot = 3
-	// minBoundsInterval is the least time between two changes of the bounds.
-	minBoundsInterval = time.Second
-	// unboundedConnections stands for no bound, and maxResting bounds the connections
-	// that rest for one replica in any case.
-	unboundedConnections = 1 << 20
-	maxResting           = 32
+	// connectionFraction is the fraction of a service's connections that the nodes use
+	// together; the rest is left for health checks and for nodes that this node does not
+	// know.
+	connectionFraction = 0.8
+	// minConnectionsPerSlot is the number of connections per slot of a replica that a node
+	// may open even if its share is smaller. Few nodes use a replica at the same time, and
+	// with less they would open new connections continually.
+	minConnectionsPerSlot = 3
+	// minLimitsInterval is the minimum time between two updates of the limits.
+	minLimitsInterval = time.Second
+	// unlimitedConnections stands for no limit.
+	unlimitedConnections = 1 << 20
+	// maxIdleConnections bounds the idle connections to one replica.
+	maxIdleConnections = 32
 )
 
-// connectionBounder keeps the bounds of the connections to replicas current. Connections
-// to replicas that are gone are closed.
-type connectionBounder struct {
+// connectionLimiter updates the limits on connections to replicas. Connections to replicas
+// that are no longer listed are closed.
+type connectionLimiter struct {
 	directory *directory.Table
 	peers     *peering.Table
 	pool      *exchange.Pool
 }
 
-// run works until the context ends. A change is in force at once unless the one before it
-// is younger than minBoundsInterval: until then connections to a new replica do not rest.
-func (b *connectionBounder) run(ctx context.Context) {
+// run works until the context ends. A change takes effect at once, or minLimitsInterval
+// after the previous one. Until then connections to a new replica are not kept idle.
+func (l *connectionLimiter) run(ctx context.Context) {
 	for {
-		changed := b.directory.Changed()
-		// A starting node knows no replica yet: bounds would close what it opens.
-		if view := b.directory.View(); view.Configuration != nil && len(view.Replicas) > 0 {
-			b.pool.SetLimits(connectionBounds(view, len(b.peers.NodeNames())))
-			objectstore.Sleep(ctx, minBoundsInterval)
+		changed := l.directory.Changed()
+		// A starting node knows no replicas: limits would close the connections that it
+		// opens.
+		if view := l.directory.View(); view.Configuration != nil && len(view.Replicas) > 0 {
+			l.pool.SetLimits(connectionLimits(view, len(l.peers.NodeNames())))
+			objectstore.Sleep(ctx, minLimitsInterval)
 		}
 		select {
 		case <-ctx.Done():
@@ -53,22 +54,22 @@
 	}
 }
 
-// connectionBounds shares what each replica accepts among the nodes.
-func connectionBounds(view *directory.View, nodes int) map[string]exchange.ConnectionLimits {
-	bounds := make(map[string]exchange.ConnectionLimits, len(view.Replicas))
+// connectionLimits divides the connections that each replica accepts among the nodes.
+func connectionLimits(view *directory.View, nodes int) map[string]exchange.ConnectionLimits {
+	limits := make(map[string]exchange.ConnectionLimits, len(view.Replicas))
 	for _, replica := range view.Replicas {
-		most := 0
+		limit := 0
 		if view.Configuration != nil {
-			most = view.Configuration.Services[replica.Service].MaxConnections
+			limit = view.Configuration.Services[replica.Service].MaxConnections
 		}
-		if most <= 0 {
-			// The service names no bound.
-			bounds[replica.Address] = exchange.ConnectionLimits{Open: unboundedConnections, Idle: maxResting}
+		if limit <= 0 {
+			// The service has no limit.
+			limits[replica.Address] = exchange.ConnectionLimits{Open: unlimitedConnections, Idle: maxIdleConnections}
 			continue
 		}
-		share := int(connectionShare * float64(most) / float64(max(1, nodes)))
-		bound := min(most, max(share, connectionsPerSlot*max(1, replica.Slots)))
-		bounds[replica.Address] = exchange.ConnectionLimits{Open: bound, Idle: min(bound, maxResting)}
+		share := int(connectionFraction * float64(limit) / float64(max(1, nodes)))
+		open := min(limit, max(share, minConnectionsPerSlot*max(1, replica.Slots)))
+		limits[replica.Address] = exchange.ConnectionLimits{Open: open, Idle: min(open, maxIdleConnections)}
 	}
-	return bounds
+	return limits
 }
--- a/internal/instance/connections_test.go
+++ b/internal/instance/connections_test.go
@@ -28,13 +28,13 @@
 		{"very many nodes", 100, 350, 6, exchange.ConnectionLimits{Open: 18, Idle: 18}},
 		{"one node", 400, 1, 8, exchange.ConnectionLimits{Open: 320, Idle: 32}},
 		{"fewer connections than slots", 4, 1, 8, exchange.ConnectionLimits{Open: 4, Idle: 4}},
-		{"no bound", 0, 9, 8, exchange.ConnectionLimits{Open: unboundedConnections, Idle: 32}},
+		{"no bound", 0, 9, 8, exchange.ConnectionLimits{Open: unlimitedConnections, Idle: 32}},
 	} {
 		view := &directory.View{
 			Configuration: &directory.Configuration{Services: map[string]directory.Service{"s": {Name: "s", MaxConnections: test.most}}},
 			Replicas:      map[string]*directory.Replica{"r": {ID: "r", Service: "s", Address: "a", Slots: test.replica}},
 		}
-		if got := connectionBounds(view, test.nodes)["a"]; got != test.want {
+		if got := connectionLimits(view, test.nodes)["a"]; got != test.want {
 			t.Errorf("%s: %+v, want %+v", test.name, got, test.want)
 		}
 	}
@@ -46,7 +46,7 @@
 func TestConnectionsToANewReplicaRestAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		node := &connectionBounder{
+		node := &connectionLimiter{
 			directory: directory.NewTable("node", "zone", nil, klog.Background()),
 			peers:     peering.NewTable(peering.Config{Node: "node"}),
 			pool: exchange.NewPool(func(context.Context, string) (net.Conn, error) {
--- a/internal/instance/evacuations.go
+++ b/internal/instance/evacuations.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// evacuationPollInterval is the time between checks while a zone is evacuated and not
-	// yet empty here, evacuationIdleInterval while there is none.
+	// evacuationPollInterval is the time between checks while this node still has requests
+	// in an evacuated zone, evacuationIdleInterval the time otherwise.
 	evacuationPollInterval = 100 * time.Millisecond
 	evacuationIdleInterval = time.Second
-	// evacuationMargin is the part of the bound, between 0 and 1, that is left for a
-	// request on its way: where the list of evacuations is older than the rest of the
-	// bound, one may arrive too late.
+	// evacuationMargin is the fraction of the evacuation bound that is left for requests in
+	// transit. If the list of evacuations is older than the rest of the bound, a request
+	// may reach an evacuated zone too late.
 	evacuationMargin = 0.1
 )
 
-// followEvacuations has the directory follow the evacuations of zones where the
-// settings name a bound for them. Nothing is sent before they have been listed.
-func (p *parts) followEvacuations() {
+// followEvacuations makes the directory follow the evacuations of zones if the settings
+// have a bound for them. No requests are sent until the evacuations have been listed.
+func (p *components) followEvacuations() {
 	if p.settings.EvacuationBound.Std() <= 0 {
 		return
 	}
@@ -35,16 +35,16 @@
 	}, func() float64 { return float64(len(p.directory.View().Evacuated)) }))
 }
 
-// logEvacuations logs how evacuations proceed, until the context ends.
-func (p *parts) logEvacuations(ctx context.Context) {
+// logEvacuations logs the progress of evacuations until the context ends.
+func (p *components) logEvacuations(ctx context.Context) {
 	bound := p.settings.EvacuationBound.Std()
 	if bound <= 0 {
 		return
 	}
-	watch := &evacuationWatch{logger: p.logger, age: p.source.CacheAge, maxAge: bound - time.Duration(evacuationMargin*float64(bound)), empty: map[string]bool{}}
+	progress := &evacuationLogger{logger: p.logger, age: p.source.CacheAge, maxAge: bound - time.Duration(evacuationMargin*float64(bound)), empty: map[string]bool{}}
 	for ctx.Err() == nil {
 		changed := p.directory.Changed()
-		timer := time.NewTimer(watch.check(p.directory.View()))
+		timer := time.NewTimer(progress.check(p.directory.View()))
 		select {
 		case <-ctx.Done():
 		case <-changed:
@@ -54,51 +54,50 @@
 	}
 }
 
-// evacuationWatch is what has been logged of the current evacuations. It belongs to one
-// goroutine.
-type evacuationWatch struct {
+// evacuationLogger logs the progress of evacuations. It is used by one goroutine.
+type evacuationLogger struct {
 	logger klog.Logger
-	// age returns the time since the evacuations were last known to be current. isStale
-	// says that it has been logged as longer than maxAge.
+	// age returns the time since the evacuations were last known to be current. isStale is
+	// set if an age above maxAge has been logged.
 	age     func() time.Duration
 	maxAge  time.Duration
 	isStale bool
-	// empty are the evacuated zones at which no request of this node is left.
+	// empty is the set of evacuated zones in which this node has no requests left.
 	empty map[string]bool
 }
 
 // check logs what has changed and returns the time until the next check.
-func (w *evacuationWatch) check(view *directory.View) time.Duration {
+func (l *evacuationLogger) check(view *directory.View) time.Duration {
 	if !view.EvacuationsUnknown {
-		w.logAge()
+		l.logStaleness()
 	}
-	for zone := range w.empty {
+	for zone := range l.empty {
 		if _, evacuated := view.Evacuated[zone]; !evacuated {
-			delete(w.empty, zone)
+			delete(l.empty, zone)
 		}
 	}
 	for zone, since := range view.Evacuated {
-		if !w.empty[zone] && view.InFlightIn(zone) == 0 {
-			w.empty[zone] = true
-			w.logger.Info("evacuated zone empty", "evacuated", zone, "afterMs", time.Since(since).Milliseconds())
+		if !l.empty[zone] && view.InFlightIn(zone) == 0 {
+			l.empty[zone] = true
+			l.logger.Info("evacuated zone empty", "evacuated", zone, "afterMs", time.Since(since).Milliseconds())
 		}
 	}
-	if len(w.empty) < len(view.Evacuated) {
+	if len(l.empty) < len(view.Evacuated) {
 		return evacuationPollInterval
 	}
 	return evacuationIdleInterval
 }
 
-// logAge logs when this node can no longer say whether its evacuations are current,
-// and when it can again.
-func (w *evacuationWatch) logAge() {
-	age := w.age()
-	if stale := age > w.maxAge; stale != w.isStale {
-		w.isStale = stale
+// logStaleness logs when the evacuations are no longer known to be current, and when they
+// are again.
+func (l *evacuationLogger) logStaleness() {
+	age := l.age()
+	if stale := age > l.maxAge; stale != l.isStale {
+		l.isStale = stale
 		if stale {
-			w.logger.Info("evacuations not known to be current", "ageMs", age.Milliseconds(), "oldestMs", w.maxAge.Milliseconds())
+			l.logger.Info("evacuations not known to be current", "ageMs", age.Milliseconds(), "oldestMs", l.maxAge.Milliseconds())
 		} else {
-			w.logger.Info("evacuations known to be current again")
+			l.logger.Info("evacuations known to be current again")
 		}
 	}
 }
--- a/internal/instance/evacuations_test.go
+++ b/internal/instance/evacuations_test.go
@@ -13,7 +13,7 @@
 	table := directory.NewTable("node", "a", nil, klog.Background())
 	table.SetReplicas([]*directory.Replica{{ID: "one", Service: "s", Zone: "a", State: directory.ReplicaReady}}, 0)
 	table.SetEvacuations([]string{"a"})
-	watch := &evacuationWatch{logger: klog.Background(), age: func() time.Duration { return 0 }, maxAge: time.Second, empty: map[string]bool{}}
+	watch := &evacuationLogger{logger: klog.Background(), age: func() time.Duration { return 0 }, maxAge: time.Second, empty: map[string]bool{}}
 	state := table.View().Endpoints["one"].State
 	state.InFlight.Add(1)
 	if pause := watch.check(table.View()); pause != evacuationPollInterval || watch.empty["a"] {
@@ -32,13 +32,13 @@
 
 func TestDoubtAboutEvacuationsIsToldOnceAndEnds(t *testing.T) {
 	age := 2 * time.Second
-	watch := &evacuationWatch{logger: klog.Background(), age: func() time.Duration { return age }, maxAge: time.Second, empty: map[string]bool{}}
-	watch.logAge()
+	watch := &evacuationLogger{logger: klog.Background(), age: func() time.Duration { return age }, maxAge: time.Second, empty: map[string]bool{}}
+	watch.logStaleness()
 	if !watch.isStale {
 		t.Error("word older than the bound is taken as current")
 	}
 	age = 0
-	watch.logAge()
+	watch.logStaleness()
 	if watch.isStale {
 		t.Error("doubt goes on although there was word")
 	}
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -19,11 +19,11 @@
 type Instance struct {
 	name string
 	live *liveSettings
-	// reloading is held during a reload.
+	// reloading serializes reloads.
 	reloading sync.Mutex
 	logger    klog.Logger
-	// parts is nil on an idle node, which serves nothing.
-	parts *parts
+	// components is nil on an idle node, which serves nothing.
+	components *components
 
 	cancel   context.CancelFunc
 	stopping atomic.Bool
@@ -31,8 +31,8 @@
 	drained  chan struct{}
 }
 
-// Start opens the addresses of the settings and starts the node. Its error is a
-// *settings.ListenError, or that of the machine's clock.
+// Start listens on the addresses of the settings and starts the node. Its error is a
+// *settings.ListenError, or that of the boot-time clock.
 func Start(configured settings.Settings, adapter Adapter) (*Instance, error) {
 	var duties Duties
 	if configured.DutyAPI != "" {
@@ -57,38 +57,37 @@
 		instance.logger.Info("node started", "idle", true)
 		return instance, nil
 	}
-	boundMemory(configured.MemoryMB)
+	limitMemory(configured.MemoryMB)
 	registry := prometheus.NewRegistry()
 	adapter.Store = objectstore.NewMetered(adapter.Store, registry)
-	instance.parts = &parts{
+	instance.components = &components{
 		settings: configured, live: instance.live, adapter: adapter, clock: counting, logger: instance.logger, registry: registry,
 		started: time.Now(), assembled: make(chan struct{}),
 	}
-	instance.parts.assemble(ctx, opened.peer, duties)
+	instance.components.assemble(ctx, opened.peer, duties)
 	instance.serve(opened)
-	instance.parts.run(ctx)
+	instance.components.run(ctx)
 	instance.logger.Info("node started", "http", configured.HTTP, "readiness", configured.Readiness, "metrics", configured.Metrics,
 		"peer", configured.Peer, "objectStore", configured.ObjectStore)
 	return instance, nil
 }
 
-// Name returns the node's name.
 func (i *Instance) Name() string { return i.name }
 
-// Reload takes changed settings. Times and seeds come into force; a change of name, place
-// or addresses needs a new start and is logged as such.
+// Reload applies changed settings: timeouts, bounds and seeds. Changes of other settings
+// are logged as requiring a restart.
 func (i *Instance) Reload(changed settings.Settings) {
 	i.reloading.Lock()
 	defer i.reloading.Unlock()
 	next, needsRestart := i.live.reload(changed)
 	i.logger.Info("settings reloaded", "grace", next.Grace.Std().String(), "dutyLease", next.DutyLease.Std().String(),
 		"drain", next.Drain.Std().String(), "keyBound", next.KeyBound.Std().String(), "seeds", len(next.Seeds), "needsRestart", needsRestart)
-	if i.parts == nil {
+	if i.components == nil {
 		return
 	}
-	i.parts.lease.SetTakeoverGap(next.DutyLease.Std())
-	i.parts.peers.SetSeeds(next.Seeds)
+	i.components.lease.SetTakeoverGap(next.DutyLease.Std())
+	i.components.peers.SetSeeds(next.Seeds)
 }
 
-// Drained is closed when a planned stop has ended.
+// Drained returns a channel that is closed when a planned stop has ended.
 func (i *Instance) Drained() <-chan struct{} { return i.drained }
--- a/internal/instance/kinds.go
+++ b/internal/instance/kinds.go
@@ -1,9 +1,9 @@
 package instance
 
-// Kinds are the names under which the platform keeps what a node watches.
+// Kinds are the kinds of the platform's objects that a node watches.
 type Kinds struct {
 	Configuration string
-	// ConfigurationName is that of the one configuration object.
+	// ConfigurationName is the name of the only configuration object.
 	ConfigurationName string
 	Replicas          string
 	Versions          string
--- a/internal/instance/listeners.go
+++ b/internal/instance/listeners.go
@@ -6,13 +6,13 @@
 	"github.com/pathtally/pathtally/internal/settings"
 )
 
-// listeners are the open addresses of a node; those not set are nil.
+// listeners are the open listeners of a node; those without an address are nil.
 type listeners struct {
 	http, peer, readiness, metrics net.Listener
 }
 
-// open opens the addresses of the settings and writes those that the system
-// chose back into them.
+// open listens on the addresses of the settings and replaces each of them by the address of
+// its listener, which has the port that the system chose.
 func (l *listeners) open(configured *settings.Settings) error {
 	for _, wanted := range []struct {
 		setting  string
--- a/internal/instance/messages.go
+++ b/internal/instance/messages.go
@@ -7,8 +7,8 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// handle passes a message of another node to the part that answers it.
-func (p *parts) handle(ctx context.Context, message wire.Message, reply func(wire.Message)) {
+// handle dispatches a message of another node to the component that handles it.
+func (p *components) handle(ctx context.Context, message wire.Message, reply func(wire.Message)) {
 	switch message := message.(type) {
 	case *wire.NodeBeat:
 		reply(p.peers.HandleJoin(message))
@@ -29,7 +29,7 @@
 		}
 	case *wire.PermitAsk:
 		if p.slowStart != nil {
-			reply(p.slowStart.answer(message))
+			reply(p.slowStart.handleRequest(message))
 			return
 		}
 	}
@@ -39,21 +39,21 @@
 }
 
 // fillHeartbeat adds this node's state to its heartbeat.
-func (p *parts) fillHeartbeat(heartbeat *wire.NodeBeat) {
+func (p *components) fillHeartbeat(heartbeat *wire.NodeBeat) {
 	p.jobs.FillHeartbeat(heartbeat)
 	heartbeat.Versions = p.weights.AnnouncedVersions()
 	if p.usage != nil {
 		p.usage.FillHeartbeat(heartbeat)
 	}
-	heartbeat.Lease = p.keeper.TenureToken()
-	last := p.keeper.LastObserved()
+	heartbeat.Lease = p.elector.TenureToken()
+	last := p.elector.LastObserved()
 	heartbeat.LeaseHolder, heartbeat.LeaseSeen, heartbeat.LeaseReleased = last.Holder, last.Revision, last.Released
 }
 
 // receiveHeartbeat applies another node's heartbeat.
-func (p *parts) receiveHeartbeat(heartbeat *wire.NodeBeat) {
-	p.keeper.Observe(lease.Observation{Holder: heartbeat.Node, Revision: heartbeat.Lease})
-	p.keeper.Observe(lease.Observation{Holder: heartbeat.LeaseHolder, Revision: heartbeat.LeaseSeen, Released: heartbeat.LeaseReleased})
+func (p *components) receiveHeartbeat(heartbeat *wire.NodeBeat) {
+	p.elector.Observe(lease.Observation{Holder: heartbeat.Node, Revision: heartbeat.Lease})
+	p.elector.Observe(lease.Observation{Holder: heartbeat.LeaseHolder, Revision: heartbeat.LeaseSeen, Released: heartbeat.LeaseReleased})
 	for _, change := range heartbeat.Versions {
 		p.weights.ObserveVersion(change)
 	}
@@ -63,7 +63,7 @@
 	p.jobs.ReceiveHeartbeat(heartbeat)
 }
 
-// watchers names the nodes that receive every heartbeat of this node.
-func (p *parts) watchers() []string {
-	return append(p.jobs.Watchers(), p.keeper.Candidates()...)
+// heartbeatTargets returns the nodes that receive every heartbeat of this node.
+func (p *components) heartbeatTargets() []string {
+	return append(p.jobs.Watchers(), p.elector.Candidates()...)
 }
--- a/internal/instance/peer_lookup.go
+++ b/internal/instance/peer_lookup.go
@@ -9,14 +9,14 @@
 	"github.com/pathtally/pathtally/internal/store/watchcache"
 )
 
-// peerLookup answers questions of the other parts about the nodes known.
+// peerLookup gives other components access to the known nodes.
 type peerLookup struct {
 	peers     *peering.Table
 	directory *directory.Table
 	settings  settings.Settings
 }
 
-// storeNodes lists the nodes through which the store can be followed.
+// storeNodes returns the nodes through which the store can be followed.
 func (l *peerLookup) storeNodes() []watchcache.Node {
 	var nodes []watchcache.Node
 	for _, peer := range l.peers.Peers() {
@@ -25,26 +25,26 @@
 	return nodes
 }
 
-// silence returns the time since a node's last heartbeat.
-func (l *peerLookup) silence(node string) time.Duration {
+// sinceHeartbeat returns the time since the last heartbeat of a node.
+func (l *peerLookup) sinceHeartbeat(node string) time.Duration {
 	peer, _ := l.peers.Get(node)
 	return time.Since(peer.LastHeartbeat)
 }
 
-// address returns where a node listens for others.
+// address returns the peer address of a node.
 func (l *peerLookup) address(node string) (address string, known bool) {
 	peer, known := l.peers.Get(node)
 	return peer.Address, known
 }
 
-// process returns where a node listens, and which of its processes sent the last
+// process returns the peer address of a node and the incarnation that sent its last
 // heartbeat.
 func (l *peerLookup) process(node string) (address string, incarnation uint64, known bool) {
 	peer, known := l.peers.Get(node)
 	return peer.Address, peer.Incarnation, known
 }
 
-// regionAt returns the region of the node at an address, "" if it is not known.
+// regionAt returns the region of the node at an address, "" if unknown.
 func (l *peerLookup) regionAt(address string) string {
 	return l.directory.RegionOf(l.peers.ZoneAt(address))
 }
--- a/internal/instance/platform_duties.go
+++ b/internal/instance/platform_duties.go
@@ -5,8 +5,8 @@
 	"github.com/pathtally/pathtally/internal/duties/usage"
 )
 
-// Duties are what the platform takes from one node for the whole deployment; nil
-// for what it does not take.
+// Duties are clients of the platform's API for duties; nil for those that the platform does
+// not support.
 type Duties struct {
 	Usage    usage.Platform
 	Replicas autoscale.Platform
--- a/internal/instance/readiness.go
+++ b/internal/instance/readiness.go
@@ -2,13 +2,13 @@
 
 import "net/http"
 
-// Ready reports whether the node takes callers.
-func (i *Instance) Ready() bool { return !i.stopping.Load() && len(i.parts.lacking()) == 0 }
+// Ready reports whether the node is ready to take callers' requests.
+func (i *Instance) Ready() bool { return !i.stopping.Load() && len(i.components.missingState()) == 0 }
 
-// lacking names what the node does not know yet and cannot serve without.
-func (p *parts) lacking() []string {
+// missingState names the state that the node needs to serve and has not received.
+func (p *components) missingState() []string {
 	view := p.directory.View()
-	var lacking []string
+	var missing []string
 	for _, required := range []struct {
 		name  string
 		known bool
@@ -19,13 +19,13 @@
 		{"batch jobs", p.jobs.Recovered()},
 	} {
 		if !required.known {
-			lacking = append(lacking, required.name)
+			missing = append(missing, required.name)
 		}
 	}
-	return lacking
+	return missing
 }
 
-// serveReadiness answers 200 while the node takes callers.
+// serveReadiness responds with 200 if the node is ready, else with 503.
 func (i *Instance) serveReadiness(writer http.ResponseWriter, _ *http.Request) {
 	if i.Ready() {
 		writer.WriteHeader(http.StatusOK)
--- a/internal/instance/retirements.go
+++ b/internal/instance/retirements.go
@@ -15,21 +15,22 @@
 	"github.com/pathtally/pathtally/internal/store/objectstore"
 )
 
-// retirementRankDelay is what each further node waits for those before it in rank to
-// answer a retirement. It is also the time between two attempts.
+// retirementRankDelay is how long a node waits for each node ranked before it to mark a
+// machine as retired. It is also the time between two attempts.
 const retirementRankDelay = 600 * time.Millisecond
 
-// RetirementCodec reads and writes the status of a retirement.
+// RetirementCodec encodes and decodes the status of a retirement, the platform's request to
+// drain a machine.
 type RetirementCodec interface {
-	// Retired returns whether a status says that the machine may be removed. Its error
-	// is that of a status that cannot be read.
+	// Retired reports whether a status says that the machine may be removed. Its error
+	// means that the status cannot be decoded.
 	Retired(status []byte) (bool, error)
-	// Retirement returns the status that says so.
+	// Retirement returns the status that says that the machine may be removed.
 	Retirement() ([]byte, error)
 }
 
-// retirements answers requests to empty a machine. Nothing that lasts is kept
-// on any machine's disk, so each may be removed at once.
+// retirements marks machines as retired on request. Nodes keep no durable state on the disk
+// of a machine, so it may be removed at once.
 type retirements struct {
 	kind   string
 	store  objectstore.Store
@@ -48,7 +49,7 @@
 	listed := map[string]bool{}
 	for _, object := range objects {
 		listed[object.Name] = true
-		r.take(object)
+		r.update(object)
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -59,19 +60,19 @@
 func (r *retirements) Apply(changes []objectstore.Change, _ bool) {
 	for _, change := range changes {
 		if change.Deleted {
-			r.forget(change.Object.Name)
+			r.remove(change.Object.Name)
 			continue
 		}
-		r.take(change.Object)
+		r.update(change.Object)
 	}
 }
 
-func (r *retirements) take(object objectstore.Object) {
+func (r *retirements) update(object objectstore.Object) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	retired, err := r.codec.Retired(object.Status)
 	if err != nil {
-		r.logger.Error(err, "retirement is answered anew", "machine", object.Name)
+		r.logger.Error(err, "failed to read retirement status, overwriting it", "machine", object.Name)
 	}
 	if retired {
 		delete(r.pending, object.Name)
@@ -81,30 +82,29 @@
 		return
 	}
 	r.pending[object.Name] = true
-	go r.answer(object.Name)
+	go r.complete(object.Name)
 }
 
-// answer writes the status once the nodes before this one have had time to, unless one of
-// them has.
-func (r *retirements) answer(machine string) {
+// complete writes the status, unless a node that precedes this one in rank does so first.
+func (r *retirements) complete(machine string) {
 	if !objectstore.Sleep(r.ctx, time.Duration(r.rank(machine))*retirementRankDelay) {
 		return
 	}
 	status, err := r.codec.Retirement()
 	if err != nil {
-		r.logger.Error(err, "retirement cannot be answered", "machine", machine)
+		r.logger.Error(err, "failed to encode retirement status", "machine", machine)
 		return
 	}
 	for r.isPending(machine) {
 		object, err := r.store.ReplaceStatus(r.ctx, r.kind, machine, json.RawMessage(status), objectstore.Unconditional)
 		if err == nil {
-			r.logger.Info("machine drained, may be removed", "machine", machine, "revision", object.Revision)
+			r.logger.Info("machine retired, may be removed", "machine", machine, "revision", object.Revision)
 			return
 		}
-		r.logger.Info("retirement not answered", "machine", machine, "error", err.Error())
+		r.logger.Info("failed to write retirement status", "machine", machine, "error", err.Error())
 		if errors.Is(err, objectstore.ErrNotFound) {
-			// The platform has withdrawn it.
-			r.forget(machine)
+			// The platform has withdrawn the retirement.
+			r.remove(machine)
 			return
 		}
 		if !objectstore.SleepWithJitter(r.ctx, retirementRankDelay) {
@@ -113,9 +113,9 @@
 	}
 }
 
-// forget ends the answering of a retirement that is gone. A later one of the same machine
-// is answered anew.
-func (r *retirements) forget(machine string) {
+// remove stops the processing of a retirement that no longer exists. A later one of the
+// same machine is processed again.
+func (r *retirements) remove(machine string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.pending, machine)
@@ -127,7 +127,7 @@
 	return r.pending[machine]
 }
 
-// rank is this node's place among those that may answer.
+// rank returns this node's rank for a machine among the known nodes, 0 for the first.
 func (r *retirements) rank(machine string) int {
 	return slices.Index(rendezvous.RankNames(machine, r.nodes()), r.node)
 }
--- a/internal/instance/run.go
+++ b/internal/instance/run.go
@@ -9,16 +9,16 @@
 	"github.com/pathtally/pathtally/internal/store/watchcache"
 )
 
-// run starts what works beside the requests, until the context ends.
-func (p *parts) run(ctx context.Context) {
+// run starts the background work of the node, which ends with the context.
+func (p *components) run(ctx context.Context) {
 	p.followStore(ctx)
 	for _, loop := range p.loops() {
 		go loop(ctx)
 	}
 }
 
-// followStore names what the copy of the store passes on, and to which part.
-func (p *parts) followStore(ctx context.Context) {
+// followStore subscribes components to the kinds of objects that they follow.
+func (p *components) followStore(ctx context.Context) {
 	kinds := p.adapter.Kinds
 	decoder := p.adapter.Decoder
 	p.source.Add(kinds.Configuration, directory.ConfigurationSink{Table: p.directory, Decoder: decoder, Name: kinds.ConfigurationName}, watchcache.ShortWatchTimeout)
@@ -33,11 +33,11 @@
 	}, watchcache.LongWatchTimeout)
 }
 
-// loops lists what runs for the life of the node.
-func (p *parts) loops() []func(context.Context) {
-	bounder := &connectionBounder{directory: p.directory, peers: p.peers, pool: p.pool}
+// loops returns the background loops of the node.
+func (p *components) loops() []func(context.Context) {
+	limiter := &connectionLimiter{directory: p.directory, peers: p.peers, pool: p.pool}
 	loops := []func(context.Context){
-		p.source.Run, p.peers.Join, bounder.run, p.logCatchUp, p.logEvacuations, p.quarantine.Run, p.jobs.Run, p.weights.Run,
+		p.source.Run, p.peers.Join, limiter.run, p.logCatchUp, p.logEvacuations, p.quarantine.Run, p.jobs.Run, p.weights.Run,
 	}
 	if p.autoscale != nil {
 		loops = append(loops, p.autoscale.Run)
--- a/internal/instance/servers.go
+++ b/internal/instance/servers.go
@@ -11,27 +11,28 @@
 )
 
 const (
-	// headerTimeout and idleTimeout are laxer than any limits that operators set:
-	// the handler enforces those.
+	// headerTimeout and idleTimeout exceed any limits that operators set: the handler
+	// enforces those.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// maxHeaderBytes bounds a request's headers before any limit is known.
+	// maxHeaderBytes bounds the headers of a request before the limits of the configuration
+	// apply.
 	maxHeaderBytes = 64 << 10
 )
 
-// serve answers on the open addresses.
+// serve starts the HTTP servers on the open listeners.
 func (i *Instance) serve(opened *listeners) {
-	i.parts.server = newServer(i.parts.handler)
-	go serveOn(i.parts.server, opened.http, i.logger)
+	i.components.server = newServer(i.components.handler)
+	go serveOn(i.components.server, opened.http, i.logger)
 	if opened.readiness != nil {
 		go serveOn(newServer(http.HandlerFunc(i.serveReadiness)), opened.readiness, i.logger)
 	}
 	if opened.metrics != nil {
-		go serveOn(newServer(promhttp.HandlerFor(i.parts.registry, promhttp.HandlerOpts{})), opened.metrics, i.logger)
+		go serveOn(newServer(promhttp.HandlerFor(i.components.registry, promhttp.HandlerOpts{})), opened.metrics, i.logger)
 	}
 }
 
-// serveOn answers on one address until the server is closed.
+// serveOn serves one listener until the server is closed.
 func serveOn(server *http.Server, listener net.Listener, logger klog.Logger) {
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		logger.Error(err, "address is no longer served", "address", listener.Addr().String())
--- a/internal/instance/slowstart.go
+++ b/internal/instance/slowstart.go
@@ -17,109 +17,109 @@
 )
 
 const (
-	// allotterTimeout bounds a question to the allotter, several round trips between zones:
-	// a later answer is of little use.
+	// allotterTimeout bounds a request to the allotter. It allows for several round trips
+	// between zones; a later reply is of little use.
 	allotterTimeout = 300 * time.Millisecond
-	// allotterFollowers is how many nodes besides the last holder of the duty lease
-	// are asked in turn while nobody answers.
-	allotterFollowers = 2
+	// allotterSuccessors is the number of nodes besides the last holder of the duty lease
+	// that are tried in turn while no node replies.
+	allotterSuccessors = 2
 )
 
-// errNoAllotter means that no node is known that could allot requests to warming
-// replicas.
-var errNoAllotter = merry.Sentinel("no node is known to allot requests to warming replicas")
+// errNoAllotter means that no node is known that may be the allotter.
+var errNoAllotter = merry.Sentinel("no known node may allot requests to warming replicas")
 
-// errForeignReply means that a peer answered with another message than was asked for.
-var errForeignReply = merry.Sentinel("peer answered something else")
+// errUnexpectedReply means that a peer replied with a message of another type.
+var errUnexpectedReply = merry.Sentinel("unexpected type of reply from peer")
 
-// slowStart asks the allotter, one node for the whole deployment, how many requests this
-// node may send to warming replicas, and answers other nodes while it is the allotter.
+// slowStart requests permits for warming replicas from the allotter, one node for the whole
+// deployment, and handles the requests of other nodes while this node is the allotter.
 type slowStart struct {
 	self      jobstore.Owner
 	peers     *peering.Table
 	transport *transport.Transport
-	keeper    *lease.Elector
+	elector   *lease.Elector
 	client    *slowstart.Client
 	allotter  *slowstart.Allotter
-	// failures counts the nodes that were asked in vain: the next question goes to the
-	// next node. It belongs to the client's goroutine.
+	// failures counts the unsuccessful requests: the next request goes to the next
+	// candidate. It belongs to the client's goroutine.
 	failures int
 }
 
-// allotterLease is the duty lease as the allotter sees it.
+// allotterLease is the duty lease as the allotter uses it.
 type allotterLease struct {
 	*lease.Elector
 	*lease.Lease
 }
 
-func (p *parts) newSlowStart() *slowStart {
-	made := &slowStart{self: p.self, peers: p.peers, transport: p.transport, keeper: p.keeper}
-	made.client = slowstart.NewClient(slowstart.ClientConfig{
-		RequestPermits: made.ask, Clock: p.clock, Allotted: p.jobs.WakeScheduler, Logger: p.logger, Registry: p.registry,
+func (p *components) newSlowStart() *slowStart {
+	created := &slowStart{self: p.self, peers: p.peers, transport: p.transport, elector: p.elector}
+	created.client = slowstart.NewClient(slowstart.ClientConfig{
+		RequestPermits: created.requestPermits, Clock: p.clock, Allotted: p.jobs.WakeScheduler, Logger: p.logger, Registry: p.registry,
 	})
-	made.allotter = slowstart.NewAllotter(slowstart.AllotterConfig{
+	created.allotter = slowstart.NewAllotter(slowstart.AllotterConfig{
 		Limits: slowstart.Limits{Overage: p.settings.WarmUpOverage, Slack: p.settings.WarmUpSlack},
-		Lease:  allotterLease{Elector: p.keeper, Lease: p.lease}, Clock: p.clock, Logger: p.logger, Registry: p.registry,
+		Lease:  allotterLease{Elector: p.elector, Lease: p.lease}, Clock: p.clock, Logger: p.logger, Registry: p.registry,
 		Rate: func(replica string) float64 { return p.directory.View().WarmUpRate(replica) },
 	})
-	return made
+	return created
 }
 
-// answer answers another node's question.
-func (s *slowStart) answer(question *wire.PermitAsk) *wire.PermitGrant {
-	return &wire.PermitGrant{Granted: s.allotter.Allot(question.Wanted), SpanMs: uint32(slowstart.PermitLifetime.Milliseconds())}
+// handleRequest handles a request for permits.
+func (s *slowStart) handleRequest(request *wire.PermitAsk) *wire.PermitGrant {
+	return &wire.PermitGrant{Granted: s.allotter.Allot(request.Wanted), SpanMs: uint32(slowstart.PermitLifetime.Milliseconds())}
 }
 
-// ask asks whoever allots: this node itself where it holds the lease.
-func (s *slowStart) ask(ctx context.Context, wanted []wire.ReplicaCount) ([]wire.ReplicaCount, time.Duration, error) {
-	named := s.allotters()
-	if len(named) == 0 {
+// requestPermits requests permits from the likely allotter, which is this node if it holds
+// the lease.
+func (s *slowStart) requestPermits(ctx context.Context, wanted []wire.ReplicaCount) ([]wire.ReplicaCount, time.Duration, error) {
+	candidates := s.allotterCandidates()
+	if len(candidates) == 0 {
 		return nil, 0, errNoAllotter
 	}
-	first := s.failures%len(named) == 0
-	answer, err := s.askNode(ctx, named[s.failures%len(named)], wanted)
+	first := s.failures%len(candidates) == 0
+	grant, err := s.requestPermitsFrom(ctx, candidates[s.failures%len(candidates)], wanted)
 	if err != nil {
 		s.failures++
 		return nil, 0, err
 	}
-	if !first && len(answer.Granted) == 0 {
+	if !first && len(grant.Granted) == 0 {
 		s.failures++
 	}
-	return answer.Granted, time.Duration(answer.SpanMs) * time.Millisecond, nil
+	return grant.Granted, time.Duration(grant.SpanMs) * time.Millisecond, nil
 }
 
-// askNode asks one node, which may be this one.
-func (s *slowStart) askNode(ctx context.Context, node string, wanted []wire.ReplicaCount) (*wire.PermitGrant, error) {
-	question := &wire.PermitAsk{Node: s.self.Node, Incarnation: s.self.Incarnation, Wanted: wanted}
+// requestPermitsFrom requests permits from one node, which may be this one.
+func (s *slowStart) requestPermitsFrom(ctx context.Context, node string, wanted []wire.ReplicaCount) (*wire.PermitGrant, error) {
+	request := &wire.PermitAsk{Node: s.self.Node, Incarnation: s.self.Incarnation, Wanted: wanted}
 	if node == s.self.Node {
-		return s.answer(question), nil
+		return s.handleRequest(request), nil
 	}
 	peer, known := s.peers.Get(node)
 	if !known {
 		return nil, errNoAllotter
 	}
-	reply, err := environment.Ask(ctx, s.transport, peer.Address, question, allotterTimeout)
+	reply, err := environment.Ask(ctx, s.transport, peer.Address, request, allotterTimeout)
 	if err != nil {
 		return nil, err
 	}
-	answer, ok := reply.(*wire.PermitGrant)
+	grant, ok := reply.(*wire.PermitGrant)
 	if !ok {
-		return nil, errForeignReply
+		return nil, errUnexpectedReply
 	}
-	return answer, nil
+	return grant, nil
 }
 
-// allotters names the nodes that may allot, the likeliest first: the holder of the
-// duty lease unless it gave it up, then those that would follow it.
-func (s *slowStart) allotters() []string {
-	last := s.keeper.LastObserved()
-	named := s.keeper.HolderAndSuccessors(allotterFollowers)
+// allotterCandidates returns the nodes that may be the allotter, the likeliest first: the
+// last holder of the duty lease unless it released it, then its successors.
+func (s *slowStart) allotterCandidates() []string {
+	last := s.elector.LastObserved()
+	candidates := s.elector.HolderAndSuccessors(allotterSuccessors)
 	if last.Holder == "" {
-		return named
+		return candidates
 	}
-	named = slices.DeleteFunc(named, func(node string) bool { return node == last.Holder })
+	candidates = slices.DeleteFunc(candidates, func(node string) bool { return node == last.Holder })
 	if last.Released {
-		return named
+		return candidates
 	}
-	return slices.Insert(named, 0, last.Holder)
+	return slices.Insert(candidates, 0, last.Holder)
 }
--- a/internal/instance/store_helpers.go
+++ b/internal/instance/store_helpers.go
@@ -8,12 +8,12 @@
 	"github.com/pathtally/pathtally/internal/cluster/rendezvous"
 )
 
-// maxStoreHelpers bounds the nodes that large calls to the store are offered to.
+// maxStoreHelpers bounds the number of nodes to which large store calls are offered.
 const maxStoreHelpers = 6
 
-// storeHelpers lists the addresses of nodes that may make large calls to the store for
-// this node: those of the own zone first, then of the own region. Each node ranks them in
-// another order, so that several that the store rejects use different ones.
+// storeHelpers returns the addresses of nodes that may make large store calls for this
+// node: those of its own zone first, then those of its own region. The order within each
+// group depends on the node, so that nodes rejected by the store use different helpers.
 func (l *peerLookup) storeHelpers() []string {
 	peers := l.peers.Peers()
 	self := rendezvous.Hash(l.settings.Node)
@@ -28,8 +28,8 @@
 	return addresses
 }
 
-// distance is how far a zone is from this node: 0 for the own one, 1 for others of the
-// own region, 2 beyond it.
+// distance ranks a zone by its distance from this node: 0 for its own zone, 1 for others of
+// its own region, 2 for those of other regions.
 func (l *peerLookup) distance(zone string) int {
 	switch {
 	case zone == l.settings.Zone:
