--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -29,115 +29,115 @@
 const incarnationBase = 36
 
 // assemble creates the components of the node. Each step depends on the previous ones.
-func (p *components) assemble(ctx context.Context, peerListener net.Listener, duties Duties) {
-	p.self = jobstore.Owner{Node: p.settings.Node, Address: p.settings.AdvertisedPeer(), Incarnation: uint64(p.started.UnixNano())}
-	dispatcher := p.assembleForwarding()
-	p.assemblePeers(ctx, peerListener)
-	p.assembleStore()
-	p.assembleQuarantine(ctx)
-	dispatcher.SetGuard(p.quarantine)
-	jobJournal := jobstore.New(p.store)
-	jobJournal.ReadByNameWhile(func() bool { return p.directory.View().Configuration.RestrictsRegions() })
-	p.jobs = batch.NewService(ctx, batch.Config{
-		Self: p.self, JobStore: jobJournal, Codec: p.adapter.Jobs, Directory: p.directory, Dispatcher: dispatcher,
-		Forwarder: p.forwarder, Peers: p.transport, Table: p.peers, Region: p.settings.Region, Clock: p.clock, Logger: p.logger, Registry: p.registry,
+func (c *components) assemble(ctx context.Context, peerListener net.Listener, duties Duties) {
+	c.self = jobstore.Owner{Node: c.settings.Node, Address: c.settings.AdvertisedPeer(), Incarnation: uint64(c.started.UnixNano())}
+	dispatcher := c.assembleForwarding()
+	c.assemblePeers(ctx, peerListener)
+	c.assembleStore()
+	c.assembleQuarantine(ctx)
+	dispatcher.SetGuard(c.quarantine)
+	jobJournal := jobstore.New(c.store)
+	jobJournal.ReadByNameWhile(func() bool { return c.directory.View().Configuration.RestrictsRegions() })
+	c.jobs = batch.NewService(ctx, batch.Config{
+		Self: c.self, JobStore: jobJournal, Codec: c.adapter.Jobs, Directory: c.directory, Dispatcher: dispatcher,
+		Forwarder: c.forwarder, Peers: c.transport, Table: c.peers, Region: c.settings.Region, Clock: c.clock, Logger: c.logger, Registry: c.registry,
 	})
-	p.assembleDuties(duties)
-	p.assembleIngress()
-	close(p.assembled)
+	c.assembleDuties(duties)
+	c.assembleIngress()
+	close(c.assembled)
 }
 
 // assembleForwarding creates the components that forward requests to replicas.
-func (p *components) assembleForwarding() *dispatch.Dispatcher {
-	p.directory = directory.NewTable(p.settings.Node, p.settings.Zone, p.settings.Regions, p.logger)
-	p.directory.SetClock(p.clock)
+func (c *components) assembleForwarding() *dispatch.Dispatcher {
+	c.directory = directory.NewTable(c.settings.Node, c.settings.Zone, c.settings.Regions, c.logger)
+	c.directory.SetClock(c.clock)
 	unreadable := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "pathtally_unreadable_replica_entries_total", Help: "Changes of replicas' entries that named no replica to use, by reason.",
 	}, []string{"reason"})
-	p.registry.MustRegister(unreadable)
-	p.directory.OnUnreadable(func(reason string) { unreadable.WithLabelValues(reason).Inc() })
-	p.pool = exchange.NewPool(nil)
-	p.pool.Metrics = exchange.NewMetrics(p.registry)
-	dispatcher := dispatch.New(p.pool, p.adapter.Headers, dispatch.NewMetrics(p.registry))
-	p.forwarder = forward.New(forward.Config{
-		Zone: p.settings.Zone, Directory: p.directory, Dispatcher: dispatcher, Logger: p.logger, Metrics: forward.NewMetrics(p.registry),
-		PromptHash: p.adapter.Headers.Prompt, VersionField: p.adapter.Jobs.VersionField(), Meter: usageMeter{components: p},
+	c.registry.MustRegister(unreadable)
+	c.directory.OnUnreadable(func(reason string) { unreadable.WithLabelValues(reason).Inc() })
+	c.pool = exchange.NewPool(nil)
+	c.pool.Metrics = exchange.NewMetrics(c.registry)
+	dispatcher := dispatch.New(c.pool, c.adapter.Headers, dispatch.NewMetrics(c.registry))
+	c.forwarder = forward.New(forward.Config{
+		Zone: c.settings.Zone, Directory: c.directory, Dispatcher: dispatcher, Logger: c.logger, Metrics: forward.NewMetrics(c.registry),
+		PromptHash: c.adapter.Headers.Prompt, VersionField: c.adapter.Jobs.VersionField(), Meter: usageMeter{components: c},
 	})
 	return dispatcher
 }
 
 // assemblePeers creates the table of the other nodes and starts to listen for their
 // connections.
-func (p *components) assemblePeers(ctx context.Context, listener net.Listener) {
-	p.transport = transport.Listen(listener, transport.Config{
-		Hello: wire.Hello{Protocol: wire.ProtocolVersion, Node: p.self.Node, Address: p.self.Address, Incarnation: p.self.Incarnation},
+func (c *components) assemblePeers(ctx context.Context, listener net.Listener) {
+	c.transport = transport.Listen(listener, transport.Config{
+		Hello: wire.Hello{Protocol: wire.ProtocolVersion, Node: c.self.Node, Address: c.self.Address, Incarnation: c.self.Incarnation},
 		Post:  func(call func()) { go call() },
 		Handler: func(_ string, message wire.Message, reply func(wire.Message)) {
 			// Peers may send messages before all components exist.
-			<-p.assembled
-			p.handle(ctx, message, reply)
+			<-c.assembled
+			c.handle(ctx, message, reply)
 		},
-		Traffic: transport.NewTraffic(p.registry),
+		Traffic: transport.NewTraffic(c.registry),
 	})
-	p.peers = peering.NewTable(peering.Config{
-		Node: p.self.Node, Address: p.self.Address, Zone: p.settings.Zone, Incarnation: p.self.Incarnation, Capacity: p.settings.Capacity(), Seeds: p.settings.Seeds,
-		Store: p.adapter.Store, Peers: p.transport, Logger: p.logger, FillHeartbeat: p.fillHeartbeat, OnHeartbeat: p.receiveHeartbeat,
-		HeartbeatTargets: p.heartbeatTargets,
+	c.peers = peering.NewTable(peering.Config{
+		Node: c.self.Node, Address: c.self.Address, Zone: c.settings.Zone, Incarnation: c.self.Incarnation, Capacity: c.settings.Capacity(), Seeds: c.settings.Seeds,
+		Store: c.adapter.Store, Peers: c.transport, Logger: c.logger, FillHeartbeat: c.fillHeartbeat, OnHeartbeat: c.receiveHeartbeat,
+		HeartbeatTargets: c.heartbeatTargets,
 	})
-	p.lookup = &peerLookup{peers: p.peers, directory: p.directory, settings: p.settings}
+	c.lookup = &peerLookup{peers: c.peers, directory: c.directory, settings: c.settings}
 }
 
 // assembleStore creates the cache of the metadata store and the path for calls to it.
-func (p *components) assembleStore() {
-	p.source = watchcache.NewSource(watchcache.Config{
-		Self: watchcache.Node{Name: p.self.Node, Address: p.self.Address, Zone: p.settings.Zone, Capacity: p.settings.Capacity()}, Regions: p.settings.Regions, Store: p.adapter.Store, Peers: p.transport,
-		Nodes: p.lookup.storeNodes, JoinAttempted: p.peers.JoinAttempted, ProbeKind: peering.NodeKind, ProbeName: p.self.Node, Clock: p.clock, Logger: p.logger, Registry: p.registry,
+func (c *components) assembleStore() {
+	c.source = watchcache.NewSource(watchcache.Config{
+		Self: watchcache.Node{Name: c.self.Node, Address: c.self.Address, Zone: c.settings.Zone, Capacity: c.settings.Capacity()}, Regions: c.settings.Regions, Store: c.adapter.Store, Peers: c.transport,
+		Nodes: c.lookup.storeNodes, JoinAttempted: c.peers.JoinAttempted, ProbeKind: peering.NodeKind, ProbeName: c.self.Node, Clock: c.clock, Logger: c.logger, Registry: c.registry,
 	})
-	p.store = storerelay.New(storerelay.Config{
-		Direct: p.adapter.Store, Peers: p.transport, PeerWithStoreAccess: p.source.PeerWithStoreAccess, LargeCallHelpers: p.lookup.storeHelpers, Region: p.lookup.regionAt, Logger: p.logger, Registry: p.registry,
+	c.store = storerelay.New(storerelay.Config{
+		Direct: c.adapter.Store, Peers: c.transport, PeerWithStoreAccess: c.source.PeerWithStoreAccess, LargeCallHelpers: c.lookup.storeHelpers, Region: c.lookup.regionAt, Logger: c.logger, Registry: c.registry,
 	})
 }
 
 // assembleQuarantine creates the service that quarantines requests suspected of crashing
 // replicas.
-func (p *components) assembleQuarantine(ctx context.Context) {
-	p.quarantine = quarantine.NewService(ctx, quarantine.Config{
-		Node: p.settings.Node, Duration: p.settings.Quarantine.Std(), Prober: p.pool, Store: p.store, Peers: p.transport, Logger: p.logger,
-		Registry: p.registry, Clock: p.clock, Nodes: p.peers.NodeNames, Address: p.lookup.address,
+func (c *components) assembleQuarantine(ctx context.Context) {
+	c.quarantine = quarantine.NewService(ctx, quarantine.Config{
+		Node: c.settings.Node, Duration: c.settings.Quarantine.Std(), Prober: c.pool, Store: c.store, Peers: c.transport, Logger: c.logger,
+		Registry: c.registry, Clock: c.clock, Nodes: c.peers.NodeNames, Address: c.lookup.address,
 	})
 }
 
 // assembleDuties creates the duty lease and the duties that require it.
-func (p *components) assembleDuties(duties Duties) {
-	p.lease = lease.NewLease(p.self.Node, strconv.FormatUint(p.self.Incarnation, incarnationBase), p.settings.DutyLease.Std(), p.store, p.clock)
-	p.elector = lease.NewElector(lease.Config{
-		Node: p.self.Node, Lease: p.lease, Clock: p.clock, Logger: p.logger, Nodes: p.peers.NodeNames, SinceHeartbeat: p.lookup.sinceHeartbeat, Announce: p.peers.Announce,
+func (c *components) assembleDuties(duties Duties) {
+	c.lease = lease.NewLease(c.self.Node, strconv.FormatUint(c.self.Incarnation, incarnationBase), c.settings.DutyLease.Std(), c.store, c.clock)
+	c.elector = lease.NewElector(lease.Config{
+		Node: c.self.Node, Lease: c.lease, Clock: c.clock, Logger: c.logger, Nodes: c.peers.NodeNames, SinceHeartbeat: c.lookup.sinceHeartbeat, Announce: c.peers.Announce,
 	})
-	p.weights = weightorders.NewCoordinator(weightorders.Config{
-		Elector: p.elector, Directory: p.directory, Replicas: p.adapter.Orders(p.pool), Logger: p.logger, Registry: p.registry,
-		RunningItems: p.jobs.Load, Tolerance: p.jobs.Tolerance, Demand: p.jobs.Demand, OnChange: p.jobs.LearnVersion, Announce: p.peers.ScheduleHeartbeat,
+	c.weights = weightorders.NewCoordinator(weightorders.Config{
+		Elector: c.elector, Directory: c.directory, Replicas: c.adapter.Orders(c.pool), Logger: c.logger, Registry: c.registry,
+		RunningItems: c.jobs.Load, Tolerance: c.jobs.Tolerance, Demand: c.jobs.Demand, OnChange: c.jobs.LearnVersion, Announce: c.peers.ScheduleHeartbeat,
 	})
 	if duties.Usage != nil {
-		p.usage = p.newUsage(duties.Usage)
+		c.usage = c.newUsage(duties.Usage)
 	}
-	if policy := autoscale.Policy(p.settings.ReplicaPolicy); duties.Replicas != nil && policy != autoscale.PolicyNone {
-		p.autoscale = autoscale.NewService(autoscale.Config{
-			Policy: policy, Elector: p.elector, Store: p.store, Platform: duties.Replicas, Directory: p.directory, Logger: p.logger,
-			Registry: p.registry, Work: p.jobs.OpenWork,
+	if policy := autoscale.Policy(c.settings.ReplicaPolicy); duties.Replicas != nil && policy != autoscale.PolicyNone {
+		c.autoscale = autoscale.NewService(autoscale.Config{
+			Policy: policy, Elector: c.elector, Store: c.store, Platform: duties.Replicas, Directory: c.directory, Logger: c.logger,
+			Registry: c.registry, Work: c.jobs.OpenWork,
 		})
 	}
-	if p.settings.WarmUpOverage > 0 {
-		p.slowStart = p.newSlowStart()
-		p.directory.SetSlowStart(p.slowStart.client)
+	if c.settings.WarmUpOverage > 0 {
+		c.slowStart = c.newSlowStart()
+		c.directory.SetSlowStart(c.slowStart.client)
 	}
 }
 
 // assembleIngress creates the handler of callers' requests.
-func (p *components) assembleIngress() {
-	p.handler = ingress.NewHandler(ingress.Config{
-		Directory: p.directory, Forwarder: p.forwarder, Headers: p.adapter.Headers, Logger: p.logger,
-		Jobs: &batch.Handler{Service: p.jobs, Headers: p.adapter.Headers}, BodyBytes: maxBodyBytes(p.settings.MemoryMB),
-		Metrics: ingress.NewMetrics(p.registry), ConfigurationAge: p.source.CacheAge,
-		KeyBound: p.live.keyBound,
+func (c *components) assembleIngress() {
+	c.handler = ingress.NewHandler(ingress.Config{
+		Directory: c.directory, Forwarder: c.forwarder, Headers: c.adapter.Headers, Logger: c.logger,
+		Jobs: &batch.Handler{Service: c.jobs, Headers: c.adapter.Headers}, BodyBytes: maxBodyBytes(c.settings.MemoryMB),
+		Metrics: ingress.NewMetrics(c.registry), ConfigurationAge: c.source.CacheAge,
+		KeyBound: c.live.keyBound,
 	})
 }
--- a/internal/instance/evacuations.go
+++ b/internal/instance/evacuations.go
@@ -24,27 +24,27 @@
 
 // followEvacuations makes the directory follow the evacuations of zones if the settings
 // have a bound for them. No requests are sent until the evacuations have been listed.
-func (p *components) followEvacuations() {
-	if p.settings.EvacuationBound.Std() <= 0 {
+func (c *components) followEvacuations() {
+	if c.settings.EvacuationBound.Std() <= 0 {
 		return
 	}
-	p.directory.AssumeAllEvacuated()
-	p.source.Add(p.adapter.Kinds.Evacuations, directory.EvacuationSink{Table: p.directory}, watchcache.ShortWatchTimeout)
-	p.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
+	c.directory.AssumeAllEvacuated()
+	c.source.Add(c.adapter.Kinds.Evacuations, directory.EvacuationSink{Table: c.directory}, watchcache.ShortWatchTimeout)
+	c.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "pathtally_evacuated_zones", Help: "Zones whose replicas get nothing from this node because they are evacuated.",
-	}, func() float64 { return float64(len(p.directory.View().Evacuated)) }))
+	}, func() float64 { return float64(len(c.directory.View().Evacuated)) }))
 }
 
 // logEvacuations logs the progress of evacuations until the context ends.
-func (p *components) logEvacuations(ctx context.Context) {
-	bound := p.settings.EvacuationBound.Std()
+func (c *components) logEvacuations(ctx context.Context) {
+	bound := c.settings.EvacuationBound.Std()
 	if bound <= 0 {
 		return
 	}
-	progress := &evacuationLogger{logger: p.logger, age: p.source.CacheAge, maxAge: bound - time.Duration(evacuationMargin*float64(bound)), empty: map[string]bool{}}
+	progress := &evacuationLogger{logger: c.logger, age: c.source.CacheAge, maxAge: bound - time.Duration(evacuationMargin*float64(bound)), empty: map[string]bool{}}
 	for ctx.Err() == nil {
-		changed := p.directory.Changed()
-		timer := time.NewTimer(progress.check(p.directory.View()))
+		changed := c.directory.Changed()
+		timer := time.NewTimer(progress.check(c.directory.View()))
 		select {
 		case <-ctx.Done():
 		case <-changed:
--- a/internal/instance/evacuations_test.go
+++ b/internal/instance/evacuations_test.go
@@ -9,37 +9,37 @@
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
-func TestAnEvacuatedZoneIsWatchedUntilItIsEmpty(t *testing.T) {
+func TestEvacuationLoggerCheck(t *testing.T) {
 	table := directory.NewTable("node", "a", nil, klog.Background())
 	table.SetReplicas([]*directory.Replica{{ID: "one", Service: "s", Zone: "a", State: directory.ReplicaReady}}, 0)
 	table.SetEvacuations([]string{"a"})
-	watch := &evacuationLogger{logger: klog.Background(), age: func() time.Duration { return 0 }, maxAge: time.Second, empty: map[string]bool{}}
+	progress := &evacuationLogger{logger: klog.Background(), age: func() time.Duration { return 0 }, maxAge: time.Second, empty: map[string]bool{}}
 	state := table.View().Endpoints["one"].State
 	state.InFlight.Add(1)
-	if pause := watch.check(table.View()); pause != evacuationPollInterval || watch.empty["a"] {
-		t.Errorf("with a request there the next check is in %v", pause)
+	if delay := progress.check(table.View()); delay != evacuationPollInterval || progress.empty["a"] {
+		t.Errorf("next check in %v with a request in the zone", delay)
 	}
 	state.InFlight.Add(-1)
-	if pause := watch.check(table.View()); pause != evacuationIdleInterval || !watch.empty["a"] {
-		t.Errorf("without a request there the next check is in %v", pause)
+	if delay := progress.check(table.View()); delay != evacuationIdleInterval || !progress.empty["a"] {
+		t.Errorf("next check in %v without requests in the zone", delay)
 	}
 	table.SetEvacuations(nil)
-	watch.check(table.View())
-	if watch.empty["a"] {
-		t.Error("the next evacuation of the zone begins as an empty one")
+	progress.check(table.View())
+	if progress.empty["a"] {
+		t.Error("zone is still marked as empty after the end of its evacuation")
 	}
 }
 
-func TestDoubtAboutEvacuationsIsToldOnceAndEnds(t *testing.T) {
+func TestEvacuationLoggerStaleness(t *testing.T) {
 	age := 2 * time.Second
-	watch := &evacuationLogger{logger: klog.Background(), age: func() time.Duration { return age }, maxAge: time.Second, empty: map[string]bool{}}
-	watch.logStaleness()
-	if !watch.isStale {
-		t.Error("word older than the bound is taken as current")
+	progress := &evacuationLogger{logger: klog.Background(), age: func() time.Duration { return age }, maxAge: time.Second, empty: map[string]bool{}}
+	progress.logStaleness()
+	if !progress.isStale {
+		t.Error("evacuations older than maxAge are not stale")
 	}
 	age = 0
-	watch.logStaleness()
-	if watch.isStale {
-		t.Error("doubt goes on although there was word")
+	progress.logStaleness()
+	if progress.isStale {
+		t.Error("evacuations are still stale after an update")
 	}
 }
--- a/internal/instance/readiness.go
+++ b/internal/instance/readiness.go
@@ -6,8 +6,8 @@
 func (i *Instance) Ready() bool { return !i.stopping.Load() && len(i.components.missingState()) == 0 }
 
 // missingState names the state that the node needs to serve and has not received.
-func (p *components) missingState() []string {
-	view := p.directory.View()
+func (c *components) missingState() []string {
+	view := c.directory.View()
 	var missing []string
 	for _, required := range []struct {
 		name  string
@@ -16,7 +16,7 @@
 		{"configuration", view.Configuration != nil},
 		{"replicas", view.ReplicasKnown},
 		{"evacuations", !view.EvacuationsUnknown},
-		{"batch jobs", p.jobs.Recovered()},
+		{"batch jobs", c.jobs.Recovered()},
 	} {
 		if !required.known {
 			missing = append(missing, required.name)
--- a/internal/instance/slowstart.go
+++ b/internal/instance/slowstart.go
@@ -40,8 +40,9 @@
 	elector   *lease.Elector
 	client    *slowstart.Client
 	allotter  *slowstart.Allotter
-	// failures counts the unsuccessful requests: the next request goes to the next
-	// candidate. It belongs to the client's goroutine.
+	// failures counts the requests that failed, and those to other than the first
+	// candidate that were granted nothing: the next request goes to the next candidate. It
+	// belongs to the client's goroutine.
 	failures int
 }
 
@@ -51,15 +52,15 @@
 	*lease.Lease
 }
 
-func (p *components) newSlowStart() *slowStart {
-	created := &slowStart{self: p.self, peers: p.peers, transport: p.transport, elector: p.elector}
+func (c *components) newSlowStart() *slowStart {
+	created := &slowStart{self: c.self, peers: c.peers, transport: c.transport, elector: c.elector}
 	created.client = slowstart.NewClient(slowstart.ClientConfig{
-		RequestPermits: created.requestPermits, Clock: p.clock, Allotted: p.jobs.WakeScheduler, Logger: p.logger, Registry: p.registry,
+		RequestPermits: created.requestPermits, Clock: c.clock, Allotted: c.jobs.WakeScheduler, Logger: c.logger, Registry: c.registry,
 	})
 	created.allotter = slowstart.NewAllotter(slowstart.AllotterConfig{
-		Limits: slowstart.Limits{Overage: p.settings.WarmUpOverage, Slack: p.settings.WarmUpSlack},
-		Lease:  allotterLease{Elector: p.elector, Lease: p.lease}, Clock: p.clock, Logger: p.logger, Registry: p.registry,
-		Rate: func(replica string) float64 { return p.directory.View().WarmUpRate(replica) },
+		Limits: slowstart.Limits{Overage: c.settings.WarmUpOverage, Slack: c.settings.WarmUpSlack},
+		Lease:  allotterLease{Elector: c.elector, Lease: c.lease}, Clock: c.clock, Logger: c.logger, Registry: c.registry,
+		Rate: func(replica string) float64 { return c.directory.View().WarmUpRate(replica) },
 	})
 	return created
 }
--- a/internal/instance/stop.go
+++ b/internal/instance/stop.go
@@ -42,35 +42,35 @@
 }
 
 // drain waits until no work is in progress and shuts down the server.
-func (p *components) drain(begun time.Time) {
-	p.handler.Closing.Store(true)
-	p.source.AnnounceShutdown()
-	p.releaseDuties()
-	grace := p.live.grace()
-	limit := begun.Add(grace - graceMargin)
-	p.awaitRequests(begun, begun.Add(grace-jobHandoverTime), limit)
-	ctx, cancel := context.WithDeadline(context.Background(), limit.Add(closeTimeout))
+func (c *components) drain(begun time.Time) {
+	c.handler.Closing.Store(true)
+	c.source.AnnounceShutdown()
+	c.releaseDuties()
+	grace := c.live.grace()
+	deadline := begun.Add(grace - graceMargin)
+	c.awaitRequests(begun, begun.Add(grace-jobHandoverTime), deadline)
+	ctx, cancel := context.WithDeadline(context.Background(), deadline.Add(closeTimeout))
 	defer cancel()
-	if err := p.server.Shutdown(ctx); err != nil {
-		p.logger.Info("requests cut by the planned stop", "error", err.Error())
+	if err := c.server.Shutdown(ctx); err != nil {
+		c.logger.Info("requests cut by the planned stop", "error", err.Error())
 	}
-	if p.usage != nil {
+	if c.usage != nil {
 		// Pushes what was counted while the node drained.
-		p.usage.Flush(ctx)
+		c.usage.Flush(ctx)
 	}
 }
 
-// awaitRequests waits until no work is in progress, or for the limit. Batch jobs run until
+// awaitRequests waits until no work is in progress or the deadline passes. Batch jobs run until
 // the handover, which is late in the grace period, since a takeover costs more than a late
 // end.
-func (p *components) awaitRequests(begun, handover, limit time.Time) {
+func (c *components) awaitRequests(begun, handover, deadline time.Time) {
 	jobsHandedOver := false
-	for time.Now().Before(limit) {
-		if !jobsHandedOver && (p.jobs.OpenJobs() == 0 || time.Now().After(handover)) {
-			p.jobs.Leave()
+	for time.Now().Before(deadline) {
+		if !jobsHandedOver && (c.jobs.OpenJobs() == 0 || time.Now().After(handover)) {
+			c.jobs.Leave()
 			jobsHandedOver = true
 		}
-		if jobsHandedOver && time.Since(begun) > minDrainTime && p.handler.Active.Load() == 0 && p.handler.IdleTime() > minIdleTime {
+		if jobsHandedOver && time.Since(begun) > minDrainTime && c.handler.Active.Load() == 0 && c.handler.IdleTime() > minIdleTime {
 			return
 		}
 		time.Sleep(stopPollInterval)
@@ -79,9 +79,9 @@
 
 // releaseDuties ends the duties of this node, so that another node need not wait for the
 // lease to expire.
-func (p *components) releaseDuties() {
-	go p.elector.Release(context.Background())
-	if p.usage != nil {
-		go p.usage.Flush(context.Background())
+func (c *components) releaseDuties() {
+	go c.elector.Release(context.Background())
+	if c.usage != nil {
+		go c.usage.Flush(context.Background())
 	}
 }
--- a/internal/instance/usage.go
+++ b/internal/instance/usage.go
@@ -14,12 +14,12 @@
 )
 
 // newUsage returns the service that counts and reports usage.
-func (p *components) newUsage(platform usage.Platform) *usage.Service {
+func (c *components) newUsage(platform usage.Platform) *usage.Service {
 	return usage.NewService(usage.Config{
-		Node: p.self.Node, Incarnation: p.self.Incarnation,
-		Window: durationOr(p.settings.UsageWindow.Std(), defaultUsageWindow), ReportDeadline: durationOr(p.settings.UsageLate.Std(), defaultUsageLate),
-		Elector: p.elector, Store: p.store, Platform: platform, Peers: p.transport, Logger: p.logger, Registry: p.registry,
-		Nodes: p.peers.NodeNames, Peer: p.lookup.process, HeartbeatSoon: p.peers.ScheduleHeartbeat,
+		Node: c.self.Node, Incarnation: c.self.Incarnation,
+		Window: durationOr(c.settings.UsageWindow.Std(), defaultUsageWindow), ReportDeadline: durationOr(c.settings.UsageLate.Std(), defaultUsageLate),
+		Elector: c.elector, Store: c.store, Platform: platform, Peers: c.transport, Logger: c.logger, Registry: c.registry,
+		Nodes: c.peers.NodeNames, Peer: c.lookup.process, HeartbeatSoon: c.peers.ScheduleHeartbeat,
 	})
 }
 
