--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -38,7 +38,7 @@
 	if configured.DutyAPI != "" {
 		duties = adapter.Duties(configured.DutyAPI, configured.Duties)
 	}
-	counting, err := clock.Boot()
+	bootClock, err := clock.Boot()
 	if err != nil {
 		return nil, err
 	}
@@ -61,7 +61,7 @@
 	registry := prometheus.NewRegistry()
 	adapter.Store = objectstore.NewMetered(adapter.Store, registry)
 	instance.components = &components{
-		settings: configured, live: instance.live, adapter: adapter, clock: counting, logger: instance.logger, registry: registry,
+		settings: configured, live: instance.live, adapter: adapter, clock: bootClock, logger: instance.logger, registry: registry,
 		started: time.Now(), assembled: make(chan struct{}),
 	}
 	instance.components.assemble(ctx, opened.peer, duties)
@@ -72,6 +72,7 @@
 	return instance, nil
 }
 
+// Name returns the name of the node.
 func (i *Instance) Name() string { return i.name }
 
 // Reload applies changed settings: timeouts, bounds and seeds. Changes of other settings
