--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -40,7 +40,7 @@
 	jobJournal.ReadByNameWhile(func() bool { return c.directory.View().Configuration.RestrictsRegions() })
 	c.jobs = batch.NewService(ctx, batch.Config{
 		Self: c.self, JobStore: jobJournal, Codec: c.adapter.Jobs, Directory: c.directory, Dispatcher: dispatcher,
-		Forwarder: c.forwarder, Peers: c.transport, Table: c.peers, Region: c.settings.Region, Clock: c.clock, Logger: c.logger, Registry: c.registry,
+		Forwarder: c.forwarder, Peers: c.transport, PeerTable: c.peers, Region: c.settings.Region, Clock: c.clock, Logger: c.logger, Registry: c.registry,
 	})
 	c.assembleDuties(duties)
 	c.assembleIngress()
@@ -115,7 +115,7 @@
 	})
 	c.weights = weightorders.NewCoordinator(weightorders.Config{
 		Elector: c.elector, Directory: c.directory, Replicas: c.adapter.Orders(c.pool), Logger: c.logger, Registry: c.registry,
-		RunningItems: c.jobs.Load, Tolerance: c.jobs.Tolerance, Demand: c.jobs.Demand, OnChange: c.jobs.LearnVersion, Announce: c.peers.ScheduleHeartbeat,
+		RunningItems: c.jobs.RunningItems, Tolerance: c.jobs.VersionTolerance, Demand: c.jobs.Demand, OnChange: c.jobs.LearnVersion, Announce: c.peers.ScheduleHeartbeat,
 	})
 	if duties.Usage != nil {
 		c.usage = c.newUsage(duties.Usage)
@@ -123,7 +123,7 @@
 	if policy := autoscale.Policy(c.settings.ReplicaPolicy); duties.Replicas != nil && policy != autoscale.PolicyNone {
 		c.autoscale = autoscale.NewService(autoscale.Config{
 			Policy: policy, Elector: c.elector, Store: c.store, Platform: duties.Replicas, Directory: c.directory, Logger: c.logger,
-			Registry: c.registry, Work: c.jobs.OpenWork,
+			Registry: c.registry, Work: c.jobs.ItemCounts,
 		})
 	}
 	if c.settings.WarmUpOverage > 0 {
@@ -136,8 +136,8 @@
 func (c *components) assembleIngress() {
 	c.handler = ingress.NewHandler(ingress.Config{
 		Directory: c.directory, Forwarder: c.forwarder, Headers: c.adapter.Headers, Logger: c.logger,
-		Jobs: &batch.Handler{Service: c.jobs, Headers: c.adapter.Headers}, BodyBytes: maxBodyBytes(c.settings.MemoryMB),
+		Jobs: &batch.Handler{Service: c.jobs, Headers: c.adapter.Headers}, MaxTotalBodyBytes: maxBodyBytes(c.settings.MemoryMB),
 		Metrics: ingress.NewMetrics(c.registry), ConfigurationAge: c.source.CacheAge,
-		KeyBound: c.live.keyBound,
+		MaxConfigurationAge: c.live.keyBound,
 	})
 }
--- a/internal/instance/messages.go
+++ b/internal/instance/messages.go
@@ -33,7 +33,7 @@
 			return
 		}
 	}
-	if !c.jobs.Answer(message, reply) {
+	if !c.jobs.HandleMessage(message, reply) {
 		reply(&wire.Failure{Detail: "unknown message"})
 	}
 }
--- a/internal/instance/slowstart.go
+++ b/internal/instance/slowstart.go
@@ -99,7 +99,7 @@
 	if !known {
 		return nil, errNoAllotter
 	}
-	reply, err := environment.Ask(ctx, s.transport, peer.Address, request, allotterTimeout)
+	reply, err := environment.Call(ctx, s.transport, peer.Address, request, allotterTimeout)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/instance/stop.go
+++ b/internal/instance/stop.go
@@ -66,7 +66,7 @@
 func (c *components) awaitRequests(begun, handover, deadline time.Time) {
 	jobsHandedOver := false
 	for time.Now().Before(deadline) {
-		if !jobsHandedOver && (c.jobs.OpenJobs() == 0 || time.Now().After(handover)) {
+		if !jobsHandedOver && (c.jobs.OpenJobCount() == 0 || time.Now().After(handover)) {
 			c.jobs.Leave()
 			jobsHandedOver = true
 		}
--- a/internal/jobs/batch/harness_test.go
+++ b/internal/jobs/batch/harness_test.go
@@ -38,7 +38,7 @@
 	versionField  = "x-version"
 )
 
-// testHeaders is a codec of its own, so that these tests know no platform.
+// testHeaders implements dispatch's header codec, independently of any platform.
 type testHeaders struct{}
 
 func (testHeaders) Encode(header http.Header, conditions dispatch.RequestMetadata) {
@@ -53,38 +53,38 @@
 	return dispatch.ResponseMetadata{RequestID: header.Get(headerID), Signed: true, NotRun: status == http.StatusServiceUnavailable, Version: version}
 }
 
-// testCodec reads submissions as JSON of the package's own types.
+// testCodec decodes submissions from the JSON encoding of Submission.
 type testCodec struct{}
 
-func (testCodec) Submission(body []byte) (*Submission, error) {
+func (testCodec) DecodeSubmission(body []byte) (*Submission, error) {
 	submission := &Submission{}
 	err := json.Unmarshal(body, submission)
 	return submission, err
 }
 
-func (testCodec) Page(int, int, []jobstore.Result) ([]byte, error) { return nil, nil }
+func (testCodec) EncodePage(int, int, []jobstore.Result) ([]byte, error) { return nil, nil }
 
-func (testCodec) Call(*http.Request) (Call, bool, error) { return Call{}, false, nil }
+func (testCodec) DecodeCall(*http.Request) (Call, bool, error) { return Call{}, false, nil }
 
 func (testCodec) VersionField() string { return versionField }
 
-func (testCodec) Signature(header http.Header) string { return header.Get("X-Signature") }
+func (testCodec) ScoreSignature(header http.Header) string { return header.Get("X-Signature") }
 
-// testEngine is a replica that streams events, each one's text naming the item
-// and its number.
+// testEngine is a replica that streams a number of events. The text of each names the
+// item and the event's number.
 type testEngine struct {
 	address string
 	events  int
 	mutex   sync.Mutex
 	version int64
-	// hold keeps streams open after the event holdAt until it is closed.
+	// hold, while open, stops streams after event holdAt.
 	hold    chan struct{}
 	holdAt  int
 	runs    map[string]int
 	resumed map[string][]int
-	// cutAt ends the first run of each item in the middle of an event.
-	cutAt int
-	fail  map[string]int
+	// breakAt is the event within which the first run of each item is broken, 0 for none.
+	breakAt int
+	fail    map[string]int
 }
 
 func startEngine(t *testing.T, events int) *testEngine {
@@ -132,7 +132,7 @@
 				return
 			}
 		}
-		if first && e.cutAt == number {
+		if first && e.breakAt == number {
 			fmt.Fprintf(writer, "id: %d\nda", number)
 			writer.(http.Flusher).Flush()
 			panic(http.ErrAbortHandler)
@@ -142,17 +142,17 @@
 	}
 }
 
-// testPeers joins the services of one test by their addresses.
+// testPeers connects the nodes of a test by their addresses.
 type testPeers struct {
 	mutex    sync.Mutex
 	services map[string]*testNode
-	// cut are the addresses that nothing reaches and that reach nothing.
-	cut map[string]bool
-	// mute is the node whose answers to submissions are lost.
-	mute string
+	// disconnected are the addresses that can neither send nor receive.
+	disconnected map[string]bool
+	// lostReplies is the address of the node whose replies to submissions are lost.
+	lostReplies string
 }
 
-// testNode is one node of a test.
+// testNode is a node of a test cluster.
 type testNode struct {
 	*Service
 	table  *peering.Table
@@ -160,7 +160,7 @@
 	ctx    context.Context
 }
 
-// link is how one node sends to the others.
+// link is a node's connection to its peers.
 type link struct {
 	peers *testPeers
 	from  string
@@ -171,7 +171,7 @@
 func (l link) target(address string) *testNode {
 	l.peers.mutex.Lock()
 	defer l.peers.mutex.Unlock()
-	if l.peers.cut[address] || l.peers.cut[l.from] {
+	if l.peers.disconnected[address] || l.peers.disconnected[l.from] {
 		return nil
 	}
 	return l.peers.services[address]
@@ -182,7 +182,7 @@
 func (l link) Broadcast(addresses []string, message wire.Message) {
 	for _, address := range addresses {
 		if node := l.target(address); node != nil {
-			go node.take(message, func(wire.Message) {})
+			go node.receive(message, func(wire.Message) {})
 		}
 	}
 }
@@ -195,34 +195,35 @@
 	}
 	_, submits := message.(*wire.JobSubmit)
 	l.peers.mutex.Lock()
-	lost := submits && l.peers.mute == address
+	lost := submits && l.peers.lostReplies == address
 	l.peers.mutex.Unlock()
 	if lost {
-		go node.take(message, func(wire.Message) {})
+		go node.receive(message, func(wire.Message) {})
 		time.AfterFunc(timeout, func() { done(nil, environment.ErrPeerUnreachable) })
 		return
 	}
-	go node.take(message, func(reply wire.Message) { done(reply, nil) })
+	go node.receive(message, func(reply wire.Message) { done(reply, nil) })
 }
 
-func (n *testNode) take(message wire.Message, reply func(wire.Message)) {
+func (n *testNode) receive(message wire.Message, reply func(wire.Message)) {
 	if heartbeat, isBeat := message.(*wire.NodeBeat); isBeat {
 		reply(n.table.HandleJoin(heartbeat))
 		return
 	}
-	n.Answer(message, reply)
+	n.HandleMessage(message, reply)
 }
 
-// gate holds calls of one verb on one kind back until it is opened: reads before
-// they are made, creates when they are done and only the answer is on its way.
+// gate delays calls of one verb on one kind of object: a read before it is made, a create
+// after it was applied and before its response.
 type gate struct {
 	verb, kind string
 	open       chan struct{}
-	// reached counts the calls that wait or have waited.
+	// reached counts the calls that were delayed.
 	reached atomic.Int32
 }
 
-// wait holds a call back; false if its context ended first.
+// wait delays a call that the gate applies to. It returns false if the context ended
+// first.
 func (g *gate) wait(ctx context.Context, verb, kind string) bool {
 	if g == nil || g.verb != verb || g.kind != kind {
 		return true
@@ -236,7 +237,7 @@
 	}
 }
 
-// gatedStore is a store whose calls a gate may hold back.
+// gatedStore is a store whose calls a gate may delay.
 type gatedStore struct {
 	*metastore.Store
 	gate *atomic.Pointer[gate]
@@ -257,30 +258,31 @@
 	return object, err
 }
 
-// cluster is a set of nodes over one store and some engines.
+// cluster is a set of nodes that share a store and some engines.
 type cluster struct {
 	t     *testing.T
 	store *metastore.Store
-	// gate holds calls of the nodes to the store back.
+	// gate delays calls of the nodes to the store.
 	gate  atomic.Pointer[gate]
 	peers *testPeers
 	nodes []*testNode
-	// places are where nodes and engines are, by their names; each region is one zone
-	// of its name. homes are the route's.
-	places map[string]string
-	homes  []string
-	// mostTold is up to how many peers all hear of starts and ends, 0 for the default.
-	mostTold int
+	// regions are the regions of nodes and engines, by name; each region has one zone of
+	// the same name. allowedRegions are the route's.
+	regions        map[string]string
+	allowedRegions []string
+	// maxBroadcastPeers is the number of peers up to which starts and ends are announced
+	// to all, 0 for the default.
+	maxBroadcastPeers int
 }
 
-// regions are those that the nodes know.
+// regions are the regions of the test's zones.
 var regions = map[string]string{"north": "north", "south": "south", "west": "west"}
 
 const testRoute = "drafts"
 
 func newCluster(t *testing.T, nodes int, engines ...*testEngine) *cluster {
 	t.Helper()
-	cluster := &cluster{t: t, store: metastore.New(), peers: &testPeers{services: map[string]*testNode{}, cut: map[string]bool{}}}
+	cluster := &cluster{t: t, store: metastore.New(), peers: &testPeers{services: map[string]*testNode{}, disconnected: map[string]bool{}}}
 	for number := range nodes {
 		cluster.addNode(fmt.Sprintf("node-%d", number), engines)
 	}
@@ -296,8 +298,8 @@
 	return node
 }
 
-// addOutsider adds a node that may never join.
-func (c *cluster) addOutsider(name string, engines []*testEngine) *testNode {
+// addUnjoinedNode adds a node without waiting until it has joined.
+func (c *cluster) addUnjoinedNode(name string, engines []*testEngine) *testNode {
 	c.t.Helper()
 	node := c.makeNode(name, engines)
 	go node.table.Join(node.ctx)
@@ -313,13 +315,13 @@
 func (c *cluster) makeNode(name string, engines []*testEngine) *testNode {
 	c.t.Helper()
 	logger := klog.Background()
-	table := directory.NewTable("node", c.places[name], regions, logger)
+	table := directory.NewTable("node", c.regions[name], regions, logger)
 	c.configure(table, 1)
 	var replicas []*directory.Replica
 	for number, engine := range engines {
 		id := fmt.Sprintf("engine-%d", number)
 		replicas = append(replicas, &directory.Replica{
-			ID: id, Service: "engines", Address: engine.address, Zone: c.places[id], Slots: 8, State: directory.ReplicaReady,
+			ID: id, Service: "engines", Address: engine.address, Zone: c.regions[id], Slots: 8, State: directory.ReplicaReady,
 		})
 	}
 	table.SetReplicas(replicas, 0)
@@ -329,15 +331,15 @@
 	dispatcher := dispatch.New(exchange.NewPool(nil), testHeaders{}, nil)
 	self := jobstore.Owner{Node: name, Address: name, Incarnation: uint64(time.Now().UnixNano())}
 	node.table = peering.NewTable(peering.Config{
-		Node: name, Address: name, Zone: c.places[name], Incarnation: self.Incarnation, Store: c.store, Peers: link{c.peers, name}, Logger: logger,
+		Node: name, Address: name, Zone: c.regions[name], Incarnation: self.Incarnation, Store: c.store, Peers: link{c.peers, name}, Logger: logger,
 		FillHeartbeat: func(heartbeat *wire.NodeBeat) { node.FillHeartbeat(heartbeat) }, OnHeartbeat: func(heartbeat *wire.NodeBeat) { node.ReceiveHeartbeat(heartbeat) },
-		HeartbeatTargets: func() []string { return node.Watchers() }, MaxBroadcastPeers: c.mostTold,
+		HeartbeatTargets: func() []string { return node.Watchers() }, MaxBroadcastPeers: c.maxBroadcastPeers,
 	})
 	node.Service = NewService(ctx, Config{
-		Clock: clock.Steady,
+		Clock: clock.Monotonic,
 		Self:  self, JobStore: jobstore.New(gatedStore{c.store, &c.gate}), Codec: testCodec{}, Directory: table, Dispatcher: dispatcher,
 		Forwarder: forward.New(forward.Config{Directory: table, Dispatcher: dispatcher, Logger: logger, Metrics: forward.NewMetrics(prometheus.NewRegistry())}),
-		Peers:     link{c.peers, name}, Table: node.table, Region: c.places[name], Logger: logger, Registry: prometheus.NewRegistry(),
+		Peers:     link{c.peers, name}, PeerTable: node.table, Region: c.regions[name], Logger: logger, Registry: prometheus.NewRegistry(),
 	})
 	c.peers.mutex.Lock()
 	c.peers.services[name] = node
@@ -346,56 +348,56 @@
 	return node
 }
 
-// configure brings a version of the cluster's configuration into force at a node.
+// configure sets a version of the cluster's configuration at a node.
 func (c *cluster) configure(table *directory.Table, version uint64) {
 	table.SetConfiguration(&directory.Configuration{
 		Version: version,
 		Routes: []directory.Route{{
 			Name: testRoute, Host: "drafts.example", Prefix: "/d/", Kind: directory.RouteBatch, Attempts: 3,
-			Targets: []directory.Target{{Service: "engines", Weight: 1}}, AllowedRegions: c.homes,
+			Targets: []directory.Target{{Service: "engines", Weight: 1}}, AllowedRegions: c.allowedRegions,
 		}},
 		Services: map[string]directory.Service{"engines": {Name: "engines"}},
 	}, version)
 }
 
-// setGate has the nodes' calls of a verb on a kind wait until the gate is opened.
+// setGate delays the nodes' calls of a verb on a kind until the gate is opened.
 func (c *cluster) setGate(verb, kind string) *gate {
-	made := &gate{verb: verb, kind: kind, open: make(chan struct{})}
-	c.gate.Store(made)
-	return made
+	created := &gate{verb: verb, kind: kind, open: make(chan struct{})}
+	c.gate.Store(created)
+	return created
 }
 
-func (c *cluster) setCut(name string, cut bool) {
+func (c *cluster) setDisconnected(name string, disconnected bool) {
 	c.peers.mutex.Lock()
 	defer c.peers.mutex.Unlock()
-	c.peers.cut[name] = cut
+	c.peers.disconnected[name] = disconnected
 }
 
-// submission is a job of a number of items in groups of two.
+// submission returns a job with items in groups of two.
 func submission(id string, items int) (*Submission, []byte) {
-	made := &Submission{Model: "m", MinVersion: 1}
+	created := &Submission{Model: "m", MinVersion: 1}
 	for number := range items {
 		itemID := fmt.Sprintf("%s.%d", id, number)
-		made.Items = append(made.Items, &Item{
+		created.Items = append(created.Items, &Item{
 			ID: itemID, Target: "/d/x", Header: http.Header{headerID: {itemID}}, Body: []byte("body of " + itemID), Group: fmt.Sprint(number / 2),
 		})
 	}
-	encoded, err := json.Marshal(made)
+	encoded, err := json.Marshal(created)
 	if err != nil {
 		panic(err)
 	}
-	return made, encoded
+	return created, encoded
 }
 
-// submit has a node accept a job and run it itself.
+// submit makes a node accept a job and run it itself.
 func (c *cluster) submit(node *testNode, id string, items int) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	made, payload := submission(id, items)
-	return node.submitHere(ctx, &Arrival{ID: id, Route: testRoute, Host: "drafts.example", Payload: payload, Submission: made})
+	submitted, payload := submission(id, items)
+	return node.submitLocally(ctx, &SubmitRequest{ID: id, Route: testRoute, Host: "drafts.example", Payload: payload, Submission: submitted})
 }
 
-// eventually waits for a condition, for as long as a test may take.
+// eventually waits until a condition holds and fails the test after a timeout.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -403,10 +405,10 @@
 			return
 		}
 	}
-	t.Fatalf("not so in the end: %s", what)
+	t.Fatalf("timed out waiting until %s", what)
 }
 
-// readAll reads a job from a node until all results are there.
+// readAll reads a job from a node until all results are listed.
 func (c *cluster) readAll(node *testNode, id string, total int) []jobstore.Result {
 	c.t.Helper()
 	var results []jobstore.Result
@@ -421,13 +423,13 @@
 	return results
 }
 
-// checkWhole checks that each item stands once with its whole text.
-func checkWhole(t *testing.T, id string, results []jobstore.Result, items, events int) {
+// checkResults checks that each item has one result with its complete text.
+func checkResults(t *testing.T, id string, results []jobstore.Result, items, events int) {
 	t.Helper()
 	seen := map[string]bool{}
 	for _, result := range results {
 		if seen[result.ID] {
-			t.Errorf("item %s stands at two positions", result.ID)
+			t.Errorf("item %s is listed twice", result.ID)
 		}
 		seen[result.ID] = true
 		want := ""
--- a/internal/jobs/batch/reward.go
+++ b/internal/jobs/batch/reward.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	// rewardTime bounds one call of a scorer where its route names no time.
+	// maxRewardTimeout bounds one call of a scorer, also where its route allows more.
 	maxRewardTimeout = 2 * time.Second
-	// rewardPause is the time before a scorer that did not answer is called
-	// again, and longestRewardPause bounds it as it grows.
-	rewardPause        = 60 * time.Millisecond
-	longestRewardPause = 500 * time.Millisecond
+	// rewardRetryDelay is the first delay before a scorer is called again, which doubles
+	// up to maxRewardRetryDelay.
+	rewardRetryDelay    = 60 * time.Millisecond
+	maxRewardRetryDelay = 500 * time.Millisecond
 )
 
 // scorer calls the routes that score texts. It shares the service's mutex.
@@ -30,20 +30,20 @@
 	config   *Config
 	mutex    *sync.Mutex
 	replicas *replicastate.Table
-	// bounds are those on the calls in progress, by route.
-	bounds map[string]*admission.Adaptive
+	// limiters limit the concurrent calls, by route.
+	limiters map[string]*admission.Adaptive
 }
 
 func newScorer(service *Service) *scorer {
-	return &scorer{config: &service.config, mutex: &service.mutex, replicas: service.replicas, bounds: map[string]*admission.Adaptive{}}
+	return &scorer{config: &service.config, mutex: &service.mutex, replicas: service.replicas, limiters: map[string]*admission.Adaptive{}}
 }
 
-// callReward calls an item's scorer until it answers, has failed as often as
-// its route allows, or the job ends.
+// callReward calls an item's scorer until it succeeds, has failed as often as its route
+// allows (failed), or the job ends.
 func (s *scorer) callReward(work *item, attempts func() int) (score string, failed, scored bool) {
 	reward := work.Reward
 	failures := 0
-	pause := rewardPause
+	pause := rewardRetryDelay
 	for work.job.ctx.Err() == nil {
 		route := s.rewardRoute(reward)
 		if route != nil {
@@ -51,11 +51,11 @@
 				ID: reward.ID, Method: http.MethodPost, Target: reward.Target, Host: reward.Host, Header: reward.Header, Body: reward.Body,
 				Tenant: work.job.record.Tenant, Purpose: exchange.PurposeScorer,
 			}
-			whole, err := s.callScorer(work.job.ctx, route, call)
+			response, err := s.callScorer(work.job.ctx, route, call)
 			if err == nil {
-				failures += whole.Failures
-				if whole.Response.Status >= http.StatusOK && whole.Response.Status < http.StatusMultipleChoices {
-					return s.config.Codec.Signature(whole.Response.Header), false, true
+				failures += response.Failures
+				if response.Response.Status >= http.StatusOK && response.Response.Status < http.StatusMultipleChoices {
+					return s.config.Codec.ScoreSignature(response.Response.Header), false, true
 				}
 				if failures >= attempts() {
 					return "", true, false
@@ -65,34 +65,34 @@
 		if !objectstore.SleepWithJitter(work.job.ctx, pause) {
 			break
 		}
-		pause = min(2*pause, longestRewardPause)
+		pause = min(2*pause, maxRewardRetryDelay)
 	}
 	return "", false, false
 }
 
-// callScorer makes one call of a scorer once the bound of its route has room.
+// callScorer calls a scorer once the limit of its route allows another call.
 func (s *scorer) callScorer(ctx context.Context, route *directory.Route, call *dispatch.Call) (*forward.BufferedResponse, error) {
-	bound := s.rewardBound(route)
-	if err := bound.Enter(ctx); err != nil {
+	limiter := s.rewardLimiter(route)
+	if err := limiter.Enter(ctx); err != nil {
 		return nil, err
 	}
-	call.Deadline = time.Now().Add(rewardLimit(route))
-	whole, err := s.config.Forwarder.Do(ctx, route, call)
+	call.Deadline = time.Now().Add(rewardTimeout(route))
+	response, err := s.config.Forwarder.Do(ctx, route, call)
 	var refused *forward.RefusedError
-	isCrowded := errors.As(err, &refused) && refused.Reason != forward.ReasonQuarantined
-	bound.Leave(isCrowded || (err == nil && whole.Rejections > 0))
-	return whole, err
+	isOverloaded := errors.As(err, &refused) && refused.Reason != forward.ReasonQuarantined
+	limiter.Leave(isOverloaded || (err == nil && response.Rejections > 0))
+	return response, err
 }
 
-// callsPerSlot is how many calls may be in progress for each slot of the
-// scorers: a group's items end close together, and a short queue at the
-// replicas is worked off while the next ones run.
+// callsPerSlot is the number of concurrent calls for each slot of a scorer. It is above
+// one because the items of a group end close together, so that a short queue at the
+// replicas keeps them busy.
 const callsPerSlot = 2
 
-// rewardBound is the bound on the calls of a route's scorers in progress. All
-// nodes that run jobs share the replicas' slots, and most of the replicas'
-// queues is left to live requests.
-func (s *scorer) rewardBound(route *directory.Route) *admission.Adaptive {
+// rewardLimiter returns the limit on concurrent calls to a route's scorers. The nodes that
+// run jobs share the replicas' slots, and most of the replicas' queues is left to live
+// requests.
+func (s *scorer) rewardLimiter(route *directory.Route) *admission.Adaptive {
 	view := s.config.Directory.View()
 	slots := 0
 	for _, target := range route.Targets {
@@ -104,17 +104,17 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	most := callsPerSlot * slots / s.replicas.RunningNodes(time.Now())
-	bound := s.bounds[route.Name]
-	if bound == nil {
-		bound = admission.NewAdaptive(most)
-		s.bounds[route.Name] = bound
+	limit := callsPerSlot * slots / s.replicas.RunningNodes(time.Now())
+	limiter := s.limiters[route.Name]
+	if limiter == nil {
+		limiter = admission.NewAdaptive(limit)
+		s.limiters[route.Name] = limiter
 	}
-	bound.SetMost(most)
-	return bound
+	limiter.SetMaximum(limit)
+	return limiter
 }
 
-// rewardRoute is the route of a scorer.
+// rewardRoute returns the route of a reward call, nil if there is none.
 func (s *scorer) rewardRoute(reward *Reward) *directory.Route {
 	configuration := s.config.Directory.View().Configuration
 	if configuration == nil {
@@ -123,14 +123,14 @@
 	return configuration.Lookup(reward.Host, targetPath(reward.Target))
 }
 
-func rewardLimit(route *directory.Route) time.Duration {
+func rewardTimeout(route *directory.Route) time.Duration {
 	if route.Timeout > 0 {
 		return min(route.Timeout, maxRewardTimeout)
 	}
 	return maxRewardTimeout
 }
 
-// rewardAttempts is how many failures of a scorer end an item.
+// rewardAttempts returns the number of scorer failures after which an item is abandoned.
 func (s *scorer) rewardAttempts(work *item) int {
 	if work.Reward == nil {
 		return defaultAttempts
@@ -141,7 +141,7 @@
 	return defaultAttempts
 }
 
-// targetPath is a request target without its query.
+// targetPath returns a request target without its query.
 func targetPath(target string) string {
 	for i := range len(target) {
 		if target[i] == '?' {
--- a/internal/jobs/batch/start.go
+++ b/internal/jobs/batch/start.go
@@ -8,23 +8,23 @@
 	"github.com/pathtally/pathtally/internal/jobs/placement"
 )
 
-// giveUpMargin is added to the time after which items may be given up, since the
-// clocks of owners differ.
-const giveUpMargin = 8 * time.Second
+// abandonMargin is added to a job's retention before its items are abandoned, since the
+// clocks of owners may differ.
+const abandonMargin = 8 * time.Second
 
-// start starts a job whose record named this process as its owner when it was read. The
-// mutex must not be held.
+// start starts a job. confirmed is when the read began that returned the record, which
+// must name this process as owner. The mutex must not be held.
 func (s *Service) start(id string, submission *Submission, record jobstore.Record, listed jobstore.Listing, confirmed time.Time) {
 	s.mutex.Lock()
-	if existing := s.jobs[id]; existing != nil && !existing.displaced {
+	if existing := s.jobs[id]; existing != nil && !existing.superseded {
 		s.mutex.Unlock()
 		return
 	}
 	if s.ends.Has(id) {
-		// It was ended while this node read it or waited for the store's answer.
+		// The job was ended while this node read it or waited for the store's response.
 		s.learnStored(jobstore.StoredJob{ID: id, Record: record, Ended: true})
 		s.mutex.Unlock()
-		s.config.Logger.Info("batch job not started: it has ended", "request", id, "epoch", record.Epoch)
+		s.config.Logger.Info("batch job not started: already ended", "request", id, "epoch", record.Epoch)
 		go s.persistEnd(id)
 		return
 	}
@@ -51,42 +51,42 @@
 	s.announce(id)
 }
 
-// newJob returns a job whose items have their ranks; those that are listed are
-// settled. The mutex must be held.
+// newJob returns a job with its items ranked and those that have results settled. The
+// mutex must be held.
 func (s *Service) newJob(id string, submission *Submission, record jobstore.Record, listed jobstore.Listing) *job {
 	appends, cancelAppends := context.WithCancel(s.base)
 	ctx, cancel := context.WithCancel(appends)
-	made := &job{
-		id: id, submission: submission, record: record, takenUp: time.Now(), items: map[string]*item{},
+	created := &job{
+		id: id, submission: submission, record: record, startedAt: time.Now(), items: map[string]*item{},
 		listed: listed.Results, chunks: listed.Chunks, groups: map[string]*group{}, flush: make(chan struct{}, 1), changed: make(chan struct{}),
 		ctx: ctx, cancel: cancel, appends: appends, cancelAppends: cancelAppends,
 	}
 	if retention := s.retention(record); retention > 0 {
 		elapsed := max(0, time.Since(time.UnixMilli(record.AcceptedMs)))
-		made.givenUpAt = made.takenUp.Add(retention + giveUpMargin - min(elapsed, retention))
+		created.abandonAfter = created.startedAt.Add(retention + abandonMargin - min(elapsed, retention))
 	}
-	made.due, made.objective = s.dueOf(record)
+	created.deadline, created.completionObjective = s.deadlineOf(record)
 	ranks := s.ranksOf(submission)
 	for _, submitted := range submission.Items {
-		itemGroup := made.groups[submitted.Group]
+		itemGroup := created.groups[submitted.Group]
 		if itemGroup == nil {
 			itemGroup = &group{}
-			made.groups[submitted.Group] = itemGroup
+			created.groups[submitted.Group] = itemGroup
 		}
 		itemGroup.open++
 		itemGroup.inherited = itemGroup.inherited || ranks[submitted.ID].Inherited
-		made.order = append(made.order, submitted.ID)
-		made.items[submitted.ID] = &item{
-			Item: submitted, job: made, group: itemGroup, rank: ranks[submitted.ID], expected: s.lengths.ExpectedEvents(submitted.ID),
+		created.order = append(created.order, submitted.ID)
+		created.items[submitted.ID] = &item{
+			Item: submitted, job: created, group: itemGroup, rank: ranks[submitted.ID], expectedEvents: s.lengths.ExpectedEvents(submitted.ID),
 		}
 	}
 	for _, result := range listed.Results {
-		made.settle(result.ID)
+		created.settle(result.ID)
 	}
-	return made
+	return created
 }
 
-// ranksOf gives the items of a submission their order of work. The mutex must be held.
+// ranksOf returns the rank of each item in the processing order. The mutex must be held.
 func (s *Service) ranksOf(submission *Submission) map[string]placement.Rank {
 	lengths := map[string]placement.Length{}
 	items := make([]placement.SubmittedItem, 0, len(submission.Items))
@@ -99,7 +99,7 @@
 	return placement.RankItems(items, submission.Desired, lengths)
 }
 
-// settle marks an item as listed or finished.
+// settle records that an item has a result.
 func (j *job) settle(id string) {
 	settled := j.items[id]
 	if settled == nil || settled.done {
@@ -109,9 +109,9 @@
 	settled.group.open--
 }
 
-// dueOf is when a job is to be whole and how long after its acceptance that is; zero for
-// a route that names no time.
-func (s *Service) dueOf(record jobstore.Record) (time.Time, time.Duration) {
+// deadlineOf returns the time by which a job should be complete, and the time from its
+// acceptance until then. Both are zero if its route sets no completion objective.
+func (s *Service) deadlineOf(record jobstore.Record) (time.Time, time.Duration) {
 	configuration := s.config.Directory.View().Configuration
 	if configuration == nil {
 		return time.Time{}, 0
@@ -123,7 +123,7 @@
 	return time.UnixMilli(record.AcceptedMs).Add(route.CompletionObjective), route.CompletionObjective
 }
 
-// retention is after how long items of a job may be given up, 0 for never.
+// retention returns the time after which items of a job may be abandoned, 0 for never.
 func (s *Service) retention(record jobstore.Record) time.Duration {
 	configuration := s.config.Directory.View().Configuration
 	if configuration == nil {
--- a/test/virtual_test.go
+++ b/test/virtual_test.go
@@ -89,18 +89,18 @@
 		FillHeartbeat: func(*wire.NodeBeat) {}, OnHeartbeat: func(*wire.NodeBeat) {},
 	})
 	day.jobs = batch.NewService(ctx, batch.Config{
-		Clock: clock.Steady,
+		Clock: clock.Monotonic,
 		Self:  jobstore.Owner{Node: "node", Address: "node", Incarnation: 1}, JobStore: jobstore.New(day.store), Codec: platform.Jobs{},
-		Directory: table, Dispatcher: dispatcher, Peers: alone{}, Table: peers, Logger: logger, Registry: registry,
+		Directory: table, Dispatcher: dispatcher, Peers: alone{}, PeerTable: peers, Logger: logger, Registry: registry,
 		Forwarder: forward.New(forward.Config{Directory: table, Dispatcher: dispatcher, Logger: logger, Metrics: forward.NewMetrics(registry)}),
 	})
 	keeper := lease.NewElector(lease.Config{
-		Node: "node", Lease: lease.NewLease("node", "1", 0, day.store, clock.Steady), Clock: clock.Steady, Logger: logger, Nodes: peers.NodeNames,
+		Node: "node", Lease: lease.NewLease("node", "1", 0, day.store, clock.Monotonic), Clock: clock.Monotonic, Logger: logger, Nodes: peers.NodeNames,
 		SinceHeartbeat: func(string) time.Duration { return time.Hour }, Announce: func([]string) {},
 	})
 	coordinator := weightorders.NewCoordinator(weightorders.Config{
 		Elector: keeper, Directory: table, Replicas: platform.NewOrders(pool), Logger: logger, Registry: registry,
-		RunningItems: day.jobs.Load, Tolerance: day.jobs.Tolerance, Demand: day.jobs.Demand, OnChange: day.jobs.LearnVersion, Announce: func() {},
+		RunningItems: day.jobs.RunningItems, Tolerance: day.jobs.VersionTolerance, Demand: day.jobs.Demand, OnChange: day.jobs.LearnVersion, Announce: func() {},
 	})
 	go day.jobs.Run(ctx)
 	go coordinator.Run(ctx)
@@ -121,11 +121,11 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	submission, err := platform.Jobs{}.Submission(payload)
+	submission, err := platform.Jobs{}.DecodeSubmission(payload)
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	if err := d.jobs.Submit(ctx, &batch.Arrival{ID: job, Route: "drafts", Host: draftHost, Payload: payload, Submission: submission}); err != nil {
+	if err := d.jobs.Submit(ctx, &batch.SubmitRequest{ID: job, Route: "drafts", Host: draftHost, Payload: payload, Submission: submission}); err != nil {
 		d.t.Fatalf("job %s: %v", job, err)
 	}
 	var results []listed
