--- a/internal/instance/adapter.go
+++ b/internal/instance/adapter.go
@@ -20,15 +20,15 @@
 	Headers interface {
 		dispatch.HeaderCodec
 		ingress.Headers
-		// Prompt returns a hash of the first part of the prompt, 0 if the header names
+		// PromptHash returns a hash of the first part of the prompt, 0 if the header names
 		// none.
-		Prompt(header http.Header) uint64
+		PromptHash(header http.Header) uint64
 	}
 	Jobs        batch.Codec
 	Retirements RetirementCodec
-	// Orders returns a client of the replicas that uses a pool of connections.
-	Orders func(pool *exchange.Pool) weightorders.ReplicaClient
-	// Duties returns clients of the platform's API at an address, for those of the named
-	// duties that it supports.
-	Duties func(address string, named []string) Duties
+	// NewReplicaClient returns a client of the replicas that uses a pool of connections.
+	NewReplicaClient func(pool *exchange.Pool) weightorders.ReplicaClient
+	// NewDutyClients returns clients of the platform's API at an address, for those of the
+	// named duties that it supports.
+	NewDutyClients func(address string, named []string) DutyClients
 }
--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -29,7 +29,7 @@
 const incarnationBase = 36
 
 // assemble creates the components of the node. Each step depends on the previous ones.
-func (c *components) assemble(ctx context.Context, peerListener net.Listener, duties Duties) {
+func (c *components) assemble(ctx context.Context, peerListener net.Listener, duties DutyClients) {
 	c.self = jobstore.Owner{Node: c.settings.Node, Address: c.settings.AdvertisedPeer(), Incarnation: uint64(c.started.UnixNano())}
 	dispatcher := c.assembleForwarding()
 	c.assemblePeers(ctx, peerListener)
@@ -61,7 +61,7 @@
 	dispatcher := dispatch.New(c.pool, c.adapter.Headers, dispatch.NewMetrics(c.registry))
 	c.forwarder = forward.New(forward.Config{
 		Zone: c.settings.Zone, Directory: c.directory, Dispatcher: dispatcher, Logger: c.logger, Metrics: forward.NewMetrics(c.registry),
-		PromptHash: c.adapter.Headers.Prompt, VersionField: c.adapter.Jobs.VersionField(), Meter: usageMeter{components: c},
+		PromptHash: c.adapter.Headers.PromptHash, VersionField: c.adapter.Jobs.VersionField(), Meter: usageMeter{components: c},
 	})
 	return dispatcher
 }
@@ -108,21 +108,21 @@
 }
 
 // assembleDuties creates the duty lease and the duties that require it.
-func (c *components) assembleDuties(duties Duties) {
+func (c *components) assembleDuties(duties DutyClients) {
 	c.lease = lease.NewLease(c.self.Node, strconv.FormatUint(c.self.Incarnation, incarnationBase), c.settings.DutyLease.Std(), c.store, c.clock)
 	c.elector = lease.NewElector(lease.Config{
 		Node: c.self.Node, Lease: c.lease, Clock: c.clock, Logger: c.logger, Nodes: c.peers.NodeNames, SinceHeartbeat: c.lookup.sinceHeartbeat, Announce: c.peers.Announce,
 	})
 	c.weights = weightorders.NewCoordinator(weightorders.Config{
-		Elector: c.elector, Directory: c.directory, Replicas: c.adapter.Orders(c.pool), Logger: c.logger, Registry: c.registry,
+		Elector: c.elector, Directory: c.directory, Replicas: c.adapter.NewReplicaClient(c.pool), Logger: c.logger, Registry: c.registry,
 		RunningItems: c.jobs.RunningItems, Tolerance: c.jobs.VersionTolerance, Demand: c.jobs.Demand, OnChange: c.jobs.LearnVersion, Announce: c.peers.ScheduleHeartbeat,
 	})
 	if duties.Usage != nil {
 		c.usage = c.newUsage(duties.Usage)
 	}
-	if policy := autoscale.Policy(c.settings.ReplicaPolicy); duties.Replicas != nil && policy != autoscale.PolicyNone {
+	if policy := autoscale.Policy(c.settings.ReplicaPolicy); duties.Autoscale != nil && policy != autoscale.PolicyNone {
 		c.autoscale = autoscale.NewService(autoscale.Config{
-			Policy: policy, Elector: c.elector, Store: c.store, Platform: duties.Replicas, Directory: c.directory, Logger: c.logger,
+			Policy: policy, Elector: c.elector, Store: c.store, Platform: duties.Autoscale, Directory: c.directory, Logger: c.logger,
 			Registry: c.registry, Work: c.jobs.ItemCounts,
 		})
 	}
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -34,9 +34,9 @@
 // Start listens on the addresses of the settings and starts the node. Its error is a
 // *settings.ListenError, or that of the boot-time clock.
 func Start(configured settings.Settings, adapter Adapter) (*Instance, error) {
-	var duties Duties
+	var duties DutyClients
 	if configured.DutyAPI != "" {
-		duties = adapter.Duties(configured.DutyAPI, configured.Duties)
+		duties = adapter.NewDutyClients(configured.DutyAPI, configured.Duties)
 	}
 	bootClock, err := clock.NewBootTime()
 	if err != nil {
--- a/internal/instance/retirements.go
+++ b/internal/instance/retirements.go
@@ -22,11 +22,11 @@
 // RetirementCodec encodes and decodes the status of a retirement, the platform's request to
 // drain a machine.
 type RetirementCodec interface {
-	// Retired reports whether a status says that the machine may be removed. Its error
+	// IsRetired reports whether a status says that the machine may be removed. Its error
 	// means that the status cannot be decoded.
-	Retired(status []byte) (bool, error)
-	// Retirement returns the status that says that the machine may be removed.
-	Retirement() ([]byte, error)
+	IsRetired(status []byte) (bool, error)
+	// RetiredStatus returns the status that says that the machine may be removed.
+	RetiredStatus() ([]byte, error)
 }
 
 // retirements marks machines as retired on request. Nodes keep no durable state on the disk
@@ -70,7 +70,7 @@
 func (r *retirements) update(object objectstore.Object) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	retired, err := r.codec.Retired(object.Status)
+	retired, err := r.codec.IsRetired(object.Status)
 	if err != nil {
 		r.logger.Error(err, "failed to read retirement status, overwriting it", "machine", object.Name)
 	}
@@ -90,7 +90,7 @@
 	if !objectstore.Sleep(r.ctx, time.Duration(r.rank(machine))*retirementRankDelay) {
 		return
 	}
-	status, err := r.codec.Retirement()
+	status, err := r.codec.RetiredStatus()
 	if err != nil {
 		r.logger.Error(err, "failed to encode retirement status", "machine", machine)
 		return
--- a/internal/instance/retirements_test.go
+++ b/internal/instance/retirements_test.go
@@ -20,9 +20,9 @@
 // fakeCodec is a codec for which any status means that the machine is retired.
 type fakeCodec struct{}
 
-func (fakeCodec) Retired(status []byte) (bool, error) { return len(status) > 0, nil }
+func (fakeCodec) IsRetired(status []byte) (bool, error) { return len(status) > 0, nil }
 
-func (fakeCodec) Retirement() ([]byte, error) { return []byte(`true`), nil }
+func (fakeCodec) RetiredStatus() ([]byte, error) { return []byte(`true`), nil }
 
 func newRetirements(ctx context.Context, store objectstore.Store) *retirements {
 	return &retirements{
--- a/test/virtual_test.go
+++ b/test/virtual_test.go
@@ -99,7 +99,7 @@
 		SinceHeartbeat: func(string) time.Duration { return time.Hour }, Announce: func([]string) {},
 	})
 	coordinator := weightorders.NewCoordinator(weightorders.Config{
-		Elector: keeper, Directory: table, Replicas: platform.NewOrders(pool), Logger: logger, Registry: registry,
+		Elector: keeper, Directory: table, Replicas: platform.NewReplicaClient(pool), Logger: logger, Registry: registry,
 		RunningItems: day.jobs.RunningItems, Tolerance: day.jobs.VersionTolerance, Demand: day.jobs.Demand, OnChange: day.jobs.LearnVersion, Announce: func() {},
 	})
 	go day.jobs.Run(ctx)
