--- a/test/virtual_test.go
+++ b/test/virtual_test.go
@@ -99,7 +99,7 @@
 		SinceHeartbeat: func(string) time.Duration { return time.Hour }, Announce: func([]string) {},
 	})
 	coordinator := weightorders.NewCoordinator(weightorders.Config{
-		Elector: elector, Directory: table, Replicas: platform.NewOrders(pool), Logger: logger, Registry: registry,
+		Elector: elector, Directory: table, Replicas: platform.NewReplicaClient(pool), Logger: logger, Registry: registry,
 		RunningItems: d.jobs.RunningItems, Tolerance: d.jobs.VersionTolerance, Demand: d.jobs.Demand, OnChange: d.jobs.LearnVersion, Announce: func() {},
 	})
 	go d.jobs.Run(ctx)
