--- a/internal/environment/clock.go
+++ b/internal/environment/clock.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Timer is a pending call of AfterFunc.
+// Timer is a pending callback of Clock.AfterFunc.
 type Timer interface {
-	// Stop prevents the call if it has not started.
+	// Stop prevents the callback if it has not started.
 	Stop()
 }
 
-// Clock gives the time, and calls back on the goroutine of the duty.
+// Clock provides the time and timers. Callbacks run on the goroutine of the duty.
 type Clock interface {
 	// Now returns the current time.
 	Now() time.Time
-	// AfterFunc calls back after a delay.
-	AfterFunc(delay time.Duration, call func()) Timer
+	// AfterFunc calls the callback after a delay.
+	AfterFunc(delay time.Duration, callback func()) Timer
 }
--- a/internal/environment/doc.go
+++ b/internal/environment/doc.go
@@ -1,10 +1,9 @@
-// Package environment declares what the parts of a node are given from outside, so that tests
-// and the simulator can replace it.
+// Package environment defines the interfaces through which the parts of a node use the clock,
+// the network and the platform, so that tests and the simulator can replace them.
 //
-// Both stacks use Peers, the way to send messages to other nodes, and Call. Clock, Machines and
-// Objects are for the standalone stack alone, whose duties run on one goroutine each: all
-// callbacks run on the goroutine that owns the duty, so duties need no locks, and can't tell
-// the node program's sockets from the simulator's virtual clock.
+// Both stacks use Peers, which sends messages to other nodes, and Call. Clock, Machines and
+// Objects are used only by the standalone stack, whose duties run on one goroutine each. All
+// callbacks run on the goroutine of the duty, so duties need no locks.
 //
-// The package owns no state.
+// The package has no state.
 package environment
--- a/internal/environment/machines.go
+++ b/internal/environment/machines.go
@@ -11,14 +11,14 @@
 
 // Machine is one entry of the machine list.
 type Machine struct {
-	// ID differs after each replacement of a machine.
+	// ID identifies the machine; a replacement has another ID.
 	ID string `json:"id"`
-	// Address is the IP address and port of the engine or node on it.
+	// Address is the IP address and port of the engine or node that runs on the machine.
 	Address string       `json:"address"`
 	State   MachineState `json:"state"`
 }
 
-// Machines is the platform's machine list, which may lag behind.
+// Machines reads the platform's machine list, which may be out of date.
 type Machines interface {
 	// List calls done with the machines and the version of the list.
 	List(done func(machines []Machine, version uint64, err error))
--- a/internal/logging/bounded_writer.go
+++ b/internal/logging/bounded_writer.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// maxQueuedLines bounds the lines that wait to be written; further ones are
-	// dropped and counted.
+	// maxQueuedLines limits the queue; lines beyond it are dropped and counted.
 	maxQueuedLines = 4096
-	// batchBytes is up to how much is written at once.
+	// batchBytes is the size at which a batch is written without adding further lines.
 	batchBytes = 32 << 10
 )
 
-// boundedWriter writes lines on a goroutine of its own and drops what its
-// queue cannot hold.
+// boundedWriter queues lines and writes them on a separate goroutine. It drops lines while the
+// queue is full.
 type boundedWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
 	out     io.Writer
+	// pending counts the lines that are queued or being written.
 	pending sync.WaitGroup
 }
 
@@ -29,7 +29,7 @@
 	return writer
 }
 
-// Write implements io.Writer; it never blocks.
+// Write implements io.Writer. It never blocks and copies the line.
 func (w *boundedWriter) Write(line []byte) (int, error) {
 	w.pending.Add(1)
 	select {
@@ -41,7 +41,7 @@
 	return len(line), nil
 }
 
-// run writes lines, several at a time when they wait.
+// run writes the queued lines in batches.
 func (w *boundedWriter) run() {
 	var batch []byte
 	for line := range w.lines {
@@ -61,5 +61,5 @@
 	}
 }
 
-// Flush waits until what was logged before has been written.
+// Flush waits until all queued lines have been written.
 func (w *boundedWriter) Flush() { w.pending.Wait() }
--- a/internal/logging/setup.go
+++ b/internal/logging/setup.go
@@ -9,11 +9,11 @@
 	"k8s.io/klog/v2"
 )
 
-// dropReportInterval is the time between two logged counts of dropped lines.
+// dropReportInterval is the interval at which the number of dropped lines is logged.
 const dropReportInterval = time.Second
 
-// Setup sends all log lines as JSON to a writer without ever blocking.
-// The returned function waits for what was logged. Call it once.
+// Setup makes klog write JSON lines to out without blocking. The returned function waits until
+// all queued lines are written. Setup must be called only once.
 func Setup(out io.Writer, level slog.Level) (flush func()) {
 	writer := newBoundedWriter(out)
 	logger := slog.New(slog.NewJSONHandler(writer, &slog.HandlerOptions{Level: level}))
@@ -22,7 +22,7 @@
 	return writer.Flush
 }
 
-// reportDropped logs how many lines were dropped, for the life of the process.
+// reportDropped periodically logs how many lines were dropped. It never returns.
 func reportDropped(writer *boundedWriter, logger *slog.Logger) {
 	for reported := int64(0); ; {
 		time.Sleep(dropReportInterval)
@@ -33,7 +33,7 @@
 	}
 }
 
-// NodeLogger returns the logger of a node, whose lines name the node and its zone.
+// NodeLogger returns a logger that adds the node and its zone to each line.
 func NodeLogger(node, zone string) klog.Logger {
 	return klog.LoggerWithValues(klog.FromContext(context.Background()), "node", node, "zone", zone)
 }
--- a/internal/settings/capacity_test.go
+++ b/internal/settings/capacity_test.go
@@ -9,7 +9,7 @@
 	}{{0, 0, 0}, {0.192, 0, 192}, {0.8, 1, 800}, {0.5, 2, 1000}} {
 		configured := Settings{CPUShare: test.share, Cores: test.cores}
 		if got := configured.Capacity(); got != test.want {
-			t.Errorf("share %v of %v: %d, want %d", test.share, test.cores, got, test.want)
+			t.Errorf("capacity with CPUShare %v, Cores %v: %d, want %d", test.share, test.cores, got, test.want)
 		}
 	}
 }
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -9,34 +9,34 @@
 	"github.com/pathtally/pathtally/internal/duties/autoscale"
 )
 
+// namePattern matches the valid names of nodes, zones and regions.
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,62}[a-z0-9])?$`)
 
-// allowedSpan describes the durations that are valid.
-const allowedSpan = "a duration of 0 or more"
+const allowedDuration = "a duration of 0 or more"
 
-// value is a setting and its text.
-type value struct{ setting, text string }
+// namedValue is the name of a setting and its value.
+type namedValue struct{ setting, value string }
 
-// Check returns a finding for each setting that cannot be used.
+// Check returns an error for each invalid setting.
 func (s *Settings) Check() Errors {
 	findings := s.checkNames()
 	if s.ObjectStore != "" && s.Platform != "" {
 		findings = append(findings, &Error{Setting: "platform", Found: s.Platform, Allowed: "nothing where objectStore is given"})
 	}
 	findings = append(findings, s.checkAddresses()...)
-	findings = append(findings, s.checkSpans()...)
-	findings = append(findings, s.checkSizes()...)
+	findings = append(findings, s.checkDurations()...)
+	findings = append(findings, s.checkNumbers()...)
 	if s.Grace < 0 {
-		findings = append(findings, &Error{Setting: "grace", Found: s.Grace.Std().String(), Allowed: allowedSpan})
+		findings = append(findings, &Error{Setting: "grace", Found: s.Grace.Std().String(), Allowed: allowedDuration})
 	}
 	return findings
 }
 
 func (s *Settings) checkNames() Errors {
 	var findings Errors
-	for _, name := range []value{{"node", s.Node}, {"zone", s.Zone}, {"region", s.Region}} {
-		if !namePattern.MatchString(name.text) {
-			findings = append(findings, &Error{Setting: name.setting, Found: name.text, Allowed: "1 to 64 lower-case letters, digits, dots and dashes"})
+	for _, name := range []namedValue{{"node", s.Node}, {"zone", s.Zone}, {"region", s.Region}} {
+		if !namePattern.MatchString(name.value) {
+			findings = append(findings, &Error{Setting: name.setting, Found: name.value, Allowed: "1 to 64 lower-case letters, digits, dots and dashes"})
 		}
 	}
 	return findings
@@ -45,45 +45,45 @@
 func (s *Settings) checkAddresses() Errors {
 	var findings Errors
 	for _, address := range append(s.requiredAddresses(), s.optionalAddresses()...) {
-		if _, err := netip.ParseAddrPort(address.text); err != nil {
-			findings = append(findings, &Error{Setting: address.setting, Found: address.text, Allowed: "an IP address and a port, such as 127.0.0.1:7001"})
+		if _, err := netip.ParseAddrPort(address.value); err != nil {
+			findings = append(findings, &Error{Setting: address.setting, Found: address.value, Allowed: "an IP address and a port, such as 127.0.0.1:7001"})
 		}
 	}
 	return findings
 }
 
-// requiredAddresses are the addresses that a node of this kind must have.
-func (s *Settings) requiredAddresses() []value {
+// requiredAddresses returns the addresses that must be set for this kind of node.
+func (s *Settings) requiredAddresses() []namedValue {
 	if s.Idle {
-		// A node that serves nobody listens nowhere.
+		// An idle node does not listen.
 		return nil
 	}
-	store := value{"platform", s.Platform}
+	store := namedValue{"platform", s.Platform}
 	if s.ObjectStore != "" {
-		store = value{"objectStore", s.ObjectStore}
+		store = namedValue{"objectStore", s.ObjectStore}
 	}
-	return []value{{"peer", s.Peer}, {"http", s.HTTP}, store}
+	return []namedValue{{"peer", s.Peer}, {"http", s.HTTP}, store}
 }
 
-// optionalAddresses are those of the others that are given.
-func (s *Settings) optionalAddresses() []value {
-	var given []value
-	for _, optional := range []value{
+// optionalAddresses returns the optional addresses that are set.
+func (s *Settings) optionalAddresses() []namedValue {
+	var given []namedValue
+	for _, optional := range []namedValue{
 		{"readiness", s.Readiness}, {"metrics", s.Metrics}, {"dutyAPI", s.DutyAPI}, {"peerAdvertised", s.PeerAdvertised},
 	} {
-		if optional.text != "" {
+		if optional.value != "" {
 			given = append(given, optional)
 		}
 	}
 	for _, seed := range s.Seeds {
-		given = append(given, value{"seeds", seed})
+		given = append(given, namedValue{"seeds", seed})
 	}
 	return given
 }
 
-func (s *Settings) checkSpans() Errors {
+func (s *Settings) checkDurations() Errors {
 	var findings Errors
-	for _, span := range []struct {
+	for _, duration := range []struct {
 		setting string
 		value   v1.Duration
 	}{
@@ -91,14 +91,14 @@
 		{"usageWindow", s.UsageWindow}, {"usageLate", s.UsageLate}, {"evacuationBound", s.EvacuationBound},
 		{"quarantine", s.Quarantine},
 	} {
-		if span.value < 0 {
-			findings = append(findings, &Error{Setting: span.setting, Found: span.value.Std().String(), Allowed: allowedSpan})
+		if duration.value < 0 {
+			findings = append(findings, &Error{Setting: duration.setting, Found: duration.value.Std().String(), Allowed: allowedDuration})
 		}
 	}
 	return findings
 }
 
-func (s *Settings) checkSizes() Errors {
+func (s *Settings) checkNumbers() Errors {
 	var findings Errors
 	if s.CPUShare < 0 || s.Cores < 0 {
 		findings = append(findings, &Error{Setting: "cpuShare, cores", Found: fmt.Sprint(s.CPUShare, ", ", s.Cores), Allowed: "numbers of 0 or more"})
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,13 +1,12 @@
-// Package settings reads and checks what a node is given at its start: its
-// name, place, addresses, bounds and data folder.
+// Package settings reads and validates the settings of a node: its name, zone, region,
+// addresses, limits and data folder.
 //
-// It owns the names and forms of the settings, in a YAML file and as flags; a
-// flag takes precedence over the file. It relies on nothing at run time but the
-// file. What Load returns has been checked as a whole: names, addresses and
-// ranges are valid, and findings name each setting that is not. Whether an
-// address can be listened on shows only at the start, as a *ListenError.
+// It defines the names and formats of the settings, in a YAML file and as flags. A flag takes
+// precedence over the file. Load validates names, addresses and ranges, and reports every
+// invalid setting. Whether the node can listen on an address is known only at startup, and
+// reported as a *ListenError.
 //
-// One type serves both kinds of node: with ObjectStore a node runs on the
-// users' platform (package instance), with Platform in the standalone stack
+// The same type serves both kinds of node: a node with an ObjectStore runs on the users'
+// platform (package instance), one with a Platform in the standalone stack
 // (internal/standalone/process).
 package settings
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -5,23 +5,25 @@
 	"strings"
 )
 
-// Error is a setting that cannot be used.
+// Error reports an invalid setting.
 type Error struct {
-	// Setting is its name in the file.
+	// Setting is the name of the setting in the file.
 	Setting string
-	Found   string
+	// Found is the invalid value.
+	Found string
+	// Allowed describes the valid values.
 	Allowed string
 }
 
-// Error names the setting, what was found and what is allowed.
+// Error implements error.
 func (e *Error) Error() string {
 	return fmt.Sprintf("setting %s: found %q, allowed: %s", e.Setting, e.Found, e.Allowed)
 }
 
-// Errors are all findings of one check.
+// Errors holds the errors of all invalid settings.
 type Errors []*Error
 
-// Error gives each finding a line of its own.
+// Error implements error. It puts each error on a separate line.
 func (e Errors) Error() string {
 	lines := make([]string, len(e))
 	for i, finding := range e {
--- a/internal/settings/flags.go
+++ b/internal/settings/flags.go
@@ -8,8 +8,7 @@
 	v1 "github.com/pathtally/pathtally/api/v1"
 )
 
-// Register adds the flags that override settings of the file; settings without
-// one are set in the file only.
+// Register adds the flags that override settings of the file. Some settings have no flag.
 func (s *Settings) Register(flags *flag.FlagSet) {
 	flags.StringVar(&s.Node, "node", "", "name of the node")
 	flags.StringVar(&s.Zone, "zone", "", "zone that the node is in")
@@ -27,27 +26,27 @@
 	flags.StringVar(&s.Metrics, "metrics", "", "address of the node's figures, IP and port")
 	flags.StringVar(&s.DataFolder, "data-folder", "", "folder for samples; empty keeps none")
 	flags.Func("grace", "how long a planned stop waits for requests", func(text string) error {
-		span, err := time.ParseDuration(text)
-		s.Grace = v1.Duration(span)
+		duration, err := time.ParseDuration(text)
+		s.Grace = v1.Duration(duration)
 		return err
 	})
 }
 
-// overlay replaces what the flags give.
-func (s *Settings) overlay(given Settings) {
-	for _, pair := range []struct{ into, from *string }{
-		{&s.Node, &given.Node}, {&s.Zone, &given.Zone}, {&s.Region, &given.Region}, {&s.Peer, &given.Peer},
-		{&s.HTTP, &given.HTTP}, {&s.PeerAdvertised, &given.PeerAdvertised}, {&s.Platform, &given.Platform}, {&s.DataFolder, &given.DataFolder},
-		{&s.ObjectStore, &given.ObjectStore}, {&s.Readiness, &given.Readiness}, {&s.Metrics, &given.Metrics},
+// applyFlags replaces the settings that are set by flags. An empty flag sets nothing.
+func (s *Settings) applyFlags(flags Settings) {
+	for _, pair := range []struct{ to, from *string }{
+		{&s.Node, &flags.Node}, {&s.Zone, &flags.Zone}, {&s.Region, &flags.Region}, {&s.Peer, &flags.Peer},
+		{&s.HTTP, &flags.HTTP}, {&s.PeerAdvertised, &flags.PeerAdvertised}, {&s.Platform, &flags.Platform}, {&s.DataFolder, &flags.DataFolder},
+		{&s.ObjectStore, &flags.ObjectStore}, {&s.Readiness, &flags.Readiness}, {&s.Metrics, &flags.Metrics},
 	} {
 		if *pair.from != "" {
-			*pair.into = *pair.from
+			*pair.to = *pair.from
 		}
 	}
-	if given.Seeds != nil {
-		s.Seeds = given.Seeds
+	if flags.Seeds != nil {
+		s.Seeds = flags.Seeds
 	}
-	if given.Grace != 0 {
-		s.Grace = given.Grace
+	if flags.Grace != 0 {
+		s.Grace = flags.Grace
 	}
 }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -6,10 +6,10 @@
 	"sigs.k8s.io/yaml"
 )
 
-// Load reads the file at a path, or none if it is empty, lays the flags that were
-// given over it, fills in defaults and checks the result. Its error is an *Error
-// for a file that cannot be read, and Errors for settings that cannot be used.
-func Load(path string, given Settings) (Settings, error) {
+// Load reads the settings file at path, or none if path is empty, applies the flags, sets
+// defaults and validates the result. The error is an *Error if the file cannot be read or
+// parsed, and Errors if settings are invalid.
+func Load(path string, flags Settings) (Settings, error) {
 	loaded := Settings{}
 	if path != "" {
 		data, err := os.ReadFile(path)
@@ -20,7 +20,7 @@
 			return loaded, err
 		}
 	}
-	loaded.overlay(given)
+	loaded.applyFlags(flags)
 	if loaded.Grace == 0 {
 		loaded.Grace = defaultGrace
 	}
@@ -30,7 +30,7 @@
 	return loaded, nil
 }
 
-// Parse reads settings from YAML. Unknown names are refused with an *Error.
+// Parse decodes settings from YAML. The error is an *Error, also for unknown names.
 func Parse(data []byte, into *Settings) error {
 	if err := yaml.UnmarshalStrict(data, into); err != nil {
 		return &Error{Setting: "(file)", Found: err.Error(), Allowed: "YAML with the documented settings only"}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -8,99 +8,97 @@
 
 const defaultGrace = v1.Duration(30 * time.Second)
 
-// milliCores is how many thousandths of a core there are in one.
-const milliCores = 1000
+// milliCoresPerCore converts cores to thousandths of a core.
+const milliCoresPerCore = 1000
 
-// Settings are those of one node.
+// Settings holds the settings of one node.
 type Settings struct {
-	// Node is the node's name, unique in the deployment.
+	// Node is the name of the node, unique in the deployment.
 	Node   string `json:"node"`
 	Zone   string `json:"zone"`
 	Region string `json:"region"`
-	// Regions gives the region of each zone of the deployment.
+	// Regions maps each zone of the deployment to its region.
 	Regions map[string]string `json:"regions"`
-	// Peer is the address on which other nodes reach this one, and HTTP the
-	// one for callers, trainers and operators.
+	// Peer is the listen address for other nodes, and HTTP that for callers, trainers and
+	// operators.
 	Peer string `json:"peer"`
 	HTTP string `json:"http"`
-	// PeerAdvertised is the address announced to other nodes where it differs
-	// from Peer, as behind a forwarder.
+	// PeerAdvertised is the address announced to other nodes if it differs from Peer, for
+	// example behind a proxy.
 	PeerAdvertised string `json:"peerAdvertised"`
-	// Seeds are peer addresses of nodes to join through.
+	// Seeds are the peer addresses of nodes through which this node joins the cluster.
 	Seeds []string `json:"seeds"`
-	// Platform is the address of the object API and the machine list; for
-	// nodes of the standalone stack only.
+	// Platform is the address of the object API and the machine list. Standalone stack only.
 	Platform string `json:"platform"`
-	// DataFolder makes the node a sample store; empty keeps nothing. For nodes
-	// of the standalone stack only.
+	// DataFolder is the folder in which the node stores samples; if empty, it stores none.
+	// Standalone stack only.
 	DataFolder string `json:"dataFolder"`
-	// Grace bounds how long a planned stop waits for requests in progress.
+	// Grace limits how long a planned stop waits for requests in progress.
 	Grace v1.Duration `json:"grace"`
-	// ObjectStore is the address of the metadata store that keeps all lasting
-	// state; a node with one needs no Platform. See package instance.
+	// ObjectStore is the address of the metadata store that holds all persistent state. It
+	// excludes Platform. See package instance.
 	ObjectStore string `json:"objectStore"`
-	// Readiness is the address that reports whether the node takes callers, and
-	// Metrics that of its metrics; empty serves none.
+	// Readiness is the address of the readiness endpoint, and Metrics that of the metrics
+	// endpoint; if empty, the endpoint is not served.
 	Readiness string `json:"readiness"`
 	Metrics   string `json:"metrics"`
-	// MemoryMB is the memory that the process may take, in megabytes; 0 for no
-	// bound.
+	// MemoryMB is the memory limit of the process, in megabytes; 0 means no limit.
 	MemoryMB int64 `json:"memoryMB"`
-	// CPUShare is the part of a core that the process gets, and Cores the speed
-	// of that core as a multiple of a standard one; 0 for unknown.
+	// CPUShare is the share of a core that the process gets, and Cores the speed of that core
+	// relative to a standard core; 0 means unknown.
 	CPUShare float64 `json:"cpuShare"`
 	Cores    float64 `json:"cores"`
-	// Idle nodes only hold their machine: they serve nobody.
+	// Idle makes the node occupy its machine without serving anything.
 	Idle bool `json:"idle"`
-	// DutyLease is the term of the duty lease: how long another node must wait
-	// after the holder's last call for the whole deployment, such as an order to
-	// a replica, before it may make any. Zero means the default.
+	// DutyLease is the term of the duty lease: the time after the holder's last action for
+	// the whole deployment, such as an order to a replica, before another node may act.
+	// Zero means the default.
 	DutyLease v1.Duration `json:"dutyLease"`
-	// Drain is how long a replica may still get requests after it has announced
-	// that it leaves; zero means the default.
+	// Drain is how long a replica may still get requests after it announced that it is
+	// leaving; zero means the default.
 	Drain v1.Duration `json:"drain"`
-	// CatchUp is how long after its start a node may still lack state before it
-	// logs what is missing; zero means the default.
+	// CatchUp is how long after its start the node may lack state before it logs what is
+	// missing; zero means the default.
 	CatchUp v1.Duration `json:"catchUp"`
-	// KeyBound is the age from which a configuration that is not confirmed as the
-	// newest no longer authenticates API keys; zero means never.
+	// KeyBound is the maximum time since the configuration was last confirmed to be the
+	// newest. Beyond it, the node accepts no API keys; zero means no limit.
 	KeyBound v1.Duration `json:"keyBound"`
-	// EvacuationBound is how long after the evacuation of a zone was requested a
-	// request may still arrive there; zero means that zones are not evacuated.
+	// EvacuationBound is how long requests may still arrive in a zone after its evacuation
+	// was requested; zero means that zones are not evacuated.
 	EvacuationBound v1.Duration `json:"evacuationBound"`
-	// Quarantine is how long a request that crashes replicas is sent to no
-	// further one; zero means the default.
+	// Quarantine is how long a request that crashes replicas is not sent to another replica;
+	// zero means the default.
 	Quarantine v1.Duration `json:"quarantine"`
-	// WarmUpOverage times its rate while warming up, plus WarmUpSlack requests,
-	// is the most that a warming replica may get in any second. An overage of
-	// zero means that replicas need no warm-up.
+	// WarmUpOverage and WarmUpSlack limit the requests that a warming replica gets in any
+	// second to WarmUpOverage times its warm-up rate plus WarmUpSlack. An overage of zero
+	// means that replicas need no warm-up.
 	WarmUpOverage float64 `json:"warmUpOverage"`
 	WarmUpSlack   float64 `json:"warmUpSlack"`
-	// DutyAPI is the address of the platform's API for the work that one node
-	// does for the whole deployment, and Duties the platform's names of the
-	// kinds of work that it accepts; empty means that there is none.
+	// DutyAPI is the address of the platform's API for duties, the work that one node does
+	// for the whole deployment, and Duties the platform's names of the duties that the API
+	// accepts; empty means that there is none.
 	DutyAPI string   `json:"dutyAPI"`
 	Duties  []string `json:"duties"`
-	// ReplicaPolicy is what the number of ordered replicas follows, as in package
-	// autoscale: slots or work; empty orders none.
+	// ReplicaPolicy is the autoscaling policy, an autoscale.Policy: slots or work; empty
+	// disables autoscaling.
 	ReplicaPolicy string `json:"replicaPolicy"`
-	// UsageWindow is the length of the windows that usage is reported for, and
-	// UsageLate how long after its end a window's report is due.
+	// UsageWindow is the length of the windows for which usage is reported, and UsageLate the
+	// time after the end of a window by which its report is due.
 	UsageWindow v1.Duration `json:"usageWindow"`
 	UsageLate   v1.Duration `json:"usageLate"`
 }
 
-// Capacity returns the processor time that the process gets, in thousandths of
-// a standard core; 0 for unknown.
+// Capacity returns the CPU capacity of the process, in thousandths of a standard core; 0 means
+// unknown.
 func (s *Settings) Capacity() uint32 {
 	cores := s.Cores
 	if cores == 0 {
 		cores = 1
 	}
-	return uint32(milliCores * s.CPUShare * cores)
+	return uint32(milliCoresPerCore * s.CPUShare * cores)
 }
 
-// AdvertisedPeer returns the address announced to other nodes.
+// AdvertisedPeer returns the peer address that is announced to other nodes.
 func (s *Settings) AdvertisedPeer() string {
 	if s.PeerAdvertised != "" {
 		return s.PeerAdvertised
