--- a/test/soak_faults_test.go
+++ b/test/soak_faults_test.go
@@ -14,45 +14,46 @@
 	"github.com/pathtally/pathtally/standin/replica"
 )
 
-// soakFault is a kind of trouble. It begins, lasts for a time and is mended.
+// soakFault is one kind of fault. It is injected, lasts for a time and is then healed.
 type soakFault struct {
 	name string
-	// inject begins the fault and returns what mends it; nil mends itself.
-	inject func(w *soakWorld, from *draws) (what string, mend func())
+	// inject begins the fault and returns its description and the function that heals it;
+	// nil if the fault needs no healing.
+	inject func(s *soakRun, random *randomStream) (description string, heal func())
 }
 
-// soakFaults are the kinds that a run draws from; some are listed more than once
-// to be drawn more often.
+// soakFaults are the kinds that a run draws from. Kinds listed more than once are drawn
+// more often.
 var soakFaults = []soakFault{
 	{"node killed", killNode}, {"node stopped as planned", stopNode}, {"node paused", pauseNode}, {"settings changed", changeSettings},
 	{"store link", disturbStoreLink}, {"peer link", disturbPeerLink}, {"replica link", disturbReplicaLink},
-	{"store", disturbStore}, {"history forgotten", forgetHistory}, {"replica faults", spoilReplica}, {"replica crash", crashReplica},
-	{"power loss", powerLoss}, {"power loss", powerLoss}, {"power loss", powerLoss}, {"signals that overlap", signalSeries},
-	{"store slow", slowStore}, {"store slow", slowStore}, {"replica drains", drainReplica}, {"replica vanishes", vanishReplica}, {"configurations", changeConfiguration},
+	{"store", disturbStore}, {"history forgotten", compactStoreHistory}, {"replica faults", corruptReplica}, {"replica crash", crashReplica},
+	{"power loss", powerLoss}, {"power loss", powerLoss}, {"power loss", powerLoss}, {"signals that overlap", overlappingSignals},
+	{"store slow", slowStore}, {"store slow", slowStore}, {"replica drains", drainReplica}, {"replica vanishes", hideReplicaEntry}, {"configurations", changeConfiguration},
 }
 
-// restartPause is the time between the end of a process and its next start.
-const restartPause = 300 * time.Millisecond
+// restartDelay is the time between the end of a process and its next start.
+const restartDelay = 300 * time.Millisecond
 
-// anyNode draws a node that runs, more often than others the one with the newest
-// job: all jobs of a model are run by few nodes.
-func (w *soakWorld) anyNode(from *draws) *soakNode {
-	first := from.chance(len(w.nodes))
-	if owner := w.newestOwner(); from.chance(2) == 0 && owner >= 0 {
+// randomRunningNode draws a running node, or nil for none. It prefers the owner of the
+// newest job, since few nodes own all jobs of a model.
+func (s *soakRun) randomRunningNode(random *randomStream) *soakNode {
+	first := random.intN(len(s.nodes))
+	if owner := s.newestOwner(); random.intN(2) == 0 && owner >= 0 {
 		first = owner
 	}
-	for offset := range w.nodes {
-		if node := w.nodes[(first+offset)%len(w.nodes)]; !node.down.Load() {
+	for offset := range s.nodes {
+		if node := s.nodes[(first+offset)%len(s.nodes)]; !node.down.Load() {
 			return node
 		}
 	}
 	return nil
 }
 
-// newestOwner is the number of the node that owns the newest job as the store
-// has it, below 0 for none.
-func (w *soakWorld) newestOwner() int {
-	jobs := w.store.Objects(jobstore.KindJobs)
+// newestOwner returns the number of the node that owns the newest job in the store, or a
+// negative number for none.
+func (s *soakRun) newestOwner() int {
+	jobs := s.store.Objects(jobstore.KindJobs)
 	if len(jobs) == 0 {
 		return -1
 	}
@@ -60,67 +61,66 @@
 	if err := json.Unmarshal(jobs[len(jobs)-1].Spec, &record); err != nil {
 		return -1
 	}
-	return slices.IndexFunc(w.nodes, func(node *soakNode) bool { return node.name == record.Owner.Node })
+	return slices.IndexFunc(s.nodes, func(node *soakNode) bool { return node.name == record.Owner.Node })
 }
 
-// anyReplica draws a living replica of any service.
-func (w *soakWorld) anyReplica(from *draws) *soakReplica {
+// randomReplica draws a running replica of any service.
+func (s *soakRun) randomReplica(random *randomStream) *soakReplica {
 	service := "apps"
-	if from.chance(2) == 0 {
+	if random.intN(2) == 0 {
 		service = "engines"
 	}
-	living := w.ofService(service)
-	for len(living) == 0 {
-		// All have ended under requests: their successors are about to start.
-		time.Sleep(supervisePause)
-		living = w.ofService(service)
+	running := s.ofService(service)
+	for len(running) == 0 {
+		// All replicas of the service have crashed; their replacements are about to start.
+		time.Sleep(superviseInterval)
+		running = s.ofService(service)
 	}
-	return living[from.chance(len(living))]
+	return running[random.intN(len(running))]
 }
 
-func killNode(w *soakWorld, from *draws) (string, func()) {
-	node := w.anyNode(from)
+func killNode(s *soakRun, random *randomStream) (string, func()) {
+	node := s.randomRunningNode(random)
 	if node == nil {
 		return "none", nil
 	}
-	w.stopNode(node, syscall.SIGKILL)
+	s.endProcess(node, syscall.SIGKILL)
 	return node.name, func() {
-		time.Sleep(restartPause)
-		w.startNode(node)
+		time.Sleep(restartDelay)
+		s.startNode(node)
 	}
 }
 
-func stopNode(w *soakWorld, from *draws) (string, func()) {
-	node := w.anyNode(from)
+func stopNode(s *soakRun, random *randomStream) (string, func()) {
+	node := s.randomRunningNode(random)
 	if node == nil {
 		return "none", nil
 	}
-	w.stopNode(node, syscall.SIGTERM)
-	return node.name, func() { w.startNode(node) }
+	s.endProcess(node, syscall.SIGTERM)
+	return node.name, func() { s.startNode(node) }
 }
 
-func pauseNode(w *soakWorld, from *draws) (string, func()) {
-	node := w.anyNode(from)
+func pauseNode(s *soakRun, random *randomStream) (string, func()) {
+	node := s.randomRunningNode(random)
 	if node == nil {
 		return "none", nil
 	}
-	wake := w.pauseProcess(node)
-	further := time.Duration(0)
-	if from.chance(3) == 0 {
-		further = from.span(0, longestPause)
+	resume := s.pauseProcess(node)
+	extra := time.Duration(0)
+	if random.intN(3) == 0 {
+		extra = random.duration(0, maxExtraPause)
 	}
-	return fmt.Sprintf("%s, %s longer", node.name, further), func() {
-		time.Sleep(further)
-		wake()
+	return fmt.Sprintf("%s, %s longer", node.name, extra), func() {
+		time.Sleep(extra)
+		resume()
 	}
 }
 
-// longestPause is what a pause may last beyond the time of a fault, so that some
-// last for nine seconds.
-const longestPause = 5 * time.Second
+// maxExtraPause is how much longer than other faults a pause may last.
+const maxExtraPause = 5 * time.Second
 
-func changeSettings(w *soakWorld, from *draws) (string, func()) {
-	node := w.anyNode(from)
+func changeSettings(s *soakRun, random *randomStream) (string, func()) {
+	node := s.randomRunningNode(random)
 	if node == nil {
 		return "none", nil
 	}
@@ -129,256 +129,255 @@
 	return node.name, nil
 }
 
-// disturb draws what happens to a link.
-func (w *soakWorld) disturb(from *draws, link *proxy, replica, whose string) (string, func()) {
-	seen := w.record.hide(replica)
-	switch from.chance(5) {
+// disturb draws and injects a fault of a link.
+func (s *soakRun) disturb(random *randomStream, link *proxy, replica, description string) (string, func()) {
+	endDisturbance := s.record.beginDisturbance(replica)
+	switch random.intN(5) {
 	case 0:
-		// Those who use it notice by their own bounds.
-		whose += fmt.Sprintf(" silenced for good on %d connections", link.silence())
-		return whose, seen
+		// Its users notice by their own timeouts.
+		description += fmt.Sprintf(" silenced for good on %d connections", link.blackhole())
+		return description, endDisturbance
 	case 1:
-		link.set(proxyCut)
-		whose += " reset"
+		link.set(proxyReset)
+		description += " reset"
 	case 2:
 		link.set(proxyFreeze)
-		whose += " silenced"
+		description += " silenced"
 	case 3:
 		link.set(proxyOneWay)
-		whose += " cut one way"
+		description += " cut one way"
 	default:
 		link.delay.Store(int64(60 * time.Millisecond))
-		whose += " delayed"
+		description += " delayed"
 	}
-	return whose, func() {
+	return description, func() {
 		link.delay.Store(0)
 		link.set(proxyPass)
-		// Bytes were lost on connections that were cut one way.
+		// Connections in one-way mode have lost bytes.
 		link.resetOpen()
-		w.recordHeal()
-		seen()
+		s.recordHeal()
+		endDisturbance()
 	}
 }
 
-func disturbStoreLink(w *soakWorld, from *draws) (string, func()) {
-	node := w.nodes[from.chance(len(w.nodes))]
-	return w.disturb(from, node.storeLink, "", node.name)
+func disturbStoreLink(s *soakRun, random *randomStream) (string, func()) {
+	node := s.nodes[random.intN(len(s.nodes))]
+	return s.disturb(random, node.storeLink, "", node.name)
 }
 
-func disturbPeerLink(w *soakWorld, from *draws) (string, func()) {
-	node := w.nodes[from.chance(len(w.nodes))]
-	return w.disturb(from, node.peerLink, "", node.name)
+func disturbPeerLink(s *soakRun, random *randomStream) (string, func()) {
+	node := s.nodes[random.intN(len(s.nodes))]
+	return s.disturb(random, node.peerLink, "", node.name)
 }
 
-func disturbReplicaLink(w *soakWorld, from *draws) (string, func()) {
-	disturbed := w.anyReplica(from)
-	return w.disturb(from, disturbed.link, disturbed.id, disturbed.id)
+func disturbReplicaLink(s *soakRun, random *randomStream) (string, func()) {
+	disturbed := s.randomReplica(random)
+	return s.disturb(random, disturbed.link, disturbed.id, disturbed.id)
 }
 
-// disturbStore makes the store itself misbehave for everybody.
-func disturbStore(w *soakWorld, from *draws) (string, func()) {
+// disturbStore injects a fault of the store, for all nodes.
+func disturbStore(s *soakRun, random *randomStream) (string, func()) {
 	kinds := []struct {
 		name  string
 		fault metastore.Fault
 		share int
 	}{{"busy", metastore.Refused, 1}, {"silent", metastore.Silent, 1}, {"answers lost", metastore.Unanswered, 3}, {"writes late", metastore.Late, 3}}
-	drawn := kinds[from.chance(len(kinds))]
-	seen := w.record.hide("")
-	w.store.SetFault(func(call metastore.Call) metastore.Fault {
+	kind := kinds[random.intN(len(kinds))]
+	endDisturbance := s.record.beginDisturbance("")
+	s.store.SetFault(func(call metastore.Call) metastore.Fault {
 		isWrite := call.Verb == "create" || call.Verb == "replace" || call.Verb == "status"
-		if (drawn.share > 1 && !isWrite) || from.chance(drawn.share) != 0 {
+		if (kind.share > 1 && !isWrite) || random.intN(kind.share) != 0 {
 			return metastore.Sound
 		}
-		return drawn.fault
+		return kind.fault
 	})
-	return drawn.name, func() {
-		w.store.SetFault(nil)
-		w.store.ApplyLate()
-		seen()
+	return kind.name, func() {
+		s.store.SetFault(nil)
+		s.store.ApplyLate()
+		endDisturbance()
 	}
 }
 
 const (
-	// fastestAnswer and slowestAnswer are what a slow store takes for an answer.
-	// Nodes wait longer than that for one.
-	fastestAnswer = 300 * time.Millisecond
-	slowestAnswer = time.Second
+	// minStoreDelay and maxStoreDelay bound the delay of a slow store call. It is shorter
+	// than the nodes' timeout.
+	minStoreDelay = 300 * time.Millisecond
+	maxStoreDelay = time.Second
 )
 
-// slowCalls are the store's slow calls about jobs. It is safe for use by many
-// goroutines.
+// slowCalls holds the delayed store calls about jobs. It is safe for concurrent use.
 type slowCalls struct {
 	mutex sync.Mutex
-	// until is when the last one of a kind will be answered.
+	// until maps each kind of call, named by job instead of object, to when the last one
+	// completes.
 	until map[metastore.Call]time.Time
 }
 
-// add records a call that is answered after a time.
-func (s *slowCalls) add(call metastore.Call, takes time.Duration) {
+// add records a call that is delayed by a time.
+func (s *slowCalls) add(call metastore.Call, delay time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.until == nil {
 		s.until = map[metastore.Call]time.Time{}
 	}
-	// Names of parts are those of their jobs with a number.
+	// Stored parts of a job are named after the job, with a number.
 	call.Name = call.Name[:max(0, strings.LastIndexByte(call.Name, '-'))]
-	s.until[call] = time.Now().Add(takes)
+	s.until[call] = time.Now().Add(delay)
 }
 
-// isOn tells whether a call about a job is under way.
-func (s *slowCalls) isOn(kind, verb, job string) bool {
+// inProgress reports whether a delayed call about a job is in progress.
+func (s *slowCalls) inProgress(kind, verb, job string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return time.Now().Before(s.until[metastore.Call{Verb: verb, Kind: kind, Name: job}])
 }
 
-// slowStore has the store answer late, having carried the call out before or
-// after that time. Nobody is hidden by it.
-func slowStore(w *soakWorld, from *draws) (string, func()) {
-	further := from.span(0, longestSlow)
-	w.store.SetDelay(func(call metastore.Call) metastore.Delay {
-		takes := from.span(fastestAnswer, slowestAnswer)
-		w.slow.add(call, takes)
-		if from.chance(2) == 0 {
-			return metastore.Delay{Before: takes}
+// slowStore delays store calls, either before or after they take effect. It is not recorded
+// as a disturbance, since no call fails.
+func slowStore(s *soakRun, random *randomStream) (string, func()) {
+	extra := random.duration(0, maxExtraSlowTime)
+	s.store.SetDelay(func(call metastore.Call) metastore.Delay {
+		delay := random.duration(minStoreDelay, maxStoreDelay)
+		s.slowCalls.add(call, delay)
+		if random.intN(2) == 0 {
+			return metastore.Delay{Before: delay}
 		}
-		return metastore.Delay{After: takes}
+		return metastore.Delay{After: delay}
 	})
-	return fmt.Sprintf("%s longer", further), func() {
-		time.Sleep(further)
-		w.store.SetDelay(nil)
+	return fmt.Sprintf("%s longer", extra), func() {
+		time.Sleep(extra)
+		s.store.SetDelay(nil)
 	}
 }
 
-// longestSlow is how much longer than other faults a slow store may last.
-const longestSlow = 3 * time.Second
+// maxExtraSlowTime is how much longer than other faults a slow store may last.
+const maxExtraSlowTime = 3 * time.Second
 
-// powerLoss kills all nodes that run at once and starts them again, mostly before
-// a store that is slow at first.
-func powerLoss(w *soakWorld, from *draws) (string, func()) {
+// powerLoss kills all running nodes at once and starts them again, mostly with a store that
+// is slow at first.
+func powerLoss(s *soakRun, random *randomStream) (string, func()) {
 	var killed []*soakNode
-	for _, node := range w.nodes {
+	for _, node := range s.nodes {
 		if !node.down.Load() {
 			killed = append(killed, node)
 		}
 	}
-	isSlow, pause := from.chance(3) > 0, from.span(0, restartPause)
-	mendStore := func() {}
+	isSlow, restartAfter := random.intN(3) > 0, random.duration(0, restartDelay)
+	healStore := func() {}
 	if isSlow {
-		_, mendStore = slowStore(w, from)
+		_, healStore = slowStore(s, random)
 	}
-	w.killNodes(killed)
+	s.killNodes(killed)
 	return fmt.Sprintf("%d nodes, store slow: %v", len(killed), isSlow), func() {
-		time.Sleep(pause)
-		w.startNodes(killed)
+		time.Sleep(restartAfter)
+		s.startNodes(killed)
 		if isSlow {
-			time.Sleep(slowAfterRestart)
+			time.Sleep(slowStoreAfterRestart)
 		}
-		mendStore()
+		healStore()
 	}
 }
 
-// slowAfterRestart is for how long the store stays slow after a power loss at the
-// least: nodes need some of its answers until they read jobs.
-const slowAfterRestart = 3 * time.Second
+// slowStoreAfterRestart is how long the store stays slow after a power loss, so that it is
+// still slow when the nodes read jobs.
+const slowStoreAfterRestart = 3 * time.Second
 
-// signalSeries stops a node by signals that overlap.
-func signalSeries(w *soakWorld, from *draws) (string, func()) {
-	node := w.anyNode(from)
+// overlappingSignals terminates a node and sends further signals during its shutdown.
+func overlappingSignals(s *soakRun, random *randomStream) (string, func()) {
+	node := s.randomRunningNode(random)
 	if node == nil {
 		return "none", nil
 	}
-	further := [][]syscall.Signal{
+	signals := [][]syscall.Signal{
 		{syscall.SIGKILL}, {syscall.SIGHUP}, {syscall.SIGHUP, syscall.SIGKILL}, {syscall.SIGTERM}, {syscall.SIGSTOP, syscall.SIGCONT},
 		{syscall.SIGSTOP, syscall.SIGKILL}, {syscall.SIGHUP, syscall.SIGSTOP, syscall.SIGCONT, syscall.SIGHUP},
-	}[from.chance(7)]
+	}[random.intN(7)]
 	process, _ := node.process()
 	node.down.Store(true)
-	seen := w.record.hide("")
+	endDisturbance := s.record.beginDisturbance("")
 	_ = process.command.Process.Signal(syscall.SIGTERM)
-	for _, next := range further {
-		time.Sleep(from.span(0, longestBetween))
+	for _, next := range signals {
+		time.Sleep(random.duration(0, maxSignalInterval))
 		_ = process.command.Process.Signal(next)
 		if next == syscall.SIGCONT {
-			w.recordHeal()
+			s.recordHeal()
 		}
 	}
-	return fmt.Sprintf("%s terminated, then %v", node.name, further), func() {
+	return fmt.Sprintf("%s terminated, then %v", node.name, signals), func() {
 		<-process.exited
-		seen()
-		w.restarts.Add(1)
-		w.keepLog(node, process)
-		w.startNode(node)
+		endDisturbance()
+		s.restarts.Add(1)
+		s.keepLog(node, process)
+		s.startNode(node)
 	}
 }
 
-// longestBetween is the time between signals of a series at most: a planned stop
-// takes about as long.
-const longestBetween = 1500 * time.Millisecond
+// maxSignalInterval bounds the time between signals; a graceful shutdown takes about as
+// long.
+const maxSignalInterval = 1500 * time.Millisecond
 
-func forgetHistory(w *soakWorld, from *draws) (string, func()) {
-	w.store.Forget()
+func compactStoreHistory(s *soakRun, random *randomStream) (string, func()) {
+	s.store.Forget()
 	return "", nil
 }
 
-func spoilReplica(w *soakWorld, from *draws) (string, func()) {
-	spoiled := w.anyReplica(from)
-	spoiled.server.SetFaults(replica.Faults{CutEvery: 3, SurplusEvery: 4, WrongIDEvery: 5})
-	return spoiled.id, func() { spoiled.server.SetFaults(replica.Faults{}) }
+func corruptReplica(s *soakRun, random *randomStream) (string, func()) {
+	corrupted := s.randomReplica(random)
+	corrupted.server.SetFaults(replica.Faults{CutEvery: 3, SurplusEvery: 4, WrongIDEvery: 5})
+	return corrupted.id, func() { corrupted.server.SetFaults(replica.Faults{}) }
 }
 
-// crashReplica ends a replica; its entry lapses later and another one comes.
-func crashReplica(w *soakWorld, from *draws) (string, func()) {
-	crashed := w.anyReplica(from)
-	w.retire(crashed)
+// crashReplica ends a replica. Later its entry is removed and another replica starts.
+func crashReplica(s *soakRun, random *randomStream) (string, func()) {
+	crashed := s.randomReplica(random)
+	s.removeReplica(crashed)
 	crashed.server.Close()
-	crashed.link.set(proxyCut)
+	crashed.link.set(proxyReset)
 	return crashed.id, func() {
-		w.store.Remove("servers", crashed.id)
-		w.addReplica(crashed.service)
+		s.store.Remove("servers", crashed.id)
+		s.addReplica(crashed.service)
 	}
 }
 
-// drainReplica has a replica say that it leaves; another one comes first.
-func drainReplica(w *soakWorld, from *draws) (string, func()) {
-	leaving := w.anyReplica(from)
-	w.addReplica(leaving.service)
-	w.store.Write("servers", leaving.id, leaving.entry("draining"))
-	w.mutex.Lock()
-	leaving.drainedAt = time.Now()
-	w.mutex.Unlock()
-	return leaving.id, func() {
-		time.Sleep(drainServes)
-		w.store.Remove("servers", leaving.id)
-		leaving.server.Close()
-		w.retire(leaving)
+// drainReplica marks a replica as draining after starting another one.
+func drainReplica(s *soakRun, random *randomStream) (string, func()) {
+	draining := s.randomReplica(random)
+	s.addReplica(draining.service)
+	s.store.Write("servers", draining.id, draining.entry("draining"))
+	s.mutex.Lock()
+	draining.drainedAt = time.Now()
+	s.mutex.Unlock()
+	return draining.id, func() {
+		time.Sleep(serveAfterDrain)
+		s.store.Remove("servers", draining.id)
+		draining.server.Close()
+		s.removeReplica(draining)
 	}
 }
 
-// drainServes is how much longer a leaving replica serves after the time that
-// the fault lasts.
-const drainServes = 2500 * time.Millisecond
-
-// vanishReplica takes a living replica's entry away for a while.
-func vanishReplica(w *soakWorld, from *draws) (string, func()) {
-	vanished := w.anyReplica(from)
-	w.store.Remove("servers", vanished.id)
-	return vanished.id, func() {
-		w.mutex.Lock()
-		defer w.mutex.Unlock()
-		for _, candidate := range w.replicas {
-			if candidate == vanished && vanished.drainedAt.IsZero() {
-				w.store.Write("servers", vanished.id, vanished.entry("ready"))
+// serveAfterDrain is how long a draining replica still serves after the duration of the fault.
+const serveAfterDrain = 2500 * time.Millisecond
+
+// hideReplicaEntry removes the entry of a running replica for a while.
+func hideReplicaEntry(s *soakRun, random *randomStream) (string, func()) {
+	hidden := s.randomReplica(random)
+	s.store.Remove("servers", hidden.id)
+	return hidden.id, func() {
+		s.mutex.Lock()
+		defer s.mutex.Unlock()
+		for _, candidate := range s.replicas {
+			if candidate == hidden && hidden.drainedAt.IsZero() {
+				s.store.Write("servers", hidden.id, hidden.entry("ready"))
 			}
 		}
 	}
 }
 
-// changeConfiguration writes several versions in quick succession.
-func changeConfiguration(w *soakWorld, from *draws) (string, func()) {
-	count := 1 + from.chance(6)
+// changeConfiguration writes several configuration versions in quick succession.
+func changeConfiguration(s *soakRun, random *randomStream) (string, func()) {
+	count := 1 + random.intN(6)
 	for range count {
-		w.configure()
+		s.configure()
 		time.Sleep(60 * time.Millisecond)
 	}
 	return fmt.Sprint(count), nil
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -20,31 +20,30 @@
 	soakLogs = flag.String("soak.logs", "", "folder for the logs of runs that failed")
 )
 
-// soakSeeds are run each time. A seed draws the same faults and jobs in each run; what
-// they strike depends on the machine, so a seed that has failed may well pass.
+// soakSeeds are the seeds of every test run. A seed always draws the same faults and jobs,
+// but their effects depend on timing, so a seed that has failed may pass.
 var soakSeeds = []uint64{
-	// Many kinds of faults close together.
+	// Many kinds of faults in quick succession.
 	114277,
-	// Results that had been read were gone: an append that the end of its job cut off.
+	// Loss of results that had been read: an append interrupted by the end of its job.
 	1,
-	// The same, and items that reached replicas after the end of their job.
+	// The same, and items that reach replicas after the end of their job.
 	24,
 }
 
 const (
-	// faultyTime is for how long faults come in one run.
-	faultyTime = 18 * time.Second
-	// calmTime is for how long everything is left alone after the last fault.
-	calmTime = 6 * time.Second
-	// drainBound is within which a leaving replica gets its last request, and
-	// configurationBound within which a configuration is in force.
+	// faultPhase is how long faults are injected in one run.
+	faultPhase = 18 * time.Second
+	// recoveryTime is the time without faults before the bounds of recovery are checked.
+	recoveryTime = 6 * time.Second
+	// drainBound is the time within which a draining replica receives its last request, and
+	// configurationBound the time within which all nodes apply a configuration.
 	drainBound         = 2 * time.Second
 	configurationBound = 2 * time.Second
 )
 
-// TestSoak runs the node program in separate processes and injects faults from
-// outside them, drawn from a seed, while it watches what callers, trainers and
-// replicas see.
+// TestSoak runs node processes under faults drawn from a seed and checks what callers,
+// trainers and replicas see.
 func TestSoak(t *testing.T) {
 	if *soakSeed != 0 {
 		soak(t, *soakSeed)
@@ -59,231 +58,233 @@
 	}
 }
 
-// seedOfQuarantine is that of a run in which a request under which three replicas had ended
-// ran once more after all nodes had lost power.
-const seedOfQuarantine = 795716164
+// quarantineSeed draws faults that kill all nodes after a request has crashed maxCrashes
+// replicas.
+const quarantineSeed = 795716164
 
-// TestSoakOfQuarantineAfterPowerLoss is a run of TestSoak for itself, since it fails now
-// and then (KNOWN-RED.txt).
+// A quarantined request must not run again after all nodes were killed. This seed is a test
+// of its own since it sometimes fails (KNOWN-RED.txt).
 func TestSoakOfQuarantineAfterPowerLoss(t *testing.T) {
-	soak(t, seedOfQuarantine)
+	soak(t, quarantineSeed)
 }
 
-// soak makes one run.
+// soak runs one seed.
 func soak(t *testing.T, seed uint64) {
-	w := newSoakWorld(t, seed)
+	s := newSoakRun(t, seed)
 	for number := range soakCallers {
-		w.run(func() { w.callers(number) })
+		s.startTask(func() { s.runCaller(number) })
 	}
 	for number := range soakTrainers {
-		w.run(func() { w.trainer(number) })
+		s.startTask(func() { s.runTrainer(number) })
 	}
 	for number := range soakReaders {
-		w.run(func() { w.reader(number) })
+		s.startTask(func() { s.runReader(number) })
 	}
-	w.run(w.replicaHeartbeats)
-	w.run(w.replaceEnded)
-	w.run(w.crashers)
-	for _, node := range w.nodes {
-		w.run(func() { w.versionProber(node) })
+	s.startTask(s.refreshEngineEntries)
+	s.startTask(s.replaceCrashed)
+	s.startTask(s.sendCrashingRequests)
+	for _, node := range s.nodes {
+		s.startTask(func() { s.probeConfigVersion(node) })
 	}
-	w.injectFaults()
-	w.calm()
-	w.checkCrashing()
-	w.closing()
-	close(w.ended)
-	w.duties.Wait()
-	w.readPastOwners()
-	w.readAllBack()
-	w.restartAll()
-	w.readAllBack()
-	w.checkQuarantined("after a new start of all nodes")
-	w.judge()
-	w.report()
+	s.injectFaults()
+	s.checkRecovery()
+	s.checkCrashing()
+	s.runFinalFault()
+	close(s.done)
+	s.tasks.Wait()
+	s.readWithoutOwners()
+	s.verifyAllResults()
+	s.restartAllNodes()
+	s.verifyAllResults()
+	s.checkQuarantined("after a new start of all nodes")
+	s.checkReplicas()
+	s.report()
 }
 
-// injectFaults begins faults one after the other, at times two at once.
-func (w *soakWorld) injectFaults() {
-	var open sync.WaitGroup
+// injectFaults injects one fault after the other, some of which overlap.
+func (s *soakRun) injectFaults() {
+	var active sync.WaitGroup
 	began := time.Now()
-	for number := 0; time.Since(began) < faultyTime; number++ {
-		fault := drawFault(w.seed, number)
-		from := time.Now()
-		what, mend := fault.inject(w, fault.draws)
-		w.record.addFault(fmt.Sprintf("%s from %s: %s, %s", fault.name, clockTime(from), what, fault.lasts))
-		if mend != nil {
-			open.Go(func() {
-				time.Sleep(fault.lasts)
-				mend()
-				w.record.addFault(fmt.Sprintf("%s mended: %s", fault.name, what))
+	for number := 0; time.Since(began) < faultPhase; number++ {
+		fault := drawFault(s.seed, number)
+		started := time.Now()
+		description, heal := fault.inject(s, fault.random)
+		s.record.addFault(fmt.Sprintf("%s from %s: %s, %s", fault.name, formatTime(started), description, fault.duration))
+		if heal != nil {
+			active.Go(func() {
+				time.Sleep(fault.duration)
+				heal()
+				s.record.addFault(fmt.Sprintf("%s mended: %s", fault.name, description))
 			})
 		}
-		if fault.alone {
-			open.Wait()
+		if fault.exclusive {
+			active.Wait()
 		} else {
-			time.Sleep(fault.lasts / 2)
+			time.Sleep(fault.duration / 2)
 		}
 	}
-	open.Wait()
+	active.Wait()
 }
 
-// calm lets the deployment recover and checks the bounds that hold then: a
-// configuration comes into force and a leaving replica gets no more work.
-func (w *soakWorld) calm() {
-	w.isCalm.Store(true)
-	for _, node := range w.nodes {
-		w.awaitReady(node)
+// checkRecovery lets the deployment recover and checks the bounds that hold without faults:
+// nodes apply a new configuration, and draining replicas and evacuated zones receive no more
+// requests.
+func (s *soakRun) checkRecovery() {
+	s.faultsEnded.Store(true)
+	for _, node := range s.nodes {
+		s.awaitReady(node)
 	}
-	time.Sleep(calmTime)
-	w.configure()
-	leaving := w.ofService("apps")[0]
-	w.addReplica("apps")
-	w.store.Write("servers", leaving.id, leaving.entry("draining"))
+	time.Sleep(recoveryTime)
+	s.configure()
+	draining := s.ofService("apps")[0]
+	s.addReplica("apps")
+	s.store.Write("servers", draining.id, draining.entry("draining"))
 	drainedAt := time.Now()
-	w.mutex.Lock()
-	leaving.drainedAt = drainedAt
-	w.mutex.Unlock()
+	s.mutex.Lock()
+	draining.drainedAt = drainedAt
+	s.mutex.Unlock()
 	time.Sleep(configurationBound)
-	version, _ := w.newestVersion()
-	for _, node := range w.nodes {
+	version, _ := s.newestConfigVersion()
+	for _, node := range s.nodes {
 		id := fmt.Sprintf("force.%s", node.name)
 		request := &soakRequest{id: id, target: versionPath(version) + "x", body: "probe"}
-		w.record.sent(request)
-		answer, err := w.call(node, http.MethodPost, liveHost, request.target, id, []byte(request.body), nil)
-		w.recordEnd(request, answer, err)
-		if err != nil || answer.status != http.StatusOK {
-			w.record.fail("CONFIG", "%s answers %d on the newest route after the bound, %v", node.name, answer.status, err)
+		s.record.recordRequest(request)
+		response, err := s.call(node, http.MethodPost, liveHost, request.target, id, []byte(request.body), nil)
+		s.recordEnd(request, response, err)
+		if err != nil || response.status != http.StatusOK {
+			s.record.fail("CONFIG", "%s responds with %d on the route of the newest configuration after the bound, %v", node.name, response.status, err)
 		}
 	}
 	time.Sleep(time.Second)
-	w.record.checkDrained(leaving.id, drainedAt, drainBound, leaving.server.Runs())
-	w.evacuate()
+	s.record.checkDrained(draining.id, drainedAt, drainBound, draining.server.Runs())
+	s.evacuate()
 }
 
 const (
-	// closingTime is for how long the closing fault lasts at the least, and
-	// closingCalm for how long the load goes on behind it: the bound of an end and
-	// a second.
-	closingTime = 2 * time.Second
-	closingCalm = endBound + time.Second
+	// finalFaultDuration is the minimum duration of the final fault, and finalRecoveryTime
+	// how long the load continues after it, longer than cancelBound.
+	finalFaultDuration = 2 * time.Second
+	finalRecoveryTime  = cancelBound + time.Second
 )
 
-// closing injects the fault that some runs have shortly before their load ends.
-func (w *soakWorld) closing() {
-	shape := shapeOf(w.seed)
-	if shape.closing == nil {
+// runFinalFault injects the final fault of the run, if it has one, shortly before the load
+// ends.
+func (s *soakRun) runFinalFault() {
+	spec := drawSpec(s.seed)
+	if spec.finalFault == nil {
 		return
 	}
-	what, mend := shape.closing(w, shape.draws)
-	w.record.addFault("closing fault: " + what)
-	time.Sleep(closingTime)
-	mend()
-	w.record.addFault("closing fault mended: " + what)
-	for _, node := range w.nodes {
-		w.awaitReady(node)
+	description, heal := spec.finalFault(s, spec.random)
+	s.record.addFault("closing fault: " + description)
+	time.Sleep(finalFaultDuration)
+	heal()
+	s.record.addFault("closing fault mended: " + description)
+	for _, node := range s.nodes {
+		s.awaitReady(node)
 	}
-	time.Sleep(closingCalm)
+	time.Sleep(finalRecoveryTime)
 }
 
-// judge checks what can be checked once all is quiet.
-func (w *soakWorld) judge() {
+// checkReplicas checks the runs and weight orders of all replicas after the load has ended.
+func (s *soakRun) checkReplicas() {
 	var runs []replica.Run
 	owners := map[uint64]string{}
-	for _, seen := range w.everyReplica() {
-		runs = append(runs, seen.server.Runs()...)
-		w.record.checkOrders(seen.id, seen.server.Orders(), w.heals, owners)
-		w.record.checkEnded(seen.id, seen.server.Runs())
+	for _, candidate := range s.allReplicas() {
+		runs = append(runs, candidate.server.Runs()...)
+		s.record.checkOrders(candidate.id, candidate.server.Orders(), s.heals, owners)
+		s.record.checkEnded(candidate.id, candidate.server.Runs())
 	}
-	w.record.checkRuns(runs)
-	w.record.checkRefused(runs)
-	if ends := w.record.ends(); w.record.served == 0 || w.record.steps == 0 || ends == 0 || len(runs) == 0 {
-		w.record.fail("TEST", "%d requests served, %d steps, %d ends, %d runs: this run shows nothing", w.record.served, w.record.steps, ends, len(runs))
+	s.record.checkRuns(runs)
+	s.record.checkRefused(runs)
+	if endedJobs := s.record.endedJobCount(); s.record.served == 0 || s.record.steps == 0 || endedJobs == 0 || len(runs) == 0 {
+		s.record.fail("TEST", "%d requests served, %d complete steps, %d ended jobs, %d runs: want some of each, or the run proves nothing", s.record.served, s.record.steps, endedJobs, len(runs))
 	}
 }
 
 const (
-	// readsAtOnce is how many jobs are read at a time once the load has ended.
-	readsAtOnce = 40
-	// pastOwners is how many of the newest jobs are read past their owners: so
-	// many fit into one pause.
-	pastOwners = 80
+	// concurrentReads is how many jobs are read at a time after the load has ended.
+	concurrentReads = 40
+	// jobsReadWithoutOwners is how many of the newest jobs are read while their owners are
+	// paused. It bounds the length of the pause.
+	jobsReadWithoutOwners = 80
 )
 
-// forJobs does something for several jobs at a time.
-func forJobs(jobs []*soakJob, do func(*soakJob)) {
+// forEachJob calls do for each job, for up to concurrentReads jobs at a time.
+func forEachJob(jobs []*soakJob, do func(*soakJob)) {
 	var all sync.WaitGroup
-	free := make(chan struct{}, readsAtOnce)
+	slots := make(chan struct{}, concurrentReads)
 	for _, job := range jobs {
-		free <- struct{}{}
+		slots <- struct{}{}
 		all.Go(func() {
 			do(job)
-			<-free
+			<-slots
 		})
 	}
 	all.Wait()
 }
 
-// readPastOwners pauses one half of the nodes after the other and reads at the
-// rest what the store has of the newest jobs.
-func (w *soakWorld) readPastOwners() {
-	jobs := w.record.accepted()
-	jobs = jobs[max(0, len(jobs)-pastOwners):]
-	half := len(w.nodes) / 2
-	for _, paused := range [][]*soakNode{w.nodes[:half], w.nodes[half:]} {
-		var wakes []func()
+// readWithoutOwners pauses each half of the nodes in turn and reads the newest jobs at a node
+// of the other half, which has them from the store where their owners are paused.
+func (s *soakRun) readWithoutOwners() {
+	jobs := s.record.acceptedJobs()
+	jobs = jobs[max(0, len(jobs)-jobsReadWithoutOwners):]
+	half := len(s.nodes) / 2
+	for _, paused := range [][]*soakNode{s.nodes[:half], s.nodes[half:]} {
+		var resumes []func()
 		for _, node := range paused {
-			wakes = append(wakes, w.pauseProcess(node))
+			resumes = append(resumes, s.pauseProcess(node))
 		}
-		reader := w.nodes[half]
+		reader := s.nodes[half]
 		if paused[0] == reader {
-			reader = w.nodes[0]
+			reader = s.nodes[0]
 		}
-		forJobs(jobs, func(job *soakJob) { w.readOn(reader, job) })
-		for _, wake := range wakes {
-			wake()
+		forEachJob(jobs, func(job *soakJob) { s.readRemaining(reader, job) })
+		for _, resume := range resumes {
+			resume()
 		}
 		for _, node := range paused {
-			w.awaitReady(node)
+			s.awaitReady(node)
 		}
 	}
 }
 
-// readOn reads what a node has behind the results that are known.
-func (w *soakWorld) readOn(node *soakNode, job *soakJob) {
+// readRemaining reads the results that a node has after those read before.
+func (s *soakRun) readRemaining(node *soakNode, job *soakJob) {
 	for range job.items {
-		known := w.record.known(job)
-		answer, err := w.page(node, job, known)
-		if err != nil || answer.status != http.StatusOK || w.record.known(job) == known {
+		known := s.record.resultCount(job)
+		response, err := s.page(node, job, known)
+		if err != nil || response.status != http.StatusOK || s.record.resultCount(job) == known {
 			return
 		}
 	}
 }
 
-// restartAll ends all nodes at once and starts them again, so that they have the
-// store alone to answer from.
-func (w *soakWorld) restartAll() {
-	w.killNodes(w.nodes)
-	w.startNodes(w.nodes)
-	for _, node := range w.nodes {
-		w.awaitReady(node)
+// restartAllNodes kills all nodes at once and starts them again, so that they can serve
+// results from the store only.
+func (s *soakRun) restartAllNodes() {
+	s.killNodes(s.nodes)
+	s.startNodes(s.nodes)
+	for _, node := range s.nodes {
+		s.awaitReady(node)
 	}
 }
 
-func (w *soakWorld) readAllBack() { forJobs(w.record.accepted(), w.readBack) }
+func (s *soakRun) verifyAllResults() { forEachJob(s.record.acceptedJobs(), s.verifyResults) }
 
-// readBack reads a job from the start at every node: what was read stands.
-func (w *soakWorld) readBack(job *soakJob) {
-	known := w.record.known(job)
-	for _, node := range w.nodes {
+// verifyResults reads a job from the start at every node and checks that no result has
+// changed or is gone.
+func (s *soakRun) verifyResults(job *soakJob) {
+	known := s.record.resultCount(job)
+	for _, node := range s.nodes {
 		for position := 0; position < known; {
-			answer, err := w.page(node, job, position)
-			if err != nil || answer.status != http.StatusOK {
-				w.record.fail("LOST", "job %s cannot be read at %s: status %d, %v", job.id, node.name, answer.status, err)
+			response, err := s.page(node, job, position)
+			if err != nil || response.status != http.StatusOK {
+				s.record.fail("LOST", "read job %s at %s: status %d, %v", job.id, node.name, response.status, err)
 				break
 			}
-			read := strings.Count(answer.body, `"state"`)
+			read := strings.Count(response.body, `"state"`)
 			if read == 0 {
-				// That is a finding of the page's check.
+				// checkPage has recorded a finding.
 				break
 			}
 			position += read
@@ -291,28 +292,29 @@
 	}
 }
 
-// report fails the test with all findings and keeps the logs.
-func (w *soakWorld) report() {
-	for _, node := range w.nodes {
+// report fails the test if there are findings, prints them and the faults, and writes the
+// logs to the folder of -soak.logs.
+func (s *soakRun) report() {
+	for _, node := range s.nodes {
 		process, _ := node.process()
-		w.keepLog(node, process)
+		s.keepLog(node, process)
 	}
-	w.t.Logf("seed %d: %d nodes, %d requests served, %d steps, %d jobs, %d ended at a restart, %d in an append, %d in a reading, %d faults", w.seed, len(w.nodes), w.record.served,
-		w.record.steps, len(w.record.jobs), w.record.met[endAtRestart], w.record.met[endInAppend], w.record.met[endInReading], len(w.record.faults))
-	if len(w.record.findings) == 0 {
+	s.t.Logf("seed %d: %d nodes, %d requests served, %d steps, %d jobs, %d ended at a restart, %d in an append, %d in a reading, %d faults", s.seed, len(s.nodes), s.record.served,
+		s.record.steps, len(s.record.jobs), s.record.triggered[endAfterRestart], s.record.triggered[endDuringAppend], s.record.triggered[endDuringPayloadRead], len(s.record.faults))
+	if len(s.record.findings) == 0 {
 		return
 	}
-	for _, finding := range w.record.findings {
-		w.t.Errorf("seed %d: %s: %s", w.seed, finding.rule, finding.what)
+	for _, finding := range s.record.findings {
+		s.t.Errorf("seed %d: %s: %s", s.seed, finding.rule, finding.text)
 	}
-	w.t.Logf("faults of seed %d:\n%s", w.seed, strings.Join(w.record.faults, "\n"))
+	s.t.Logf("faults of seed %d:\n%s", s.seed, strings.Join(s.record.faults, "\n"))
 	if *soakLogs == "" {
 		return
 	}
-	for name, log := range w.record.logs {
-		path := filepath.Join(*soakLogs, fmt.Sprintf("seed-%d-%s.log", w.seed, name))
+	for name, log := range s.record.logs {
+		path := filepath.Join(*soakLogs, fmt.Sprintf("seed-%d-%s.log", s.seed, name))
 		if err := os.WriteFile(path, log, 0o600); err != nil {
-			w.t.Error(err)
+			s.t.Error(err)
 		}
 	}
 }
