--- a/internal/callers/admission/gate.go
+++ b/internal/callers/admission/gate.go
@@ -66,8 +66,8 @@
 }
 
 // Enter admits a request, if necessary after it has waited in the queue, or refuses it with a
-// *RefusedError. A higher priority number is admitted first. After Enter succeeds, Leave must
-// be called exactly once. The wait ends when the context does.
+// *RefusedError. Requests with a higher priority number are admitted first. After Enter
+// succeeds, Leave must be called exactly once. The wait ends when the context does.
 func (g *Gate) Enter(ctx context.Context, priority int) error {
 	now := time.Now()
 	if reservation := g.limiter.ReserveN(now, 1); reservation.DelayFrom(now) > 0 {
--- a/internal/callers/ingress/authenticate_test.go
+++ b/internal/callers/ingress/authenticate_test.go
@@ -34,7 +34,7 @@
 		public        bool
 		age, maxAge   time.Duration
 		tenant        string
-		reason        error
+		wantErr       error
 		forwarded     string
 	}{
 		{"known", declared, "known", false, 0, 0, "one", nil, ""},
@@ -55,7 +55,7 @@
 			header.Set(testKeyHeader, test.key)
 		}
 		tenant, err := handler.authenticate(test.configuration, header, test.public)
-		if tenant != test.tenant || !errors.Is(err, test.reason) {
+		if tenant != test.tenant || !errors.Is(err, test.wantErr) {
 			t.Errorf("%s: got tenant %q, error %v", test.name, tenant, err)
 		}
 		if got := header.Get(testKeyHeader); got != test.forwarded {
--- a/internal/callers/ingress/body.go
+++ b/internal/callers/ingress/body.go
@@ -13,21 +13,22 @@
 	ErrBodyTooLarge = merry.Sentinel("body is over the limit")
 	// ErrBodyIncomplete means that the caller did not send the whole body.
 	ErrBodyIncomplete = merry.Sentinel("request body is incomplete")
-	// ErrBodyBudgetExhausted means that the bodies in progress use the whole memory budget for bodies.
+	// ErrBodyBudgetExhausted means that the bodies in progress leave too little of the memory
+	// budget for bodies.
 	ErrBodyBudgetExhausted = merry.Sentinel("no room for the body")
 )
 
-// minBodyGrowthBytes is the initial size of a body's buffer and the smallest step by which
-// it grows. Memory is reserved as data arrives, so that a large Content-Length alone
-// reserves none.
+// minBodyGrowthBytes is the initial size of a body's buffer and the smallest step by which it
+// grows; both are smaller if Content-Length is. Memory is reserved as data arrives, so a caller
+// cannot reserve more than this by a large Content-Length alone.
 const minBodyGrowthBytes = 16 << 10
 
 // bodyReader reads request bodies within a limit for each body and a budget for all.
 type bodyReader struct{ budget budget }
 
 // read reads a whole body of at most limit bytes; 0 means no limit. The caller must call
-// release, also after an error. The error is ErrBodyTooLarge,
-// ErrBodyBudgetExhausted or ErrBodyIncomplete.
+// release, also after an error. The error is ErrBodyTooLarge, ErrBodyBudgetExhausted or
+// ErrBodyIncomplete.
 func (r *bodyReader) read(request *http.Request, limit int64) (body []byte, release func(), err error) {
 	reserved := int64(0)
 	release = func() { r.budget.release(reserved) }
--- a/internal/callers/ingress/config.go
+++ b/internal/callers/ingress/config.go
@@ -20,10 +20,10 @@
 	// ConfigurationAge returns the time since the configuration was last confirmed to be
 	// the newest.
 	ConfigurationAge func() time.Duration
-	// MaxConfigurationAge returns the configuration age beyond which no API key is accepted; 0 means
-	// no limit.
+	// MaxConfigurationAge returns the configuration age beyond which no API key is accepted;
+	// 0 means no limit.
 	MaxConfigurationAge func() time.Duration
-	// MaxTotalBodyBytes limits the total size of the bodies of all requests in progress; 0 means
-	// no limit.
+	// MaxTotalBodyBytes limits the total size of the bodies of all requests in progress; 0
+	// means no limit.
 	MaxTotalBodyBytes int64
 }
--- a/internal/callers/ingress/handler.go
+++ b/internal/callers/ingress/handler.go
@@ -11,8 +11,7 @@
 
 const (
 	// deadlineMargin is subtracted from the caller's timeout to leave time for sending the
-	// response. If the timeout is so short that less than 1/marginDivisor of it would remain,
-	// that part is used instead.
+	// response, but at least 1/marginDivisor of the timeout remains.
 	deadlineMargin = 15 * time.Millisecond
 	marginDivisor  = 2
 	// defaultTimeout applies to a request if neither the caller nor the route sets a timeout.
--- a/internal/callers/ingress/jobs.go
+++ b/internal/callers/ingress/jobs.go
@@ -13,7 +13,7 @@
 	// ServeJobRequest serves such a request. An empty tenant has access to any job.
 	ServeJobRequest(writer http.ResponseWriter, request *http.Request, tenant string)
 	// Submit accepts or refuses a new batch job and writes the response.
-	Submit(writer http.ResponseWriter, request *http.Request, submitted Submission)
+	Submit(writer http.ResponseWriter, request *http.Request, submission Submission)
 }
 
 // Submission is a new batch job as received from a caller.
--- a/internal/callers/tenancy/table.go
+++ b/internal/callers/tenancy/table.go
@@ -21,46 +21,46 @@
 // declarations. A key that several tenants declare identifies none of them.
 func NewTable(declared []Declaration) (*Table, []*DeclarationError) {
 	table := &Table{byKey: make(map[digest]*Tenant, len(declared)), byName: make(map[string]*Tenant, len(declared))}
-	var findings []*DeclarationError
+	var errs []*DeclarationError
 	shared := map[digest]bool{}
 	for _, declaration := range declared {
 		if declaration.Name == "" {
-			findings = append(findings, &DeclarationError{Problem: problemNoName})
+			errs = append(errs, &DeclarationError{Problem: problemNoName})
 			continue
 		}
 		tenant := table.byName[declaration.Name]
 		if tenant != nil {
-			findings = append(findings, &DeclarationError{Tenant: declaration.Name, Problem: problemDuplicate})
+			errs = append(errs, &DeclarationError{Tenant: declaration.Name, Problem: problemDuplicate})
 		} else {
 			tenant = &Tenant{Name: declaration.Name, Priority: declaration.Priority, AllowedRegions: declaration.AllowedRegions}
 			table.byName[declaration.Name] = tenant
 			table.restrictsRegions = table.restrictsRegions || len(declaration.AllowedRegions) > 0
 		}
-		findings = append(findings, table.addKeys(tenant, declaration.Keys, shared)...)
+		errs = append(errs, table.addKeys(tenant, declaration.Keys, shared)...)
 	}
 	for key := range shared {
 		delete(table.byKey, key)
 	}
-	return table, findings
+	return table, errs
 }
 
 // addKeys adds a tenant's keys, and adds to shared those that another tenant declares too.
 func (t *Table) addKeys(tenant *Tenant, keys []Key, shared map[digest]bool) []*DeclarationError {
-	var findings []*DeclarationError
+	var errs []*DeclarationError
 	for _, key := range keys {
 		if len(key) == 0 || len(key) > MaxKeyBytes {
-			findings = append(findings, &DeclarationError{Tenant: tenant.Name, Problem: problemMalformed})
+			errs = append(errs, &DeclarationError{Tenant: tenant.Name, Problem: problemMalformed})
 			continue
 		}
 		keyDigest := digestOf(key)
 		if holder := t.byKey[keyDigest]; holder != nil && holder != tenant {
 			shared[keyDigest] = true
-			findings = append(findings, &DeclarationError{Tenant: tenant.Name, Problem: problemSharedKey})
+			errs = append(errs, &DeclarationError{Tenant: tenant.Name, Problem: problemSharedKey})
 			continue
 		}
 		t.byKey[keyDigest] = tenant
 	}
-	return findings
+	return errs
 }
 
 // Lookup returns the tenant that a key identifies, or nil.
--- a/internal/callers/tenancy/table_test.go
+++ b/internal/callers/tenancy/table_test.go
@@ -13,13 +13,13 @@
 func priority(value int) *int { return &value }
 
 func TestTableLookup(t *testing.T) {
-	table, findings := NewTable([]Declaration{
+	table, errs := NewTable([]Declaration{
 		{Tenant: Tenant{Name: "one", Priority: priority(0)}, Keys: []Key{"a", "b"}},
 		{Tenant: Tenant{Name: "two"}, Keys: []Key{"c"}},
 		{Tenant: Tenant{Name: "none"}},
 	})
-	if len(findings) != 0 {
-		t.Fatalf("findings %v", findings)
+	if len(errs) != 0 {
+		t.Fatalf("got errors %v", errs)
 	}
 	for key, want := range map[Key]string{"a": "one", "b": "one", "c": "two"} {
 		if tenant := table.Lookup(key); tenant == nil || tenant.Name != want {
@@ -57,12 +57,12 @@
 		{"shared key", []Declaration{{Tenant: Tenant{Name: "one"}, Keys: []Key{secret}}, {Tenant: Tenant{Name: "two"}, Keys: []Key{secret}}}, problemSharedKey, ""},
 		{"declared twice", []Declaration{{Tenant: Tenant{Name: "one"}, Keys: []Key{"x"}}, {Tenant: Tenant{Name: "one"}, Keys: []Key{secret}}}, problemDuplicate, "one"},
 	} {
-		table, findings := NewTable(test.declared)
-		if len(findings) != 1 || findings[0].Problem != test.problem {
-			t.Errorf("%s: got findings %v", test.name, findings)
+		table, errs := NewTable(test.declared)
+		if len(errs) != 1 || errs[0].Problem != test.problem {
+			t.Errorf("%s: got errors %v", test.name, errs)
 		}
-		if strings.Contains(fmt.Sprint(findings), secret) {
-			t.Errorf("%s: a finding contains the key", test.name)
+		if strings.Contains(fmt.Sprint(errs), secret) {
+			t.Errorf("%s: an error contains the key", test.name)
 		}
 		holder := ""
 		if tenant := table.Lookup(secret); tenant != nil {
@@ -80,9 +80,9 @@
 	for _, name := range []string{"one", "two", "three"} {
 		declared = append(declared, Declaration{Tenant: Tenant{Name: name}, Keys: []Key{"k"}})
 	}
-	table, findings := NewTable(declared)
-	if tenant := table.Lookup("k"); tenant != nil || len(findings) != 2 {
-		t.Errorf("the key identifies %v, findings %v", tenant, findings)
+	table, errs := NewTable(declared)
+	if tenant := table.Lookup("k"); tenant != nil || len(errs) != 2 {
+		t.Errorf("the key identifies %v, errors %v", tenant, errs)
 	}
 }
 
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -19,37 +19,37 @@
 
 // Check returns an error for each invalid setting.
 func (s *Settings) Check() Errors {
-	findings := s.checkNames()
+	errs := s.checkNames()
 	if s.ObjectStore != "" && s.Platform != "" {
-		findings = append(findings, &Error{Setting: "platform", Found: s.Platform, Allowed: "nothing where objectStore is given"})
+		errs = append(errs, &Error{Setting: "platform", Found: s.Platform, Allowed: "nothing where objectStore is given"})
 	}
-	findings = append(findings, s.checkAddresses()...)
-	findings = append(findings, s.checkDurations()...)
-	findings = append(findings, s.checkNumbers()...)
+	errs = append(errs, s.checkAddresses()...)
+	errs = append(errs, s.checkDurations()...)
+	errs = append(errs, s.checkNumbers()...)
 	if s.Grace < 0 {
-		findings = append(findings, &Error{Setting: "grace", Found: s.Grace.Std().String(), Allowed: allowedDuration})
+		errs = append(errs, &Error{Setting: "grace", Found: s.Grace.Std().String(), Allowed: allowedDuration})
 	}
-	return findings
+	return errs
 }
 
 func (s *Settings) checkNames() Errors {
-	var findings Errors
+	var errs Errors
 	for _, name := range []namedValue{{"node", s.Node}, {"zone", s.Zone}, {"region", s.Region}} {
 		if !namePattern.MatchString(name.value) {
-			findings = append(findings, &Error{Setting: name.setting, Found: name.value, Allowed: "1 to 64 lower-case letters, digits, dots and dashes"})
+			errs = append(errs, &Error{Setting: name.setting, Found: name.value, Allowed: "1 to 64 lower-case letters, digits, dots and dashes"})
 		}
 	}
-	return findings
+	return errs
 }
 
 func (s *Settings) checkAddresses() Errors {
-	var findings Errors
+	var errs Errors
 	for _, address := range append(s.requiredAddresses(), s.optionalAddresses()...) {
 		if _, err := netip.ParseAddrPort(address.value); err != nil {
-			findings = append(findings, &Error{Setting: address.setting, Found: address.value, Allowed: "an IP address and a port, such as 127.0.0.1:7001"})
+			errs = append(errs, &Error{Setting: address.setting, Found: address.value, Allowed: "an IP address and a port, such as 127.0.0.1:7001"})
 		}
 	}
-	return findings
+	return errs
 }
 
 // requiredAddresses returns the addresses that must be set for this kind of node.
@@ -82,7 +82,7 @@
 }
 
 func (s *Settings) checkDurations() Errors {
-	var findings Errors
+	var errs Errors
 	for _, duration := range []struct {
 		setting string
 		value   v1.Duration
@@ -92,25 +92,25 @@
 		{"quarantine", s.Quarantine},
 	} {
 		if duration.value < 0 {
-			findings = append(findings, &Error{Setting: duration.setting, Found: duration.value.Std().String(), Allowed: allowedDuration})
+			errs = append(errs, &Error{Setting: duration.setting, Found: duration.value.Std().String(), Allowed: allowedDuration})
 		}
 	}
-	return findings
+	return errs
 }
 
 func (s *Settings) checkNumbers() Errors {
-	var findings Errors
+	var errs Errors
 	if s.CPUShare < 0 || s.Cores < 0 {
-		findings = append(findings, &Error{Setting: "cpuShare, cores", Found: fmt.Sprint(s.CPUShare, ", ", s.Cores), Allowed: "numbers of 0 or more"})
+		errs = append(errs, &Error{Setting: "cpuShare, cores", Found: fmt.Sprint(s.CPUShare, ", ", s.Cores), Allowed: "numbers of 0 or more"})
 	}
 	if s.WarmUpOverage < 0 || s.WarmUpSlack < 0 {
-		findings = append(findings, &Error{Setting: "warmUpOverage, warmUpSlack", Found: fmt.Sprint(s.WarmUpOverage, ", ", s.WarmUpSlack), Allowed: "numbers of 0 or more"})
+		errs = append(errs, &Error{Setting: "warmUpOverage, warmUpSlack", Found: fmt.Sprint(s.WarmUpOverage, ", ", s.WarmUpSlack), Allowed: "numbers of 0 or more"})
 	}
 	if !autoscale.Policy(s.ReplicaPolicy).Valid() {
-		findings = append(findings, &Error{Setting: "replicaPolicy", Found: s.ReplicaPolicy, Allowed: "slots, work, or nothing"})
+		errs = append(errs, &Error{Setting: "replicaPolicy", Found: s.ReplicaPolicy, Allowed: "slots, work, or nothing"})
 	}
 	if s.MemoryMB < 0 {
-		findings = append(findings, &Error{Setting: "memoryMB", Found: fmt.Sprint(s.MemoryMB), Allowed: "a number of megabytes, 0 or more"})
+		errs = append(errs, &Error{Setting: "memoryMB", Found: fmt.Sprint(s.MemoryMB), Allowed: "a number of megabytes, 0 or more"})
 	}
-	return findings
+	return errs
 }
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -26,8 +26,8 @@
 // Error implements error. It puts each error on a separate line.
 func (e Errors) Error() string {
 	lines := make([]string, len(e))
-	for i, finding := range e {
-		lines[i] = finding.Error()
+	for i, err := range e {
+		lines[i] = err.Error()
 	}
 	return strings.Join(lines, "\n")
 }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -24,8 +24,8 @@
 	if loaded.Grace == 0 {
 		loaded.Grace = defaultGrace
 	}
-	if findings := loaded.Check(); len(findings) > 0 {
-		return loaded, findings
+	if errs := loaded.Check(); len(errs) > 0 {
+		return loaded, errs
 	}
 	return loaded, nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -45,7 +45,7 @@
 	// MemoryMB is the memory limit of the process, in megabytes; 0 means no limit.
 	MemoryMB int64 `json:"memoryMB"`
 	// CPUShare is the share of a core that the process gets, and Cores the speed of that core
-	// relative to a standard core; 0 means unknown.
+	// relative to a standard core. A CPUShare of 0 means unknown, Cores of 0 means 1.
 	CPUShare float64 `json:"cpuShare"`
 	Cores    float64 `json:"cores"`
 	// Idle makes the node occupy its machine without serving anything.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -35,14 +35,14 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := Load(writeSettings(t, test.text), test.flags)
-			var findings Errors
-			errors.As(err, &findings)
-			if (err != nil) != (len(test.want) > 0) || len(findings) != len(test.want) {
+			var errs Errors
+			errors.As(err, &errs)
+			if (err != nil) != (len(test.want) > 0) || len(errs) != len(test.want) {
 				t.Fatalf("got error %v, want errors about %v", err, test.want)
 			}
-			for i, finding := range findings {
-				if finding.Setting != test.want[i] {
-					t.Errorf("error %d is about %s, want %s", i, finding.Setting, test.want[i])
+			for i, settingErr := range errs {
+				if settingErr.Setting != test.want[i] {
+					t.Errorf("error %d is about %s, want %s", i, settingErr.Setting, test.want[i])
 				}
 			}
 		})
@@ -51,8 +51,8 @@
 
 func TestLoadRejectsUnknownSetting(t *testing.T) {
 	_, err := Load(writeSettings(t, validSettings+"colour: red\n"), Settings{})
-	var finding *Error
-	if !errors.As(err, &finding) {
+	var settingErr *Error
+	if !errors.As(err, &settingErr) {
 		t.Errorf("got error %v, want an *Error", err)
 	}
 }
