--- /dev/null
+++ b/internal/jobs/batch/append_response_test.go
@@ -0,0 +1,30 @@
+package batch
+
+import (
+	"testing"
+	"time"
+
+	"github.com/pathtally/pathtally/internal/jobs/jobstore"
+	"github.com/pathtally/pathtally/standin/metastore"
+)
+
+// Guards against a result that a reader has seen missing at the owner while the outcome
+// of its append is unknown and the store does not respond.
+func TestReadDuringAppendWithUnknownOutcome(t *testing.T) {
+	cluster, held := newUnlistedResultsCluster(t)
+	cluster.store.SetFault(func(call metastore.Call) metastore.Fault {
+		if call.Kind == jobstore.KindResults && call.Verb == "create" {
+			return metastore.Unanswered
+		}
+		return metastore.Sound
+	})
+	held.requestFlush()
+	eventually(t, "the results are in the store", func() bool { return cluster.store.Has(jobstore.KindResults, jobstore.ChunkName("job", 0)) })
+	read := cluster.readWithoutOwner()
+	time.Sleep(2 * appendResponseTimeout)
+	cluster.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Silent })
+	cluster.checkResultsKept("while the store does not respond", read)
+	cluster.store.SetFault(nil)
+	cluster.awaitOwnerServesReads()
+	cluster.checkResultsKept("once the store responds", read)
+}
--- a/internal/jobs/batch/handler.go
+++ b/internal/jobs/batch/handler.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// submitTimeout bounds a submission whose caller and route name no time, and
-	// endTimeout an end whose caller names none.
+	// submitTimeout bounds a submission for which neither caller nor route sets a
+	// deadline, and endTimeout an end whose caller sets none.
 	submitTimeout = 10 * time.Second
 	endTimeout    = 3 * time.Second
-	// answerMargin is kept of the caller's time for the way of the answer.
-	answerMargin = 60 * time.Millisecond
-	// callTimeout bounds a call about a job besides the time that it may wait.
+	// responseMargin is the part of the caller's deadline reserved for the response.
+	responseMargin = 60 * time.Millisecond
+	// callTimeout bounds a call about a job, in addition to the time that a reader asks
+	// to wait.
 	callTimeout = 1300 * time.Millisecond
-	// maxReadWait bounds how long a reader may have a call held.
+	// maxReadWait bounds the time that a reader may wait for new results.
 	maxReadWait = 2 * time.Second
-	// maxPageBytes bounds the texts of one page.
+	// maxPageBytes bounds the texts in one page.
 	maxPageBytes = 900 << 10
 )
 
-// Handler serves the calls of batch jobs over HTTP. It is safe for use by many goroutines.
+// Handler serves the HTTP API of batch jobs. It is safe for concurrent use.
 type Handler struct {
 	Service *Service
 	Headers ingress.Headers
@@ -34,34 +35,35 @@
 var _ ingress.Jobs = (*Handler)(nil)
 
 // Submit implements ingress.Jobs.
-func (h *Handler) Submit(writer http.ResponseWriter, request *http.Request, submitted ingress.Submitted) {
+func (h *Handler) Submit(writer http.ResponseWriter, request *http.Request, submitted ingress.Submission) {
 	id, route := submitted.ID, submitted.Route
-	submission, err := h.Service.config.Codec.Submission(submitted.Body)
+	submission, err := h.Service.config.Codec.DecodeSubmission(submitted.Body)
 	if err != nil {
 		h.refuse(writer, id, err, malformed)
 		return
 	}
 	if submission.HasCredentials {
-		h.refuse(writer, id, ErrCredentials, malformed)
+		h.refuse(writer, id, ErrItemCredentials, malformed)
 		return
 	}
-	// The caller's leaving does not end it: the job may be taken by then.
-	ctx, cancel := context.WithTimeout(h.Service.base, h.submitTimeout(request, route.Timeout)-answerMargin)
+	// The request's context is not used: the job may be stored already when the caller
+	// disconnects.
+	ctx, cancel := context.WithTimeout(h.Service.base, h.submitTimeout(request, route.Timeout)-responseMargin)
 	defer cancel()
-	err = h.Service.Submit(ctx, &Arrival{
+	err = h.Service.Submit(ctx, &SubmitRequest{
 		ID: id, Route: route.Name, Host: route.Host, Tenant: submitted.Tenant, Entry: h.Service.config.Region, Payload: submitted.Body,
 		Submission: submission,
 	})
 	if err != nil {
-		h.refuse(writer, id, err, refusalOfSubmission(err))
+		h.refuse(writer, id, err, submissionRefusal(err))
 		return
 	}
-	h.Headers.Refuse(writer.Header(), id, 0)
+	h.Headers.SetRefusal(writer.Header(), id, 0)
 	writer.WriteHeader(http.StatusAccepted)
 }
 
-// submitTimeout is how long a submission may take: the route's time, or the caller's where
-// that is shorter.
+// submitTimeout returns the time that a submission may take: the route's timeout, or the
+// caller's deadline if that is shorter.
 func (h *Handler) submitTimeout(request *http.Request, routeTimeout time.Duration) time.Duration {
 	timeout := submitTimeout
 	if routeTimeout > 0 {
@@ -73,16 +75,16 @@
 	return timeout
 }
 
-// IsCall implements ingress.Jobs.
-func (h *Handler) IsCall(request *http.Request) bool {
-	_, isCall, _ := h.Service.config.Codec.Call(request)
+// IsJobRequest implements ingress.Jobs.
+func (h *Handler) IsJobRequest(request *http.Request) bool {
+	_, isCall, _ := h.Service.config.Codec.DecodeCall(request)
 	return isCall
 }
 
-// ServeCall implements ingress.Jobs. A batch job of another tenant's does not
-// exist for the caller.
-func (h *Handler) ServeCall(writer http.ResponseWriter, request *http.Request, tenant string) {
-	call, _, err := h.Service.config.Codec.Call(request)
+// ServeJobRequest implements ingress.Jobs. It responds to a call about another tenant's batch
+// job as if the job did not exist.
+func (h *Handler) ServeJobRequest(writer http.ResponseWriter, request *http.Request, tenant string) {
+	call, _, err := h.Service.config.Codec.DecodeCall(request)
 	if err != nil {
 		h.refuse(writer, call.Job, err, malformed)
 		return
@@ -94,14 +96,14 @@
 	switch call.Kind {
 	case CallRead:
 		h.serveRead(writer, request, call)
-	case CallBody:
+	case CallItemBody:
 		h.serveBody(writer, request, call)
 	case CallEnd:
 		h.serveEnd(writer, request, call)
 	}
 }
 
-// authorize finds out whether a batch job is the calling tenant's.
+// authorize checks that a batch job belongs to the calling tenant.
 func (h *Handler) authorize(request *http.Request, call Call, tenant string) error {
 	ctx, cancel := context.WithTimeout(request.Context(), callTimeout)
 	defer cancel()
@@ -109,7 +111,7 @@
 }
 
 func (h *Handler) serveRead(writer http.ResponseWriter, request *http.Request, call Call) {
-	wait := min(h.Headers.Wait(request.Header), maxReadWait)
+	wait := min(h.Headers.ResultWait(request.Header), maxReadWait)
 	ctx, cancel := context.WithTimeout(request.Context(), wait+callTimeout)
 	defer cancel()
 	page, err := h.Service.Read(ctx, call.Job, call.After, wait)
@@ -118,7 +120,7 @@
 		return
 	}
 	results := page.Results[:pageLength(page.Results)]
-	encoded, err := h.Service.config.Codec.Page(page.Total, call.After+len(results), results)
+	encoded, err := h.Service.config.Codec.EncodePage(page.Total, call.After+len(results), results)
 	if err != nil {
 		h.fail(writer, call, err)
 		return
@@ -128,7 +130,7 @@
 	writer.Write(encoded)
 }
 
-// pageLength is how many results fit into one page, one at least.
+// pageLength returns how many of the results fit into one page, at least one.
 func pageLength(results []jobstore.Result) int {
 	size := 0
 	for i, result := range results {
@@ -143,7 +145,7 @@
 func (h *Handler) serveBody(writer http.ResponseWriter, request *http.Request, call Call) {
 	ctx, cancel := context.WithTimeout(request.Context(), 2*callTimeout)
 	defer cancel()
-	body, err := h.Service.Body(ctx, call.Job, call.Item)
+	body, err := h.Service.ItemBody(ctx, call.Job, call.Item)
 	if err != nil {
 		h.fail(writer, call, err)
 		return
@@ -156,7 +158,7 @@
 func (h *Handler) serveEnd(writer http.ResponseWriter, request *http.Request, call Call) {
 	timeout := endTimeout
 	if wait, named := h.Headers.Deadline(request.Header); named {
-		timeout = max(wait-answerMargin, answerMargin)
+		timeout = max(wait-responseMargin, responseMargin)
 	}
 	ctx, cancel := context.WithTimeout(h.Service.base, timeout)
 	defer cancel()
@@ -167,16 +169,16 @@
 	writer.WriteHeader(http.StatusOK)
 }
 
-// fail answers a call that could not be served.
+// fail responds to a call that could not be served.
 func (h *Handler) fail(writer http.ResponseWriter, call Call, err error) {
-	h.refuse(writer, call.Job, err, refusalOfCall(err))
+	h.refuse(writer, call.Job, err, callRefusal(err))
 }
 
-// refuse answers with the error's text and logs it.
-func (h *Handler) refuse(writer http.ResponseWriter, id string, err error, answer refusal) {
-	h.Headers.Refuse(writer.Header(), id, answer.retryAfter)
+// refuse responds with an error and logs it.
+func (h *Handler) refuse(writer http.ResponseWriter, id string, err error, response refusal) {
+	h.Headers.SetRefusal(writer.Header(), id, response.retryAfter)
 	writer.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	writer.WriteHeader(answer.status)
+	writer.WriteHeader(response.status)
 	writer.Write([]byte(err.Error() + "\n"))
-	h.Service.config.Logger.Info("answered by the node", "request", id, "status", answer.status, "reason", err.Error())
+	h.Service.config.Logger.Info("node returned an error response", "request", id, "status", response.status, "reason", err.Error())
 }
--- a/internal/jobs/batch/watchers.go
+++ b/internal/jobs/batch/watchers.go
@@ -10,13 +10,12 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// probeTimeout bounds the question to an owner whose heartbeats this node does not
-// receive.
+// probeTimeout bounds a request to an owner whose heartbeats this node does not receive.
 const probeTimeout = 500 * time.Millisecond
 
-// Watchers names the nodes that watch over the jobs of this node.
+// Watchers returns the nodes that watch the open jobs of this node.
 func (s *Service) Watchers() []string {
-	nodes := s.config.Table.NodeNames()
+	nodes := s.config.PeerTable.NodeNames()
 	s.mutex.Lock()
 	open := map[string]origin{}
 	for id, held := range s.jobs {
@@ -26,21 +25,21 @@
 	}
 	s.mutex.Unlock()
 	var named []string
-	for id, bound := range open {
-		successors := ownership.Successors(s.insiders(&bound, nodes), s.config.Self.Node)
+	for id, from := range open {
+		successors := ownership.Successors(s.allowedNodes(&from, nodes), s.config.Self.Node)
 		named = append(named, ownership.WatchersOf(id, successors)...)
 	}
 	return named
 }
 
-// ownerAnswers asks the owner of a job that this node does not watch whether it
-// still runs it.
-func (s *Service) ownerAnswers(ctx context.Context, id string, owner jobstore.Owner) bool {
-	question := &wire.JobItem{Job: id}
-	reply, err := environment.Ask(ctx, s.config.Peers, owner.Address, question, probeTimeout)
+// ownerRunsJob asks the owner of a job whether it still runs it, for a node that does not
+// receive its heartbeats.
+func (s *Service) ownerRunsJob(ctx context.Context, id string, owner jobstore.Owner) bool {
+	request := &wire.JobItem{Job: id}
+	reply, err := environment.Call(ctx, s.config.Peers, owner.Address, request, probeTimeout)
 	if err != nil {
 		return false
 	}
-	answer, ok := reply.(*wire.JobItemBody)
-	return ok && answer.Known
+	body, ok := reply.(*wire.JobItemBody)
+	return ok && body.Known
 }
--- a/internal/replicas/directory/evacuation_test.go
+++ b/internal/replicas/directory/evacuation_test.go
@@ -12,8 +12,8 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// evacuations is a directory with replica a in zone a and replica b in zone b.
-type evacuations struct {
+// evacuationTest is a directory with replica a in zone a and replica b in zone b.
+type evacuationTest struct {
 	*testing.T
 	store *metastore.Store
 	table *Table
@@ -25,21 +25,21 @@
 	return replica
 }
 
-func withZones(t *testing.T, test func(e *evacuations)) {
-	bubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
+func withZones(t *testing.T, test func(e *evacuationTest)) {
+	runInBubble(t, func(t *testing.T, ctx context.Context, store *metastore.Store) {
 		store.Write("servers", "a", inZone("a"))
 		store.Write("servers", "b", inZone("b"))
-		e := &evacuations{T: t, store: store, table: informed(ctx, store)}
+		e := &evacuationTest{T: t, store: store, table: newInformedTable(ctx, store)}
 		settle(time.Second)
 		test(e)
 	})
 }
 
-func (e *evacuations) begin(zone string) { e.store.Write("evacuations", zone, struct{}{}) }
-func (e *evacuations) end(zone string)   { e.store.Remove("evacuations", zone) }
+func (e *evacuationTest) begin(zone string) { e.store.Write("evacuations", zone, struct{}{}) }
+func (e *evacuationTest) end(zone string)   { e.store.Remove("evacuations", zone) }
 
-// want waits for the given time and checks which replicas are evacuated.
-func (e *evacuations) want(within time.Duration, evacuated ...string) {
+// expectEvacuated waits for the given time and checks which replicas are evacuated.
+func (e *evacuationTest) expectEvacuated(within time.Duration, evacuated ...string) {
 	e.Helper()
 	settle(within)
 	var found []string
@@ -54,92 +54,92 @@
 	}
 }
 
-func TestEvacuationIsHeardOfByWatch(t *testing.T) {
-	withZones(t, func(e *evacuations) {
+func TestEvacuationByWatch(t *testing.T) {
+	withZones(t, func(e *evacuationTest) {
 		e.begin("a")
-		e.want(time.Second, "a")
+		e.expectEvacuated(time.Second, "a")
 	})
 }
 
 func TestEvacuationsOverlap(t *testing.T) {
-	withZones(t, func(e *evacuations) {
+	withZones(t, func(e *evacuationTest) {
 		e.begin("a")
 		e.begin("b")
 		e.end("a")
-		e.want(time.Second, "b")
+		e.expectEvacuated(time.Second, "b")
 	})
 }
 
-func TestEvacuationIsListedAfterForgottenHistory(t *testing.T) {
-	withZones(t, func(e *evacuations) {
+func TestEvacuationRelistedAfterCompaction(t *testing.T) {
+	withZones(t, func(e *evacuationTest) {
 		e.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Silent })
 		settle(time.Second)
 		e.begin("a")
 		e.store.Forget()
 		e.store.SetFault(nil)
-		e.want(3*time.Second, "a")
+		e.expectEvacuated(3*time.Second, "a")
 	})
 }
 
-func TestEvacuationTakenBackDuringACutEndsAfterIt(t *testing.T) {
-	withZones(t, func(e *evacuations) {
+func TestEvacuationEndedDuringOutage(t *testing.T) {
+	withZones(t, func(e *evacuationTest) {
 		e.begin("a")
 		settle(time.Second)
 		e.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Silent })
 		settle(time.Second)
 		e.end("a")
-		e.want(time.Second, "a")
+		e.expectEvacuated(time.Second, "a")
 		e.store.SetFault(nil)
-		e.want(3 * time.Second)
+		e.expectEvacuated(3 * time.Second)
 	})
 }
 
-func TestEndOfAnEvacuationIsRemembered(t *testing.T) {
-	withZones(t, func(e *evacuations) {
+func TestEvacuationEndRemembered(t *testing.T) {
+	withZones(t, func(e *evacuationTest) {
 		e.begin("a")
 		settle(time.Second)
 		e.end("a")
 		settle(time.Second)
 		if ended := e.table.View().EvacuationEnded["a"]; time.Since(ended) > time.Second {
-			t.Errorf("the end is known as of %v", ended)
+			t.Errorf("end of the evacuation recorded at %v", ended)
 		}
 	})
 }
 
-func TestEvacuationOfAnUnknownZoneHasNoEffect(t *testing.T) {
-	withZones(t, func(e *evacuations) {
+func TestEvacuationOfUnknownZone(t *testing.T) {
+	withZones(t, func(e *evacuationTest) {
 		e.begin("elsewhere")
-		e.want(time.Second)
+		e.expectEvacuated(time.Second)
 	})
 }
 
-func TestReplicaThatAppearsInAnEvacuatedZoneGetsNothing(t *testing.T) {
-	withZones(t, func(e *evacuations) {
+func TestEvacuationAppliesToNewReplica(t *testing.T) {
+	withZones(t, func(e *evacuationTest) {
 		e.begin("c")
 		settle(time.Second)
 		e.store.Write("servers", "c", inZone("c"))
-		e.want(time.Second, "c")
+		e.expectEvacuated(time.Second, "c")
 	})
 }
 
-func TestReplicaThatMovesOutOfAnEvacuatedZoneIsUsed(t *testing.T) {
-	withZones(t, func(e *evacuations) {
+func TestEvacuationReplicaChangesZone(t *testing.T) {
+	withZones(t, func(e *evacuationTest) {
 		e.begin("a")
 		settle(time.Second)
 		e.store.Write("servers", "a", inZone("b"))
-		e.want(time.Second)
+		e.expectEvacuated(time.Second)
 	})
 }
 
 // Guards against a starting node using replicas before it knows which zones are evacuated.
-func TestNothingIsSentBeforeEvacuationsAreListed(t *testing.T) {
+func TestAssumeAllEvacuated(t *testing.T) {
 	table := NewTable("node", "a", nil, klog.Background())
 	table.AssumeAllEvacuated()
 	replica := inZone("a")
 	replica.ID = "a"
 	table.SetReplicas([]*Replica{replica}, 0)
 	if !table.View().Endpoints["a"].State.Evacuated() {
-		t.Error("a replica is used although it is not known whether its zone is evacuated")
+		t.Error("a replica is used before the evacuations are known")
 	}
 	table.SetEvacuations(nil)
 	if table.View().Endpoints["a"].State.Evacuated() {
@@ -147,31 +147,31 @@
 	}
 }
 
-// evacuatedWhenBounded is a SlowStart that records whether replica a was evacuated at the last
+// recordingSlowStart is a SlowStart that records whether replica a was evacuated at the last
 // call of SetWarming.
-type evacuatedWhenBounded struct {
+type recordingSlowStart struct {
 	table  *Table
 	closed bool
 }
 
-func (b *evacuatedWhenBounded) SetWarming([]slowstart.WarmingReplica, func(string) bool) {
-	if endpoint := b.table.View().Endpoints["a"]; endpoint != nil {
-		b.closed = endpoint.State.Evacuated()
+func (r *recordingSlowStart) SetWarming([]slowstart.WarmingReplica, func(string) bool) {
+	if endpoint := r.table.View().Endpoints["a"]; endpoint != nil {
+		r.closed = endpoint.State.Evacuated()
 	}
 }
 
 // Replicas may be cold when an evacuation ends. Guards against opening them before their
 // slow-start limits are set.
-func TestReplicasAreBoundedBeforeTheirEvacuationEnds(t *testing.T) {
+func TestSlowStartBeforeEvacuationEnds(t *testing.T) {
 	table := NewTable("node", "a", nil, klog.Background())
-	bounded := &evacuatedWhenBounded{table: table}
-	table.SetSlowStart(bounded)
+	recorder := &recordingSlowStart{table: table}
+	table.SetSlowStart(recorder)
 	replica := inZone("a")
 	replica.ID = "a"
 	table.SetReplicas([]*Replica{replica}, 0)
 	table.SetEvacuations([]string{"a"})
 	table.SetEvacuations(nil)
-	if !bounded.closed || table.View().Endpoints["a"].State.Evacuated() {
-		t.Errorf("closed when bounded: %v", bounded.closed)
+	if !recorder.closed || table.View().Endpoints["a"].State.Evacuated() {
+		t.Errorf("evacuated when its slow-start limit was set: %v, want true, and not evacuated afterwards", recorder.closed)
 	}
 }
--- a/test/platform_callers_test.go
+++ b/test/platform_callers_test.go
@@ -11,15 +11,14 @@
 	"github.com/pathtally/pathtally/standin/replica"
 )
 
-// reply is an answer as a caller gets it.
-type reply struct {
+// callerResponse is an HTTP response as a caller receives it.
+type callerResponse struct {
 	status int
 	header http.Header
 	body   string
 }
 
-// call is one request of a caller, on a connection of its own unless it has a
-// client.
+// call is one request of a caller. It uses a new connection unless client is set.
 type call struct {
 	client  *http.Client
 	address string
@@ -29,15 +28,14 @@
 	id      string
 	body    []byte
 	header  http.Header
-	// limit bounds how long the caller waits.
-	limit time.Duration
+	timeout time.Duration
 }
 
-// do sends a call and reads the whole answer.
-func (c call) do() (reply, error) {
+// do sends the request and reads the whole response.
+func (c call) do() (callerResponse, error) {
 	request, err := http.NewRequest(c.method, "http://"+c.address+c.target, bytes.NewReader(c.body))
 	if err != nil {
-		return reply{}, err
+		return callerResponse{}, err
 	}
 	request.Host = c.host
 	for name, values := range c.header {
@@ -46,23 +44,23 @@
 	request.Header.Set("Pathtally-Request-Id", c.id)
 	client := c.client
 	if client == nil {
-		client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}, Timeout: c.limit}
+		client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}, Timeout: c.timeout}
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return reply{}, err
+		return callerResponse{}, err
 	}
 	defer response.Body.Close()
 	read, err := io.ReadAll(response.Body)
-	return reply{status: response.StatusCode, header: response.Header, body: string(read)}, err
+	return callerResponse{status: response.StatusCode, header: response.Header, body: string(read)}, err
 }
 
-// send makes one request of a caller on a connection of its own.
-func (d *platformDeployment) send(node *platformNode, method, host, target, id string, body []byte, header http.Header) (reply, error) {
-	return call{address: node.http, method: method, host: host, target: target, id: id, body: body, header: header, limit: startLimit}.do()
+// send sends one request to a node on a new connection.
+func (d *platformDeployment) send(node *platformNode, method, host, target, id string, body []byte, header http.Header) (callerResponse, error) {
+	return call{address: node.http, method: method, host: host, target: target, id: id, body: body, header: header, timeout: waitTimeout}.do()
 }
 
-// draftItem is an item of a batch job as a trainer sends it.
+// draftItem returns an item of a batch job in the format of the users' trainers.
 func draftItem(job string, number int) map[string]any {
 	id := fmt.Sprintf("%s.%d", job, number)
 	return map[string]any{
@@ -72,38 +70,38 @@
 	}
 }
 
-// submit hands in a batch job until a node takes it.
-func (d *platformDeployment) submit(node *platformNode, job string, items int, least int64) {
+// submit submits a batch job until the node accepts it.
+func (d *platformDeployment) submit(node *platformNode, job string, items int, minVersion int64) {
 	d.t.Helper()
-	d.submitAs(node, nil, job, items, least)
+	d.submitAs(node, nil, job, items, minVersion)
 }
 
-// submitAs hands in a batch job with headers of its caller's.
-func (d *platformDeployment) submitAs(node *platformNode, header http.Header, job string, items int, least int64) {
+// submitAs is submit with request headers.
+func (d *platformDeployment) submitAs(node *platformNode, header http.Header, job string, items int, minVersion int64) {
 	d.t.Helper()
-	body := d.payload(job, items, least)
-	d.eventually("the batch job is taken", func() bool {
-		answer, err := d.send(node, http.MethodPost, draftHost, "/drafts/"+job, job, body, header)
-		return err == nil && answer.status == http.StatusAccepted
+	body := d.payload(job, items, minVersion)
+	d.eventually("the batch job to be accepted", func() bool {
+		response, err := d.send(node, http.MethodPost, draftHost, "/drafts/"+job, job, body, header)
+		return err == nil && response.status == http.StatusAccepted
 	})
 }
 
-// payload is a batch job as a trainer sends it.
-func (d *platformDeployment) payload(job string, items int, least int64) []byte {
+// payload returns the body of a batch job submission.
+func (d *platformDeployment) payload(job string, items int, minVersion int64) []byte {
 	d.t.Helper()
 	var requests []map[string]any
 	for number := range items {
 		requests = append(requests, draftItem(job, number))
 	}
-	body, err := json.Marshal(map[string]any{"step": 0, "model": draftModel, "minVersion": least, "desired": items / 4, "requests": requests})
+	body, err := json.Marshal(map[string]any{"step": 0, "model": draftModel, "minVersion": minVersion, "desired": items / 4, "requests": requests})
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	return body
 }
 
-// listed is a result as a trainer reads it.
-type listed struct {
+// itemResult is the result of an item as a trainer reads it.
+type itemResult struct {
 	ID       string
 	State    string
 	Message  string
@@ -111,34 +109,34 @@
 	Score    string
 }
 
-// read reads a job from a node until all results are there.
-func (d *platformDeployment) read(node func() *platformNode, job string, items int) []listed {
+// read reads a job, each time from the node that node returns, until it has all results.
+func (d *platformDeployment) read(node func() *platformNode, job string, items int) []itemResult {
 	d.t.Helper()
 	return d.readAs(node, http.Header{}, job, items)
 }
 
-// readAs reads a job with headers of its caller's.
-func (d *platformDeployment) readAs(node func() *platformNode, header http.Header, job string, items int) []listed {
+// readAs is read with request headers.
+func (d *platformDeployment) readAs(node func() *platformNode, header http.Header, job string, items int) []itemResult {
 	d.t.Helper()
 	header = header.Clone()
 	header.Set("Pathtally-Wait-Ms", "200")
-	var results []listed
-	d.eventually("all results are read", func() bool {
-		answer, err := d.send(node(), http.MethodGet, draftHost, fmt.Sprintf("/-/lots/%s?sinceRev=%d", job, len(results)), "reader", nil,
+	var results []itemResult
+	d.eventually("all results of the batch job", func() bool {
+		response, err := d.send(node(), http.MethodGet, draftHost, fmt.Sprintf("/-/lots/%s?sinceRev=%d", job, len(results)), "reader", nil,
 			header)
-		if err != nil || answer.status != http.StatusOK {
+		if err != nil || response.status != http.StatusOK {
 			return false
 		}
 		var page struct {
 			Total     int
 			NextToken int
-			Results   []listed
+			Results   []itemResult
 		}
-		if err := json.Unmarshal([]byte(answer.body), &page); err != nil {
-			d.t.Fatalf("page of results: %v", err)
+		if err := json.Unmarshal([]byte(response.body), &page); err != nil {
+			d.t.Fatalf("decode page of results: %v", err)
 		}
 		if page.Total != items || page.NextToken != len(results)+len(page.Results) {
-			d.t.Fatalf("page: total %d of %d, next %d after %d with %d", page.Total, items, page.NextToken, len(results), len(page.Results))
+			d.t.Fatalf("page of results: total %d, want %d; next token %d after %d results and a page of %d", page.Total, items, page.NextToken, len(results), len(page.Results))
 		}
 		results = append(results, page.Results...)
 		return len(results) == items
@@ -146,8 +144,9 @@
 	return results
 }
 
-// check judges a job's results by what the replicas made.
-func (d *platformDeployment) check(results []listed, items int, least int64) {
+// checkResults checks that each item is listed once, with the text that the replicas
+// generate for it, a score and sufficiently recent versions.
+func (d *platformDeployment) checkResults(results []itemResult, items int, minVersion int64) {
 	d.t.Helper()
 	seen := map[string]bool{}
 	for _, result := range results {
@@ -156,18 +155,18 @@
 		}
 		seen[result.ID] = true
 		if result.State != "succeeded" || result.Message != replica.Text(result.ID) || result.Score == "" {
-			d.t.Errorf("item %s: %s, text %q, score %q", result.ID, result.State, result.Message, result.Score)
+			d.t.Errorf("item %s: state %s, text %q, score %q", result.ID, result.State, result.Message, result.Score)
 		}
 		for _, version := range result.Versions {
-			if version < least {
-				d.t.Errorf("item %s was made by version %d, the least is %d", result.ID, version, least)
+			if version < minVersion {
+				d.t.Errorf("item %s was generated by version %d, want at least %d", result.ID, version, minVersion)
 			}
 		}
 		if len(result.Versions) == 0 {
-			d.t.Errorf("item %s names no version", result.ID)
+			d.t.Errorf("item %s has no version", result.ID)
 		}
 	}
 	if len(seen) != items {
-		d.t.Errorf("%d items are listed, want %d", len(seen), items)
+		d.t.Errorf("%d items listed, want %d", len(seen), items)
 	}
 }
--- a/test/proxy_test.go
+++ b/test/proxy_test.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// proxyMode is what a proxy does to the bytes that pass.
+// proxyMode is how a proxy treats connections and their bytes.
 type proxyMode int32
 
 const (
 	proxyPass proxyMode = iota
-	// proxyCut refuses and resets connections.
-	proxyCut
-	// proxyFreeze keeps connections open and passes nothing.
+	// proxyReset resets open and new connections.
+	proxyReset
+	// proxyFreeze keeps connections open and holds back their bytes.
 	proxyFreeze
-	// proxyOneWay passes requests and drops answers.
+	// proxyOneWay forwards requests and drops responses.
 	proxyOneWay
 )
 
@@ -34,21 +34,21 @@
 	listener net.Listener
 	target   atomic.Pointer[string]
 	mode     atomic.Int32
-	// resetAfter, when above 0, resets each connection once so many bytes of
-	// answers have passed.
-	resetAfter atomic.Int64
-	// cutRequestAt, when not below 0, resets each connection once so many
-	// bytes of requests have passed.
-	cutRequestAt atomic.Int64
-	delay        atomic.Int64
-	// marker is looked for in all bytes that come, and marked counts the times that it
-	// was found; empty looks for nothing.
-	marker string
-	marked atomic.Int64
-	mutex  sync.Mutex
-	open   map[net.Conn]bool
-	// silent are the connections that pass nothing for good.
-	silent map[net.Conn]bool
+	// resetResponseAfter, if above 0, is the number of response bytes after which each
+	// connection is reset.
+	resetResponseAfter atomic.Int64
+	// resetRequestAfter, if not negative, is the number of request bytes after which each
+	// connection is reset.
+	resetRequestAfter atomic.Int64
+	delay             atomic.Int64
+	// markerCount counts the occurrences of marker in all forwarded bytes; an empty
+	// marker counts nothing.
+	marker      string
+	markerCount atomic.Int64
+	mutex       sync.Mutex
+	open        map[net.Conn]bool
+	// blackholed are the connections that never forward anything again.
+	blackholed map[net.Conn]bool
 }
 
 func newProxy(t *testing.T, target string) *proxy {
@@ -57,33 +57,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &proxy{listener: listener, open: map[net.Conn]bool{}, silent: map[net.Conn]bool{}}
+	p := &proxy{listener: listener, open: map[net.Conn]bool{}, blackholed: map[net.Conn]bool{}}
 	p.setTarget(target)
-	p.cutRequestAt.Store(-1)
+	p.resetRequestAfter.Store(-1)
 	go p.accept()
 	t.Cleanup(func() {
 		listener.Close()
-		p.set(proxyCut)
-		p.resetSilent()
+		p.set(proxyReset)
+		p.resetBlackholed()
 	})
 	return p
 }
 
-// setTarget changes where new connections go.
+// setTarget sets the address that new connections are forwarded to.
 func (p *proxy) setTarget(target string) { p.target.Store(&target) }
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-// set changes the mode; a cut also resets what is open.
+// set changes the mode. proxyReset also resets the open connections.
 func (p *proxy) set(mode proxyMode) {
 	p.mode.Store(int32(mode))
-	if mode == proxyCut {
+	if mode == proxyReset {
 		p.resetOpen()
 	}
 }
 
-// close has the proxy refuse new connections for good, as a machine does whose process
-// has ended.
+// close stops listening, so that new connections are refused as after the end of a
+// process.
 func (p *proxy) close() { p.listener.Close() }
 
 func (p *proxy) resetOpen() {
@@ -94,29 +94,29 @@
 	}
 }
 
-// silence has the connections that are open now pass nothing for good, not even
-// their ends. New ones work.
-func (p *proxy) silence() int {
+// blackhole makes the open connections drop all bytes and their close for good. New
+// connections are not affected. It returns the number of connections affected so far.
+func (p *proxy) blackhole() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for connection := range p.open {
-		p.silent[connection] = true
+		p.blackholed[connection] = true
 	}
 	clear(p.open)
-	return len(p.silent) / 2
+	return len(p.blackholed) / 2
 }
 
-func (p *proxy) isSilent(connection net.Conn) bool {
+func (p *proxy) isBlackholed(connection net.Conn) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.silent[connection]
+	return p.blackholed[connection]
 }
 
-// resetSilent ends the connections that pass nothing.
-func (p *proxy) resetSilent() {
+// resetBlackholed resets the connections that blackhole affected.
+func (p *proxy) resetBlackholed() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for connection := range p.silent {
+	for connection := range p.blackholed {
 		reset(connection)
 	}
 }
@@ -134,7 +134,7 @@
 		if err != nil {
 			return
 		}
-		if proxyMode(p.mode.Load()) == proxyCut {
+		if proxyMode(p.mode.Load()) == proxyReset {
 			reset(connection)
 			continue
 		}
@@ -161,10 +161,10 @@
 	p.mutex.Unlock()
 }
 
-func (p *proxy) copy(to, from net.Conn, answers bool) {
+func (p *proxy) copy(to, from net.Conn, responses bool) {
 	defer func() {
 		from.Close()
-		if !p.isSilent(from) {
+		if !p.isBlackholed(from) {
 			to.Close()
 		}
 	}()
@@ -181,10 +181,10 @@
 		for proxyMode(p.mode.Load()) == proxyFreeze {
 			time.Sleep(proxyPollInterval)
 		}
-		if p.isSilent(from) || (answers && proxyMode(p.mode.Load()) == proxyOneWay) {
+		if p.isBlackholed(from) || (responses && proxyMode(p.mode.Load()) == proxyOneWay) {
 			continue
 		}
-		limit, limited := p.limit(answers)
+		limit, limited := p.resetLimit(responses)
 		if limited && passed+int64(count) > limit {
 			to.Write(buffer[:max(0, limit-passed)])
 			reset(to)
@@ -198,35 +198,36 @@
 	}
 }
 
-// countMarkers counts the markers in the bytes and returns their end, in which the next
-// marker may have begun.
+// countMarkers counts the markers in the bytes and returns the tail that may hold the
+// start of another marker.
 func (p *proxy) countMarkers(seen []byte) []byte {
 	if p.marker == "" {
 		return nil
 	}
-	p.marked.Add(int64(bytes.Count(seen, []byte(p.marker))))
+	p.markerCount.Add(int64(bytes.Count(seen, []byte(p.marker))))
 	return bytes.Clone(seen[max(0, len(seen)-len(p.marker)+1):])
 }
 
-// limit is how many bytes of a direction pass before the connection is reset.
-func (p *proxy) limit(answers bool) (int64, bool) {
-	if answers {
-		limit := p.resetAfter.Load()
+// resetLimit returns the number of bytes of a direction after which the connection is reset,
+// and whether there is such a limit.
+func (p *proxy) resetLimit(responses bool) (int64, bool) {
+	if responses {
+		limit := p.resetResponseAfter.Load()
 		return limit, limit > 0
 	}
-	limit := p.cutRequestAt.Load()
+	limit := p.resetRequestAfter.Load()
 	return limit, limit >= 0
 }
 
-// A connection that fell silent passes nothing and does not end, whatever
-// becomes of the link; a new one works.
-func TestSilencedConnectionsStaySilent(t *testing.T) {
+// A blackholed connection must stay open without data when the link is reset and
+// restored, while new connections work.
+func TestBlackholedConnectionStaysBlackholed(t *testing.T) {
 	link := newProxy(t, startEcho(t))
 	old := dialEcho(t, link)
-	if count := link.silence(); count != 1 {
-		t.Errorf("%d connections were silenced, want 1", count)
+	if count := link.blackhole(); count != 1 {
+		t.Errorf("%d connections were blackholed, want 1", count)
 	}
-	link.set(proxyCut)
+	link.set(proxyReset)
 	link.set(proxyPass)
 	fresh := dialEcho(t, link)
 	if _, err := old.Write([]byte("x")); err != nil {
@@ -235,12 +236,12 @@
 	old.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	var timeout net.Error
 	if _, err := old.Read(make([]byte, 1)); !errors.As(err, &timeout) || !timeout.Timeout() {
-		t.Errorf("the silent connection gave %v", err)
+		t.Errorf("read from the blackholed connection: %v, want a timeout", err)
 	}
 	fresh.Close()
 }
 
-// startEcho returns the address of a server that sends back what it gets.
+// startEcho starts an echo server and returns its address.
 func startEcho(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -263,7 +264,7 @@
 	return listener.Addr().String()
 }
 
-// dialEcho opens a connection through a proxy and sees that it works.
+// dialEcho opens a connection through a proxy and checks that it echoes.
 func dialEcho(t *testing.T, link *proxy) net.Conn {
 	t.Helper()
 	connection, err := net.Dial("tcp", link.address())
@@ -271,7 +272,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { connection.Close() })
-	connection.SetDeadline(time.Now().Add(startLimit))
+	connection.SetDeadline(time.Now().Add(waitTimeout))
 	if _, err := connection.Write([]byte("a")); err != nil {
 		t.Fatal(err)
 	}
