--- a/api/v1/trainer.go
+++ b/api/v1/trainer.go
@@ -4,8 +4,8 @@
 
 // Objectives of a trainer.
 const (
-	PrizeIdleTime  = "idle-time"
-	PrizeStaleness = "staleness"
+	ObjectiveIdleTime  = "idle-time"
+	ObjectiveStaleness = "staleness"
 )
 
 const (
@@ -33,8 +33,8 @@
 	// StepsAhead is the maximum number of steps that are generated ahead of the step in
 	// training.
 	StepsAhead int `json:"stepsAhead,omitempty"`
-	// Prizes is the trainer's objective: idle-time (the default) or staleness.
-	Prizes string `json:"prizes,omitempty"`
+	// Objective is idle-time (the default) or staleness.
+	Objective string `json:"prizes,omitempty"`
 }
 
 // SetDefaults implements Object.
@@ -45,8 +45,8 @@
 	if t.Spec.StepsAhead == 0 {
 		t.Spec.StepsAhead = defaultStepsAhead
 	}
-	if t.Spec.Prizes == "" {
-		t.Spec.Prizes = PrizeIdleTime
+	if t.Spec.Objective == "" {
+		t.Spec.Objective = ObjectiveIdleTime
 	}
 }
 
@@ -59,5 +59,5 @@
 	}
 	report.Positive("spec.maxStaleness", float64(t.Spec.MaxStaleness))
 	report.Positive("spec.stepsAhead", float64(t.Spec.StepsAhead))
-	report.OneOf("spec.prizes", t.Spec.Prizes, PrizeIdleTime, PrizeStaleness)
+	report.OneOf("spec.prizes", t.Spec.Objective, ObjectiveIdleTime, ObjectiveStaleness)
 }
--- a/internal/bench/errors.go
+++ b/internal/bench/errors.go
@@ -1,13 +1,13 @@
 package bench
 
 // FailedError reports a run that completed and found a violated invariant.
-type FailedError struct{ What string }
+type FailedError struct{ Message string }
 
 // Error implements error.
-func (e *FailedError) Error() string { return e.What }
+func (e *FailedError) Error() string { return e.Message }
 
 // UsageError reports an invalid command line.
-type UsageError struct{ What string }
+type UsageError struct{ Message string }
 
 // Error implements error.
-func (e *UsageError) Error() string { return e.What }
+func (e *UsageError) Error() string { return e.Message }
--- a/internal/bench/simulate.go
+++ b/internal/bench/simulate.go
@@ -31,7 +31,7 @@
 	simulated.runSeeds()
 	simulated.totals.report(call)
 	if failed := len(simulated.totals.failed); failed > 0 {
-		return &FailedError{What: fmt.Sprintf("%d of %d seeds broke a promise", failed, simulated.seeds)}
+		return &FailedError{Message: fmt.Sprintf("%d of %d seeds broke a promise", failed, simulated.seeds)}
 	}
 	return nil
 }
--- a/internal/bench/timeline.go
+++ b/internal/bench/timeline.go
@@ -22,7 +22,7 @@
 		return err
 	}
 	if call.flags.NArg() == 0 {
-		return &UsageError{What: "name at least one log file"}
+		return &UsageError{Message: "name at least one log file"}
 	}
 	read, err := readTimeline(call.flags.Args())
 	if err != nil {
@@ -90,7 +90,7 @@
 }
 
 // describeStraggler formats the item that a step waited for, with the main parts of the time.
-func describeStraggler(last *timeline.Holdup) string {
+func describeStraggler(last *timeline.Straggler) string {
 	if last == nil {
 		return "-"
 	}
--- a/internal/callers/quarantine/recorder_test.go
+++ b/internal/callers/quarantine/recorder_test.go
@@ -66,7 +66,7 @@
 	for _, fault := range []struct {
 		name string
 		kind metastore.Fault
-	}{{"rejected", metastore.Refused}, {"response lost", metastore.Unanswered}} {
+	}{{"rejected", metastore.Refused}, {"response lost", metastore.ResponseLost}} {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
 			store := metastore.New()
@@ -75,7 +75,7 @@
 				if calls.Add(1) <= 3 {
 					return fault.kind
 				}
-				return metastore.Sound
+				return metastore.NoFault
 			})
 			recorder := startRecorder(t, store)
 			recorder.setPending(testFingerprint(1), pendingChange{start: time.Now()})
--- a/internal/duties/lease/lease_test.go
+++ b/internal/duties/lease/lease_test.go
@@ -106,9 +106,9 @@
 		acquireNow(t, lease)
 		store.SetFault(func(call metastore.Call) metastore.Fault {
 			if call.Verb == "replace" {
-				return metastore.Late
+				return metastore.Deferred
 			}
-			return metastore.Sound
+			return metastore.NoFault
 		})
 		if _, err := lease.Acquire(context.Background()); err == nil {
 			t.Fatal("unanswered write succeeded")
@@ -116,7 +116,7 @@
 		if _, valid := lease.ValidToken(); valid {
 			t.Error("lease is valid after an unanswered write")
 		}
-		store.ApplyLate()
+		store.ApplyDeferred()
 		store.SetFault(nil)
 		acquireNow(t, lease)
 	})
--- a/internal/duties/usage/ledger_test.go
+++ b/internal/duties/usage/ledger_test.go
@@ -36,7 +36,7 @@
 // A write that was not answered may have been applied, or may be applied later. A second sum
 // must not be settled beside it.
 func TestLedgerRereadsUnansweredWrite(t *testing.T) {
-	for _, fault := range []metastore.Fault{metastore.Late, metastore.Unanswered} {
+	for _, fault := range []metastore.Fault{metastore.Deferred, metastore.ResponseLost} {
 		store := metastore.New()
 		own, other := &ledger{store: store}, &ledger{store: store}
 		ctx := context.Background()
@@ -47,13 +47,13 @@
 			if call.Verb == "replace" {
 				return fault
 			}
-			return metastore.Sound
+			return metastore.NoFault
 		})
 		if _, err := own.settle(ctx, 6, Counts{"t": 2}); err == nil {
 			t.Fatal("unanswered write succeeded")
 		}
 		store.SetFault(nil)
-		store.ApplyLate()
+		store.ApplyDeferred()
 		if got, err := other.settle(ctx, 6, Counts{"t": 3}); err != nil || got["t"] != 2 {
 			t.Errorf("fault %v: another node settled %v, error %v, want the first sum", fault, got, err)
 		}
--- a/internal/jobs/batch/append_response_test.go
+++ b/internal/jobs/batch/append_response_test.go
@@ -14,15 +14,15 @@
 	cluster, held := newUnlistedResultsCluster(t)
 	cluster.store.SetFault(func(call metastore.Call) metastore.Fault {
 		if call.Kind == jobstore.KindResults && call.Verb == "create" {
-			return metastore.Unanswered
+			return metastore.ResponseLost
 		}
-		return metastore.Sound
+		return metastore.NoFault
 	})
 	held.requestFlush()
 	eventually(t, "the results are in the store", func() bool { return cluster.store.Has(jobstore.KindResults, jobstore.ChunkName("job", 0)) })
 	read := cluster.readWithoutOwner()
 	time.Sleep(2 * appendResponseTimeout)
-	cluster.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Silent })
+	cluster.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Dropped })
 	cluster.checkResultsKept("while the store does not respond", read)
 	cluster.store.SetFault(nil)
 	cluster.awaitOwnerServesReads()
--- a/internal/jobs/batch/ended_owner_test.go
+++ b/internal/jobs/batch/ended_owner_test.go
@@ -34,7 +34,7 @@
 						return metastore.Refused
 					}
 				}
-				return metastore.Sound
+				return metastore.NoFault
 			})
 			// The former owner's runs must not finish.
 			held.cancel()
--- a/internal/jobs/batch/ends_test.go
+++ b/internal/jobs/batch/ends_test.go
@@ -137,9 +137,9 @@
 		cluster, held := newUnlistedResultsCluster(t)
 		cluster.store.SetFault(func(call metastore.Call) metastore.Fault {
 			if call.Kind == jobstore.KindResults && call.Verb == "create" {
-				return metastore.Unanswered
+				return metastore.ResponseLost
 			}
-			return metastore.Sound
+			return metastore.NoFault
 		})
 		held.requestFlush()
 		eventually(t, "the results are in the store", func() bool { return cluster.store.Has(jobstore.KindResults, jobstore.ChunkName("job", 0)) })
--- a/internal/jobs/batch/service_test.go
+++ b/internal/jobs/batch/service_test.go
@@ -111,9 +111,9 @@
 	cluster.store.SetFault(func(call metastore.Call) metastore.Fault {
 		if call.Verb == "create" && lost > 0 {
 			lost--
-			return metastore.Unanswered
+			return metastore.ResponseLost
 		}
-		return metastore.Sound
+		return metastore.NoFault
 	})
 	if err := cluster.submit(cluster.nodes[0], "job", 2); err != nil {
 		t.Fatal(err)
@@ -145,9 +145,9 @@
 	cluster := newCluster(t, 1, startEngine(t, 2))
 	cluster.store.SetFault(func(call metastore.Call) metastore.Fault {
 		if call.Kind == jobstore.KindJobs && call.Verb == "create" {
-			return metastore.Late
+			return metastore.Deferred
 		}
-		return metastore.Sound
+		return metastore.NoFault
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
@@ -157,7 +157,7 @@
 	if !errors.As(err, &uncertain) {
 		t.Fatalf("submit without a response: error %v", err)
 	}
-	cluster.store.ApplyLate()
+	cluster.store.ApplyDeferred()
 	cluster.store.SetFault(nil)
 	checkResults(t, "job", cluster.readAll(cluster.nodes[0], "job", 2), 2, 2)
 }
--- a/internal/jobs/batch/stored_ends_test.go
+++ b/internal/jobs/batch/stored_ends_test.go
@@ -28,7 +28,7 @@
 		if call.Verb == "status" {
 			return metastore.Refused
 		}
-		return metastore.Sound
+		return metastore.NoFault
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
@@ -80,7 +80,7 @@
 		if call.Verb == "create" {
 			return metastore.Refused
 		}
-		return metastore.Sound
+		return metastore.NoFault
 	})
 	for range 4 {
 		began := time.Now()
--- a/internal/jobs/batch/takeover_test.go
+++ b/internal/jobs/batch/takeover_test.go
@@ -137,7 +137,7 @@
 		if call.Verb == "get" {
 			return metastore.Refused
 		}
-		return metastore.Sound
+		return metastore.NoFault
 	})
 	cluster.setDisconnected("node-0", false)
 	successor.table.Broadcast()
--- a/internal/jobs/batch/watchers_test.go
+++ b/internal/jobs/batch/watchers_test.go
@@ -187,7 +187,7 @@
 		if call.Kind == peering.NodeKind {
 			return metastore.Refused
 		}
-		return metastore.Sound
+		return metastore.NoFault
 	})
 	unjoined := cluster.addUnjoinedNode("outsider", []*testEngine{engine})
 	eventually(t, "the job is known", func() bool {
--- a/internal/replicas/directory/evacuation_test.go
+++ b/internal/replicas/directory/evacuation_test.go
@@ -72,10 +72,10 @@
 
 func TestEvacuationRelistedAfterCompaction(t *testing.T) {
 	withZones(t, func(e *evacuationTest) {
-		e.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Silent })
+		e.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Dropped })
 		settle(time.Second)
 		e.begin("a")
-		e.store.Forget()
+		e.store.CompactHistory()
 		e.store.SetFault(nil)
 		e.expectEvacuated(3*time.Second, "a")
 	})
@@ -85,7 +85,7 @@
 	withZones(t, func(e *evacuationTest) {
 		e.begin("a")
 		settle(time.Second)
-		e.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Silent })
+		e.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Dropped })
 		settle(time.Second)
 		e.end("a")
 		e.expectEvacuated(time.Second, "a")
--- a/internal/replicas/directory/restarts_test.go
+++ b/internal/replicas/directory/restarts_test.go
@@ -103,7 +103,7 @@
 		table := newInformedTable(ctx, store)
 		settle(time.Second)
 		store.Write("servers", "one", entryStartedAt(1000, ReplicaReady))
-		store.Forget()
+		store.CompactHistory()
 		settle(2 * time.Second)
 		if endpoint := endpointOf(table, "one"); endpoint == nil || endpoint.Name != IncarnationID("one", 2000) {
 			t.Errorf("after the listing, endpoint %+v is used", endpoint)
--- a/internal/replicas/directory/table_test.go
+++ b/internal/replicas/directory/table_test.go
@@ -79,7 +79,7 @@
 
 // simulateOutage makes the store unresponsive for a second, then waits for another second.
 func simulateOutage(store *metastore.Store) {
-	store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Silent })
+	store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Dropped })
 	store.Write("config", "other", struct{}{})
 	settle(time.Second)
 	store.SetFault(nil)
@@ -162,7 +162,7 @@
 		store.Write("servers", "one", ready("s"))
 		table := newInformedTable(ctx, store)
 		settle(time.Second)
-		store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Silent })
+		store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Dropped })
 		store.Write("servers", "one", ready("s2"))
 		settle(time.Second)
 		store.Write("servers", "two", ready("s"))
@@ -170,7 +170,7 @@
 			Model   string
 			Version int64
 		}{"m", 4})
-		store.Forget()
+		store.CompactHistory()
 		store.SetFault(nil)
 		settle(3 * time.Second)
 		view := table.View()
--- a/internal/standalone/rollout/policy.go
+++ b/internal/standalone/rollout/policy.go
@@ -34,7 +34,7 @@
 // sample of a step that trains trainVersion. A trainer that prizes low
 // staleness waits for engines with the newest weights there can be.
 func (p samplePolicy) oldestVersion(trainVersion int64) int64 {
-	if p.trainer.Spec.Prizes == v1.PrizeStaleness {
+	if p.trainer.Spec.Objective == v1.ObjectiveStaleness {
 		return trainVersion - freshLag
 	}
 	return trainVersion - p.trainer.Spec.MaxStaleness
--- a/internal/standalone/rollout/policy_test.go
+++ b/internal/standalone/rollout/policy_test.go
@@ -7,8 +7,8 @@
 )
 
 func TestSamplesStartOnWeightsThatSuitTheTrainer(t *testing.T) {
-	for prizes, want := range map[string]int64{v1.PrizeIdleTime: 7, v1.PrizeStaleness: 9} {
-		trainer := &v1.Trainer{Spec: v1.TrainerSpec{MaxStaleness: 3, Prizes: prizes}}
+	for prizes, want := range map[string]int64{v1.ObjectiveIdleTime: 7, v1.ObjectiveStaleness: 9} {
+		trainer := &v1.Trainer{Spec: v1.TrainerSpec{MaxStaleness: 3, Objective: prizes}}
 		if got := (samplePolicy{trainer: trainer}).oldestVersion(10); got != want {
 			t.Errorf("prizes %s: starts on version %d and newer, want %d", prizes, got, want)
 		}
--- a/internal/store/watchcache/informer_test.go
+++ b/internal/store/watchcache/informer_test.go
@@ -75,7 +75,7 @@
 			health.recordSuccess(time.Now())
 			advance(stall / 2)
 			store.Write(testKind, "first", 2)
-			store.Forget()
+			store.CompactHistory()
 			advance(relistDelay + 500*time.Millisecond)
 			if got := sink.spec("first"); got != "2" {
 				t.Errorf("watches stalled for %s: sink has %q two seconds after the change, want 2", stall, got)
--- a/internal/store/watchcache/source_test.go
+++ b/internal/store/watchcache/source_test.go
@@ -145,7 +145,7 @@
 		c.store.Write(testKind, "second", 1)
 		c.waitFor(c.nodes, "second", "1", normalDelay)
 		c.store.Remove(testKind, "second")
-		c.store.Forget()
+		c.store.CompactHistory()
 		c.store.Write(testKind, "third", 1)
 		c.waitFor(c.nodes, "third", "1", 2*time.Second)
 		c.waitFor(c.nodes, "second", "", normalDelay)
--- a/internal/timeline/step.go
+++ b/internal/timeline/step.go
@@ -32,7 +32,7 @@
 	Moves    int `json:"moves"`
 	RunAgain int `json:"runAgain"`
 	// Last is the item that the step waited for at its end; nil if no item finished.
-	Last *Holdup `json:"last,omitempty"`
+	Last *Straggler `json:"last,omitempty"`
 	// Late is the reason that the owner logged for a late end; empty if the end was not
 	// late.
 	Late string `json:"late,omitempty"`
--- a/internal/timeline/holdup.go
+++ b/internal/timeline/straggler.go
@@ -5,14 +5,14 @@
 
 // The causes. CauseLength is the time that the item's events take at the fastest pace.
 const (
-	CauseTakeover Cause = "takeover"
-	CauseWaiting  Cause = "waiting"
-	CauseLength   Cause = "length"
-	CausePace     Cause = "slow replica"
-	CauseMoves    Cause = "moves"
-	CauseWeights  Cause = "weights"
-	CauseReward   Cause = "reward call"
-	CauseListing  Cause = "listing"
+	CauseTakeover    Cause = "takeover"
+	CauseWaiting     Cause = "waiting"
+	CauseLength      Cause = "length"
+	CauseSlowReplica Cause = "slow replica"
+	CauseMoves       Cause = "moves"
+	CauseWeights     Cause = "weights"
+	CauseReward      Cause = "reward call"
+	CauseListing     Cause = "listing"
 )
 
 // Part is the part of a step's time that a cause accounts for.
@@ -21,9 +21,9 @@
 	Seconds float64 `json:"seconds"`
 }
 
-// Holdup is the item that finished last before a step's end, with the time from the step's
+// Straggler is the item that finished last before a step's end, with the time from the step's
 // acceptance to its end split by cause.
-type Holdup struct {
+type Straggler struct {
 	Item    string `json:"item"`
 	Group   string `json:"group"`
 	Replica string `json:"replica"`
@@ -45,7 +45,7 @@
 
 // straggler returns the item that finished last before the end of the step, or nil if none
 // has finished.
-func (s *Step) straggler(pace float64) *Holdup {
+func (s *Step) straggler(pace float64) *Straggler {
 	var last *record
 	for i := range s.finished {
 		if s.end > 0 && s.finished[i].at > s.end {
@@ -58,7 +58,7 @@
 	if last == nil {
 		return nil
 	}
-	result := &Holdup{Item: last.Request, Group: last.Group, Replica: last.Replica, Events: last.length()}
+	result := &Straggler{Item: last.Request, Group: last.Group, Replica: last.Replica, Events: last.length()}
 	result.Parts = s.parts(*last, pace)
 	result.Cause = largestCause(result.Parts)
 	return result
@@ -89,7 +89,7 @@
 		listing = s.end - last.at
 	}
 	return []Part{
-		{CauseTakeover, takeover}, {CauseWaiting, max(0, runs[0].start()-start)}, {CauseLength, length}, {CausePace, max(0, running-length)},
+		{CauseTakeover, takeover}, {CauseWaiting, max(0, runs[0].start()-start)}, {CauseLength, length}, {CauseSlowReplica, max(0, running-length)},
 		{CauseMoves, between}, {CauseWeights, weights}, {CauseReward, seconds(last.RewardMs)}, {CauseListing, listing},
 	}
 }
@@ -106,7 +106,7 @@
 	return append(runs, last)
 }
 
-// largestCause returns the value of Holdup.Cause for the given parts.
+// largestCause returns the value of Straggler.Cause for the given parts.
 func largestCause(parts []Part) Cause {
 	length, others := 0.0, 0.0
 	best := Part{Cause: CauseLength}
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -76,7 +76,7 @@
 		parts[part.Cause] = part.Seconds
 		total += part.Seconds
 	}
-	for cause, want := range map[Cause]float64{CauseWaiting: 0.5, CauseLength: 2, CausePace: 0.5, CauseMoves: 0.1, CauseReward: 0.1, CauseListing: 0.3} {
+	for cause, want := range map[Cause]float64{CauseWaiting: 0.5, CauseLength: 2, CauseSlowReplica: 0.5, CauseMoves: 0.1, CauseReward: 0.1, CauseListing: 0.3} {
 		if !near(parts[cause], want) {
 			t.Errorf("%s: %.4f, want %.4f", cause, parts[cause], want)
 		}
@@ -94,8 +94,8 @@
 		parts []Part
 		want  Cause
 	}{
-		{[]Part{{CauseLength, 5}, {CauseWaiting, 2}, {CausePace, 1}}, CauseLength},
-		{[]Part{{CauseLength, 5}, {CauseWaiting, 2}, {CausePace, 4}}, CausePace},
+		{[]Part{{CauseLength, 5}, {CauseWaiting, 2}, {CauseSlowReplica, 1}}, CauseLength},
+		{[]Part{{CauseLength, 5}, {CauseWaiting, 2}, {CauseSlowReplica, 4}}, CauseSlowReplica},
 		{[]Part{{CauseLength, 1}, {CauseTakeover, 4}}, CauseTakeover},
 		{nil, CauseLength},
 	} {
--- a/standin/dutyapi/judge.go
+++ b/standin/dutyapi/judge.go
@@ -16,12 +16,12 @@
 	now := time.Now()
 	switch {
 	case token < s.token:
-		s.findings = append(s.findings, fmt.Sprintf("%s sent token %d after token %d", holder, token, s.token))
+		s.violations = append(s.violations, fmt.Sprintf("%s sent token %d after token %d", holder, token, s.token))
 	case token == s.token && holder != s.holder:
-		s.findings = append(s.findings, fmt.Sprintf("%s and %s both sent token %d", s.holder, holder, token))
+		s.violations = append(s.violations, fmt.Sprintf("%s and %s both sent token %d", s.holder, holder, token))
 	}
 	if last, called := s.lastCalls[holder]; called && holder != s.holder && now.Sub(last) < leaseTerm {
-		s.findings = append(s.findings, fmt.Sprintf("%s and %s called alternately within the lease term", holder, s.holder))
+		s.violations = append(s.violations, fmt.Sprintf("%s and %s called alternately within the lease term", holder, s.holder))
 	}
 	s.token, s.holder, s.lastCalls[holder] = max(s.token, token), holder, now
 }
@@ -35,6 +35,6 @@
 		return
 	}
 	if !maps.Equal(first.Counts, report.Counts) {
-		s.findings = append(s.findings, fmt.Sprintf("window %d reported as %v and later as %v", report.Window, first.Counts, report.Counts))
+		s.violations = append(s.violations, fmt.Sprintf("window %d reported as %v and later as %v", report.Window, first.Counts, report.Counts))
 	}
 }
--- a/standin/dutyapi/server.go
+++ b/standin/dutyapi/server.go
@@ -15,10 +15,10 @@
 	listener net.Listener
 	server   *http.Server
 
-	mutex    sync.Mutex
-	reports  map[int64]Report
-	replicas map[Zone]int
-	findings []string
+	mutex      sync.Mutex
+	reports    map[int64]Report
+	replicas   map[Zone]int
+	violations []string
 	// token is the greatest token received, holder the last caller, and lastCalls the
 	// time of each holder's last call.
 	token     uint64
@@ -68,11 +68,11 @@
 	return maps.Clone(s.replicas)
 }
 
-// Findings describes the calls that violated a rule.
-func (s *Server) Findings() []string {
+// Violations describes the calls that violated a rule.
+func (s *Server) Violations() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return append([]string(nil), s.findings...)
+	return append([]string(nil), s.violations...)
 }
 
 // ServeHTTP implements http.Handler.
--- a/standin/dutyapi/server_test.go
+++ b/standin/dutyapi/server_test.go
@@ -24,7 +24,7 @@
 	return response.StatusCode
 }
 
-func TestFindings(t *testing.T) {
+func TestViolations(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		calls [][4]any
@@ -45,9 +45,9 @@
 				t.Errorf("%s: status %d, want 200", test.name, status)
 			}
 		}
-		found := strings.Join(api.Findings(), "; ")
+		found := strings.Join(api.Violations(), "; ")
 		if (test.want == "") != (found == "") || !strings.Contains(found, test.want) {
-			t.Errorf("%s: unexpected findings %q", test.name, found)
+			t.Errorf("%s: unexpected violations %q", test.name, found)
 		}
 		api.Close()
 	}
--- a/standin/metastore/direct.go
+++ b/standin/metastore/direct.go
@@ -56,9 +56,9 @@
 	s.record(kind, objectstore.Change{Object: object, Deleted: true})
 }
 
-// Forget drops the history of changes, so that watches from earlier revisions fail with
+// CompactHistory drops the history of changes, so that watches from earlier revisions fail with
 // ErrHistoryGone.
-func (s *Store) Forget() {
+func (s *Store) CompactHistory() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.history, s.compactedRevision = nil, s.revision
--- a/standin/metastore/fault.go
+++ b/standin/metastore/fault.go
@@ -16,16 +16,16 @@
 type Fault int
 
 const (
-	// Sound executes the call and returns its result.
-	Sound Fault = iota
+	// NoFault executes the call and returns its result.
+	NoFault Fault = iota
 	// Refused fails the call with a RefusedError. The call has no effect.
 	Refused
-	// Unanswered executes the call and loses its response.
-	Unanswered
-	// Late loses the response and executes a write only at ApplyLate.
-	Late
-	// Silent loses the call. It has no effect and no response.
-	Silent
+	// ResponseLost executes the call and loses its response.
+	ResponseLost
+	// Deferred loses the response and executes a write only at ApplyDeferred.
+	Deferred
+	// Dropped loses the call. It has no effect and no response.
+	Dropped
 )
 
 // Call describes a call for the choice of its fault and delay.
@@ -73,7 +73,7 @@
 	defer s.mutex.Unlock()
 	s.calls[verb]++
 	if s.fault == nil {
-		return Sound
+		return NoFault
 	}
 	return s.fault(Call{Verb: verb, Kind: kind, Name: name})
 }
@@ -81,7 +81,7 @@
 // beginRead applies the fault and the delay of a read. The caller reads if it returns nil.
 func (s *Store) beginRead(ctx context.Context, verb, kind, name string) error {
 	switch s.begin(ctx, verb, kind, name) {
-	case Sound:
+	case NoFault:
 		delay := s.delayOf(Call{Verb: verb, Kind: kind, Name: name})
 		time.Sleep(delay.Before + delay.After)
 		return nil
@@ -99,30 +99,30 @@
 		return apply()
 	}
 	switch s.begin(ctx, verb, kind, name) {
-	case Sound:
+	case NoFault:
 		delay := s.delayOf(Call{Verb: verb, Kind: kind, Name: name})
 		time.Sleep(delay.Before)
 		defer time.Sleep(delay.After)
 		return applyLocked()
 	case Refused:
 		return objectstore.Object{}, &objectstore.RefusedError{Status: 503, Cause: ErrFault}
-	case Unanswered:
+	case ResponseLost:
 		applyLocked()
-	case Late:
+	case Deferred:
 		s.mutex.Lock()
-		s.late = append(s.late, func() { applyLocked() })
+		s.deferred = append(s.deferred, func() { applyLocked() })
 		s.mutex.Unlock()
 	}
 	return objectstore.Object{}, &objectstore.UnansweredError{Cause: ErrFault}
 }
 
-// ApplyLate executes the writes that were held back, in order.
-func (s *Store) ApplyLate() {
+// ApplyDeferred executes the writes that were held back, in order.
+func (s *Store) ApplyDeferred() {
 	s.mutex.Lock()
-	late := s.late
-	s.late = nil
+	deferred := s.deferred
+	s.deferred = nil
 	s.mutex.Unlock()
-	for _, apply := range late {
+	for _, apply := range deferred {
 		apply()
 	}
 }
--- a/standin/metastore/store.go
+++ b/standin/metastore/store.go
@@ -19,9 +19,9 @@
 	changed chan struct{}
 	fault   func(Call) Fault
 	delay   func(Call) Delay
-	// late are the writes that ApplyLate executes.
-	late  []func()
-	calls map[string]int
+	// deferred are the writes that ApplyDeferred executes.
+	deferred []func()
+	calls    map[string]int
 }
 
 // event is one entry of the history.
--- a/standin/replica/config.go
+++ b/standin/replica/config.go
@@ -16,14 +16,14 @@
 	EventInterval time.Duration
 	// LoadTime is the time that loading a weight version takes.
 	LoadTime time.Duration
-	// Work is the time that a request without a stream takes.
-	Work time.Duration
+	// ServiceTime is the time that a request without a stream takes.
+	ServiceTime time.Duration
 	// CrashOn makes the replica crash when it has run a request whose body contains this
 	// text for CrashAfter; empty for no crash.
 	CrashOn    string
 	CrashAfter time.Duration
-	// Born is the start time of the replica in Unix milliseconds; 0 if unknown.
-	Born int64
+	// StartedMs is the start time of the replica in Unix milliseconds; 0 if unknown.
+	StartedMs int64
 	// OnCrash is called before a crash; may be nil.
 	OnCrash func()
 }
@@ -31,10 +31,10 @@
 // Faults are the injected faults of a replica. A fault with the value n affects every n-th
 // request; 0 disables it.
 type Faults struct {
-	// CutEvery aborts the response in the middle of an event.
-	CutEvery int
-	// SurplusEvery sends a second response after the first.
-	SurplusEvery int
+	// TruncateEvery aborts the response in the middle of an event.
+	TruncateEvery int
+	// ExtraResponseEvery sends a second response after the first.
+	ExtraResponseEvery int
 	// WrongIDEvery sends the response with the ID of another request.
 	WrongIDEvery int
 }
--- a/standin/replica/doc.go
+++ b/standin/replica/doc.go
@@ -3,7 +3,7 @@
 // respond without a stream.
 //
 // A Server records the requests that it runs and the orders that it receives, so that tests can
-// check what nodes sent. The text of a stream is a function of the request's ID (Events, Data,
-// Text). Tests inject Faults. A Network provides in-memory connections for tests on a virtual
-// clock.
+// check what nodes sent. The text of a stream is a function of the request's ID (EventCount,
+// EventData, Text). Tests inject Faults. A Network provides in-memory connections for tests on
+// a virtual clock.
 package replica
--- a/standin/replica/orders.go
+++ b/standin/replica/orders.go
@@ -16,7 +16,7 @@
 	models := s.models()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	json.NewEncoder(writer).Encode(map[string]any{"stage": "both", "models": models, "busy": s.busy, "seq": s.sequence, "active": s.active, "born": s.config.Born})
+	json.NewEncoder(writer).Encode(map[string]any{"stage": "both", "models": models, "busy": s.busy, "seq": s.sequence, "active": s.active, "born": s.config.StartedMs})
 }
 
 // handleOrder handles an order to load a weight version.
@@ -35,7 +35,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.orders = append(s.orders, OrderSeen{Owner: order.Owner, Token: order.Token, Version: order.Version, At: time.Now()})
+	s.orders = append(s.orders, ReceivedOrder{Owner: order.Owner, Token: order.Token, Version: order.Version, At: time.Now()})
 	switch {
 	case s.version == order.Version:
 		writer.WriteHeader(http.StatusOK)
--- a/standin/replica/requests.go
+++ b/standin/replica/requests.go
@@ -64,11 +64,11 @@
 		s.stream(writer, request, after, number, version, faults)
 		return
 	}
-	time.Sleep(s.config.Work)
+	time.Sleep(s.config.ServiceTime)
 	text := "answer to " + id + ": " + string(body)
 	header.Set("Content-Length", strconv.Itoa(len(text)))
 	io.WriteString(writer, text)
-	if every(faults.SurplusEvery, number) {
+	if every(faults.ExtraResponseEvery, number) {
 		s.writeSecondResponse(writer)
 	}
 }
--- a/standin/replica/run.go
+++ b/standin/replica/run.go
@@ -22,8 +22,8 @@
 	At       time.Time
 }
 
-// OrderSeen is one received order to load a weight version.
-type OrderSeen struct {
+// ReceivedOrder is one received order to load a weight version.
+type ReceivedOrder struct {
 	Owner   string
 	Token   uint64
 	Version int64
--- a/standin/replica/server.go
+++ b/standin/replica/server.go
@@ -21,7 +21,7 @@
 	active int
 	served int
 	runs   []Run
-	orders []OrderSeen
+	orders []ReceivedOrder
 	faults Faults
 	ended  bool
 }
@@ -76,10 +76,10 @@
 }
 
 // Orders returns the received orders.
-func (s *Server) Orders() []OrderSeen {
+func (s *Server) Orders() []ReceivedOrder {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return append([]OrderSeen(nil), s.orders...)
+	return append([]ReceivedOrder(nil), s.orders...)
 }
 
 // Version returns the loaded weight version.
@@ -92,8 +92,8 @@
 // Entry returns the replica's entry in the metadata store.
 func (s *Server) Entry(service, zone string) map[string]any {
 	entry := map[string]any{"service": service, "address": s.Address(), "zone": zone, "version": "v1", "slots": s.config.Slots, "state": "ready"}
-	if s.config.Born != 0 {
-		entry["born"] = s.config.Born
+	if s.config.StartedMs != 0 {
+		entry["born"] = s.config.StartedMs
 	}
 	if s.config.Model != "" {
 		entry["stage"] = "both"
--- a/test/platform_deployment_test.go
+++ b/test/platform_deployment_test.go
@@ -119,7 +119,7 @@
 		}, "engines", number))
 	}
 	for number := range spec.apps {
-		d.apps = append(d.apps, start(replica.Config{ID: fmt.Sprintf("app-%d", number), Slots: 16, Work: time.Millisecond, CrashOn: spec.crashOn, CrashAfter: crashAfter}, "apps", number))
+		d.apps = append(d.apps, start(replica.Config{ID: fmt.Sprintf("app-%d", number), Slots: 16, ServiceTime: time.Millisecond, CrashOn: spec.crashOn, CrashAfter: crashAfter}, "apps", number))
 	}
 }
 
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -140,10 +140,10 @@
 func TestCorruptResponsesAreNotForwarded(t *testing.T) {
 	d := deployPlatform(t, deploymentSpec{nodes: 1, engines: 3, apps: 2, eventInterval: time.Millisecond})
 	for _, app := range d.apps {
-		app.SetFaults(replica.Faults{WrongIDEvery: 3, SurplusEvery: 4})
+		app.SetFaults(replica.Faults{WrongIDEvery: 3, ExtraResponseEvery: 4})
 	}
 	for _, engine := range d.engines {
-		engine.SetFaults(replica.Faults{CutEvery: 3})
+		engine.SetFaults(replica.Faults{TruncateEvery: 3})
 	}
 	for number := range 60 {
 		id := fmt.Sprintf("live.%d", number)
@@ -234,7 +234,7 @@
 	// cut every second stream after one event. Resumption must still complete each stream.
 	d.engines[0].SetFaults(replica.Faults{WrongIDEvery: 1})
 	for _, engine := range d.engines[1:] {
-		engine.SetFaults(replica.Faults{CutEvery: 2})
+		engine.SetFaults(replica.Faults{TruncateEvery: 2})
 	}
 	prompt := http.Header{"Pathtally-Model": {draftModel}, "Pathtally-Token-Usage": {"10,10"}, "Pathtally-Prefix-Hash": {"ab:5,cd:5"}}
 	for number := range 40 {
@@ -260,7 +260,7 @@
 func TestBrokenStreamIsNotReportedComplete(t *testing.T) {
 	d := deployPlatform(t, deploymentSpec{nodes: 1, engines: 2, apps: 1, eventInterval: time.Millisecond})
 	for _, engine := range d.engines {
-		engine.SetFaults(replica.Faults{CutEvery: 2})
+		engine.SetFaults(replica.Faults{TruncateEvery: 2})
 	}
 	broken := 0
 	for number := range 20 {
--- a/test/quarantine_test.go
+++ b/test/quarantine_test.go
@@ -47,7 +47,7 @@
 		config   replica.Config
 	}{
 		{"engines", d.engines, replica.Config{Slots: 8, Model: draftModel, LoadTime: 100 * time.Millisecond, CrashOn: crashingText, CrashAfter: crashAfter}},
-		{"apps", d.apps, replica.Config{Slots: 16, Work: time.Millisecond, CrashOn: crashingText, CrashAfter: crashAfter}},
+		{"apps", d.apps, replica.Config{Slots: 16, ServiceTime: time.Millisecond, CrashOn: crashingText, CrashAfter: crashAfter}},
 	} {
 		for number, started := range service.replicas {
 			id := fmt.Sprintf("%s-%d", service.name[:len(service.name)-1], number)
--- a/test/soak_checks_test.go
+++ b/test/soak_checks_test.go
@@ -29,7 +29,7 @@
 	page := func(results ...itemResult) func(*soakRecord) {
 		return func(r *soakRecord) { r.checkPage(&soakJob{id: "j", minVersion: 3, items: 9}, 0, 0, results, "node") }
 	}
-	orders := func(heals []time.Time, seen ...replica.OrderSeen) func(*soakRecord) {
+	orders := func(heals []time.Time, seen ...replica.ReceivedOrder) func(*soakRecord) {
 		return func(r *soakRecord) { r.checkOrders("engine", seen, heals, map[uint64]string{}) }
 	}
 	at := func(id string, after time.Duration) replica.Run { return replica.Run{ID: id, At: now.Add(after)} }
@@ -94,10 +94,10 @@
 		{"a result without a score", "MIXED", page(changed(func(l *itemResult) { l.Score = "" }))},
 		{"a result without versions", "VERSION", page(changed(func(l *itemResult) { l.Versions = nil }))},
 		{"a result of an old weight version", "VERSION", page(changed(func(l *itemResult) { l.Versions = []int64{2, 3} }))},
-		{"a fencing token that decreases", "ONE", orders(nil, replica.OrderSeen{Owner: "a", Token: 5, At: now}, replica.OrderSeen{Owner: "b", Token: 4, At: now})},
-		{"an order that arrives late over a healed link", "", orders([]time.Time{now}, replica.OrderSeen{Owner: "a", Token: 5, At: now},
-			replica.OrderSeen{Owner: "b", Token: 4, At: now.Add(healGrace / 2)})},
-		{"a fencing token of two owners", "ONE", orders(nil, replica.OrderSeen{Owner: "a", Token: 5, At: now}, replica.OrderSeen{Owner: "b", Token: 5, At: now})},
+		{"a fencing token that decreases", "ONE", orders(nil, replica.ReceivedOrder{Owner: "a", Token: 5, At: now}, replica.ReceivedOrder{Owner: "b", Token: 4, At: now})},
+		{"an order that arrives late over a healed link", "", orders([]time.Time{now}, replica.ReceivedOrder{Owner: "a", Token: 5, At: now},
+			replica.ReceivedOrder{Owner: "b", Token: 4, At: now.Add(healGrace / 2)})},
+		{"a fencing token of two owners", "ONE", orders(nil, replica.ReceivedOrder{Owner: "a", Token: 5, At: now}, replica.ReceivedOrder{Owner: "b", Token: 5, At: now})},
 		{"a late request at a draining replica", "DRAIN", func(r *soakRecord) {
 			r.checkDrained("app", now, time.Second, []replica.Run{{ID: "a", At: now.Add(2 * time.Second)}})
 		}},
--- a/test/soak_faults_test.go
+++ b/test/soak_faults_test.go
@@ -181,19 +181,19 @@
 		name  string
 		fault metastore.Fault
 		share int
-	}{{"busy", metastore.Refused, 1}, {"silent", metastore.Silent, 1}, {"answers lost", metastore.Unanswered, 3}, {"writes late", metastore.Late, 3}}
+	}{{"busy", metastore.Refused, 1}, {"silent", metastore.Dropped, 1}, {"answers lost", metastore.ResponseLost, 3}, {"writes late", metastore.Deferred, 3}}
 	kind := kinds[random.intN(len(kinds))]
 	endDisturbance := s.record.beginDisturbance("")
 	s.store.SetFault(func(call metastore.Call) metastore.Fault {
 		isWrite := call.Verb == "create" || call.Verb == "replace" || call.Verb == "status"
 		if (kind.share > 1 && !isWrite) || random.intN(kind.share) != 0 {
-			return metastore.Sound
+			return metastore.NoFault
 		}
 		return kind.fault
 	})
 	return kind.name, func() {
 		s.store.SetFault(nil)
-		s.store.ApplyLate()
+		s.store.ApplyDeferred()
 		endDisturbance()
 	}
 }
@@ -317,13 +317,13 @@
 const maxSignalInterval = 1500 * time.Millisecond
 
 func compactStoreHistory(s *soakRun, random *randomStream) (string, func()) {
-	s.store.Forget()
+	s.store.CompactHistory()
 	return "", nil
 }
 
 func corruptReplica(s *soakRun, random *randomStream) (string, func()) {
 	corrupted := s.randomReplica(random)
-	corrupted.server.SetFaults(replica.Faults{CutEvery: 3, SurplusEvery: 4, WrongIDEvery: 5})
+	corrupted.server.SetFaults(replica.Faults{TruncateEvery: 3, ExtraResponseEvery: 4, WrongIDEvery: 5})
 	return corrupted.id, func() { corrupted.server.SetFaults(replica.Faults{}) }
 }
 
--- a/test/soak_record_test.go
+++ b/test/soak_record_test.go
@@ -181,7 +181,7 @@
 // checkOrders checks the weight orders that a replica received: fencing tokens do not
 // decrease, except for orders delayed by a link or process that has just recovered, and
 // each token has one owner.
-func (r *soakRecord) checkOrders(name string, orders []replica.OrderSeen, heals []time.Time, owners map[uint64]string) {
+func (r *soakRecord) checkOrders(name string, orders []replica.ReceivedOrder, heals []time.Time, owners map[uint64]string) {
 	last := uint64(0)
 	for _, order := range orders {
 		if order.Token < last && !nearHeal(order.At, heals) {
--- a/test/soak_run_test.go
+++ b/test/soak_run_test.go
@@ -156,12 +156,12 @@
 	random := newRandomStream(s.seed, streamReplicas+uint64(s.replicasStarted))
 	zone := soakZones[s.replicasStarted%len(soakZones)]
 	s.mutex.Unlock()
-	config := replica.Config{ID: id, Slots: 16, Work: 3 * time.Millisecond}
+	config := replica.Config{ID: id, Slots: 16, ServiceTime: 3 * time.Millisecond}
 	if service == "engines" {
 		config = replica.Config{ID: id, Slots: engineSlots, Model: draftModel, EventInterval: random.duration(minEventInterval, maxEventInterval), LoadTime: 150 * time.Millisecond}
 	}
 	started := &soakReplica{id: id, service: service, zone: zone}
-	config.CrashOn, config.CrashAfter, config.Born = crashingText, crashAfter, time.Now().UnixMilli()
+	config.CrashOn, config.CrashAfter, config.StartedMs = crashingText, crashAfter, time.Now().UnixMilli()
 	config.OnCrash = func() { started.link.close() }
 	server, err := replica.Start(config)
 	if err != nil {
--- a/test/usage_test.go
+++ b/test/usage_test.go
@@ -99,7 +99,7 @@
 	stop()
 	last := time.Now().UnixNano()/int64(d.usageWindow) - 1
 	d.eventually("the last complete usage window to be reported", func() bool { _, known := d.dutyAPI.Reports()[last]; return known })
-	for _, finding := range d.dutyAPI.Findings() {
+	for _, finding := range d.dutyAPI.Violations() {
 		t.Error(finding)
 	}
 	want, reports := d.runsByWindow(), d.dutyAPI.Reports()
--- a/test/virtual_test.go
+++ b/test/virtual_test.go
@@ -67,7 +67,7 @@
 			ID: fmt.Sprintf("engine-%d", number), Slots: 8, Model: draftModel, EventInterval: 30 * time.Millisecond, LoadTime: 900 * time.Millisecond,
 		}, "engines"))
 	}
-	start(replica.Config{ID: "app", Slots: 64, Work: 30 * time.Millisecond}, "apps")
+	start(replica.Config{ID: "app", Slots: 64, ServiceTime: 30 * time.Millisecond}, "apps")
 	(&platformDeployment{store: d.store}).configure(1)
 
 	logger := klog.Background()
@@ -195,7 +195,7 @@
 		d := deployVirtual(ctx, t, 2)
 		time.AfterFunc(100*time.Millisecond, func() {
 			d.storeDown.Store(true)
-			d.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.Unanswered })
+			d.store.SetFault(func(metastore.Call) metastore.Fault { return metastore.ResponseLost })
 		})
 		time.AfterFunc(6*time.Second, func() {
 			d.store.SetFault(nil)
