--- a/test/soak_crashes_test.go
+++ b/test/soak_crashes_test.go
@@ -9,104 +9,106 @@
 	"github.com/pathtally/pathtally/internal/callers/forward"
 )
 
-// crashingRequest is a request that ends each replica that begins to run it.
+// crashingRequest is a request under which each replica that runs it crashes.
 type crashingRequest struct{ target, body string }
 
-// crashingRequests are those of each run: one that engines run and one that apps run.
+// crashingRequests are sent in each run: one to apps and one to engines.
 var crashingRequests = []crashingRequest{
 	{target: "/live/crash", body: crashingText + " as a plain request"},
 	{target: "/chat/crash", body: crashingText + " as a stream"},
 }
 
-// popularBody is that of a good request which comes again and again.
+// popularBody is the body of a harmless request that is sent again and again.
 const popularBody = "everybody asks this"
 
 const (
-	// shortestCrashPause and longestCrashPause are the time between requests that end
-	// replicas: with less, those that remain have no time to show anything else.
-	shortestCrashPause = 800 * time.Millisecond
-	longestCrashPause  = 2500 * time.Millisecond
-	// entryLapse is how long the entry of a replica that has ended stands.
-	entryLapse = 400 * time.Millisecond
-	// calmTries bounds how often a request is sent in calm until it is refused: each try
-	// that a replica takes ends one at the least, and what was known of ends before may be
-	// lost.
-	calmTries = endsAllowed + 1
-	// maxFullTries bounds the further tries for those that every replica turned away.
-	maxFullTries = 8
+	// minCrashInterval and maxCrashInterval bound the time between crashing requests, so
+	// that the other checks have replicas between the crashes.
+	minCrashInterval = 800 * time.Millisecond
+	maxCrashInterval = 2500 * time.Millisecond
+	// entryRemovalDelay is the time from the crash of a replica to the removal of its entry.
+	entryRemovalDelay = 400 * time.Millisecond
+	// quarantineTries bounds how often a crashing request is sent after the last fault until
+	// it is refused: each try that a replica accepts crashes at least one, and earlier
+	// crashes may have been forgotten.
+	quarantineTries = maxCrashes + 1
+	// maxAllFullRetries bounds the retries of requests that were refused because all replicas
+	// were full.
+	maxAllFullRetries = 8
 )
 
-// replaceEnded replaces the replicas that have ended by themselves.
-func (w *soakWorld) replaceEnded() {
-	for w.pause(supervisePause) {
-		w.mutex.Lock()
-		started := append([]*soakReplica(nil), w.replicas...)
-		w.mutex.Unlock()
-		for _, seen := range started {
-			if seen.server.Ended() {
-				w.retire(seen)
-				w.run(func() { w.replace(seen) })
+// replaceCrashed replaces the replicas that have crashed.
+func (s *soakRun) replaceCrashed() {
+	for s.sleep(superviseInterval) {
+		s.mutex.Lock()
+		started := append([]*soakReplica(nil), s.replicas...)
+		s.mutex.Unlock()
+		for _, candidate := range started {
+			if candidate.server.Ended() {
+				s.removeReplica(candidate)
+				s.startTask(func() { s.replace(candidate) })
 			}
 		}
 	}
 }
 
-// replace has an ended replica start again: under a new id once its entry has lapsed, or
-// under the id that it had, before that or after.
-func (w *soakWorld) replace(ended *soakReplica) {
-	w.mutex.Lock()
-	way := w.made % 3
+// replace starts the replacement of a crashed replica: under a new id, or under the same
+// id with its entry removed before or not.
+func (s *soakRun) replace(ended *soakReplica) {
+	s.mutex.Lock()
+	// 0: same id, entry kept; 1: new id, entry removed; 2: same id, entry removed.
+	variant := s.replicasStarted % 3
 	if !ended.drainedAt.IsZero() {
-		// Whoever drains it takes the entry of its id away later.
-		way = 1
+		// The drain removes the entry of this id later, so the id cannot be reused.
+		variant = 1
 	}
-	w.mutex.Unlock()
-	time.Sleep(entryLapse)
-	if way != 0 {
-		w.store.Remove("servers", ended.id)
+	s.mutex.Unlock()
+	time.Sleep(entryRemovalDelay)
+	if variant != 0 {
+		s.store.Remove("servers", ended.id)
 	}
-	if way == 1 {
-		w.addReplica(ended.service)
+	if variant == 1 {
+		s.addReplica(ended.service)
 		return
 	}
-	w.startReplica(ended.service, ended.id)
+	s.startReplica(ended.service, ended.id)
 }
 
-// crashers send the requests that end replicas, and a popular one beside them, while
-// faults come.
-func (w *soakWorld) crashers() {
-	from := newDraws(w.seed, streamCrashes)
-	for count := 0; w.pause(from.span(shortestCrashPause, longestCrashPause)) && !w.isCalm.Load(); count++ {
-		node := w.nodeAt(from)
-		w.sendCrashing(node, crashingRequests[from.chance(len(crashingRequests))], fmt.Sprint("crash.", count))
-		w.sendPopular(node, fmt.Sprint("popular.", count))
+// sendCrashingRequests sends crashing requests, each with a popular one, until the last
+// fault has ended.
+func (s *soakRun) sendCrashingRequests() {
+	random := newRandomStream(s.seed, streamCrashes)
+	for count := 0; s.sleep(random.duration(minCrashInterval, maxCrashInterval)) && !s.faultsEnded.Load(); count++ {
+		node := s.randomNode(random)
+		s.sendCrashing(node, crashingRequests[random.intN(len(crashingRequests))], fmt.Sprint("crash.", count))
+		s.sendPopular(node, fmt.Sprint("popular.", count))
 	}
 }
 
-// sendCrashing sends a request that ends replicas to a node.
-func (w *soakWorld) sendCrashing(node *soakNode, crashing crashingRequest, id string) (reply, error) {
+// sendCrashing sends a crashing request to a node.
+func (s *soakRun) sendCrashing(node *soakNode, crashing crashingRequest, id string) (callerResponse, error) {
 	request := &soakRequest{id: id, target: crashing.target, body: crashing.body}
-	w.record.sent(request)
+	s.record.recordRequest(request)
 	header := http.Header{"Pathtally-Model": {draftModel}, "Pathtally-Token-Usage": {"10,10"}}
-	answer, err := w.call(node, http.MethodPost, liveHost, request.target, id, []byte(request.body), header)
-	w.recordEnd(request, answer, err)
-	return answer, err
+	response, err := s.call(node, http.MethodPost, liveHost, request.target, id, []byte(request.body), header)
+	s.recordEnd(request, response, err)
+	return response, err
 }
 
 // sendPopular sends the popular request to a node.
-func (w *soakWorld) sendPopular(node *soakNode, id string) (reply, error) {
+func (s *soakRun) sendPopular(node *soakNode, id string) (callerResponse, error) {
 	request := &soakRequest{id: id, target: "/live/popular", body: popularBody}
-	w.record.sent(request)
-	answer, err := w.call(node, http.MethodPost, liveHost, request.target, id, []byte(request.body), nil)
-	w.recordEnd(request, answer, err)
-	return answer, err
+	s.record.recordRequest(request)
+	response, err := s.call(node, http.MethodPost, liveHost, request.target, id, []byte(request.body), nil)
+	s.recordEnd(request, response, err)
+	return response, err
 }
 
-// runsOf counts the runs of requests with a body.
-func (w *soakWorld) runsOf(body string) int {
+// runCount counts the runs of requests whose body contains a text.
+func (s *soakRun) runCount(body string) int {
 	count := 0
-	for _, seen := range w.everyReplica() {
-		for _, run := range seen.server.Runs() {
+	for _, candidate := range s.allReplicas() {
+		for _, run := range candidate.server.Runs() {
 			if strings.Contains(run.Body, body) {
 				count++
 			}
@@ -115,57 +117,56 @@
 	return count
 }
 
-// checkCrashing sends the requests that end replicas in calm until they are refused, and
-// checks that no more replicas end under each than may, and that all nodes then refuse
-// them and serve the popular one. Ends from before the calm may be forgotten: where all
-// nodes lose power, those that are less than enough are known to nobody any more, and up
-// to as many more replicas end than otherwise.
-func (w *soakWorld) checkCrashing() {
+// checkCrashing sends the crashing requests until they are refused. It checks that at most
+// maxCrashes replicas crash under each, and that all nodes then refuse them and serve the
+// popular request. It counts from the last fault on, since a loss of power of all nodes
+// loses the crashes of requests that are not quarantined yet.
+func (s *soakRun) checkCrashing() {
 	for number, crashing := range crashingRequests {
-		before := w.runsOf(crashing.body)
+		before := s.runCount(crashing.body)
 		full := 0
-		for try := 0; try < calmTries+full; try++ {
-			answer, err := w.sendCrashing(w.nodes[try%len(w.nodes)], crashing, fmt.Sprintf("calm.%d.%d", number, try))
-			if isRefusal(answer, err, forward.ReasonQuarantined) {
+		for try := 0; try < quarantineTries+full; try++ {
+			response, err := s.sendCrashing(s.nodes[try%len(s.nodes)], crashing, fmt.Sprintf("calm.%d.%d", number, try))
+			if isRefusal(response, err, forward.ReasonQuarantined) {
 				break
 			}
-			if isRefusal(answer, err, forward.ReasonAllFull) && full < maxFullTries {
-				// No replica took it, so none has ended under it.
+			if isRefusal(response, err, forward.ReasonAllFull) && full < maxAllFullRetries {
+				// No replica accepted it, so none crashed under it.
 				full++
 			}
-			time.Sleep(entryLapse + spreadTime/2)
+			time.Sleep(entryRemovalDelay + propagationTime/2)
 		}
-		if after := w.runsOf(crashing.body); after-before > endsAllowed {
-			w.record.fail("BUDGET", "a request ran %d times in calm until it was refused, %d times before", after-before, before)
+		if after := s.runCount(crashing.body); after-before > maxCrashes {
+			s.record.fail("BUDGET", "a crashing request ran %d times after the last fault until it was refused, and %d times before", after-before, before)
 		}
 	}
-	time.Sleep(spreadTime)
-	w.checkQuarantined("in calm")
-	for _, node := range w.nodes {
-		answer, err := w.sendPopular(node, "popular.calm."+node.name)
-		if err != nil || answer.status != http.StatusOK {
-			w.record.fail("REFUSED", "%s answers the popular request with %d, %v", node.name, answer.status, err)
+	time.Sleep(propagationTime)
+	s.checkQuarantined("in calm")
+	for _, node := range s.nodes {
+		response, err := s.sendPopular(node, "popular.calm."+node.name)
+		if err != nil || response.status != http.StatusOK {
+			s.record.fail("REFUSED", "%s responds to the popular request with %d, %v", node.name, response.status, err)
 		}
 	}
 }
 
-// isRefusal tells whether an answer refuses a request as not run, for a reason.
-func isRefusal(answer reply, err error, reason string) bool {
-	return err == nil && answer.status == http.StatusServiceUnavailable && strings.Contains(answer.body, reason)
+// isRefusal reports whether a response refuses a request as not run, for the given reason.
+func isRefusal(response callerResponse, err error, reason string) bool {
+	return err == nil && response.status == http.StatusServiceUnavailable && strings.Contains(response.body, reason)
 }
 
-// checkQuarantined checks that no node sends on the requests that end replicas.
-func (w *soakWorld) checkQuarantined(when string) {
+// checkQuarantined checks that every node refuses the crashing requests without running them.
+func (s *soakRun) checkQuarantined(when string) {
 	for number, crashing := range crashingRequests {
-		before := w.runsOf(crashing.body)
-		for _, node := range w.nodes {
-			answer, err := w.sendCrashing(node, crashing, fmt.Sprintf("check.%s.%d.%s", strings.ReplaceAll(when, " ", "-"), number, node.name))
-			if err != nil || answer.status != http.StatusServiceUnavailable || answer.header.Get("Retry-After") == "" {
-				w.record.fail("BUDGET", "%s answers a request under which %d replicas have ended with %d %s, %v", node.name, before, answer.status, when, err)
+		before := s.runCount(crashing.body)
+		for _, node := range s.nodes {
+			response, err := s.sendCrashing(node, crashing, fmt.Sprintf("check.%s.%d.%s", strings.ReplaceAll(when, " ", "-"), number, node.name))
+			if err != nil || response.status != http.StatusServiceUnavailable || response.header.Get("Retry-After") == "" {
+				s.record.fail("BUDGET", "%s responds to a request under which %d replicas crashed with %d %s, %v", node.name, before, response.status, when, err)
 			}
 		}
-		if after := w.runsOf(crashing.body); after > before {
-			w.record.fail("BUDGET", "a request under which %d replicas have ended ran %d times more %s", before, after-before, when)
+		if after := s.runCount(crashing.body); after > before {
+			s.record.fail("BUDGET", "a request under which %d replicas crashed ran %d times more %s", before, after-before, when)
 		}
 	}
 }
