--- a/internal/instance/adapter.go
+++ b/internal/instance/adapter.go
@@ -30,5 +30,5 @@
 	NewReplicaClient func(pool *exchange.Pool) weightorders.ReplicaClient
 	// NewDutyClients returns clients of the platform's API at an address, for those of the
 	// named duties that it supports.
-	NewDutyClients func(address string, named []string) DutyClients
+	NewDutyClients func(address string, names []string) DutyClients
 }
--- a/internal/instance/components.go
+++ b/internal/instance/components.go
@@ -29,7 +29,7 @@
 // components are the components of a node. The fields do not change after assembled is
 // closed.
 type components struct {
-	// settings are the settings at the start, live the current ones.
+	// settings are those at the start, live the current ones.
 	settings settings.Settings
 	live     *liveSettings
 	adapter  Adapter
--- a/internal/instance/connections_test.go
+++ b/internal/instance/connections_test.go
@@ -16,7 +16,7 @@
 	"github.com/pathtally/pathtally/internal/replicas/directory"
 )
 
-// All nodes together must stay within a service's limit on connections.
+// Each node must limit its connections to a replica by its share of the service's limit.
 func TestConnectionLimits(t *testing.T) {
 	for _, test := range []struct {
 		name                string
