--- a/internal/wire/listing.go
+++ b/internal/wire/listing.go
@@ -60,7 +60,8 @@
 }
 
 // listingTraverseLimit is the Cap'n Proto traversal limit, in bytes, for decoding a listing.
-// The library's default is too small for the largest listings.
+// The library's default is too small for the largest listings. The decoder reads each object
+// once, so the greater limit does not let a small message cause much work.
 const listingTraverseLimit = 512 << 20
 
 func (o *ObjectChange) encode(to schema.ObjectChange) error {
--- a/internal/wire/watch.go
+++ b/internal/wire/watch.go
@@ -11,8 +11,9 @@
 	Kinds []KindRevision
 	// WaitMs is how long the receiver may delay its reply until there are changes.
 	WaitMs uint32
-	// Direct means that only a reader, a node that itself reads the store, may reply that
-	// it is current.
+	// Direct means that only a node to which the store itself responds may reply that it
+	// is current. Otherwise two nodes without the store could each take the other for
+	// current.
 	Direct bool
 	// Relay means that the sender regards the receiver as a follower of another node, so
 	// that the receiver need not read the store.
@@ -50,17 +51,19 @@
 	Objects []ObjectChange
 }
 
-// ReaderState is the state of a polled node's connection to the metadata store.
+// ReaderState is the state of a polled node's copies of the metadata store.
 type ReaderState uint8
 
 const (
-	// ReaderCurrent means that the node receives responses from the store.
+	// ReaderCurrent means that the copies are current: the store is available to the node or
+	// to the node named by WatchNews.Through.
 	ReaderCurrent ReaderState = iota
-	// ReaderUnsure means that the node receives no responses from the store.
+	// ReaderUnsure means that the copies may be outdated because the store is unavailable to
+	// the node, or to those it follows.
 	ReaderUnsure
 	// ReaderLeaving means that the node is shutting down.
 	ReaderLeaving
-	// ReaderStarting means that the node has not completed its first listing yet.
+	// ReaderStarting means that the node has not read all objects yet.
 	ReaderStarting
 )
 
@@ -70,8 +73,8 @@
 	Standing uint8
 	// Kinds are the kinds with changes.
 	Kinds []KindNews
-	// Through is the address of the reader that the sender follows, directly or through
-	// others; empty if the sender itself is a reader.
+	// Through is the address of the node to which the store is available and through which
+	// the sender is current; empty if the store is available to the sender itself.
 	Through string
 	// AgeMs is the time since a reader last confirmed that the objects are current, in
 	// milliseconds; 0 if the sender itself is a reader.
