--- a/internal/bench/errors.go
+++ b/internal/bench/errors.go
@@ -1,13 +1,13 @@
 package bench
 
-// FailedError means that a run ended but found something broken.
-type FailedError struct{ What string }
+// FailedError reports a run that completed and found a violated invariant.
+type FailedError struct{ Message string }
 
-// Error says what was found.
-func (e *FailedError) Error() string { return e.What }
+// Error implements error.
+func (e *FailedError) Error() string { return e.Message }
 
-// UsageError is a command line that cannot be taken.
-type UsageError struct{ What string }
+// UsageError reports an invalid command line.
+type UsageError struct{ Message string }
 
-// Error says what is wrong.
-func (e *UsageError) Error() string { return e.What }
+// Error implements error.
+func (e *UsageError) Error() string { return e.Message }
