--- a/internal/jobs/batch/accept.go
+++ b/internal/jobs/batch/accept.go
@@ -144,8 +144,9 @@
 	}
 }
 
-// maxPromptAcceptance is the longest acceptance after which the record is known to be
-// unchanged: no node takes a job over before its owner has been silent for this long.
+// maxPromptAcceptance bounds the duration of an acceptance after which the record is
+// known to be unchanged: no node takes a job over before its owner has been silent for
+// this long.
 const maxPromptAcceptance = ownership.OwnerTimeout
 
 // resume loads and starts an open job that this process owns but does not have in memory.
--- a/internal/jobs/batch/append_response_test.go
+++ b/internal/jobs/batch/append_response_test.go
@@ -8,7 +8,7 @@
 	"github.com/pathtally/pathtally/standin/metastore"
 )
 
-// Guards against a result that a reader has seen missing at the owner while the outcome
+// Guards against an owner that lacks a result which a reader has got, while the outcome
 // of its append is unknown and the store does not respond.
 func TestReadDuringAppendWithUnknownOutcome(t *testing.T) {
 	cluster, held := newUnlistedResultsCluster(t)
--- a/internal/jobs/batch/doc.go
+++ b/internal/jobs/batch/doc.go
@@ -1,6 +1,6 @@
 // Package batch accepts batch jobs and runs their items as resumable streams on replicas.
-// It has the texts scored, and appends each result once, at a position that is the same
-// on every node.
+// It sends complete texts to their scorers, and appends each result once, at a position
+// that is the same on every node.
 //
 // # Dependencies
 //
@@ -28,7 +28,7 @@
 // # States of a job on a node
 //
 // The stored record says who owns a job and whether it has ended. A read of the record
-// reflects the time at which it was sent, not when the response came.
+// confirms nothing about the time after it was sent, even if its response came much later.
 //
 //	state       set by                            reads are served      until
 //	open        a start                           from memory           the end, or all results
--- a/internal/jobs/batch/end.go
+++ b/internal/jobs/batch/end.go
@@ -79,8 +79,8 @@
 }
 
 // persistEnd retries storing an end that another node announced or that was not stored by
-// the caller's deadline. The caller may not retry, and a later owner would resume the
-// job. It continues even if another node becomes the owner.
+// the caller's deadline. Otherwise a later owner would resume the job if the caller
+// does not retry. It continues even if another node becomes the owner.
 func (s *Service) persistEnd(id string) {
 	s.mutex.Lock()
 	inProgress := s.endsBeingPersisted[id]
--- a/internal/jobs/batch/ends_test.go
+++ b/internal/jobs/batch/ends_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// Guards against a result that a reader has seen missing at the owner because the job
+// Guards against an owner that lacks a result which a reader has got, because the job
 // ended while the result was being appended.
 func TestOwnerKeepsResultsReadFromStore(t *testing.T) {
 	t.Run("append response delayed", func(t *testing.T) {
@@ -167,7 +167,7 @@
 	defer owner.mutex.Unlock()
 	held := owner.jobs["job"]
 	for _, item := range []string{"job.0", "job.1"} {
-		held.settle(item)
+		held.markDone(item)
 		held.finished = append(held.finished, jobstore.Result{ID: item, State: jobstore.Abandoned})
 	}
 	return c, held
--- a/internal/jobs/batch/epoch_test.go
+++ b/internal/jobs/batch/epoch_test.go
@@ -7,8 +7,8 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// Guards against taking a former owner, which still sends heartbeats, for the owner of a
-// job.
+// Guards against regarding a former owner, which still sends heartbeats, as the owner of
+// a job.
 func TestHeartbeatOfFormerOwnerIgnored(t *testing.T) {
 	cluster := newCluster(t, 1, startEngine(t, 1))
 	node := cluster.nodes[0]
--- a/internal/jobs/batch/errors.go
+++ b/internal/jobs/batch/errors.go
@@ -32,7 +32,7 @@
 	// ErrNoVersion means that a replica's response names no weight version.
 	ErrNoVersion = merry.Sentinel("response names no weight version")
 	// ErrOldWeights means that a replica's weight version is older than the job allows,
-	// or not the one that made the item's earlier events where its route requires a
+	// or not the one that generated the item's earlier events where its route requires a
 	// single version.
 	ErrOldWeights = merry.Sentinel("weights are older than allowed")
 )
--- a/internal/jobs/batch/failing.go
+++ b/internal/jobs/batch/failing.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// maxFailuresFactor times the route's attempts is the number of failures, at failing
-// replicas or not, after which an item is abandoned. The platform forbids a further run
-// after three times the attempts.
+// maxFailuresFactor is the multiple of the route's attempts at which an item is
+// abandoned, counting its failures at failing replicas too. The platform forbids a
+// further run after three times the attempts.
 const maxFailuresFactor = 2
 
 // recordFailure records that an item failed at a replica, according to its response, and
-// abandons the item once its own failures or all its failures reach their limits. The
-// mutex must be held.
+// abandons the item once its attributed failures or all its failures reach their limits.
+// The mutex must be held.
 func (s *scheduler) recordFailure(running *itemRun, state *replicastate.State) {
 	work, replica, now := running.item, running.endpoint.Name, time.Now()
 	wasFailing := state.Failures.IsFailing(now)
--- a/internal/jobs/batch/harness_test.go
+++ b/internal/jobs/batch/harness_test.go
@@ -41,10 +41,10 @@
 // testHeaders implements dispatch's header codec, independently of any platform.
 type testHeaders struct{}
 
-func (testHeaders) Encode(header http.Header, conditions dispatch.RequestMetadata) {
-	header.Set(headerReplica, conditions.Replica)
-	if conditions.LastEventID > 0 {
-		header.Set(headerAfter, strconv.Itoa(conditions.LastEventID))
+func (testHeaders) Encode(header http.Header, metadata dispatch.RequestMetadata) {
+	header.Set(headerReplica, metadata.Replica)
+	if metadata.LastEventID > 0 {
+		header.Set(headerAfter, strconv.Itoa(metadata.LastEventID))
 	}
 }
 
@@ -206,7 +206,7 @@
 }
 
 func (n *testNode) receive(message wire.Message, reply func(wire.Message)) {
-	if heartbeat, isBeat := message.(*wire.NodeBeat); isBeat {
+	if heartbeat, isHeartbeat := message.(*wire.NodeBeat); isHeartbeat {
 		reply(n.table.HandleJoin(heartbeat))
 		return
 	}
--- a/internal/jobs/batch/heartbeat.go
+++ b/internal/jobs/batch/heartbeat.go
@@ -106,7 +106,7 @@
 	for _, id := range heartbeat.Ended {
 		s.logEndDuringTakeover(id, heartbeat.Node)
 		if held := s.jobs[id]; held != nil && !held.endStored {
-			// The node that ended the job took another node for its owner.
+			// The node that ended the job regarded another node as its owner.
 			held.markUnconfirmed()
 			contested = append(contested, held)
 		}
--- a/internal/jobs/batch/homes.go
+++ b/internal/jobs/batch/homes.go
@@ -49,10 +49,10 @@
 	return named
 }
 
-// regionBounds returns where the bodies of a job may be. A route or tenant that is no
-// longer declared may have had any allowed regions; if others declare some, the bodies
-// stay in the job's entry region. Without a configuration no node may have the bodies,
-// this one included.
+// regionBounds returns where the bodies of a job may be. If a route or the tenant of the
+// job is no longer declared, its allowed regions are unknown: the bodies then stay in the
+// job's entry region, unless no allowed regions are declared at all. Without a
+// configuration no node may have the bodies, this one included.
 func (s *Service) regionBounds(from origin) residency.Bounds {
 	configuration := s.config.Directory.View().Configuration
 	if configuration == nil {
--- a/internal/jobs/batch/job.go
+++ b/internal/jobs/batch/job.go
@@ -57,7 +57,7 @@
 	// the record that began later can confirm it.
 	unconfirmedAt time.Time
 	// confirmedAt is when the last successful read of the record began, and lastReadAt
-	// when the last read of all began.
+	// when the last attempt to read it began.
 	confirmedAt time.Time
 	lastReadAt  time.Time
 	// changed is closed when waiting readers have to look at the job again.
@@ -141,9 +141,9 @@
 	j.changed = make(chan struct{})
 }
 
-// appendResponseTimeout is how long results that are being appended are assumed not to be
-// in the store yet. Readers are guaranteed that what was read remains readable one second
-// later.
+// appendResponseTimeout is the time after which reads check the store for results whose
+// append has no response yet. Results that one reader has got must be readable for all
+// readers one second later.
 const appendResponseTimeout = 100 * time.Millisecond
 
 // canServeReads reports whether reads may be served from memory. They may not while
@@ -153,9 +153,9 @@
 	return j != nil && !j.unconfirmed && !(j.ended && !j.appendingSince.IsZero())
 }
 
-// isAppending reports whether the store may have results that are not listed here. The
-// mutex must be held.
-func (j *job) isAppending() bool {
+// isAppendOverdue reports whether the response to an append is overdue, so that the store
+// may have results that are not listed here. The mutex must be held.
+func (j *job) isAppendOverdue() bool {
 	return !j.appendingSince.IsZero() && time.Since(j.appendingSince) > appendResponseTimeout
 }
 
--- a/internal/jobs/batch/late_create_test.go
+++ b/internal/jobs/batch/late_create_test.go
@@ -32,8 +32,8 @@
 	return object, err
 }
 
-// Guards against taking the owner named in a delayed response to a create for the current
-// owner, after the job was taken over.
+// Guards against regarding the owner named in a delayed response to a create as the
+// current one, after the job was taken over.
 func TestDelayedCreateResponseAfterTakeover(t *testing.T) {
 	engine := newHoldingEngine(t)
 	defer engine.release()
--- a/internal/jobs/batch/listing.go
+++ b/internal/jobs/batch/listing.go
@@ -6,19 +6,21 @@
 	// nearlyCompleteShare is the share of the desired groups, from 0 to 1, from which each
 	// further complete group of a late job is listed with little delay.
 	nearlyCompleteShare = 0.8
-	// lateGrace is how long after the job is due a complete group may still be held back.
-	// The platform counts results that readers see shortly after that as in time.
+	// lateGrace is how long after the job's deadline a complete group may still be held
+	// back. The platform counts results that readers get shortly after the deadline as in
+	// time.
 	lateGrace = 200 * time.Millisecond
 	// endingTextEvents is the number of events before the longest known length from which
 	// a text counts as about to end, half a second at the usual pace.
 	endingTextEvents = 10
 )
 
-// shouldListSoon reports whether the finished results are to be listed with little delay:
-// either all items are finished, or a group became complete and the trainer then has what
-// it waits for or is late already.
+// shouldListSoon reports whether the finished results are to be listed with little delay.
+// They are if all items are finished, or if a group became complete and either completes
+// what the trainer waits for, or the job is late and nearly complete. A job without a
+// deadline counts as late.
 //
-// A reader that gets results comes back half a second later, so listing results shortly
+// A reader that gets results polls again half a second later, so listing results shortly
 // before the last ones that the trainer waits for would delay these. The mutex must be
 // held.
 func (j *job) shouldListSoon(now time.Time) bool {
@@ -52,15 +54,15 @@
 func (j *job) hasDesiredGroups() bool { return j.hasDesiredGroupsIf(func(*item) bool { return false }) }
 
 // hasDesiredGroupsIf reports whether the trainer would have the groups that it waits for
-// if the unfinished items for which isSettled is true had results: the desired number of
+// if the unfinished items for which assumeDone is true had results: the desired number of
 // complete groups, and all inherited ones among them. The mutex must be held.
-func (j *job) hasDesiredGroupsIf(isSettled func(*item) bool) bool {
+func (j *job) hasDesiredGroupsIf(assumeDone func(*item) bool) bool {
 	open := map[*group]int{}
 	for _, counted := range j.groups {
 		open[counted] = counted.open
 	}
 	for _, unfinished := range j.items {
-		if !unfinished.done && unfinished.group != nil && isSettled(unfinished) {
+		if !unfinished.done && unfinished.group != nil && assumeDone(unfinished) {
 			open[unfinished.group]--
 		}
 	}
--- a/internal/jobs/batch/offers.go
+++ b/internal/jobs/batch/offers.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// unansweredOfferTimeout is how long a node that did not accept an offer of a job gets no
+// offerBackoffTime is how long a node that did not accept an offer of a job gets no
 // further ones. Nodes restarted in a planned stop are back within some seconds.
-const unansweredOfferTimeout = 5 * time.Second
+const offerBackoffTime = 5 * time.Second
 
-// unansweredOffers records the nodes that did not accept an offer of a job. It is safe
-// for concurrent use.
-type unansweredOffers struct {
+// offerBackoff records until when nodes that did not accept an offer of a job get no
+// further ones. It is safe for concurrent use.
+type offerBackoff struct {
 	mutex sync.Mutex
-	// until is when each node may be asked again.
+	// until is when a node may be asked again, by node.
 	until map[string]time.Time
 }
 
-func newUnansweredOffers() *unansweredOffers { return &unansweredOffers{until: map[string]time.Time{}} }
+func newOfferBackoff() *offerBackoff { return &offerBackoff{until: map[string]time.Time{}} }
 
-// has reports whether a node must not be asked yet.
-func (u *unansweredOffers) has(node string) bool {
-	u.mutex.Lock()
-	defer u.mutex.Unlock()
-	return time.Now().Before(u.until[node])
+// isActive reports whether a node must not be asked yet.
+func (b *offerBackoff) isActive(node string) bool {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return time.Now().Before(b.until[node])
 }
 
-// add records that a node did not accept an offer.
-func (u *unansweredOffers) add(node string) {
-	u.mutex.Lock()
-	defer u.mutex.Unlock()
-	u.until[node] = time.Now().Add(unansweredOfferTimeout)
+// start starts the backoff of a node that did not accept an offer.
+func (b *offerBackoff) start(node string) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.until[node] = time.Now().Add(offerBackoffTime)
 }
--- a/internal/jobs/batch/ownerwatch.go
+++ b/internal/jobs/batch/ownerwatch.go
@@ -26,8 +26,8 @@
 		for _, held := range s.dueRecordChecks(pause > 0) {
 			go s.confirmOwner(held)
 		}
-		for id, lost := range s.orphans() {
-			go s.takeOver(ctx, id, lost)
+		for id, orphaned := range s.orphans() {
+			go s.takeOver(ctx, id, orphaned)
 		}
 		if s.hasNothingToWatch() {
 			// All watchers of a job learn of it at the same time. A random delay spreads
--- a/internal/jobs/batch/pace_test.go
+++ b/internal/jobs/batch/pace_test.go
@@ -39,11 +39,11 @@
 	}
 	delete(service.replicas.SlotUse, "other")
 	if got := service.replicas.Interval(replicaName(0), state); got != 40*time.Millisecond {
-		t.Errorf("observed by no other node: %s", got)
+		t.Errorf("interval observed by no other node: %s", got)
 	}
 	state.ObservedAt = time.Now().Add(-2 * replicastate.PaceRetention)
 	if got := service.replicas.Interval(replicaName(0), state); got != 0 {
-		t.Errorf("observed long ago: %s", got)
+		t.Errorf("interval observed long ago: %s", got)
 	}
 }
 
--- a/internal/jobs/batch/pool.go
+++ b/internal/jobs/batch/pool.go
@@ -18,8 +18,8 @@
 	tenant     string
 }
 
-// pool is a snapshot of the replicas for a series of placement decisions. What is the
-// same for many items is computed once. The mutex must be held while it is used.
+// pool is a snapshot of the replicas for a series of placement decisions. Values that
+// many items share are computed once. The mutex must be held while it is used.
 type pool struct {
 	scheduler *scheduler
 	// itemsRunning is set if the items are running already: they do not count as demand at
@@ -71,7 +71,7 @@
 	return replicas
 }
 
-// add appends the endpoints at which the items of a key may run.
+// add appends the endpoints at which the items with a key may run.
 func (p *pool) add(replicas []*placement.Replica, endpoints []*routing.Endpoint, key poolKey, query *routing.Query) []*placement.Replica {
 	for _, endpoint := range endpoints {
 		state := p.scheduler.replicas.GetOrCreate(endpoint.Name)
@@ -93,8 +93,8 @@
 	if shared := p.byName[endpoint.Name]; shared != nil {
 		return shared
 	}
-	condition := placement.ReplicaHealth{Failing: state.Failures.IsFailing(p.now), Unresponsive: state.Unresponsive, SinceEvent: p.now.Sub(state.ObservedAt)}
-	view := placement.NewReplica(endpoint.Name, endpoint.Slots, p.loads[endpoint.Name], p.paces, condition)
+	health := placement.ReplicaHealth{Failing: state.Failures.IsFailing(p.now), Unresponsive: state.Unresponsive, SinceEvent: p.now.Sub(state.ObservedAt)}
+	view := placement.NewReplica(endpoint.Name, endpoint.Slots, p.loads[endpoint.Name], p.paces, health)
 	if left := endpoint.State.SlowStart.PermitsLeft(); left < view.MaxLoad {
 		view.MaxLoad = min(view.MaxLoad, view.Load+left)
 	}
--- a/internal/jobs/batch/publish.go
+++ b/internal/jobs/batch/publish.go
@@ -34,13 +34,13 @@
 
 const (
 	// groupCoalesceDelay is how long results wait for others once a group is complete and
-	// the trainer may soon have the groups that it waits for. Before that, nobody waits
-	// for single results, and appends are coalesceDelay apart. If the owner fails, the
-	// results of that time are computed again. From coalesceDelay before the job is due,
-	// appends are coalesceDelayNearDeadline apart, since groups that complete late count
-	// for less.
-	groupCoalesceDelay        = 40 * time.Millisecond
-	coalesceDelay             = textSaveInterval
+	// the trainer may soon have the groups that it waits for.
+	groupCoalesceDelay = 40 * time.Millisecond
+	// coalesceDelay is the time between appends before that, while nobody waits for single
+	// results. If the owner fails, results that are not appended are generated again.
+	coalesceDelay = textSaveInterval
+	// coalesceDelayNearDeadline replaces coalesceDelay from coalesceDelay before the job's
+	// deadline, since groups that complete late count for less.
 	coalesceDelayNearDeadline = 500 * time.Millisecond
 	// endingTextCoalesceDelay is how much longer results wait for texts that are about to
 	// end.
@@ -146,9 +146,9 @@
 	for {
 		s.confirmOwner(held)
 		s.mutex.Lock()
-		settled := !held.unconfirmed || held.superseded
+		confirmed := !held.unconfirmed || held.superseded
 		s.mutex.Unlock()
-		if settled || !objectstore.Sleep(held.ctx, readRetryDelay) {
+		if confirmed || !objectstore.Sleep(held.ctx, readRetryDelay) {
 			return
 		}
 	}
@@ -169,7 +169,7 @@
 	inStore := map[string]bool{}
 	for _, result := range stored.Results {
 		inStore[result.ID] = true
-		held.settle(result.ID)
+		held.markDone(result.ID)
 	}
 	held.listed = append(held.listed, stored.Results...)
 	held.chunks++
--- a/internal/jobs/batch/publish_test.go
+++ b/internal/jobs/batch/publish_test.go
@@ -40,7 +40,7 @@
 			held.groups[fmt.Sprint(number)] = &group{open: open}
 		}
 		if got := held.isNearlyComplete(); got != test.nearly {
-			t.Errorf("%s: %t", test.name, got)
+			t.Errorf("%s: nearly complete %t", test.name, got)
 		}
 	}
 }
--- a/internal/jobs/batch/read.go
+++ b/internal/jobs/batch/read.go
@@ -68,12 +68,12 @@
 			return Page{}, false
 		}
 		page, listed, chunks := held.pageAfter(after), len(held.listed), held.chunks
-		changed, open, appending := held.changed, held.open(), held.isAppending()
+		changed, open, overdue := held.changed, held.open(), held.isAppendOverdue()
 		s.mutex.Unlock()
 		switch {
 		case len(page.Results) > 0 || !open:
 			return page, true
-		case !waiting && appending:
+		case !waiting && overdue:
 			pending, err := s.readPendingAppend(ctx, id, chunks, after-listed)
 			if err != nil {
 				return s.readListed(id, after)
@@ -93,9 +93,9 @@
 	}
 }
 
-// readListed reads what is listed of a job that this node runs. It returns false if that
-// is nothing while an append has no outcome: its results may have been shown to other
-// readers.
+// readListed reads the listed results of a job that this node runs. It returns false if
+// there are none after the position and the response to an append is overdue, since other
+// readers may have got the results of that append.
 func (s *Service) readListed(id string, after int) (Page, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -104,12 +104,12 @@
 		return Page{}, false
 	}
 	page := held.pageAfter(after)
-	return page, len(page.Results) > 0 || !held.isAppending()
+	return page, len(page.Results) > 0 || !held.isAppendOverdue()
 }
 
-// readPendingAppend reads the results from a chunk on, less the first ones, from the
-// store. The store may have applied an append whose response this node did not get, and
-// other readers may have seen its results.
+// readPendingAppend reads the chunks from an index on, and returns their results without
+// the first ones, which the reader has. The store may have applied an append whose
+// response this node did not get, and other readers may have seen its results.
 func (s *Service) readPendingAppend(ctx context.Context, id string, chunks, after int) ([]jobstore.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, pendingAppendReadTimeout)
 	defer cancel()
--- a/internal/jobs/batch/remotejob.go
+++ b/internal/jobs/batch/remotejob.go
@@ -49,9 +49,9 @@
 	sealRetryAt time.Time
 }
 
-// learnRemote records who runs a job in an epoch, 0 if unknown. An epoch earlier than the
-// known one is ignored: a former owner announces it until it has read the record. The
-// mutex must be held.
+// learnRemote records the owner of a job and its epoch, which is 0 if unknown. An owner
+// with an earlier epoch than the known one is ignored: it is a former owner that has not
+// read the record yet. The mutex must be held.
 func (s *Service) learnRemote(id string, owner jobstore.Owner, epoch int, ended bool) *remoteJob {
 	remote := s.remoteJobs[id]
 	if remote == nil {
--- a/internal/jobs/batch/runerror.go
+++ b/internal/jobs/batch/runerror.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// refusedBlock is how long a replica that refused an item first gets no others, and
-	// brokenRunBlock one whose run broke before its first event. Both grow with each
-	// failure in a row.
+	// refusedBlock is the first block time of a replica that refused an item, and
+	// brokenRunBlock that of a replica whose run broke before its first event. The time
+	// doubles with each consecutive block.
 	refusedBlock   = 80 * time.Millisecond
 	brokenRunBlock = 50 * time.Millisecond
 	// wrongIncarnationBlock is how long an address gets no items after another
@@ -29,7 +29,8 @@
 	quarantineRetryDelay = time.Second
 	// failureRetryDelay is the delay before an item that failed is run again.
 	failureRetryDelay = 60 * time.Millisecond
-	// rejectedStatus is a replica's response to an item that can never succeed.
+	// rejectedStatus is the status with which replicas reject an item that can never
+	// succeed.
 	rejectedStatus = http.StatusUnprocessableEntity
 )
 
@@ -98,7 +99,7 @@
 		return
 	}
 	job := work.job
-	job.settle(work.ID)
+	job.markDone(work.ID)
 	job.finished = append(job.finished, result)
 	if work.group.open == 0 {
 		job.flushSoon = true
--- a/internal/jobs/batch/runner.go
+++ b/internal/jobs/batch/runner.go
@@ -33,8 +33,8 @@
 )
 
 // submitToRunner submits a batch job to the node that runs the jobs of its model. That
-// node knows all items of the model without messages, keeps connections to the replicas
-// from step to step, and has run earlier attempts of returning items.
+// node knows the other items of the model without asking other nodes, keeps connections
+// to the replicas from step to step, and ran resubmitted items in their earlier jobs.
 //
 // False means that this node is to accept the job itself. The error is then non-nil if
 // the other node may have accepted it already.
@@ -55,7 +55,7 @@
 	case !ok || submitted.Outcome == wire.OutcomeUnknown:
 		return false, errRunnerUncertain
 	case submitted.Outcome == wire.OutcomeNotRun:
-		// The store may still respond to this node.
+		// This node may reach the store even if the runner could not.
 		s.config.Logger.Info("batch job rejected by runner", "request", id, "runner", address, "reason", submitted.Detail)
 		return false, nil
 	}
@@ -77,7 +77,7 @@
 			return "", false
 		}
 		peer, known := s.config.PeerTable.Get(candidate)
-		if !known || s.unansweredOffers.has(candidate) {
+		if !known || s.offerBackoff.isActive(candidate) {
 			continue
 		}
 		asked++
@@ -85,7 +85,7 @@
 		if _, accepted := reply.(*wire.Done); accepted && err == nil {
 			return peer.Address, true
 		}
-		s.unansweredOffers.add(candidate)
+		s.offerBackoff.start(candidate)
 	}
 	return "", false
 }
@@ -118,9 +118,9 @@
 // handleOffer replies to another node whether this one would run a batch job.
 func (s *Service) handleOffer(reply func(wire.Message)) {
 	s.mutex.Lock()
-	leaving := s.leaving || !s.recovered
+	unavailable := s.leaving || !s.recovered
 	s.mutex.Unlock()
-	if leaving {
+	if unavailable {
 		reply(&wire.Failure{Detail: ErrLeaving.Error()})
 		return
 	}
--- a/internal/jobs/batch/runner_test.go
+++ b/internal/jobs/batch/runner_test.go
@@ -92,7 +92,7 @@
 	cluster.setDisconnected(ranked[1].config.Self.Node, true)
 	cluster.setDisconnected(ranked[2].config.Self.Node, true)
 	ranked[3].mutex.Lock()
-	clear(ranked[3].unansweredOffers.until)
+	clear(ranked[3].offerBackoff.until)
 	ranked[3].mutex.Unlock()
 	if err := cluster.submitAsCaller(ranked[3], "past-two", 2); err != nil {
 		t.Fatal(err)
--- a/internal/jobs/batch/scanschedule.go
+++ b/internal/jobs/batch/scanschedule.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// pausedScanGap is the time between scans from which this process counts as paused.
+// pausedScanGap is the minimum time between scans that counts as a pause of this process.
 // Events that came during a pause are still unread, so that every run looks stalled.
 const pausedScanGap = 4 * scanInterval
 
--- a/internal/jobs/batch/scheduler_test.go
+++ b/internal/jobs/batch/scheduler_test.go
@@ -48,7 +48,7 @@
 	} {
 		now = now.Add(test.after)
 		if got := scans.isDue(now); got != test.due {
-			t.Errorf("after %s: %t", test.after, got)
+			t.Errorf("scan due after %s: %t", test.after, got)
 		}
 	}
 }
--- a/internal/jobs/batch/score.go
+++ b/internal/jobs/batch/score.go
@@ -6,7 +6,8 @@
 	"github.com/pathtally/pathtally/internal/jobs/jobstore"
 )
 
-// score has an item's complete text scored and records the item's result.
+// score records the result of an item whose text is complete. If the item has a scorer,
+// it sends the text there first.
 func (s *scheduler) score(ran *itemRun, attempts func() int) {
 	work := ran.item
 	began := time.Now()
--- a/internal/jobs/batch/seal.go
+++ b/internal/jobs/batch/seal.go
@@ -19,7 +19,7 @@
 // sealAsync writes a seal after the chunks read of an ended job, in the background,
 // unless they end with one or an attempt is recent.
 //
-// Nothing can be appended behind a seal, not even by an owner that does not know of the
+// Nothing can be appended after a seal, not even by an owner that does not know of the
 // end. Without it, a result that this owner appends later would be missing at a node that
 // has read the job before. Readers need not wait for the seal, which does not change what
 // they get. The mutex must be held.
@@ -31,7 +31,7 @@
 	go s.seal(id, known, jobstore.Listing{Chunks: known.chunks})
 }
 
-// seal writes a seal behind the given chunks and those added since, and records the
+// seal writes a seal after the given chunks and those added since, and records the
 // results up to it as final.
 func (s *Service) seal(id string, known *remoteJob, listing jobstore.Listing) {
 	from := listing.Chunks
--- a/internal/jobs/batch/service.go
+++ b/internal/jobs/batch/service.go
@@ -37,8 +37,8 @@
 	Registry prometheus.Registerer
 }
 
-// Service accepts batch jobs, runs those that this node owns, and serves reads of all. It
-// is safe for concurrent use.
+// Service accepts batch jobs, runs those that this node owns, and serves reads of all
+// jobs. It is safe for concurrent use.
 type Service struct {
 	config  Config
 	metrics *metrics
@@ -58,16 +58,16 @@
 	ends     *endedjobs.Registry
 	// endsBeingPersisted are the jobs whose end is being stored in the background.
 	endsBeingPersisted map[string]bool
-	// These are statistics from jobs so far.
+	// These are statistics from earlier jobs.
 	tolerances statistics.Tolerances
 	lengths    *statistics.Lengths
 	eventRates statistics.EventRates
 	demand     *statistics.Demand
 	// storedLoads are the reads of ended jobs in progress, by id.
-	storedLoads      map[string]*storedLoad
-	unansweredOffers *unansweredOffers
-	leaving          bool
-	recovered        bool
+	storedLoads  map[string]*storedLoad
+	offerBackoff *offerBackoff
+	leaving      bool
+	recovered    bool
 	// heartbeatWake is set when this node has something to announce in heartbeats, and
 	// ownerWatchWake when there is a job whose owner has to be watched.
 	heartbeatWake  signal
@@ -81,7 +81,7 @@
 		jobs: map[string]*job{}, remoteJobs: map[string]*remoteJob{}, ends: endedjobs.NewRegistry(), endsBeingPersisted: map[string]bool{}, acceptances: map[string]*acceptance{},
 		replicas:   replicastate.NewTable(),
 		tolerances: statistics.Tolerances{}, lengths: statistics.NewLengths(), eventRates: statistics.EventRates{},
-		demand: statistics.NewDemand(), unansweredOffers: newUnansweredOffers(), storedLoads: map[string]*storedLoad{},
+		demand: statistics.NewDemand(), offerBackoff: newOfferBackoff(), storedLoads: map[string]*storedLoad{},
 		heartbeatWake: newSignal(), ownerWatchWake: newSignal(),
 	}
 	service.scheduler = newScheduler(service)
@@ -90,11 +90,11 @@
 
 // Run runs the service until the context ends.
 func (s *Service) Run(ctx context.Context) {
-	var duties sync.WaitGroup
-	for _, duty := range []func(context.Context){s.recover, s.scheduler.schedule, s.watchOwners, s.sendHeartbeats} {
-		duties.Go(func() { duty(ctx) })
+	var loops sync.WaitGroup
+	for _, loop := range []func(context.Context){s.recover, s.scheduler.schedule, s.watchOwners, s.sendHeartbeats} {
+		loops.Go(func() { loop(ctx) })
 	}
-	duties.Wait()
+	loops.Wait()
 }
 
 // OpenJobCount returns the number of open jobs that this node runs.
--- a/internal/jobs/batch/start.go
+++ b/internal/jobs/batch/start.go
@@ -51,8 +51,8 @@
 	s.announce(id)
 }
 
-// newJob returns a job with its items ranked and those that have results settled. The
-// mutex must be held.
+// newJob returns a job whose items are ranked, and marked as done if they have results.
+// The mutex must be held.
 func (s *Service) newJob(id string, submission *Submission, record jobstore.Record, listed jobstore.Listing) *job {
 	appends, cancelAppends := context.WithCancel(s.base)
 	ctx, cancel := context.WithCancel(appends)
@@ -81,7 +81,7 @@
 		}
 	}
 	for _, result := range listed.Results {
-		created.settle(result.ID)
+		created.markDone(result.ID)
 	}
 	return created
 }
@@ -99,14 +99,14 @@
 	return placement.RankItems(items, submission.Desired, lengths)
 }
 
-// settle records that an item has a result.
-func (j *job) settle(id string) {
-	settled := j.items[id]
-	if settled == nil || settled.done {
+// markDone records that an item has a result.
+func (j *job) markDone(id string) {
+	finished := j.items[id]
+	if finished == nil || finished.done {
 		return
 	}
-	settled.done = true
-	settled.group.open--
+	finished.done = true
+	finished.group.open--
 }
 
 // deadlineOf returns the time by which a job should be complete, and the time from its
--- a/internal/jobs/batch/takeover.go
+++ b/internal/jobs/batch/takeover.go
@@ -14,7 +14,7 @@
 
 // takeOver makes this node the owner of a job whose owner is silent, unless the job has
 // ended or has another owner meanwhile.
-func (s *Service) takeOver(ctx context.Context, id string, lost orphan) {
+func (s *Service) takeOver(ctx context.Context, id string, orphaned orphan) {
 	defer func() {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
@@ -22,7 +22,7 @@
 			remote.takingOver, remote.retryAt = false, time.Now().Add(takeoverRetryDelay)
 		}
 	}()
-	if lost.probeOwner && s.ownerRunsJob(ctx, id, lost.owner) {
+	if orphaned.probeOwner && s.ownerRunsJob(ctx, id, orphaned.owner) {
 		s.mutex.Lock()
 		if remote := s.remoteJobs[id]; remote != nil {
 			remote.lastHeartbeat = time.Now()
@@ -38,7 +38,7 @@
 	s.mutex.Lock()
 	outside := s.isOutsideAllowedRegions(s.learnStored(stored))
 	s.mutex.Unlock()
-	if may, _ := ownership.DecideReplace(stored, lost.owner, outside); !may {
+	if may, _ := ownership.DecideReplace(stored, orphaned.owner, outside); !may {
 		return
 	}
 	taken, err := s.config.JobStore.TakeOver(ctx, stored, s.config.Self)
@@ -46,7 +46,7 @@
 		s.config.Logger.Info("batch job not taken over", "request", id, "error", err.Error())
 		return
 	}
-	s.config.Logger.Info("batch job taken over", "request", id, "from", lost.owner.Node, "epoch", taken.Record.Epoch)
+	s.config.Logger.Info("batch job taken over", "request", id, "from", orphaned.owner.Node, "epoch", taken.Record.Epoch)
 	s.metrics.takeovers.Inc()
 	s.loadJob(ctx, taken)
 }
@@ -89,7 +89,7 @@
 	}
 }
 
-// readJob reads a job's submission and results, and writes a fence behind the results.
+// readJob reads a job's submission and results, and writes a fence after the results.
 func (s *Service) readJob(ctx context.Context, stored jobstore.StoredJob) (*Submission, jobstore.Listing, error) {
 	ctx = s.withRegionBounds(ctx, stored.Record)
 	payload, err := s.config.JobStore.Payload(ctx, stored.ID, stored.Record.Parts)
--- a/internal/jobs/batch/takeover_test.go
+++ b/internal/jobs/batch/takeover_test.go
@@ -289,7 +289,8 @@
 	checkResults(t, "job", cluster.readAll(node, "job", 6), 6, 3)
 }
 
-// Guards against losing the known lengths of items that their job ended without.
+// Guards against losing the known lengths of items that had no result at the end of their
+// job.
 func TestLengthsReachOtherNodes(t *testing.T) {
 	engine := newHoldingEngine(t)
 	cluster := newCluster(t, 2, engine)
--- a/internal/jobs/batch/texts.go
+++ b/internal/jobs/batch/texts.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// progress is the text of an item so far: its events, and the weight version that made
-// each. The service's mutex guards it during a run; only the goroutine of the run writes
-// it.
+// progress is the text of an item so far: its events, and the weight version that
+// generated each. The service's mutex guards it during a run; only the goroutine of the
+// run writes it.
 type progress struct {
 	events   []string
 	versions []int64
@@ -28,7 +28,8 @@
 
 func (p *progress) text() string { return strings.Join(p.events, "\n") }
 
-// distinctVersions returns the distinct versions that made the text, in ascending order.
+// distinctVersions returns the distinct versions that generated the text, in ascending
+// order.
 func (p *progress) distinctVersions() []int64 {
 	return slices.Compact(slices.Sorted(slices.Values(p.versions)))
 }
@@ -92,7 +93,7 @@
 
 // joinPieces assembles texts from their pieces, in the order in which these were written.
 // A piece that begins within the text so far replaces the rest, since its writer began
-// there again. A piece that begins behind it is ignored.
+// there again. A piece that begins after the end of the text so far is ignored.
 func joinPieces(pieces []jobstore.TextPiece) map[string]progress {
 	texts := map[string]progress{}
 	for _, piece := range pieces {
--- a/internal/jobs/endedjobs/register.go
+++ b/internal/jobs/endedjobs/register.go
@@ -31,7 +31,7 @@
 	announced bool
 }
 
-// NewRegistry returns an empty register.
+// NewRegistry returns an empty registry.
 func NewRegistry() *Registry { return &Registry{byJob: map[string]end{}} }
 
 // Learn records an end that another node announced or that was read from the store. The
--- a/internal/jobs/jobstore/doc.go
+++ b/internal/jobs/jobstore/doc.go
@@ -13,8 +13,8 @@
 //     tells whether the write may still take effect. Append returns the stored chunk, which
 //     may be that of another writer.
 //   - The chunks of a listing start at the first requested one and have no gaps.
-//   - Callers that read the listing first append nothing after a seal. An append by a previous
-//     owner fails at positions up to the fence.
+//   - A caller that reads the listing before it appends adds nothing after a seal. An append by
+//     a former owner fails at positions up to the fence.
 //
 // Object names, field names and the size limits of parts and chunks are a stored format:
 // nodes of other versions read it.
--- a/internal/jobs/jobstore/record.go
+++ b/internal/jobs/jobstore/record.go
@@ -20,8 +20,8 @@
 	// Tenant is the job's tenant, empty if no tenants were declared.
 	Tenant string `json:"tenant,omitempty"`
 	// EntryRegion is the region of the node that the caller connected to. EntryRegion,
-	// Scorers, Route and Tenant determine where the job's bodies may be held. Records of
-	// earlier versions have neither EntryRegion nor ScorerRoutes.
+	// ScorerRoutes, Route and Tenant determine where the job's bodies may be held.
+	// Records of earlier versions have neither EntryRegion nor ScorerRoutes.
 	EntryRegion string `json:"entry,omitempty"`
 	// ScorerRoutes are the routes of the job's reward calls.
 	ScorerRoutes []string `json:"scorers,omitempty"`
--- a/internal/jobs/jobstore/results.go
+++ b/internal/jobs/jobstore/results.go
@@ -42,8 +42,9 @@
 	}
 }
 
-// addPage adds the chunks of a job on a page of a listing. passed is set if the page extends
-// beyond the job's names. It returns ErrTruncated if a chunk is missing before another one.
+// addPage adds the chunks of a job on a page of a listing. passed is set if the page contains
+// names that sort after those of the job. It returns ErrTruncated if there is a gap in the
+// chunks.
 func addPage(read *Listing, id string, page objectstore.Page) (passed bool, err error) {
 	for _, object := range page.Objects {
 		if !strings.HasPrefix(object.Name, id+"-") {
@@ -104,8 +105,8 @@
 }
 
 // Fence appends an empty chunk to the stored results, and returns the complete listing. The
-// previous owner of the job may append until it learns of its successor. Its next append
-// after the fence fails because the position is taken.
+// former owner of the job may append until it learns of its successor. Its next append after
+// the fence fails because the position is taken.
 func (s *Store) Fence(ctx context.Context, id string, stored Listing, writer string) (Listing, error) {
 	return s.appendAfterAll(ctx, id, stored, Chunk{Writer: writer})
 }
--- a/internal/jobs/ownership/doc.go
+++ b/internal/jobs/ownership/doc.go
@@ -10,7 +10,7 @@
 //
 // Conflicting decisions of two nodes are safe: the conditional replace of the record in the
 // store succeeds for only one of them, and a fence in the results rejects later appends of the
-// previous owner.
+// former owner.
 //
 // The package holds no state, does no I/O and reads no clock.
 package ownership
--- a/internal/jobs/ownership/rank.go
+++ b/internal/jobs/ownership/rank.go
@@ -12,7 +12,7 @@
 	// once, 1 in 32 jobs has no watcher left.
 	Watchers = 5
 	// Locators is the number of nodes, the first in rank for a job, that are notified of its
-	// start and end in deployments in which not all nodes are. They include the watchers.
+	// start and end in deployments that do not notify all nodes. They include the watchers.
 	Locators = 12
 )
 
--- a/internal/jobs/ownership/record.go
+++ b/internal/jobs/ownership/record.go
@@ -33,5 +33,5 @@
 }
 
 // IsEarlierEpoch reports whether an epoch is known to be before another one. Epoch 0 is
-// unknown. A previous owner announces its earlier epoch until it reads the record again.
+// unknown. A former owner announces its earlier epoch until it reads the record again.
 func IsEarlierEpoch(epoch, other int) bool { return epoch > 0 && epoch < other }
--- a/internal/jobs/ownership/takeover_test.go
+++ b/internal/jobs/ownership/takeover_test.go
@@ -75,10 +75,10 @@
 		{stored(jobstore.Owner{Node: "other"}, 2, false), false, ReasonOtherOwner, ReasonOtherOwner},
 	} {
 		if may, reason := DecideReplace(test.stored, previous, test.outside); reason != test.replace || may != (reason == ReasonOwned) {
-			t.Errorf("replace %+v: %v, %s", test.stored, may, reason)
+			t.Errorf("replace %+v: allowed %v, reason %s", test.stored, may, reason)
 		}
 		if may, reason := DecideStart(test.stored, self, 2); reason != test.start || may != (reason == ReasonOwned) {
-			t.Errorf("start %+v: %v, %s", test.stored, may, reason)
+			t.Errorf("start %+v: allowed %v, reason %s", test.stored, may, reason)
 		}
 	}
 }
--- a/internal/jobs/placement/group.go
+++ b/internal/jobs/placement/group.go
@@ -36,7 +36,7 @@
 
 // markReserve marks the groups in excess of the desired number as reserve, the longest
 // first. It never marks inherited groups, nor the first desired/2 groups of the submission:
-// a trainer submits the groups that it is still waiting for first.
+// a trainer puts the groups that it is still waiting for at the start of a submission.
 func markReserve(longestFirst []*group, desired int) {
 	if desired <= 0 {
 		return
--- a/internal/jobs/placement/history.go
+++ b/internal/jobs/placement/history.go
@@ -8,7 +8,7 @@
 	Epoch int
 	// Waited is the time from the start of the job on this node to the item's first run.
 	Waited time.Duration
-	// Stalls is the number of runs that were cancelled because they stalled.
+	// Stalls is the number of runs that were canceled because they stalled.
 	Stalls int
 	// BrokenRuns is the number of runs that ended early for a reason unrelated to the item.
 	BrokenRuns int
--- a/internal/jobs/placement/item_test.go
+++ b/internal/jobs/placement/item_test.go
@@ -103,7 +103,7 @@
 	}
 	older.ExpectedRunTime = 1800 * time.Millisecond
 	if Compare(older, newer) >= 0 {
-		t.Error("a cancelled item that can meet its deadline runs after one with more slack")
+		t.Error("a canceled item that can meet its deadline runs after one with more slack")
 	}
 }
 
--- a/internal/jobs/placement/lateness.go
+++ b/internal/jobs/placement/lateness.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// lateStartWait is the wait before the first run above which an item began late.
+	// lateStartWait is the wait for the first run above which an item counts as begun late.
 	lateStartWait = 300 * time.Millisecond
 	// slowIntervalRatio is the multiple of the median interval between events above which the
 	// replica is the cause.
--- a/internal/jobs/placement/rank_test.go
+++ b/internal/jobs/placement/rank_test.go
@@ -38,7 +38,7 @@
 	submission := submissionOf(0, 1, 1, 9, 8, 1, 1)
 	lengths := map[string]Length{"c0": {Events: 30, Complete: true}, "c1": {Events: 20}, "a0": {Events: 90, Complete: true}}
 	order := strings.Fields(runOrder(submission, lengths))
-	// c1 was cancelled after 20 events and is expected to have 20 more. a1 is inherited
+	// c1 was canceled after 20 events and is expected to have 20 more. a1 is inherited
 	// because of its group, and its length is unknown.
 	if want := []string{"a0", "c1", "c0"}; !slices.Equal(order[:3], want) {
 		t.Errorf("order %v does not start with %v", order, want)
--- a/internal/jobs/placement/reason.go
+++ b/internal/jobs/placement/reason.go
@@ -1,10 +1,10 @@
 package placement
 
-// Reason is why a run is cancelled and continued at another replica, as it appears in logs
+// Reason is why a run is canceled and continued at another replica, as it appears in logs
 // and metrics.
 type Reason string
 
-// The reasons for cancelling a run.
+// The reasons for canceling a run.
 const (
 	// ReasonFaster means that another replica is at least minMoveRatio times faster.
 	ReasonFaster Reason = "faster replica"
--- a/internal/jobs/placement/stall.go
+++ b/internal/jobs/placement/stall.go
@@ -7,8 +7,9 @@
 	startTimeout = 900 * time.Millisecond
 	// eventTimeout bounds the time between events of a run.
 	eventTimeout = 500 * time.Millisecond
-	// tightSlack is the slack below which a run is tight. Shorter timeouts apply to tight
-	// runs, because a stall would make the job late.
+	// tightSlack is the slack below which a run is tight; its slack is the time from its
+	// expected end to its job's deadline. Shorter timeouts apply to tight runs, because a
+	// stall would make the job late.
 	tightSlack = time.Second
 	// tightStartTimeout bounds the time to the first event of a tight run.
 	tightStartTimeout = 400 * time.Millisecond
@@ -33,9 +34,9 @@
 
 // timeout returns how long the run may go without an event.
 func (r *Run) timeout(paces Paces) time.Duration {
-	timeout := r.startTimeout(paces)
+	timeout := r.currentStartTimeout(paces)
 	if r.Events > 0 {
-		timeout = r.eventTimeout(paces)
+		timeout = r.currentEventTimeout(paces)
 	}
 	if r.Loading {
 		timeout += loadingAllowance
@@ -43,16 +44,16 @@
 	return timeout
 }
 
-// startTimeout returns how long the run may take to send its first event.
-func (r *Run) startTimeout(paces Paces) time.Duration {
+// currentStartTimeout returns how long the run may go without its first event.
+func (r *Run) currentStartTimeout(paces Paces) time.Duration {
 	if r.isTight(paces) {
 		return tightStartTimeout
 	}
 	return startTimeout
 }
 
-// eventTimeout returns how long the run may take between events.
-func (r *Run) eventTimeout(paces Paces) time.Duration {
+// currentEventTimeout returns how long the run may take between events.
+func (r *Run) currentEventTimeout(paces Paces) time.Duration {
 	if !r.isTight(paces) {
 		return eventTimeout
 	}
--- a/internal/jobs/placement/stall_test.go
+++ b/internal/jobs/placement/stall_test.go
@@ -24,7 +24,7 @@
 		{"loading weights", Run{Replica: "a", Events: 60, RemainingEvents: 80, HasDeadline: true, TimeLeft: 4 * time.Second, Loading: true, Idle: 600 * time.Millisecond}, false},
 	} {
 		if got := Stalled(paces, &test.run); got != test.stalled {
-			t.Errorf("%s: %t", test.name, got)
+			t.Errorf("%s: stalled %t", test.name, got)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 		{"at the event timeout", eventTimeout, false},
 	} {
 		if got := HasRecentEvent(&Run{Replica: "a", Events: 5, Idle: test.idle}); got != test.want {
-			t.Errorf("%s: %t", test.name, got)
+			t.Errorf("%s: recent event %t", test.name, got)
 		}
 	}
 }
--- a/internal/jobs/replicastate/doc.go
+++ b/internal/jobs/replicastate/doc.go
@@ -3,7 +3,7 @@
 // versions that they have or load, their failure rates, and until when they are blocked.
 //
 // The sources are this node's own runs, the heartbeats of the other nodes (NodeSlotUse) and
-// the coordinator of weights. The information is held in memory and expires after the time
+// the weights coordinator. The information is held in memory and expires after the time
 // in the respective constant. Without information, all replicas are treated alike. Package
 // placement decides based on this information; package directory lists the replicas.
 //
--- a/internal/jobs/replicastate/state.go
+++ b/internal/jobs/replicastate/state.go
@@ -19,10 +19,11 @@
 type State struct {
 	// Running is the number of items that this node runs at the replica.
 	Running int
-	// BlockedUntil is when the replica may get items again after it refused some.
+	// BlockedUntil is when the replica may get items again after a refusal, a run that broke
+	// or stalled, or a response of another incarnation.
 	BlockedUntil time.Time
-	// Unresponsive is set when a run fails before its first event, and cleared by the next
-	// event.
+	// Unresponsive is set when a run fails before its first event or stalls, and cleared by
+	// the next event.
 	Unresponsive bool
 	// Blocks is the number of consecutive blocks.
 	Blocks int
@@ -66,15 +67,15 @@
 	}
 }
 
-// LearnVersion records that the coordinator of weights has announced a weight version of a
+// LearnVersion records that the weights coordinator has announced a weight version of a
 // model, which ends the load of the model.
 func (s *State) LearnVersion(model string, version int64) {
 	delete(s.LoadingSince, model)
 	s.Versions[model] = max(s.Versions[model], version)
 }
 
-// LearnLoad records that the coordinator of weights has announced a load. Repeated
-// announcements do not extend it.
+// LearnLoad records that the weights coordinator has announced a load. Repeated announcements
+// do not extend it.
 func (s *State) LearnLoad(model string, now time.Time) {
 	if _, announced := s.LoadingSince[model]; !announced {
 		s.LoadingSince[model] = now
--- a/internal/jobs/statistics/lengths.go
+++ b/internal/jobs/statistics/lengths.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// lengthRetention is how long the lengths of items are stored. Trainers submit the items
-	// that a job ended without again in one of their next jobs.
+	// lengthRetention is how long the lengths of items are stored. Trainers resubmit
+	// the items without a result at the end of a job, in one of their next jobs.
 	lengthRetention = 60 * time.Second
 	// lengthAnnounceTime is how long a length is repeated in this node's heartbeats.
 	lengthAnnounceTime = 4 * time.Second
