--- a/internal/callers/exchange/pool_test.go
+++ b/internal/callers/exchange/pool_test.go
@@ -72,7 +72,7 @@
 		io.WriteString(connection, okResponse)
 	})
 	if body, err := roundTripBody(NewPool(nil), address, post("hello")); body != "ok" || err != nil {
-		t.Fatalf("%q, %v", body, err)
+		t.Fatalf("body %q, error %v", body, err)
 	}
 	request := <-received
 	if request.RequestURI != "/a%2Fb?c=%20d" || request.Host != "host.example" || request.Header.Get("Body") != "hello" || request.Header.Get("X-Name") != "v" {
@@ -173,7 +173,7 @@
 	pool := NewPool(nil)
 	for range 2 {
 		if body, err := roundTripBody(pool, address, post(strings.Repeat("x", 8<<20))); body != "ok" || err != nil {
-			t.Errorf("%q, %v", body, err)
+			t.Errorf("body %q, error %v", body, err)
 		}
 	}
 	close(released)
@@ -289,7 +289,7 @@
 	close(proceed)
 	for range 2 {
 		if got := <-results; got.body != "ok" || got.err != nil {
-			t.Errorf("%q, %v", got.body, got.err)
+			t.Errorf("body %q, error %v", got.body, got.err)
 		}
 	}
 	for pool.Counts.Open.Load() != 1 {
--- a/internal/callers/exchange/response.go
+++ b/internal/callers/exchange/response.go
@@ -114,8 +114,8 @@
 		return
 	}
 	r.closed = true
-	cancelled := !r.detach()
-	if cancelled || !r.reusable() {
+	canceled := !r.detach()
+	if canceled || !r.reusable() {
 		r.pool.discard(r.connection)
 		return
 	}
--- a/internal/callers/forward/decide.go
+++ b/internal/callers/forward/decide.go
@@ -27,7 +27,7 @@
 
 const (
 	// eventResponse: an attempt returned a complete response with a status below 500.
-	eventResponse event = "answered"
+	eventResponse event = "response"
 	// eventErrorStatus: an attempt returned a complete response with a status of 500 or
 	// above.
 	eventErrorStatus event = "error status"
@@ -50,34 +50,34 @@
 	// stepAwait waits for the next event of the attempts in progress.
 	stepAwait step = "await"
 	// stepWaitForCapacity waits for capacityRetryDelay, then tries all replicas again.
-	stepWaitForCapacity step = "wait for room"
+	stepWaitForCapacity step = "wait for capacity"
 	// stepRespond returns the most recent complete response to the caller.
-	stepRespond step = "answer"
+	stepRespond step = "respond"
 	// stepRefuse fails a request that certainly did not run.
 	stepRefuse step = "refuse"
 	// stepFailLost fails a request that may have run.
-	stepFailLost step = "lose"
+	stepFailLost step = "fail as lost"
 	// stepFailExpired fails a request that may have run and whose context has ended.
-	stepFailExpired step = "expire"
+	stepFailExpired step = "fail as expired"
 	// stepAbortStream aborts a stream whose response head the caller already has.
-	stepAbortStream step = "break off"
+	stepAbortStream step = "abort stream"
 )
 
 // reason says why a step was selected. It is logged.
 type reason string
 
 const (
-	reasonResponse       reason = "answered"
+	reasonResponse       reason = "response received"
 	reasonNotRepeatable  reason = "may have run and must not run twice"
 	reasonInProgress     reason = "another attempt is in progress"
-	reasonQuarantined    reason = "replicas end under the request"
+	reasonQuarantined    reason = "request is quarantined"
 	reasonAttemptLimit   reason = "attempt limit reached"
-	reasonRejectionLimit reason = "refusal limit reached"
+	reasonRejectionLimit reason = "rejection limit reached"
 	reasonRetry          reason = "further attempt allowed"
 	reasonHedge          reason = "first attempt is slow"
 	reasonNoReplica      reason = "no replica is eligible"
 	reasonAllTried       reason = "all replicas were tried"
-	reasonWaitLimit      reason = "waited for room long enough"
+	reasonWaitLimit      reason = "waited for capacity long enough"
 	reasonContextEnded   reason = "context ended"
 )
 
@@ -88,9 +88,9 @@
 	repeatable bool
 	// attemptLimit is the maximum number of attempts that the route allows.
 	attemptLimit int
-	// attempts is the number of attempts that are running or may have run, rejections
-	// the number of attempts that certainly did not run.
-	attempts, rejections int
+	// mayHaveRunCount is the number of attempts that are running or may have run,
+	// rejections the number of attempts that certainly did not run.
+	mayHaveRunCount, rejections int
 	// inProgress is the number of attempts that have not ended.
 	inProgress int
 	// tried is the number of replicas that the last pick skipped as already tried.
@@ -147,7 +147,7 @@
 		return s.giveUp(reasonNotRepeatable)
 	case s.quarantined:
 		return s.giveUp(reasonQuarantined)
-	case s.attempts >= s.attemptLimit:
+	case s.mayHaveRunCount >= s.attemptLimit:
 		return s.giveUp(reasonAttemptLimit)
 	case s.rejections >= maxRejections:
 		return s.giveUp(reasonRejectionLimit)
@@ -160,7 +160,7 @@
 	switch {
 	case !s.repeatable:
 		return decision{step: stepAwait, reason: reasonNotRepeatable}
-	case s.attempts >= s.attemptLimit:
+	case s.mayHaveRunCount >= s.attemptLimit:
 		return decision{step: stepAwait, reason: reasonAttemptLimit}
 	}
 	return decision{step: stepSend, reason: reasonHedge}
@@ -171,7 +171,7 @@
 	switch {
 	case s.inProgress > 0:
 		return decision{step: stepAwait, reason: reasonInProgress}
-	case s.attempts == 0 && s.rejections == 0:
+	case s.mayHaveRunCount == 0 && s.rejections == 0:
 		return decision{step: stepRefuse, refusal: ReasonNoReplica, reason: reasonNoReplica}
 	case s.tried == 0:
 		return s.giveUp(reasonNoReplica)
--- a/internal/callers/forward/request.go
+++ b/internal/callers/forward/request.go
@@ -99,7 +99,7 @@
 // decide selects the step that follows an event.
 func (r *request) decide(ctx context.Context, event event) decision {
 	next := requestState{
-		event: event, repeatable: r.repeatable, attemptLimit: r.route.Attempts, attempts: r.mayHaveRunCount, rejections: r.rejections,
+		event: event, repeatable: r.repeatable, attemptLimit: r.route.Attempts, mayHaveRunCount: r.mayHaveRunCount, rejections: r.rejections,
 		inProgress: r.inProgress, tried: len(r.tried), mayHaveRun: r.mayHaveRun, quarantined: isQuarantined(r.lastErr),
 		hasResponse: r.response != nil, contextEnded: ctx.Err() != nil, elapsed: time.Since(r.started), objective: r.objective,
 	}.next()
--- a/internal/callers/quarantine/admit.go
+++ b/internal/callers/quarantine/admit.go
@@ -8,7 +8,7 @@
 
 // Admit implements dispatch.Guard.
 func (s *Service) Admit(ctx context.Context, call *dispatch.Call) error {
-	if s.suspects.Load() == 0 && s.table.IsEmpty() {
+	if s.suspectCount.Load() == 0 && s.table.IsEmpty() {
 		return nil
 	}
 	request := fingerprintOf(call)
--- a/internal/callers/quarantine/crash_check.go
+++ b/internal/callers/quarantine/crash_check.go
@@ -53,6 +53,6 @@
 	for _, crash := range crashes {
 		count = s.tracker.Add(request, crash.replica, crash.at, now)
 	}
-	s.suspects.Store(int64(s.tracker.Len()))
+	s.suspectCount.Store(int64(s.tracker.Len()))
 	return count
 }
--- a/internal/callers/quarantine/policy.go
+++ b/internal/callers/quarantine/policy.go
@@ -71,7 +71,7 @@
 
 // onReportedCrashes returns the reaction to crashes that another node reported. crashCount is
 // the number of crashes of the request, including the reported ones. A node that reports enough
-// of them for a quarantine has sent that report to all nodes.
+// of them for a quarantine has sent that report to all nodes, so this node need not.
 func onReportedCrashes(reportedCount, crashCount int) reaction {
 	switch {
 	case reportedCount >= crashesToQuarantine:
--- a/internal/callers/quarantine/quarantine.go
+++ b/internal/callers/quarantine/quarantine.go
@@ -26,7 +26,7 @@
 
 // ObserveResponse implements dispatch.Guard.
 func (s *Service) ObserveResponse(call *dispatch.Call, status int) {
-	if s.suspects.Load() == 0 && s.table.IsEmpty() {
+	if s.suspectCount.Load() == 0 && s.table.IsEmpty() {
 		return
 	}
 	if !clearsRequest(status) {
@@ -60,7 +60,7 @@
 func (s *Service) resetRequest(request Fingerprint) (wasSuspect, wasQuarantined bool) {
 	s.mutex.Lock()
 	wasSuspect = s.tracker.RecordSuccess(request, s.config.Clock())
-	s.suspects.Store(int64(s.tracker.Len()))
+	s.suspectCount.Store(int64(s.tracker.Len()))
 	s.mutex.Unlock()
 	wasQuarantined = s.table.Remove(request, s.config.Clock())
 	if wasQuarantined {
--- a/internal/callers/quarantine/recorder.go
+++ b/internal/callers/quarantine/recorder.go
@@ -100,7 +100,7 @@
 	startTimes := map[Fingerprint]time.Time{}
 	if !isNew {
 		if startTimes, err = decodeRecord(current.Spec); err != nil {
-			r.logger.Error(err, "replacing quarantine record without its invalid entries")
+			r.logger.Error(err, "failed to decode quarantine record or some of its entries, the next write drops them")
 		}
 	}
 	if next, changed := r.apply(startTimes, pending); changed {
--- a/internal/callers/quarantine/service.go
+++ b/internal/callers/quarantine/service.go
@@ -45,11 +45,11 @@
 	// ctx bounds the checks of replicas.
 	ctx context.Context
 
-	// suspects is the number of requests in the crash tracker. While it is 0 and the table is
-	// empty, requests pass without the mutex and without computing a fingerprint.
-	suspects atomic.Int64
-	mutex    sync.Mutex
-	tracker  *CrashTracker
+	// suspectCount is the number of requests in the crash tracker. While it is 0 and the table
+	// is empty, requests pass without the mutex and without computing a fingerprint.
+	suspectCount atomic.Int64
+	mutex        sync.Mutex
+	tracker      *CrashTracker
 	// pendingChecks is the number of broken runs of each request whose replica is being
 	// checked. checkEnded is closed and replaced whenever such a check has ended.
 	pendingChecks map[Fingerprint]int
@@ -91,5 +91,5 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.tracker.Prune(s.config.Clock())
-	s.suspects.Store(int64(s.tracker.Len()))
+	s.suspectCount.Store(int64(s.tracker.Len()))
 }
--- a/internal/callers/quarantine/service_test.go
+++ b/internal/callers/quarantine/service_test.go
@@ -337,12 +337,12 @@
 		Address: func(string) (string, bool) { return "", false },
 	})
 	observeBrokenAndWait(t, service, brokenAttempt(testCall("try", "bad"), "replica"))
-	if service.suspects.Load() != 1 {
+	if service.suspectCount.Load() != 1 {
 		t.Fatal("the crash is not counted")
 	}
 	now = now.Add(suspectLifetime + time.Second)
 	service.prune()
-	if service.suspects.Load() != 0 {
+	if service.suspectCount.Load() != 0 {
 		t.Error("an expired suspect was not pruned")
 	}
 }
--- a/internal/callers/quarantine/table.go
+++ b/internal/callers/quarantine/table.go
@@ -9,7 +9,7 @@
 
 // quarantineEntry is a request in quarantine.
 type quarantineEntry struct {
-	// until is the end of the quarantine, by this node's steady clock.
+	// until is the end of the quarantine, by Config.Clock.
 	until time.Time
 	// inStore is set once the stored record has listed the request. Its absence from a
 	// later record then means that the quarantine was lifted.
--- a/internal/cluster/peering/doc.go
+++ b/internal/cluster/peering/doc.go
@@ -1,9 +1,9 @@
 // Package peering keeps a node's table of its peers and exchanges heartbeats with them.
 //
 // When a node starts, it writes its entry to the metadata store and learns of the other
-// nodes from a seed or from the store's entries. While the store is unavailable, it sends
-// join requests to the seeds instead. Afterwards the table is kept current as a sink of
-// package watchcache.
+// nodes from a seed or from the store's entries. While the store is unavailable, it retries
+// this, and meanwhile learns of other nodes from the seeds' replies to join requests.
+// Afterwards the table is kept current as a sink of package watchcache.
 //
 // Only an active node sends heartbeats: one that runs batch jobs or holds the duty lease.
 // It sends them to the other active peers and to a few chosen targets, so that their number
--- a/internal/cluster/peering/join.go
+++ b/internal/cluster/peering/join.go
@@ -18,8 +18,8 @@
 )
 
 // Join writes this node's entry and learns of the other nodes. It returns when both are
-// done or the context ends. Later entries arrive through the table's sink. While the store
-// is unavailable, Join sends join requests to the seeds.
+// done or the context ends. Later entries arrive through the table's sink. Join
+// retries after each failure, and meanwhile sends join requests to the seeds.
 func (t *Table) Join(ctx context.Context) {
 	for ctx.Err() == nil {
 		joined := t.tryJoin(ctx)
--- a/internal/duties/autoscale/decide.go
+++ b/internal/duties/autoscale/decide.go
@@ -54,13 +54,13 @@
 func spread(additional int, available []string, reason Reason, targets map[string]*ZoneTarget, state *ServiceState) {
 	added := map[string]int{}
 	for ; additional > 0; additional-- {
-		room := slices.DeleteFunc(slices.Clone(available), func(zone string) bool {
+		belowLimit := slices.DeleteFunc(slices.Clone(available), func(zone string) bool {
 			return state.Scaling.Most > 0 && targets[zone].Replicas >= state.Scaling.Most
 		})
-		if len(room) == 0 {
+		if len(belowLimit) == 0 {
 			return
 		}
-		next := slices.MinFunc(room, func(a, b string) int {
+		next := slices.MinFunc(belowLimit, func(a, b string) int {
 			return cmp.Or(cmp.Compare(added[a], added[b]), cmp.Compare(price(state, a), price(state, b)), cmp.Compare(a, b))
 		})
 		added[next]++
--- a/internal/duties/autoscale/policy.go
+++ b/internal/duties/autoscale/policy.go
@@ -20,12 +20,12 @@
 
 const (
 	// targetUtilization is the target utilization of PolicySlots, between 0 and 1. The free
-	// slots are for steps that begin while others run.
+	// slots are for training steps that begin while others run.
 	targetUtilization = 0.75
 	// slotsPerOpenItem is the number of slots per open item of PolicyWork. It exceeds 1
 	// because some replicas are always loading weights.
 	slotsPerOpenItem = 1.1
 	// peakPeriod is the time over which the peak of the work is taken. It covers several
-	// steps of each trainer.
+	// training steps of each trainer.
 	peakPeriod = 20 * time.Second
 )
--- a/internal/duties/lease/doc.go
+++ b/internal/duties/lease/doc.go
@@ -1,7 +1,8 @@
 // Package lease elects the node that performs the duties of the deployment, the tasks that
-// only one node at a time may perform: ordering loads of weights, ordering replicas,
-// reporting usage, and allotting requests to warming replicas. A single lease, an object in
-// the metadata store, covers all duties, so that one write renews it for all of them.
+// only one node at a time may perform: ordering loads of weights, ordering replicas
+// from the platform, reporting usage, and allotting requests to warming replicas. A single
+// lease, an object in the metadata store, covers all duties, so that one write renews it for
+// all of them.
 //
 // # State
 //
--- a/internal/duties/lease/lease.go
+++ b/internal/duties/lease/lease.go
@@ -53,7 +53,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	_, valid = l.state.validToken(l.clock())
-	return l.state.soleSince, valid
+	return l.state.heldSince, valid
 }
 
 // TenureToken returns the fencing token of this node's tenure, or 0 if it has none. A tenure
--- a/internal/duties/lease/model_key_test.go
+++ b/internal/duties/lease/model_key_test.go
@@ -62,7 +62,7 @@
 		if node.state.token != 0 {
 			number(instant(node.state.sendUntil), instant(node.state.tenureStart))
 		}
-		number(instant(node.state.soleSince))
+		number(instant(node.state.heldSince))
 		if node.ready {
 			number(rank(node.replaces))
 		}
--- a/internal/duties/lease/model_steps_test.go
+++ b/internal/duties/lease/model_steps_test.go
@@ -194,21 +194,21 @@
 		return w, false, fmt.Sprintf("both nodes sent token %d", token)
 	case w.lastCaller == 1-i && time.Duration(w.now-w.calledAt[i])*modelTick < DefaultTakeoverGap:
 		return w, false, "calls alternate within the takeover gap"
-	// If clocks stop in a suspension, soleSince can't be compared with the times of the other
+	// If clocks stop in a suspension, heldSince can't be compared with the times of the other
 	// node's calls.
-	case !fault.clockStops && w.calledAt[1-i] > -modelAge && w.timeAt(w.calledAt[1-i]).After(w.nodes[i].assumedSoleSince(w, fault)):
-		return w, false, "the other node has called since this node's soleSince"
+	case !fault.clockStops && w.calledAt[1-i] > -modelAge && w.timeAt(w.calledAt[1-i]).After(w.nodes[i].assumedHeldSince(w, fault)):
+		return w, false, "the other node has called since this node's heldSince"
 	}
 	w.lastCaller, w.token = i, token
 	w.calledAt[i] = w.now
 	return w, true, ""
 }
 
-// assumedSoleSince returns the time since which a node assumes that no other node has held
+// assumedHeldSince returns the time since which a node assumes that no other node has held
 // the lease.
-func (n *modelNode) assumedSoleSince(world modelWorld, fault injectedFault) time.Time {
+func (n *modelNode) assumedHeldSince(world modelWorld, fault injectedFault) time.Time {
 	if fault.ignoresOthers {
 		return world.timeAt(-modelAge)
 	}
-	return n.state.soleSince
+	return n.state.heldSince
 }
--- a/internal/duties/lease/state.go
+++ b/internal/duties/lease/state.go
@@ -36,11 +36,11 @@
 	token       uint64
 	sendUntil   time.Time
 	tenureStart time.Time
-	// soleSince is the time when this process sent the first of its writes since which no
-	// other node is known to have held the lease, zero if there is none. An unanswered
-	// write ends the tenure but does not reset soleSince: a write of another node would be
-	// observed before this node's next write could succeed.
-	soleSince time.Time
+	// heldSince is the time when this process sent the first of its writes that are not
+	// followed by a write of another node, as far as this node knows; zero if there is none.
+	// An unanswered write ends the tenure but does not reset heldSince: a write of another
+	// node would be observed before this node's next write could succeed.
+	heldSince time.Time
 	// stopped is set once this node has stopped performing duties.
 	stopped bool
 }
@@ -57,7 +57,7 @@
 	}
 	s.revision, s.firstSeen, s.holder, s.released = observed.Revision, now, observed.Holder, observed.Released
 	if observed.Holder != s.node {
-		s.token, s.soleSince = 0, time.Time{}
+		s.token, s.heldSince = 0, time.Time{}
 	}
 	return true
 }
@@ -77,8 +77,8 @@
 	if s.token == 0 {
 		s.tenureStart = sent
 	}
-	if s.soleSince.IsZero() {
-		s.soleSince = sent
+	if s.heldSince.IsZero() {
+		s.heldSince = sent
 	}
 	s.revision, s.firstSeen, s.holder, s.released, s.unconfirmed = revision, sent, s.node, false, false
 	s.token, s.sendUntil = revision, sent.Add(SendWindow)
--- a/internal/duties/usage/counter.go
+++ b/internal/duties/usage/counter.go
@@ -31,8 +31,8 @@
 	return &Counter{clock: clock, window: window, windows: map[int64]*windowCounts{}, wake: make(chan struct{}, 1)}
 }
 
-// CountRequest counts a request of a tenant, empty for none, that began to run at a time of
-// the monotonic clock.
+// CountRequest counts a request of a tenant that began to run at a time of the monotonic
+// clock. It ignores requests without a tenant.
 func (c *Counter) CountRequest(tenant string, at time.Time) {
 	if tenant == "" {
 		return
--- a/internal/duties/usage/service.go
+++ b/internal/duties/usage/service.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// CountRequest counts a request of a tenant, empty for none, that began to run at a time of
-// the monotonic clock.
+// CountRequest counts a request of a tenant that began to run at a time of the monotonic
+// clock. It ignores requests without a tenant.
 func (s *Service) CountRequest(tenant string, at time.Time) { s.counter.CountRequest(tenant, at) }
 
 // ReceivePush records another node's counts, and returns the reply.
--- a/internal/duties/weightorders/candidates.go
+++ b/internal/duties/weightorders/candidates.go
@@ -6,8 +6,8 @@
 	// minCandidates is the minimum number of candidates of a model, if there are as many
 	// replicas.
 	minCandidates = 256
-	// candidatesPerHome is the number of candidates for each home of the model. Nearly all
-	// homes are among this many replicas with the highest rendezvous weights.
+	// candidatesPerHome is the number of candidates as a multiple of the number of homes that
+	// the model needs. With it, the candidates include nearly all homes.
 	candidatesPerHome = 2
 )
 
--- a/internal/duties/weightorders/config.go
+++ b/internal/duties/weightorders/config.go
@@ -23,7 +23,8 @@
 	Tolerance func(model string) int64
 	// Demand returns the demand for each model, estimated from its recent jobs.
 	Demand func() Demand
-	// OnChange is called when a replica's version changes or begins to.
+	// OnChange is called when a replica begins to load a version, and with the version that
+	// it is known to have when the load has ended.
 	OnChange func(change wire.ReplicaVersion)
 	// Announce sends a heartbeat with the announced versions soon.
 	Announce func()
--- a/internal/duties/weightorders/share_test.go
+++ b/internal/duties/weightorders/share_test.go
@@ -19,7 +19,7 @@
 	} {
 		for i, share := range sharesOf(models, test.demand) {
 			if share.model != models[i] || math.Abs(share.fraction-test.want[i]) > 1e-9 {
-				t.Errorf("%s: %+v, want %v", test.name, share, test.want[i])
+				t.Errorf("%s: share %+v, want fraction %v", test.name, share, test.want[i])
 			}
 		}
 	}
@@ -78,7 +78,7 @@
 		{map[string]float64{"a": 100, "b": 200, "c": 1}, true},
 	} {
 		if got := differs(planned, test.demand); got != test.want {
-			t.Errorf("%v: differs %v", test.demand, got)
+			t.Errorf("demand %v differs from the planned one: %v", test.demand, got)
 		}
 	}
 }
--- a/internal/replicas/directory/doc.go
+++ b/internal/replicas/directory/doc.go
@@ -7,8 +7,8 @@
 //
 //   - The versions of the configuration and of the weights never decrease.
 //   - An incarnation of a replica gets no more requests once its entry said that it drains.
-//   - Endpoints in an evacuated zone are closed before the view with the evacuation is
-//     published, and opened only after the view without it is published.
+//   - Endpoints in an evacuated zone are marked as evacuated before the view with the
+//     evacuation is published, and unmarked only after the view without it is published.
 //   - The requests to a warming replica are limited before the view that lists it is
 //     published.
 //
--- a/internal/replicas/directory/evacuation.go
+++ b/internal/replicas/directory/evacuation.go
@@ -99,14 +99,14 @@
 // publishEvacuations publishes a view with changed evacuations.
 func (t *Table) publishEvacuations(next *View) {
 	all := allIDs(next)
-	closeEvacuatedZones(next, all)
+	markEvacuated(next, all)
 	t.publish(next, nil)
-	openOtherZones(next, all)
+	unmarkEvacuated(next, all)
 }
 
-// closeEvacuatedZones closes the touched endpoints in evacuated zones. It must be called
+// markEvacuated marks the touched endpoints in evacuated zones as evacuated. It must be called
 // before the view is published.
-func closeEvacuatedZones(view *View, touched map[string]bool) {
+func markEvacuated(view *View, touched map[string]bool) {
 	for id := range touched {
 		if endpoint := view.Endpoints[id]; endpoint != nil && view.IsEvacuated(endpoint.Zone) {
 			endpoint.State.SetEvacuated(true)
@@ -114,10 +114,10 @@
 	}
 }
 
-// openOtherZones opens the touched endpoints in other zones. It must be called after the view
+// unmarkEvacuated unmarks the touched endpoints in other zones. It must be called after the view
 // is published, because replicas may be cold when an evacuation ends and the publication sets
 // their slow-start limits.
-func openOtherZones(view *View, touched map[string]bool) {
+func unmarkEvacuated(view *View, touched map[string]bool) {
 	for id := range touched {
 		if endpoint := view.Endpoints[id]; endpoint != nil && !view.IsEvacuated(endpoint.Zone) {
 			endpoint.State.SetEvacuated(false)
--- a/internal/replicas/directory/evacuation_test.go
+++ b/internal/replicas/directory/evacuation_test.go
@@ -150,18 +150,18 @@
 // recordingSlowStart is a SlowStart that records whether replica a was evacuated at the last
 // call of SetWarming.
 type recordingSlowStart struct {
-	table  *Table
-	closed bool
+	table     *Table
+	evacuated bool
 }
 
 func (r *recordingSlowStart) SetWarming([]slowstart.WarmingReplica, func(string) bool) {
 	if endpoint := r.table.View().Endpoints["a"]; endpoint != nil {
-		r.closed = endpoint.State.Evacuated()
+		r.evacuated = endpoint.State.Evacuated()
 	}
 }
 
-// Replicas may be cold when an evacuation ends. Guards against opening them before their
-// slow-start limits are set.
+// Replicas may be cold when an evacuation ends. Guards against sending them requests before
+// their slow-start limits are set.
 func TestSlowStartBeforeEvacuationEnds(t *testing.T) {
 	table := NewTable("node", "a", nil, klog.Background())
 	recorder := &recordingSlowStart{table: table}
@@ -171,7 +171,7 @@
 	table.SetReplicas([]*Replica{replica}, 0)
 	table.SetEvacuations([]string{"a"})
 	table.SetEvacuations(nil)
-	if !recorder.closed || table.View().Endpoints["a"].State.Evacuated() {
-		t.Errorf("evacuated when its slow-start limit was set: %v, want true, and not evacuated afterwards", recorder.closed)
+	if !recorder.evacuated || table.View().Endpoints["a"].State.Evacuated() {
+		t.Errorf("marked as evacuated when its slow-start limit was set: %v, want true; or still marked afterwards", recorder.evacuated)
 	}
 }
--- a/internal/replicas/directory/plans.go
+++ b/internal/replicas/directory/plans.go
@@ -55,9 +55,9 @@
 	}
 	logAdded(added, t.logger)
 	next.Plans = revisions.apply(t.locality, current.Plans)
-	closeEvacuatedZones(next, touched)
+	markEvacuated(next, touched)
 	t.publish(next, touched)
-	openOtherZones(next, touched)
+	unmarkEvacuated(next, touched)
 }
 
 // maxLoggedReplicas is how many replicas of a batch are named in the log. A line for each
--- a/internal/replicas/routing/chain.go
+++ b/internal/replicas/routing/chain.go
@@ -18,9 +18,10 @@
 	return c[index].Reason(), true
 }
 
-// Explain returns the reason why none of the endpoints is allowed: that of the last filter
-// in the chain that was the first to refuse some endpoint. It returns ReasonUnavailable if
-// no endpoint is refused.
+// Explain returns the reason why none of the endpoints is allowed. If the endpoints are refused
+// by different filters, it is the reason of the filter that is evaluated last, where an endpoint
+// counts only for the first filter that refuses it. Explain returns ReasonUnavailable if no
+// endpoint is refused.
 func (c Chain) Explain(query *Query, endpoints []*Endpoint) Reason {
 	last := -1
 	for _, endpoint := range endpoints {
--- a/internal/replicas/routing/doc.go
+++ b/internal/replicas/routing/doc.go
@@ -9,6 +9,6 @@
 // in flight, consecutive failures, latency, load reports, the slow-start gate and whether
 // the zone is evacuated. Other packages write it; picks read it.
 //
-// All filters allow the picked endpoint at the time of the pick. Package dispatch checks
-// conditions that must hold when the request is sent again.
+// All filters allow the picked endpoint at the time of the pick. Conditions that must still
+// hold when the request is sent are checked again by package dispatch.
 package routing
--- a/internal/replicas/routing/plan_test.go
+++ b/internal/replicas/routing/plan_test.go
@@ -32,7 +32,7 @@
 	exclude(plan, func(endpoint *Endpoint) bool { return endpoint.Name == "engine-37" })
 	picked, err := plan.Pick(&Query{Zone: "zone-0", PrefixHash: 5, Random: 9})
 	if err != nil || picked.Name != "engine-37" {
-		t.Fatalf("picked %v, %v", picked, err)
+		t.Fatalf("picked %v, error %v", picked, err)
 	}
 	cases := []struct {
 		name   string
@@ -50,12 +50,12 @@
 			test.modify(picked)
 		}
 		if _, err := plan.Pick(&test.query); !errors.Is(err, ErrNoEngineAvailable) {
-			t.Errorf("%s: got %v", test.name, err)
+			t.Errorf("%s: error %v, want ErrNoEngineAvailable", test.name, err)
 		}
 		picked.State.InFlight.Store(0)
 	}
 	if _, err := NewPlan("z", nil).Pick(&Query{}); !errors.Is(err, ErrNoEngineDeclared) {
-		t.Errorf("an empty plan returned %v", err)
+		t.Errorf("empty plan: error %v, want ErrNoEngineDeclared", err)
 	}
 }
 
--- a/internal/replicas/slowstart/allotter.go
+++ b/internal/replicas/slowstart/allotter.go
@@ -108,8 +108,8 @@
 	defer a.config.Lease.MarkIdle(dutyName)
 	for ctx.Err() == nil && a.hasRecentRequest() {
 		pause := leaseCheckInterval
-		if ready, again := a.config.Lease.EnsureHeld(ctx, dutyName); !ready {
-			pause = min(max(again, leaseCheckInterval), leaseIdleTimeout)
+		if ready, retryAfter := a.config.Lease.EnsureHeld(ctx, dutyName); !ready {
+			pause = min(max(retryAfter, leaseCheckInterval), leaseIdleTimeout)
 		}
 		wait(ctx, pause)
 	}
--- a/internal/replicas/slowstart/client.go
+++ b/internal/replicas/slowstart/client.go
@@ -126,7 +126,7 @@
 }
 
 // addAllotments adds the permits allotted for a request that was sent at the given time. They
-// are valid for span from that time, not from the reply, as the allotter's ledger assumes.
+// are valid for lifetime from that time, not from the reply, as the allotter's ledger assumes.
 func (c *Client) addAllotments(sent time.Time, lifetime time.Duration, allotted []wire.ReplicaCount) {
 	if len(allotted) == 0 {
 		return
--- a/internal/replicas/slowstart/closed_gate.go
+++ b/internal/replicas/slowstart/closed_gate.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// closedGate is the state of a closed gate. It is immutable except for the counts.
+// closedGate is the state of a closed gate. It is immutable except for the counts
+// and the unused permits of its allotments.
 type closedGate struct {
 	// until is when the gate opens, in the node's boot-time clock.
 	until      time.Time
--- a/internal/replicas/slowstart/gate.go
+++ b/internal/replicas/slowstart/gate.go
@@ -8,7 +8,8 @@
 // Gate limits the requests of this node to one replica. The zero Gate is open. It is safe for
 // concurrent use and takes no lock.
 type Gate struct {
-	// closed is nil if the gate is open. The pointed-to value is never modified.
+	// closed is nil if the gate is open. Of the pointed-to value only the counters
+	// are modified.
 	closed atomic.Pointer[closedGate]
 }
 
--- a/internal/replicas/slowstart/lease.go
+++ b/internal/replicas/slowstart/lease.go
@@ -10,9 +10,9 @@
 	// HeldSince returns the time, in the boot-time clock, since which no other node and no
 	// earlier process of this node has held the lease, and whether the lease is valid now.
 	HeldSince() (since time.Time, valid bool)
-	// EnsureHeld acquires or renews the lease for a duty. If the lease is not ready, again
-	// is the time until the next attempt.
-	EnsureHeld(ctx context.Context, duty string) (ready bool, again time.Duration)
+	// EnsureHeld acquires or renews the lease for a duty. If the lease is not ready,
+	// retryAfter is the time until the next attempt.
+	EnsureHeld(ctx context.Context, duty string) (ready bool, retryAfter time.Duration)
 	// MarkIdle ends the use of the lease by a duty. The lease is no longer renewed for it.
 	MarkIdle(duty string)
 }
--- a/internal/replicas/slowstart/model_world_test.go
+++ b/internal/replicas/slowstart/model_world_test.go
@@ -15,7 +15,7 @@
 	modelTick  = 5 * time.Millisecond
 	modelNodes = 6
 	// leaseGap is how long the lease has no holder after it expires. It is the shortest time
-	// that package duty leaves between the last use by one holder and the first by the next.
+	// that package lease leaves between the last use by one holder and the first by the next.
 	leaseGap = 3 * time.Second
 	// maxMessageLatency is the maximum latency of a message.
 	maxMessageLatency = 900 * time.Millisecond
--- a/internal/store/watchcache/area_test.go
+++ b/internal/store/watchcache/area_test.go
@@ -78,7 +78,7 @@
 }
 
 // Guards against late changes when the store refuses many nodes, including the reader.
-func TestRefusedNodesDelayChangesWithinBound(t *testing.T) {
+func TestChangeDelayWithRefusedNodes(t *testing.T) {
 	for phase := range 8 {
 		withZones(t, 8, twoRegions, func(c *cluster) {
 			advance(time.Duration(phase) * 77 * time.Millisecond)
--- a/internal/store/watchcache/handle_poll.go
+++ b/internal/store/watchcache/handle_poll.go
@@ -11,7 +11,7 @@
 const (
 	// maxHold is the longest time for which a poll is held, whatever it requests.
 	maxHold = 5 * time.Second
-	// readAfterPoll is how long a node keeps reading the store after its last poll as a
+	// readAfterPoll is how long a node keeps reading the store after it was last polled as a
 	// reader.
 	readAfterPoll = 10 * time.Second
 	// maxRelayedAge is the greatest cache age at which a relaying node reports its caches
@@ -21,7 +21,7 @@
 
 // HandlePoll returns the reply to a follower's poll. It returns when there are changes,
 // when this node reports unsure or leaving, or when the requested hold has passed. A polled
-// node reads the store, unless the sender takes it for a relay, which follows another node.
+// node reads the store, unless it is polled as a relay, that is, a node that follows another.
 func (s *Source) HandlePoll(ctx context.Context, poll *wire.WatchPoll) *wire.WatchNews {
 	s.metrics.answered.Inc()
 	if poll.Direct && !s.reading.isActive() && !s.probe.succeeds(ctx) {
--- a/internal/store/watchcache/poll_history.go
+++ b/internal/store/watchcache/poll_history.go
@@ -23,8 +23,8 @@
 func (h *pollHistory) isSuspect() bool { return !h.suspectSince.IsZero() }
 
 // recordUnsure records the unsure reply of a parent that reads the store itself.
-func (h *pollHistory) recordUnsure(storeAnswers bool) {
-	if !storeAnswers {
+func (h *pollHistory) recordUnsure(storeAvailable bool) {
+	if !storeAvailable {
 		h.clearSuspect()
 		return
 	}
--- a/internal/store/watchcache/source_test.go
+++ b/internal/store/watchcache/source_test.go
@@ -54,7 +54,7 @@
 }
 
 // Guards against late changes right after the reader was lost, at any phase of the polls.
-func TestReaderLossDelaysChangesWithinBound(t *testing.T) {
+func TestChangeDelayAfterReaderLoss(t *testing.T) {
 	for _, fault := range readerFaults {
 		t.Run(fault.name, func(t *testing.T) {
 			for phase := range 8 {
@@ -72,7 +72,7 @@
 }
 
 // The first two nodes in rank are lost at once.
-func TestLossOfTwoReadersDelaysWithinBound(t *testing.T) {
+func TestChangeDelayAfterTwoReaderLosses(t *testing.T) {
 	for phase := range 6 {
 		withCluster(t, 7, func(c *cluster) {
 			first := c.readers()[0]
@@ -303,7 +303,7 @@
 
 // Guards against changes delayed until the end of a long watch whose response alone was
 // lost: the reader then still reports current.
-func TestLostWatchResponseDelaysWithinBound(t *testing.T) {
+func TestChangeDelayAfterLostWatchResponse(t *testing.T) {
 	withCluster(t, 4, func(c *cluster) {
 		reader := c.readers()[0]
 		reader.store.loseNextWatch.Store(true)
--- a/internal/store/watchcache/tree_test.go
+++ b/internal/store/watchcache/tree_test.go
@@ -102,7 +102,7 @@
 }
 
 // Guards against late changes and many readers when the reader of a large area is lost.
-func TestLargeAreaReaderLossWithinBound(t *testing.T) {
+func TestLargeAreaDelayAfterReaderLoss(t *testing.T) {
 	for _, fault := range readerFaults {
 		t.Run(fault.name, func(t *testing.T) {
 			for phase := range 2 {
@@ -125,7 +125,7 @@
 }
 
 // A tenth of the nodes is lost at once, including the reader and some relaying nodes.
-func TestLargeAreaManyLossesWithinBound(t *testing.T) {
+func TestLargeAreaDelayAfterManyLosses(t *testing.T) {
 	for phase := range 2 {
 		withCluster(t, largeCount, func(c *cluster) {
 			reader := c.readers()[0]
@@ -172,7 +172,7 @@
 
 // The store refuses a third of the nodes, including the reader and possibly its helpers in
 // other zones.
-func TestLargeAreaRefusedNodesWithinBound(t *testing.T) {
+func TestLargeAreaDelayWithRefusedNodes(t *testing.T) {
 	for phase := range 2 {
 		withCluster(t, largeCount, func(c *cluster) {
 			advance(time.Duration(phase) * 77 * time.Millisecond)
