--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"net"
-	"sync/atomic"
 	"testing"
 	"time"
 
@@ -77,27 +76,58 @@
 	}
 }
 
+// A reply that arrives after the timeout of its request must not end the request twice. It
+// can only arrive over a connection that is in use, since a silent one is closed.
 func TestLateReplyIsDropped(t *testing.T) {
-	release := make(chan struct{})
-	var replied atomic.Int32
-	server := listen(t, wire.ProtocolVersion, func(from string, message wire.Message, reply func(wire.Message)) {
-		go func() {
-			<-release
-			echo(from, message, reply)
-			replied.Add(1)
-		}()
-	})
-	client := listen(t, wire.ProtocolVersion, echo)
-	call := client.request(server.address, 1, 50*time.Millisecond)
-	if got := <-call; !errors.Is(got.err, environment.ErrPeerUnreachable) {
-		t.Fatalf("got %+v, want ErrPeerUnreachable", got)
-	}
-	close(release)
-	if got := <-client.request(client.address, 2, callTimeout); got.err != nil {
-		t.Fatal(got.err)
-	}
-	if len(call) > 0 {
-		t.Error("late reply was delivered")
+	const timeout = 250 * time.Millisecond
+	for name, inUse := range map[string]bool{"connection in use": true, "silent connection": false} {
+		t.Run(name, func(t *testing.T) {
+			release, replied := make(chan struct{}), make(chan struct{})
+			server := listen(t, wire.ProtocolVersion, func(from string, message wire.Message, reply func(wire.Message)) {
+				if message.(*wire.DocumentPull).Have != 1 {
+					echo(from, message, reply)
+					return
+				}
+				go func() {
+					<-release
+					echo(from, message, reply)
+					close(replied)
+				}()
+			})
+			client := listen(t, wire.ProtocolVersion, echo)
+			connection := client.connectionTo(server.address, true)
+			call := client.request(server.address, 1, timeout)
+			for inUse && len(call) == 0 {
+				if got := <-client.request(server.address, 2, callTimeout); got.err != nil {
+					t.Fatal(got.err)
+				}
+				time.Sleep(timeout / 50)
+			}
+			if got := <-call; !errors.Is(got.err, environment.ErrPeerUnreachable) {
+				t.Fatalf("got %+v, want ErrPeerUnreachable", got)
+			}
+			close(release)
+			select {
+			case <-replied:
+			case <-time.After(callTimeout):
+				t.Fatal("late reply was not sent")
+			}
+			// Replies arrive in the order in which they were written on a connection.
+			next := server.address
+			if !inUse {
+				// A call to the server could still use the connection that is being closed.
+				next = client.address
+			}
+			if got := <-client.request(next, 3, callTimeout); got.err != nil {
+				t.Fatal(got.err)
+			}
+			if inUse && client.connectionTo(server.address, true) != connection {
+				t.Fatal("later call was answered over another connection")
+			}
+			if len(call) > 0 {
+				t.Error("late reply was delivered")
+			}
+		})
 	}
 }
 
