--- a/internal/duties/autoscale/service_test.go
+++ b/internal/duties/autoscale/service_test.go
@@ -88,19 +88,24 @@
 	return 0, w.openItems
 }
 
+// testReplicas returns replicas of the service, spread evenly over three zones.
+func testReplicas(count int) []*directory.Replica {
+	var replicas []*directory.Replica
+	for number := range count {
+		replicas = append(replicas, &directory.Replica{
+			ID: fmt.Sprint("replica-", number), Service: "model", Zone: string(rune('a' + number%3)), Slots: 8, State: directory.ReplicaReady,
+		})
+	}
+	return replicas
+}
+
 // start runs a node that orders replicas of a service with 12 replicas.
 func (w *testWorld) start(ctx context.Context, name string) *Service {
 	table := directory.NewTable("node", "a", nil, klog.Background())
 	table.SetConfiguration(&directory.Configuration{Version: 1, Services: map[string]directory.Service{"model": {
 		Name: "model", Engine: &directory.Engine{Slots: 8}, Scaling: &directory.Scaling{Least: 1, Most: 10},
 	}}}, 1)
-	var replicas []*directory.Replica
-	for number := range 12 {
-		replicas = append(replicas, &directory.Replica{
-			ID: fmt.Sprint("replica-", number), Service: "model", Zone: string(rune('a' + number%3)), Slots: 8, State: directory.ReplicaReady,
-		})
-	}
-	table.SetReplicas(replicas, 0)
+	table.SetReplicas(testReplicas(12), 0)
 	elector := lease.NewElector(lease.Config{
 		Node: name, Lease: lease.NewLease(name, name, 0, w.store, clock.Steady), Clock: clock.Steady, Logger: klog.Background(),
 		Nodes: func() []string { return []string{name} }, Announce: func([]string) {}, SinceHeartbeat: func(string) time.Duration { return time.Hour },
@@ -173,6 +178,48 @@
 	})
 }
 
+// A node that counts replicas ordered by an earlier holder as its baseline would never scale
+// the zones down to the number before any order.
+func TestNewHolderKeepsBaseline(t *testing.T) {
+	for name, startsBefore := range map[string]bool{"started before the orders": true, "started after the orders": false} {
+		t.Run(name, func(t *testing.T) {
+			runInTestWorld(t, func(ctx context.Context, w *testWorld) {
+				first, stop := context.WithCancel(ctx)
+				defer stop()
+				w.start(first, "first")
+				time.Sleep(pollInterval / 2)
+				var second *Service
+				if startsBefore {
+					second = w.start(ctx, "second")
+				}
+				// The next step is one of the first node.
+				time.Sleep(10*pollInterval + pollInterval/4)
+				w.setOpenItems(131)
+				time.Sleep(5 * time.Second)
+				if got := w.platform.ordered(); got != "map[a:7 b:6 c:6]" {
+					t.Fatalf("first holder ordered %s, want a slot for each open item", got)
+				}
+				if !startsBefore {
+					second = w.start(ctx, "second")
+				}
+				second.config.Directory.SetReplicas(testReplicas(7+6+6), 0)
+				time.Sleep(5 * time.Second)
+				stop()
+				if startsBefore {
+					// The record that it has read is outdated. It reads it again to order.
+					w.setOpenItems(180)
+					time.Sleep(20 * time.Second)
+				}
+				w.setOpenItems(0)
+				time.Sleep(10 * time.Minute)
+				if got := w.platform.ordered(); got != "map[a:4 b:4 c:4]" {
+					t.Errorf("ordered %s 10 min after the work ended, want the baseline; recorded %s", got, w.store.Objects(ledgerKind)[0].Spec)
+				}
+			})
+		})
+	}
+}
+
 // A zone without available replicas must not be asked at every step, and other zones must
 // replace it.
 func TestExhaustedZoneIsNotRetriedEarly(t *testing.T) {
