--- a/internal/standalone/lease/check.go
+++ b/internal/standalone/lease/check.go
@@ -11,9 +11,8 @@
 	"github.com/pathtally/pathtally/internal/environment"
 )
 
-// schedule plans the next check of a lease. A holder checks it three times a
-// term; a candidate less often the lower it ranks.
-func (m *Manager) schedule(name string, delay time.Duration) {
+// scheduleCheck sets the timer of a lease's next check and replaces an earlier one.
+func (m *Manager) scheduleCheck(name string, delay time.Duration) {
 	state := m.states[name]
 	if state.timer != nil {
 		state.timer.Stop()
@@ -26,31 +25,34 @@
 	})
 }
 
-func (m *Manager) scheduleNext(name string) {
-	period := m.config.Term / renewShare
+// scheduleNextCheck schedules the next periodic check, with jitter. The holder
+// and the first candidate check several times per lease duration; any other
+// candidate checks less often the lower its rank.
+func (m *Manager) scheduleNextCheck(name string) {
+	period := m.config.Term / renewalsPerTerm
 	state := m.states[name]
 	if rank := m.config.Rank(name); !state.held && rank != 0 {
-		period = time.Duration(float64(m.config.Term) * math.Pow(rankGrowth, float64(min(max(rank, 1)-1, maxRank))))
+		period = time.Duration(float64(m.config.Term) * math.Pow(checkBackoffFactor, float64(min(max(rank, 1)-1, maxBackoffExponent))))
 	}
 	jitter := time.Duration(m.config.Random.Int64N(int64(period)/5 + 1))
-	m.schedule(name, period+jitter-period/10)
+	m.scheduleCheck(name, period+jitter-period/10)
 }
 
-// check renews or yields a lease that is held, and otherwise reads it to see
-// whether it has become free.
+// check renews or yields a lease that this node holds. Otherwise it reads the
+// lease object to see whether the lease is free or expired.
 func (m *Manager) check(name string) {
 	state := m.states[name]
-	if state.busy {
-		m.scheduleNext(name)
+	if state.inFlight {
+		m.scheduleNextCheck(name)
 		return
 	}
 	if !state.held && m.config.Rank(name) < 0 {
-		m.scheduleNext(name)
+		m.scheduleNextCheck(name)
 		return
 	}
 	if state.held && m.shouldYield(name) {
 		m.release(name, func() {})
-		m.scheduleNext(name)
+		m.scheduleNextCheck(name)
 		return
 	}
 	if state.held {
@@ -59,35 +61,36 @@
 		m.write(name, record)
 		return
 	}
-	state.busy = true
+	state.inFlight = true
 	m.config.Objects.Get(objectPrefix+name, func(object environment.Object, err error) {
-		state.busy = false
+		state.inFlight = false
 		if m.stopped || !state.wanted {
 			return
 		}
-		m.observe(name, object, err)
+		m.handleRead(name, object, err)
 	})
 }
 
-// shouldYield tells whether the first candidate has been another node for
-// long enough, so that duties spread again after the nodes have come up one
-// by one.
+// shouldYield reports whether another node has been the first candidate for
+// enough renewals in a row. Yielding spreads the leases over the nodes again
+// after a start in which the first node acquired them all.
 func (m *Manager) shouldYield(name string) bool {
 	state := m.states[name]
-	renewals, may := 0, false
+	renewals, enabled := 0, false
 	if m.config.YieldAfter != nil {
-		renewals, may = m.config.YieldAfter(name)
+		renewals, enabled = m.config.YieldAfter(name)
 	}
-	if !may || m.config.Rank(name) == 0 {
-		state.outranked = 0
+	if !enabled || m.config.Rank(name) == 0 {
+		state.outrankedRenewals = 0
 		return false
 	}
-	state.outranked++
-	return state.outranked > renewals
+	state.outrankedRenewals++
+	return state.outrankedRenewals > renewals
 }
 
-// observe decides what a candidate does about the current lease.
-func (m *Manager) observe(name string, object environment.Object, err error) {
+// handleRead handles the result of a candidate's read: it tries to acquire a
+// lease that is missing, released or expired.
+func (m *Manager) handleRead(name string, object environment.Object, err error) {
 	state := m.states[name]
 	if errors.Is(err, environment.ErrObjectNotFound) {
 		state.version = 0
@@ -95,84 +98,86 @@
 		return
 	}
 	if err != nil {
-		m.scheduleNext(name)
+		m.scheduleNextCheck(name)
 		return
 	}
 	var record Record
 	if err := json.Unmarshal(object.Data, &record); err != nil {
-		klog.Background().Error(err, "lease is not readable and counts as free", "lease", name, "version", object.Version)
+		klog.Background().Error(err, "failed to decode lease object; treating the lease as free", "lease", name, "version", object.Version)
 		record = Record{}
 	}
 	now := m.config.Clock.Now()
 	if object.Version != state.version {
-		state.version, state.record, state.observed = object.Version, record, now
+		state.version, state.record, state.observedAt = object.Version, record, now
 	}
-	expired := now.Sub(state.observed) >= m.config.Term
-	mine := record.Holder == m.config.Self
-	if record.Holder == "" || expired || mine {
-		// A record with this process's own name is a write whose answer was
-		// lost; writing again with a greater token settles it.
+	expired := now.Sub(state.observedAt) >= m.config.Term
+	ownRecord := record.Holder == m.config.Self
+	if record.Holder == "" || expired || ownRecord {
+		// A record that names this process comes from its own write whose
+		// response was lost. Writing again with a greater token resolves it.
 		m.write(name, Record{Holder: m.config.Self, Token: record.Token + 1})
 		return
 	}
-	m.scheduleNext(name)
+	m.scheduleNextCheck(name)
 }
 
 func (m *Manager) write(name string, record Record) {
 	state := m.states[name]
 	data, err := json.Marshal(record)
 	if err != nil {
-		klog.Background().Error(err, "lease not written", "lease", name)
-		m.scheduleNext(name)
+		klog.Background().Error(err, "failed to encode lease record; lease not written", "lease", name)
+		m.scheduleNextCheck(name)
 		return
 	}
-	state.busy = true
+	state.inFlight = true
 	m.config.Objects.Put(objectPrefix+name, data, state.version, func(object environment.Object, err error) {
-		state.busy = false
-		m.written(name, record, object, err)
+		state.inFlight = false
+		m.handleWriteResult(name, record, object, err)
 	})
 }
 
-func (m *Manager) written(name string, record Record, object environment.Object, err error) {
+// handleWriteResult handles the result of a write that acquires or renews a lease.
+func (m *Manager) handleWriteResult(name string, record Record, object environment.Object, err error) {
 	state := m.states[name]
 	switch {
 	case err == nil:
-		state.version, state.record, state.observed = object.Version, record, m.config.Clock.Now()
+		state.version, state.record, state.observedAt = object.Version, record, m.config.Clock.Now()
 		if !state.held && state.wanted && !m.stopped {
 			state.held = true
 			m.config.OnAcquire(name, record.Token)
 		}
 	case errors.Is(err, environment.ErrObjectConflict):
-		m.conflicted(name)
+		m.resolveConflict(name)
 		return
 	}
 	if !m.stopped && state.wanted {
-		m.scheduleNext(name)
+		m.scheduleNextCheck(name)
 	}
 }
 
-// conflicted reads the lease back: the conflict may come from this process's
-// own earlier write whose answer was lost, or from a new holder.
-func (m *Manager) conflicted(name string) {
+// resolveConflict reads the lease object after a write conflict, which is
+// caused either by this process's own earlier write whose response was lost or
+// by a new holder. In the second case a held lease is marked as lost.
+func (m *Manager) resolveConflict(name string) {
 	state := m.states[name]
-	state.busy = true
+	state.inFlight = true
 	m.config.Objects.Get(objectPrefix+name, func(object environment.Object, err error) {
-		state.busy = false
+		state.inFlight = false
 		var record Record
 		if err == nil {
 			if err = json.Unmarshal(object.Data, &record); err != nil {
-				klog.Background().Error(err, "lease is not readable", "lease", name, "version", object.Version)
+				klog.Background().Error(err, "failed to decode lease object after a write conflict", "lease", name, "version", object.Version)
 			}
 		}
 		if err == nil && state.held {
 			if record.Holder == m.config.Self && record.Token == state.record.Token {
 				state.version, state.record = object.Version, record
 			} else {
-				m.lose(name)
+				m.markLost(name)
 			}
 		}
 		if !m.stopped && state.wanted {
-			m.scheduleNext(name)
+			m.scheduleNextCheck(name)
 		}
 	})
 }
--- a/internal/standalone/lease/manager.go
+++ b/internal/standalone/lease/manager.go
@@ -13,92 +13,105 @@
 )
 
 const (
-	// DefaultTerm is how long a lease stands without renewal.
+	// DefaultTerm is how long a lease is valid without renewal.
 	DefaultTerm = 10 * time.Second
-	// renewShare is the part of the term after which a holder renews.
-	renewShare = 3
-	// DefaultYieldRenewals is how many renewals in a row a holder that is not
-	// the first candidate usually waits before it gives the lease to that one.
+	// renewalsPerTerm is how many times a holder renews per lease duration.
+	renewalsPerTerm = 3
+	// DefaultYieldRenewals is the usual number of consecutive renewals after
+	// which a holder that is not the first candidate releases the lease.
 	DefaultYieldRenewals = 4
-	// rankGrowth stretches the time between checks of each further candidate,
-	// so that all candidates together read a bounded amount.
-	rankGrowth = 1.5
-	// maxRank bounds the growth, and with it the wait of the last candidate.
-	maxRank = 16
-	// promptDelay is how soon a candidate looks when it has a reason to.
-	promptDelay = 50 * time.Millisecond
-	// objectPrefix is put before a lease's name in the object API.
+	// checkBackoffFactor multiplies the time between checks for each further
+	// rank, which bounds the total read rate of all candidates.
+	checkBackoffFactor = 1.5
+	// maxBackoffExponent bounds the exponent of checkBackoffFactor.
+	maxBackoffExponent = 16
+	// earlyCheckDelay is the minimum delay of an early check; the jitter is at
+	// most as long again.
+	earlyCheckDelay = 50 * time.Millisecond
+	// objectPrefix precedes a lease's name in the object's key.
 	objectPrefix = "leases/"
 )
 
 // Record is the content of a lease object.
 type Record struct {
+	// Holder is the Config.Self of the holder; empty means released.
 	Holder string `json:"holder"`
-	Token  uint64 `json:"token"`
-	// Renewals changes with each renewal, so that the object's version does.
+	// Token is the fencing token.
+	Token uint64 `json:"token"`
+	// Renewals changes with each renewal, so that the object's version
+	// changes too.
 	Renewals uint64 `json:"renewals"`
 }
 
-// Config is what a Manager needs.
+// Config holds the settings and dependencies of a Manager.
 type Config struct {
-	// Self is unique to this process, not only to this node: a process that
-	// starts again must not take the lease of its predecessor for its own.
+	// Self identifies this process, not only its node: a restarted process
+	// must not treat the lease of its predecessor as its own.
 	Self    string
 	Clock   environment.Clock
 	Random  *rand.Rand
 	Objects environment.Objects
-	// Term is how long a lease stands without renewal; zero means DefaultTerm.
+	// Term is how long a lease is valid without renewal; zero means
+	// DefaultTerm.
 	Term time.Duration
-	// Rank is this node's place among the candidates, from 0; negative means
-	// that it is none.
+	// Rank returns this node's position among the candidates for a lease: 0
+	// for the first, negative if it is not a candidate.
 	Rank func(name string) int
-	// YieldAfter tells after how many renewals in a row a lease is given to the
-	// first candidate when this node is not it; nil means never.
-	YieldAfter func(name string) (renewals int, may bool)
-	// OnAcquire and OnLose tell of this node's leases.
+	// YieldAfter returns after how many consecutive renewals a holder that is
+	// not the first candidate releases a lease, and whether it does at all. Nil
+	// means never.
+	YieldAfter func(name string) (renewals int, enabled bool)
+	// OnAcquire is called when this process acquires a lease.
 	OnAcquire func(name string, token uint64)
-	OnLose    func(name string)
+	// OnLose is called when it releases a lease or finds that it lost it.
+	OnLose func(name string)
 }
 
-// Manager competes for the wanted leases and renews those held. It belongs to
-// one goroutine.
+// Manager competes for the wanted leases and renews those that it holds. It is
+// not safe for concurrent use: all calls and callbacks run on one goroutine.
 type Manager struct {
 	config  Config
-	states  map[string]*state
+	states  map[string]*leaseState
 	stopped bool
 }
 
-type state struct {
-	wanted   bool
-	held     bool
-	record   Record
-	version  uint64
-	observed time.Time
-	timer    environment.Timer
-	busy     bool
-	// outranked counts the renewals made while not the first candidate.
-	outranked int
+// leaseState is what the manager knows about one lease.
+type leaseState struct {
+	wanted bool
+	held   bool
+	// record and version are those of the lease object last read or written.
+	record  Record
+	version uint64
+	// observedAt is when a change of the object's version was last seen.
+	observedAt time.Time
+	timer      environment.Timer
+	// inFlight means that a read or a write of the object is in progress.
+	inFlight bool
+	// outrankedRenewals counts the consecutive renewals made while another
+	// node was the first candidate.
+	outrankedRenewals int
 }
 
-// NewManager returns a manager that wants nothing yet.
+// NewManager returns a manager that competes for no lease yet.
 func NewManager(config Config) *Manager {
 	if config.Term == 0 {
 		config.Term = DefaultTerm
 	}
-	return &Manager{config: config, states: map[string]*state{}}
+	return &Manager{config: config, states: map[string]*leaseState{}}
 }
 
-// Want sets the names competed for; leases no longer wanted are released.
+// Want sets the names of the leases to compete for and releases held leases
+// that are not among them.
 func (m *Manager) Want(names []string) {
 	wanted := map[string]bool{}
 	for _, name := range names {
 		wanted[name] = true
 		if m.states[name] == nil {
-			m.states[name] = &state{}
+			m.states[name] = &leaseState{}
 		}
 		if !m.states[name].wanted {
 			m.states[name].wanted = true
-			m.schedule(name, 0)
+			m.scheduleCheck(name, 0)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.states)) {
@@ -109,17 +122,17 @@
 	}
 }
 
-// Prompt has a candidate check a lease soon, because its holder seems to be
-// gone. It takes over only if the lease has expired all the same.
+// Prompt schedules an early check of a lease whose holder appears to be down.
+// A takeover still requires that the lease has expired.
 func (m *Manager) Prompt(name string) {
 	state := m.states[name]
-	if m.stopped || state == nil || !state.wanted || state.held || state.busy {
+	if m.stopped || state == nil || !state.wanted || state.held || state.inFlight {
 		return
 	}
-	m.schedule(name, promptDelay+time.Duration(m.config.Random.Int64N(int64(promptDelay))))
+	m.scheduleCheck(name, earlyCheckDelay+time.Duration(m.config.Random.Int64N(int64(earlyCheckDelay))))
 }
 
-// Held returns the token of a lease held here.
+// Held returns the fencing token of a lease and whether this process holds it.
 func (m *Manager) Held(name string) (uint64, bool) {
 	state := m.states[name]
 	if state == nil || !state.held {
@@ -128,7 +141,7 @@
 	return state.record.Token, true
 }
 
-// HeldNames lists the leases held here, in order.
+// HeldNames returns the sorted names of the leases that this process holds.
 func (m *Manager) HeldNames() []string {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(m.states)) {
@@ -139,42 +152,44 @@
 	return names
 }
 
-// Stop releases every lease, so that others need not wait for its term, and
-// calls done when the object API has answered for all of them.
+// Stop releases every held lease, so that other candidates need not wait for
+// expiry, and calls done once each release has succeeded or failed.
 func (m *Manager) Stop(done func()) {
 	m.stopped = true
 	names := m.HeldNames()
-	waiting := len(names)
-	if waiting == 0 {
+	pending := len(names)
+	if pending == 0 {
 		done()
 		return
 	}
 	for _, name := range names {
 		m.release(name, func() {
-			waiting--
-			if waiting == 0 {
+			pending--
+			if pending == 0 {
 				done()
 			}
 		})
 	}
 }
 
-func (m *Manager) lose(name string) {
+func (m *Manager) markLost(name string) {
 	m.states[name].held = false
-	m.states[name].outranked = 0
+	m.states[name].outrankedRenewals = 0
 	m.config.OnLose(name)
 }
 
+// release gives up a held lease and writes a record without a holder, then
+// calls done. The token stays in the record, so that the next one is greater.
 func (m *Manager) release(name string, done func()) {
 	state := m.states[name]
 	if !state.held {
 		done()
 		return
 	}
-	m.lose(name)
+	m.markLost(name)
 	data, err := json.Marshal(Record{Token: state.record.Token, Renewals: state.record.Renewals + 1})
 	if err != nil {
-		klog.Background().Error(err, "lease not released", "lease", name)
+		klog.Background().Error(err, "failed to encode lease record; lease not released", "lease", name)
 		done()
 		return
 	}
--- a/internal/standalone/lease/manager_test.go
+++ b/internal/standalone/lease/manager_test.go
@@ -11,16 +11,16 @@
 
 const testTerm = 10 * time.Second
 
-// competitor is a process that competes for one lease.
-type competitor struct {
+// candidate is a process that competes for one lease.
+type candidate struct {
 	manager *lease.Manager
 	token   uint64
 	holds   bool
 }
 
-func compete(platform *sim.Platform, scheduler *sim.Scheduler, name string, rank int) (*competitor, *sim.Host) {
+func startCandidate(platform *sim.Platform, scheduler *sim.Scheduler, name string, rank int) (*candidate, *sim.Host) {
 	host := sim.NewRunningHost(scheduler, name)
-	c := &competitor{}
+	c := &candidate{}
 	c.manager = lease.NewManager(lease.Config{
 		Self: name, Clock: host, Random: rand.New(rand.NewPCG(uint64(rank), 1)), Objects: platform.Client(host), Term: testTerm,
 		Rank:      func(string) int { return rank },
@@ -31,33 +31,33 @@
 	return c, host
 }
 
-func TestOneHolderAndTakeoverWithAGreaterToken(t *testing.T) {
+func TestTakeoverIncreasesToken(t *testing.T) {
 	scheduler := sim.NewScheduler(1)
 	platform := sim.NewPlatform(scheduler)
-	holder, host := compete(platform, scheduler, "first", 0)
+	holder, host := startCandidate(platform, scheduler, "first", 0)
 	scheduler.Run(time.Second)
-	other, _ := compete(platform, scheduler, "second", 1)
+	other, _ := startCandidate(platform, scheduler, "second", 1)
 	scheduler.Run(30 * time.Second)
 	if !holder.holds || other.holds {
-		t.Fatalf("holders: %v and %v", holder.holds, other.holds)
+		t.Fatalf("before the pause: first holds %v, second holds %v, want only the first", holder.holds, other.holds)
 	}
 	host.Pause()
 	scheduler.Run(3 * testTerm)
 	if !other.holds || other.token <= holder.token {
-		t.Fatalf("after a pause the other one holds %v with token %d against %d", other.holds, other.token, holder.token)
+		t.Fatalf("after the pause: second holds %v with token %d, want a token above %d", other.holds, other.token, holder.token)
 	}
 	host.Resume()
 	scheduler.Run(testTerm)
 	if holder.holds {
-		t.Error("the paused holder has not noticed that it lost the lease")
+		t.Error("the paused holder still holds the lease after it resumed")
 	}
 }
 
-func TestHolderGoesOnWhileTheObjectAPIIsAway(t *testing.T) {
+func TestHolderKeepsLeaseDuringOutage(t *testing.T) {
 	scheduler := sim.NewScheduler(2)
 	platform := sim.NewPlatform(scheduler)
-	first, _ := compete(platform, scheduler, "first", 0)
-	second, _ := compete(platform, scheduler, "second", 1)
+	first, _ := startCandidate(platform, scheduler, "first", 0)
+	second, _ := startCandidate(platform, scheduler, "second", 1)
 	scheduler.Run(30 * time.Second)
 	before := []bool{first.holds, second.holds}
 	platform.Outage = true
@@ -65,22 +65,22 @@
 	platform.Outage = false
 	scheduler.Run(time.Minute)
 	if first.holds != before[0] || second.holds != before[1] {
-		t.Errorf("holders before %v, after %v and %v", before, first.holds, second.holds)
+		t.Errorf("holders changed in the outage: before %v, after %v and %v", before, first.holds, second.holds)
 	}
 }
 
-func TestLostAnswersLeaveOneHolder(t *testing.T) {
+func TestOneHolderAfterLostResponses(t *testing.T) {
 	for seed := range uint64(20) {
 		scheduler := sim.NewScheduler(seed)
 		platform := sim.NewPlatform(scheduler)
 		platform.LoseAnswer, platform.LoseRequest = 0.5, 0.2
-		first, _ := compete(platform, scheduler, "first", 0)
-		second, _ := compete(platform, scheduler, "second", 1)
+		first, _ := startCandidate(platform, scheduler, "first", 0)
+		second, _ := startCandidate(platform, scheduler, "second", 1)
 		scheduler.Run(2 * time.Minute)
 		platform.LoseAnswer, platform.LoseRequest = 0, 0
 		scheduler.Run(time.Minute)
 		if first.holds == second.holds {
-			t.Errorf("seed %d: holders %v and %v", seed, first.holds, second.holds)
+			t.Errorf("seed %d: first holds %v, second holds %v, want one holder", seed, first.holds, second.holds)
 		}
 	}
 }
