--- a/internal/standalone/quorum/choose.go
+++ b/internal/standalone/quorum/choose.go
@@ -7,9 +7,9 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// choose returns an odd number of seats: one of each zone first, and of those
-// that could sit in a zone, members with a data folder and then those that
-// have a seat already.
+// choose returns an odd number of seats. It takes one seat of each zone before
+// a second one of any zone. Members with a data folder come first, and among
+// equals those that hold a seat already.
 func (c *Coordinator) choose(present []Seat) []Seat {
 	usable := c.config.Members.Usable()
 	byID := make(map[string]wire.Member, len(usable))
@@ -19,11 +19,11 @@
 		candidates = append(candidates, rendezvous.Candidate{ID: member.ID, Zone: member.Zone})
 	}
 	current := slices.Clone(present)
-	var newcomers []Seat
+	var ranked []Seat
 	for _, candidate := range rendezvous.RankAcrossZones(LeaseName, candidates) {
-		newcomers = append(newcomers, seatOf(byID[candidate.ID]))
+		ranked = append(ranked, seatOf(byID[candidate.ID]))
 	}
-	pool := slices.Concat(current, newcomers)
+	pool := slices.Concat(current, ranked)
 	slices.SortStableFunc(pool, func(a, b Seat) int {
 		if a.Durable == b.Durable {
 			return 0
@@ -33,16 +33,16 @@
 		}
 		return 1
 	})
-	target := oddSeats(len(usable))
+	target := seatCount(len(usable))
 	var seats []Seat
-	seated, zoned := map[string]bool{}, map[string]bool{}
-	for _, freshZoneOnly := range []bool{true, false} {
+	seated, usedZones := map[string]bool{}, map[string]bool{}
+	for _, newZoneOnly := range []bool{true, false} {
 		for _, candidate := range pool {
-			if len(seats) >= target || seated[candidate.ID] || (freshZoneOnly && zoned[candidate.Zone]) {
+			if len(seats) >= target || seated[candidate.ID] || (newZoneOnly && usedZones[candidate.Zone]) {
 				continue
 			}
 			seats = append(seats, candidate)
-			seated[candidate.ID], zoned[candidate.Zone] = true, true
+			seated[candidate.ID], usedZones[candidate.Zone] = true, true
 		}
 	}
 	return seats
@@ -52,8 +52,9 @@
 	return Seat{ID: member.ID, Identity: member.Identity, Address: member.Address, Zone: member.Zone, Durable: member.Storage}
 }
 
-// oddSeats is the greatest odd number of seats up to maxSeats.
-func oddSeats(members int) int {
+// seatCount returns the greatest odd number up to maxSeats that the members can
+// fill, and at least 1.
+func seatCount(members int) int {
 	count := min(members, maxSeats)
 	if count%2 == 0 {
 		count--
@@ -61,14 +62,14 @@
 	return max(count, 1)
 }
 
-// better tells whether seats justify a change of view: more of them, over
-// more zones, or with more data folders.
-func better(seats, current []Seat) bool {
+// improves reports whether the seats justify a change of view: there are more
+// of them, or as many in more zones, or as many with more data folders.
+func improves(seats, current []Seat) bool {
 	if len(seats) != len(current) {
 		return len(seats) > len(current)
 	}
-	if zones(seats) != zones(current) {
-		return zones(seats) > zones(current)
+	if countZones(seats) != countZones(current) {
+		return countZones(seats) > countZones(current)
 	}
-	return durable(seats) > durable(current)
+	return countDurable(seats) > countDurable(current)
 }
--- a/internal/standalone/quorum/claims.go
+++ b/internal/standalone/quorum/claims.go
@@ -6,23 +6,23 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// HandleClaim grants, completes or withdraws a claim, and answers once that is
-// durable. Completing and withdrawing are safe in any epoch, since neither
-// lets anything run.
+// HandleClaim grants, completes or withdraws a claim and replies once the change
+// is durable. Completing and withdrawing are safe in any epoch, since neither
+// permits a dispatch.
 func (m *Member) HandleClaim(request *wire.ClaimRequest, reply func(wire.Message)) {
-	if request.Operation == wire.ClaimGrant && !m.servesClaims(request.Epoch) {
+	if request.Operation == wire.ClaimGrant && !m.grantsClaims(request.Epoch) {
 		reply(&wire.ClaimReply{Status: wire.ClaimWrongEpoch, Epoch: m.serving})
 		return
 	}
-	answer := m.apply(request)
-	if answer.Status == wire.ClaimHeld && request.Operation == wire.ClaimGrant {
-		reply(answer)
+	result := m.applyClaim(request)
+	if result.Status == wire.ClaimHeld && request.Operation == wire.ClaimGrant {
+		reply(result)
 		return
 	}
-	m.persistClaim(m.claims[request.Key], func() { reply(answer) })
+	m.persistClaim(m.claims[request.Key], func() { reply(result) })
 }
 
-func (m *Member) apply(request *wire.ClaimRequest) *wire.ClaimReply {
+func (m *Member) applyClaim(request *wire.ClaimRequest) *wire.ClaimReply {
 	switch request.Operation {
 	case wire.ClaimComplete:
 		return m.complete(request)
@@ -32,8 +32,10 @@
 	return m.grant(request)
 }
 
+// grant gives a free key to the attempt. The attempt that holds the key is
+// granted again unless it has completed or another one may have a majority.
 func (m *Member) grant(request *wire.ClaimRequest) *wire.ClaimReply {
-	record := m.record(request.Key)
+	record := m.claim(request.Key)
 	if slices.Contains(record.Withdrawn, request.Attempt) {
 		return m.reply(wire.ClaimWithdrawn, record)
 	}
@@ -41,21 +43,23 @@
 		record.Attempt = request.Attempt
 		record.Fingerprint = request.Fingerprint
 	}
-	// A rival from a copy may have had the majority and been dispatched.
+	// A conflicting attempt from a copied record may have had the majority and
+	// been dispatched.
 	if record.Attempt != request.Attempt || len(record.Rivals) > 0 || record.Outcome != wire.OutcomePending {
 		return m.reply(wire.ClaimHeld, record)
 	}
 	return m.reply(wire.ClaimGranted, record)
 }
 
+// complete stores the outcome of an attempt that was dispatched.
 func (m *Member) complete(request *wire.ClaimRequest) *wire.ClaimReply {
-	record := m.record(request.Key)
+	record := m.claim(request.Key)
 	if record.Attempt == "" {
 		record.Attempt = request.Attempt
 		record.Fingerprint = request.Fingerprint
 	}
 	if slices.Contains(record.Rivals, request.Attempt) && record.Outcome == wire.OutcomePending {
-		// This attempt ran, so it had the majority and the rivals had none.
+		// This attempt ran, so it had the majority and no other attempt did.
 		record.Attempt, record.Fingerprint, record.Rivals = request.Attempt, request.Fingerprint, nil
 	}
 	if record.Attempt == request.Attempt {
@@ -65,19 +69,19 @@
 	return m.reply(wire.ClaimHeld, record)
 }
 
-// withdraw frees a key from an attempt that will never be dispatched, and
-// remembers the attempt, since its request may still be on the way.
+// withdraw frees the key of an attempt that will never be dispatched. It records
+// the attempt, since a grant request for it may still arrive.
 func (m *Member) withdraw(request *wire.ClaimRequest) *wire.ClaimReply {
-	record := m.record(request.Key)
+	record := m.claim(request.Key)
 	if !slices.Contains(record.Withdrawn, request.Attempt) {
 		record.Withdrawn = append(record.Withdrawn, request.Attempt)
-		record.Withdrawn = record.Withdrawn[max(0, len(record.Withdrawn)-maxWithdrawn):]
+		record.Withdrawn = record.Withdrawn[max(0, len(record.Withdrawn)-maxWithdrawnAttempts):]
 	}
-	dropWithdrawn(record)
+	removeWithdrawn(record)
 	return m.reply(wire.ClaimWithdrawn, record)
 }
 
-func (m *Member) record(key string) *wire.ClaimRecord {
+func (m *Member) claim(key string) *wire.ClaimRecord {
 	record := m.claims[key]
 	if record == nil {
 		record = &wire.ClaimRecord{Key: key, Created: m.config.Clock.Now().UnixMilli()}
@@ -97,9 +101,9 @@
 	}
 }
 
-// dropWithdrawn takes the withdrawn attempts off a claim. The key is free only
-// when no attempt is left.
-func dropWithdrawn(record *wire.ClaimRecord) {
+// removeWithdrawn removes the withdrawn attempts from a claim. The key is free
+// only when no attempt is left.
+func removeWithdrawn(record *wire.ClaimRecord) {
 	withdrawn := func(attempt string) bool { return slices.Contains(record.Withdrawn, attempt) }
 	record.Rivals = slices.DeleteFunc(record.Rivals, withdrawn)
 	if record.Outcome != wire.OutcomePending || !withdrawn(record.Attempt) {
@@ -112,9 +116,9 @@
 	}
 }
 
-// mergeClaim joins a copied claim with the one held. Where copies hold
-// different attempts, any of them may have had the majority, so all are kept:
-// the key stays refused until each is withdrawn or one is complete.
+// mergeClaim merges a copied claim into the local one. If the two have different
+// attempts, either may have had the majority, so both are kept: the key is not
+// granted to any attempt until the others are withdrawn or one is complete.
 func (m *Member) mergeClaim(copied wire.ClaimRecord) {
 	held := m.claims[copied.Key]
 	if held == nil {
@@ -138,6 +142,6 @@
 			}
 		}
 	}
-	dropWithdrawn(held)
+	removeWithdrawn(held)
 	held.Created = max(held.Created, copied.Created)
 }
--- a/internal/standalone/quorum/client.go
+++ b/internal/standalone/quorum/client.go
@@ -9,30 +9,30 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// Errors of the client.
+// Errors returned by a Client.
 var (
-	// ErrNoMajority means that too few members answered or agreed.
+	// ErrNoMajority means that too few members replied or agreed.
 	ErrNoMajority = merry.Sentinel("no majority of the quorum members")
-	// ErrSuperseded means that a proposer with a greater ballot is at work.
+	// ErrSuperseded means that a member has promised a greater ballot.
 	ErrSuperseded = merry.Sentinel("superseded by a greater ballot")
 )
 
-// withdrawRetries are the waits before a withdrawal is sent again, since one
-// that is lost leaves the key refused until its retention has passed.
-var withdrawRetries = []time.Duration{0, time.Second, 5 * time.Second}
+// withdrawDelays are the delays after which a withdrawal is sent. It is sent
+// several times, since a lost one blocks the key until its retention has passed.
+var withdrawDelays = []time.Duration{0, time.Second, 5 * time.Second}
 
 const (
-	// grantTimeout is how long a grant is asked for again while a majority
-	// has neither agreed nor refused. A claim may wait for the sync that its
-	// seat's journal is at and for its own; the slowest syncs measured took
-	// 0.5 s, and this is twice two of them.
+	// grantTimeout is how long a grant is retried while no majority has agreed
+	// and no other claim is known to hold the key. A claim may wait for two
+	// journal syncs of a member: the one in progress and its own.
 	grantTimeout = 2 * time.Second
-	// grantPause is the wait before the second asking, which each later one
-	// doubles. It is the time of a whole short request on an idle machine.
-	grantPause = 25 * time.Millisecond
+	// grantInitialBackoff is the backoff before the first retry. It doubles with
+	// each further one.
+	grantInitialBackoff = 25 * time.Millisecond
 )
 
-// Client asks the members of the view in force. It belongs to one goroutine.
+// Client sends requests to the members of the newest view that it knows. It is
+// not safe for concurrent use.
 type Client struct {
 	clock environment.Clock
 	peers environment.Peers
@@ -44,64 +44,67 @@
 	return &Client{clock: clock, peers: peers}
 }
 
-// SetView tells of a newer view.
+// SetView sets the view unless the client knows a newer one.
 func (c *Client) SetView(view *View) {
 	if c.view == nil || view.Epoch > c.view.Epoch {
 		c.view = view
 	}
 }
 
-// View returns the view in force, or nil.
+// View returns the newest known view, or nil.
 func (c *Client) View() *View { return c.view }
 
-// Claim names one attempt to run a request unsafe to repeat.
+// Claim identifies one attempt to run a request that is unsafe to repeat.
 type Claim struct {
 	Key         string
 	Attempt     string
 	Fingerprint uint64
-	// Deadline ends the asking for a grant; zero sets no end of its own.
+	// Deadline limits the retries of a grant; zero means grantTimeout alone.
 	Deadline time.Time
 }
 
-// GrantResult is the answer to Grant.
+// GrantResult is the result of Grant.
 type GrantResult struct {
-	// Granted means that this attempt alone may be dispatched.
+	// Granted means that this attempt, and no other, may be dispatched.
 	Granted bool
-	// Holder is the claim that stands in the way, if one does.
+	// Holder is the claim of another attempt that holds the key, or nil.
 	Holder *wire.ClaimReply
 }
 
-// Grant asks a majority to let an attempt run. Seats that do not answer in
-// time or do not serve the view yet are asked again for a while; the view may
-// change meanwhile. When it is not granted the attempt has been withdrawn and
-// must never be dispatched.
+// Grant requests a majority's permission to dispatch an attempt. It retries with
+// backoff while seats do not reply in time or do not serve the view yet; the
+// view may change meanwhile. If the attempt is not granted, it has been
+// withdrawn and must never be dispatched.
 func (c *Client) Grant(claim Claim, done func(GrantResult, error)) {
 	end := c.clock.Now().Add(grantTimeout)
 	if !claim.Deadline.IsZero() && claim.Deadline.Before(end) {
 		end = claim.Deadline
 	}
-	asking := &grantAsking{client: c, claim: claim, end: end, timeout: callTimeout, pause: grantPause, done: done}
-	asking.ask()
+	operation := &grantOperation{client: c, claim: claim, end: end, timeout: callTimeout, backoff: grantInitialBackoff, done: done}
+	operation.startRound()
 }
 
-// Complete stores the outcome and, where it is small, the answer.
-func (c *Client) Complete(claim Claim, outcome uint8, answer []byte) {
-	c.tell(&wire.ClaimRequest{Key: claim.Key, Attempt: claim.Attempt, Fingerprint: claim.Fingerprint, Operation: wire.ClaimComplete, Outcome: outcome, Answer: answer})
+// Complete stores the outcome of a claim and, where it is small, the response.
+// It does not wait for replies.
+func (c *Client) Complete(claim Claim, outcome uint8, response []byte) {
+	c.broadcast(&wire.ClaimRequest{Key: claim.Key, Attempt: claim.Attempt, Fingerprint: claim.Fingerprint, Operation: wire.ClaimComplete, Outcome: outcome, Answer: response})
 }
 
-// Withdraw frees the key of an attempt that will never be dispatched.
+// Withdraw frees the key of an attempt that will never be dispatched. It sends
+// the withdrawal several times and does not wait for replies.
 func (c *Client) Withdraw(claim Claim) {
 	request := &wire.ClaimRequest{Key: claim.Key, Attempt: claim.Attempt, Operation: wire.ClaimWithdraw}
-	for _, wait := range withdrawRetries {
-		if wait == 0 {
-			c.tell(request)
+	for _, delay := range withdrawDelays {
+		if delay == 0 {
+			c.broadcast(request)
 			continue
 		}
-		c.clock.AfterFunc(wait, func() { c.tell(request) })
+		c.clock.AfterFunc(delay, func() { c.broadcast(request) })
 	}
 }
 
-func (c *Client) tell(request *wire.ClaimRequest) {
+// broadcast sends a request to all seats and ignores the replies.
+func (c *Client) broadcast(request *wire.ClaimRequest) {
 	if c.view == nil {
 		return
 	}
@@ -110,80 +113,81 @@
 	}
 }
 
-// grantAsking is one Grant, which asks in rounds.
-type grantAsking struct {
+// grantOperation is one call of Grant, which sends requests in rounds.
+type grantOperation struct {
 	client *Client
 	claim  Claim
-	// end is when no further round begins.
+	// end is the time from which no further round starts.
 	end time.Time
-	// timeout and pause are those of the next round and the wait before it.
+	// timeout is that of the next round's calls, backoff the wait before it.
 	timeout time.Duration
-	pause   time.Duration
+	backoff time.Duration
 	done    func(GrantResult, error)
 }
 
-// ask begins a round in the view in force.
-func (a *grantAsking) ask() {
-	view := a.client.view
+// startRound sends the request to all seats of the newest known view.
+func (o *grantOperation) startRound() {
+	view := o.client.view
 	if view == nil {
-		a.again()
+		o.retry()
 		return
 	}
-	round := &grantRound{asking: a, need: view.Majority(), waiting: len(view.Seats)}
-	request := &wire.ClaimRequest{Epoch: view.Epoch, Key: a.claim.Key, Attempt: a.claim.Attempt, Fingerprint: a.claim.Fingerprint, Operation: wire.ClaimGrant}
+	round := &grantRound{operation: o, needed: view.Majority(), pending: len(view.Seats)}
+	request := &wire.ClaimRequest{Epoch: view.Epoch, Key: o.claim.Key, Attempt: o.claim.Attempt, Fingerprint: o.claim.Fingerprint, Operation: wire.ClaimGrant}
 	for _, seat := range view.Seats {
-		a.client.peers.Call(seat.Address, request, a.timeout, round.answered)
+		o.client.peers.Call(seat.Address, request, o.timeout, round.handleReply)
 	}
 }
 
-// again asks anew after a pause, with more time to answer, as far as there is
-// time left and the view is to grant claims within it.
-func (a *grantAsking) again() {
-	pause, left := a.pause, a.end.Sub(a.client.clock.Now())
-	view := a.client.view
-	if pause >= left || (view != nil && view.ClaimsFrom > a.end.UnixMilli()) {
-		a.refuse(GrantResult{}, merry.Wrap(ErrNoMajority))
+// retry starts another round after a backoff, with a longer timeout. The
+// operation fails instead if too little time remains or if the view does not
+// grant claims before the end.
+func (o *grantOperation) retry() {
+	backoff, remaining := o.backoff, o.end.Sub(o.client.clock.Now())
+	view := o.client.view
+	if backoff >= remaining || (view != nil && view.ClaimsFrom > o.end.UnixMilli()) {
+		o.fail(GrantResult{}, merry.Wrap(ErrNoMajority))
 		return
 	}
-	a.pause *= 2
-	a.timeout = min(2*a.timeout, left-pause)
-	a.client.clock.AfterFunc(pause, a.ask)
+	o.backoff *= 2
+	o.timeout = min(2*o.timeout, remaining-backoff)
+	o.client.clock.AfterFunc(backoff, o.startRound)
 }
 
-// refuse ends the asking for good: only now is the attempt withdrawn, since a
-// withdrawn one is never granted again.
-func (a *grantAsking) refuse(result GrantResult, err error) {
-	a.client.Withdraw(a.claim)
-	a.done(result, err)
+// fail ends the operation without a grant. Only here is the attempt withdrawn,
+// since a withdrawn attempt is never granted again.
+func (o *grantOperation) fail(result GrantResult, err error) {
+	o.client.Withdraw(o.claim)
+	o.done(result, err)
 }
 
-// grantRound counts the answers to one round.
+// grantRound counts the replies of one round.
 type grantRound struct {
-	asking   *grantAsking
-	need     int
-	waiting  int
-	granted  int
-	holder   *wire.ClaimReply
-	finished bool
+	operation *grantOperation
+	needed    int
+	pending   int
+	granted   int
+	holder    *wire.ClaimReply
+	finished  bool
 }
 
-func (r *grantRound) answered(message wire.Message, err error) {
-	r.waiting--
+func (r *grantRound) handleReply(message wire.Message, err error) {
+	r.pending--
 	if reply, ok := message.(*wire.ClaimReply); err == nil && ok {
 		r.count(reply)
 	}
 	switch {
 	case r.finished:
-	case r.granted >= r.need:
+	case r.granted >= r.needed:
 		r.finished = true
-		r.asking.done(GrantResult{Granted: true}, nil)
-	case r.granted+r.waiting < r.need:
+		r.operation.done(GrantResult{Granted: true}, nil)
+	case r.granted+r.pending < r.needed:
 		r.finished = true
 		if r.holder != nil {
-			r.asking.refuse(GrantResult{Holder: r.holder}, nil)
+			r.operation.fail(GrantResult{Holder: r.holder}, nil)
 			return
 		}
-		r.asking.again()
+		r.operation.retry()
 	}
 }
 
--- a/internal/standalone/quorum/coordinator.go
+++ b/internal/standalone/quorum/coordinator.go
@@ -9,59 +9,64 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// LeaseName is the lease whose holder may change the view.
+// LeaseName is the name of the lease whose holder runs the Coordinator.
 const LeaseName = "quorum"
 
 const (
-	// seats is the most members of a view.
+	// maxSeats is the maximum number of seats of a view.
 	maxSeats = 5
-	// coordinatePeriod is the time between checks of the view's members.
+	// coordinatePeriod is the interval between checks of the view.
 	coordinatePeriod = time.Second
-	// absenceTimeout is how long a member may be missing before it is
+	// absenceTimeout is how long a member may be absent before its seat is
 	// replaced.
 	absenceTimeout = 4 * time.Second
-	// lastKey sorts behind every claim, so that a seal of epoch 0 with it only
-	// asks which view a member serves.
-	lastKey = "\U0010FFFF"
+	// afterAllKeys sorts after the key of every claim. A seal request of epoch 0
+	// with it returns no claims and only asks which epoch a member serves.
+	afterAllKeys = "\U0010FFFF"
 )
 
-// Members is what the coordinator needs of the membership table.
+// Members is the part of the membership table that a Coordinator uses.
 type Members interface {
 	Usable() []wire.Member
 	Get(id string) (wire.Member, bool)
 }
 
-// CoordinatorConfig is what a Coordinator needs.
+// CoordinatorConfig holds the dependencies of a Coordinator.
 type CoordinatorConfig struct {
 	Clock   environment.Clock
 	Peers   environment.Peers
 	Objects environment.Objects
 	Members Members
-	// OnView is called with every view that the object API confirms.
+	// OnView is called with every view read from or written to the object API.
 	OnView func(*View)
 }
 
-// Coordinator replaces members that are gone. Only the holder of the lease
-// runs it, but safety does not rest on that: a view is decided by a
-// conditional write.
+// Coordinator maintains the view and replaces absent members. Only the holder of
+// the lease runs it, but safety does not depend on that: each view is decided by
+// a conditional write. It is not safe for concurrent use.
 type Coordinator struct {
-	config  CoordinatorConfig
-	active  bool
-	round   int
-	missing map[string]time.Time
-	busy    bool
-	// lostSince is when a majority of the view was last found missing.
-	lostSince time.Time
-	// servedEpoch is the newest view known to be served by a majority.
+	config CoordinatorConfig
+	active bool
+	// round counts the calls of Start, so that an earlier one's timer stops.
+	round int
+	// absentSince is when each absent member was first found absent, by id.
+	absentSince map[string]time.Time
+	// inFlight means that a check or a write of the view is in progress.
+	inFlight bool
+	// majorityLostSince is when a majority of the view was first found
+	// unreachable; zero while one is reachable.
+	majorityLostSince time.Time
+	// servedEpoch is the epoch of the newest view known to be served by a
+	// majority.
 	servedEpoch uint64
 }
 
-// NewCoordinator returns an idle coordinator.
+// NewCoordinator returns a coordinator that is not started.
 func NewCoordinator(config CoordinatorConfig) *Coordinator {
-	return &Coordinator{config: config, missing: map[string]time.Time{}}
+	return &Coordinator{config: config, absentSince: map[string]time.Time{}}
 }
 
-// Start begins to maintain the view.
+// Start starts the periodic checks of the view.
 func (c *Coordinator) Start() {
 	if c.active {
 		return
@@ -71,24 +76,25 @@
 	c.tick(c.round)
 }
 
-// Stop leaves the view to another holder.
+// Stop stops the checks, so that another holder of the lease can take over.
 func (c *Coordinator) Stop() { c.active = false }
 
-// tick checks the view once a period until the round, begun by Start, ends.
+// tick checks the view once a period until Stop or a later Start.
 func (c *Coordinator) tick(round int) {
 	if !c.active || round != c.round {
 		return
 	}
-	if !c.busy {
+	if !c.inFlight {
 		c.check()
 	}
 	c.config.Clock.AfterFunc(coordinatePeriod, func() { c.tick(round) })
 }
 
+// check reads the view and writes the first or the next one where needed.
 func (c *Coordinator) check() {
-	c.busy = true
+	c.inFlight = true
 	c.config.Objects.Get(DocumentName, func(object environment.Object, err error) {
-		c.busy = false
+		c.inFlight = false
 		if !c.active {
 			return
 		}
@@ -102,33 +108,33 @@
 		}
 		c.config.OnView(view)
 		next := c.nextView(view)
-		if next != nil || (view.Epoch != c.servedEpoch && c.isHopeless(view.Previous)) {
+		if next != nil || (view.Epoch != c.servedEpoch && c.majorityReplaced(view.Previous)) {
 			c.writeIfServed(view, next, object.Version)
 		}
 	})
 }
 
-// writeIfServed writes the next view, if there is one, once a majority of the
-// current one serves it; before that there is nobody whose claims could be
-// copied. Where the current view can never be served, because a majority of
-// the one before was lost meanwhile, it starts over.
+// writeIfServed writes the next view, if there is one, provided that a majority
+// of the current view serves it; before that there are no members to copy the
+// claims from. If the current view can never be served, because a majority of
+// the previous one was replaced before it was copied, it writes a reset view.
 func (c *Coordinator) writeIfServed(current, next *View, version uint64) {
 	if next != nil && len(next.Previous) == 0 {
 		c.write(next, version)
 		return
 	}
-	c.busy = true
-	served, waiting := 0, len(current.Seats)
+	c.inFlight = true
+	served, pending := 0, len(current.Seats)
 	for _, seat := range current.Seats {
-		c.config.Peers.Call(seat.Address, &wire.ClaimSeal{After: lastKey}, callTimeout, func(message wire.Message, err error) {
-			waiting--
+		c.config.Peers.Call(seat.Address, &wire.ClaimSeal{After: afterAllKeys}, callTimeout, func(message wire.Message, err error) {
+			pending--
 			if snapshot, ok := message.(*wire.ClaimSnapshot); err == nil && ok && snapshot.Epoch == current.Epoch {
 				served++
 			}
-			if waiting > 0 {
+			if pending > 0 {
 				return
 			}
-			c.busy = false
+			c.inFlight = false
 			switch {
 			case !c.active:
 			case served >= current.Majority():
@@ -136,22 +142,23 @@
 				if next != nil {
 					c.write(next, version)
 				}
-			case c.isHopeless(current.Previous):
-				present, _ := c.present(current)
-				c.write(c.startOver(current, c.choose(present)), version)
+			case c.majorityReplaced(current.Previous):
+				present, _ := c.presentSeats(current)
+				c.write(c.resetView(current, c.choose(present)), version)
 			}
 		})
 	}
 }
 
+// write stores a view if the object still has the given version.
 func (c *Coordinator) write(view *View, version uint64) {
 	data, err := json.Marshal(view)
 	if err != nil || len(view.Seats) == 0 {
 		return
 	}
-	c.busy = true
+	c.inFlight = true
 	c.config.Objects.Put(DocumentName, data, version, func(_ environment.Object, err error) {
-		c.busy = false
+		c.inFlight = false
 		if err == nil {
 			c.config.OnView(view)
 		}
@@ -162,67 +169,68 @@
 	return &View{Epoch: 1, Seats: c.choose(nil)}
 }
 
-// nextView returns the view that replaces absent members or spreads over more
-// zones, or nil while there is nothing to change or a majority is not there,
-// since then nothing could be copied.
+// nextView returns the view that replaces absent members or improves the choice
+// of seats, or nil if nothing is to change. If a majority is unreachable,
+// nothing can be copied, so the only change is a reset.
 func (c *Coordinator) nextView(view *View) *View {
-	present, overdue := c.present(view)
+	present, needsReplacement := c.presentSeats(view)
 	seats := c.choose(present)
-	if !c.majorityAnswers(view) {
-		return c.freshView(view, seats)
+	if !c.majorityReachable(view) {
+		return c.resetIfLost(view, seats)
 	}
-	c.lostSince = time.Time{}
-	if !overdue && !better(seats, view.Seats) {
+	c.majorityLostSince = time.Time{}
+	if !needsReplacement && !improves(seats, view.Seats) {
 		return nil
 	}
 	return &View{Epoch: view.Epoch + 1, Seats: seats, Previous: view.Seats, ClaimsFrom: view.ClaimsFrom}
 }
 
-// present returns the seats whose members are there, and whether one of the
-// others has been missing for too long or is leaving.
-func (c *Coordinator) present(view *View) (present []Seat, overdue bool) {
+// presentSeats returns the seats whose members are present, and whether another
+// one has been absent for absenceTimeout or is leaving.
+func (c *Coordinator) presentSeats(view *View) (present []Seat, needsReplacement bool) {
 	now := c.config.Clock.Now()
 	for _, seat := range view.Seats {
 		if c.isPresent(seat) {
-			delete(c.missing, seat.ID)
+			delete(c.absentSince, seat.ID)
 			present = append(present, seat)
 			continue
 		}
-		since, known := c.missing[seat.ID]
+		since, known := c.absentSince[seat.ID]
 		if !known {
-			c.missing[seat.ID] = now
+			c.absentSince[seat.ID] = now
 		}
-		overdue = overdue || (known && now.Sub(since) >= absenceTimeout) || c.isLeaving(seat)
+		needsReplacement = needsReplacement || (known && now.Sub(since) >= absenceTimeout) || c.isLeaving(seat)
 	}
-	return present, overdue
+	return present, needsReplacement
 }
 
-// freshView starts over without copying once a majority is gone for good:
-// either later processes have taken their places, or they have been silent
-// for longer than anything is kept. Registers are served at once, because the
-// stores keep copies of the manifests; claims only after their retention.
-func (c *Coordinator) freshView(view *View, seats []Seat) *View {
+// resetIfLost returns a view that copies nothing if a majority is lost for good:
+// either so many members came back with another identity, or a majority has been
+// unreachable for longer than anything is kept. Otherwise it returns nil.
+func (c *Coordinator) resetIfLost(view *View, seats []Seat) *View {
 	now := c.config.Clock.Now()
-	if c.lostSince.IsZero() {
-		c.lostSince = now
+	if c.majorityLostSince.IsZero() {
+		c.majorityLostSince = now
 	}
-	if now.Sub(c.lostSince) >= Retention {
+	if now.Sub(c.majorityLostSince) >= Retention {
 		return &View{Epoch: view.Epoch + 1, Seats: seats}
 	}
-	if !c.isHopeless(view.Seats) {
+	if !c.majorityReplaced(view.Seats) {
 		return nil
 	}
-	return c.startOver(view, seats)
+	return c.resetView(view, seats)
 }
 
-// startOver is the view after one whose tables are lost.
-func (c *Coordinator) startOver(view *View, seats []Seat) *View {
+// resetView returns the view that follows one whose tables are lost. Registers
+// are served at once, because the stores keep copies of the manifests; claims
+// are granted only after the retention of the lost ones.
+func (c *Coordinator) resetView(view *View, seats []Seat) *View {
 	return &View{Epoch: view.Epoch + 1, Seats: seats, ClaimsFrom: c.config.Clock.Now().Add(Retention).UnixMilli()}
 }
 
-// isHopeless tells whether so many seats belong to memories that have been
-// replaced that no majority of them can ever answer again.
-func (c *Coordinator) isHopeless(seats []Seat) bool {
+// majorityReplaced reports whether so many seats' members came back with another
+// identity that no majority of the seats can ever reply again.
+func (c *Coordinator) majorityReplaced(seats []Seat) bool {
 	replaced := 0
 	for _, seat := range seats {
 		if member, known := c.config.Members.Get(seat.ID); known && member.Identity != seat.Identity && member.State <= wire.MemberSuspect {
@@ -232,9 +240,9 @@
 	return len(seats) > 0 && len(seats)-replaced < majority(seats)
 }
 
-// majorityAnswers tells whether a majority is there, counting members that
-// are about to leave but have not gone.
-func (c *Coordinator) majorityAnswers(view *View) bool {
+// majorityReachable reports whether a majority of the seats is present. Leaving
+// members count, since they still reply.
+func (c *Coordinator) majorityReachable(view *View) bool {
 	count := 0
 	for _, seat := range view.Seats {
 		if c.isPresent(seat) || c.isLeaving(seat) {
--- a/internal/standalone/quorum/durable.go
+++ b/internal/standalone/quorum/durable.go
@@ -7,7 +7,7 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// restore brings back what the journal holds.
+// restore replays the entries of the journal.
 func (m *Member) restore(journal *Journal) {
 	for _, entry := range journal.restored {
 		if entry.View != nil {
@@ -25,8 +25,9 @@
 	journal.restored = nil
 }
 
-// persist makes a change durable and then calls done. A failed write is not
-// answered at all: the member must not vouch for what it may forget.
+// persist makes a change durable and then calls done. If the write fails, done
+// is not called and no reply is sent: the member must not confirm a change that
+// a restart could lose.
 func (m *Member) persist(entry journalEntry, done func()) {
 	journal := m.config.Journal
 	if journal == nil {
@@ -39,7 +40,7 @@
 		}
 	})
 	if journal.entries > compactAfter {
-		journal.compact(m.state())
+		journal.compact(m.stateEntries())
 	}
 }
 
@@ -55,17 +56,18 @@
 	m.persist(journalEntry{Register: &copied}, done)
 }
 
-// persistAll makes everything held durable, as after a copy.
+// persistAll makes the whole state durable, as after a copy.
 func (m *Member) persistAll(done func()) {
-	state := m.state()
+	state := m.stateEntries()
 	for _, entry := range state[:len(state)-1] {
 		m.persist(entry, func() {})
 	}
 	m.persist(state[len(state)-1], done)
 }
 
-// state is everything held, as entries; the last one is never absent.
-func (m *Member) state() []journalEntry {
+// stateEntries returns the whole state as journal entries. There is always at
+// least one, and the last one holds the view and the epochs.
+func (m *Member) stateEntries() []journalEntry {
 	var entries []journalEntry
 	if m.config.Journal != nil {
 		entries = append(entries, journalEntry{Identity: m.config.Journal.identity})
--- a/internal/standalone/quorum/grant_test.go
+++ b/internal/standalone/quorum/grant_test.go
@@ -11,7 +11,7 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// stepClock runs timers in the order of their time.
+// stepClock is a clock advanced by the test; it runs timers in time order.
 type stepClock struct {
 	now    time.Time
 	timers []*stepTimer
@@ -33,7 +33,7 @@
 	return timer
 }
 
-// run goes on for a span of time.
+// run advances the clock by a duration and runs the timers that are due.
 func (c *stepClock) run(span time.Duration) {
 	end := c.now.Add(span)
 	for {
@@ -56,12 +56,12 @@
 	}
 }
 
-// memberPeers hands claims to members in the same process. A seat without a
-// member is silent.
+// memberPeers delivers claim requests to members in the same process. A seat
+// without a member never replies.
 type memberPeers struct {
 	clock   *stepClock
 	members map[string]*Member
-	// grants counts the grants asked for.
+	// grants counts the grant requests sent.
 	grants int
 }
 
@@ -70,24 +70,24 @@
 func (p *memberPeers) Broadcast([]string, wire.Message) {}
 
 func (p *memberPeers) Call(address string, message wire.Message, timeout time.Duration, done func(wire.Message, error)) {
-	ended := false
-	end := func(answer wire.Message, err error) {
-		if !ended {
-			ended = true
-			done(answer, err)
+	finished := false
+	finish := func(reply wire.Message, err error) {
+		if !finished {
+			finished = true
+			done(reply, err)
 		}
 	}
-	p.clock.AfterFunc(timeout, func() { end(nil, environment.ErrPeerUnreachable) })
+	p.clock.AfterFunc(timeout, func() { finish(nil, environment.ErrPeerUnreachable) })
 	request := message.(*wire.ClaimRequest)
 	if request.Operation == wire.ClaimGrant {
 		p.grants++
 	}
 	if member := p.members[address]; member != nil {
-		member.HandleClaim(request, func(answer wire.Message) { end(answer, nil) })
+		member.HandleClaim(request, func(reply wire.Message) { finish(reply, nil) })
 	}
 }
 
-// slowLog makes one record durable at a time, each after the same span.
+// slowLog makes one record durable at a time and takes span for each.
 type slowLog struct {
 	clock *stepClock
 	span  time.Duration
@@ -106,163 +106,161 @@
 
 func (l *slowLog) Recover() ([]recordlog.Record, error) { return nil, nil }
 
-// grantWorld is a view of one seat, as it stands while the first node is alone,
-// with a client that asks it.
-type grantWorld struct {
+// grantFixture is a view of one seat with its member and a client.
+type grantFixture struct {
 	clock  *stepClock
 	log    *slowLog
 	peers  *memberPeers
 	member *Member
 	client *Client
 	view   *View
-	// answers is how often the grant was answered, with the last answer.
-	answers int
+	// results counts the calls of the grant's callback; result and err are those
+	// of the last call, and took is its delay.
+	results int
 	result  GrantResult
 	err     error
 	took    time.Duration
 }
 
-func newGrantWorld(t *testing.T) *grantWorld {
+func newGrantFixture(t *testing.T) *grantFixture {
 	t.Helper()
 	clock := &stepClock{now: time.Unix(1000, 0)}
-	w := &grantWorld{clock: clock, log: &slowLog{clock: clock}}
-	journal, err := OpenJournal(w.log, rand.New(rand.NewPCG(1, 1)))
+	f := &grantFixture{clock: clock, log: &slowLog{clock: clock}}
+	journal, err := OpenJournal(f.log, rand.New(rand.NewPCG(1, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.peers = &memberPeers{clock: clock, members: map[string]*Member{}}
-	w.member = NewMember(MemberConfig{ID: "a", Identity: 1, Clock: clock, Peers: w.peers, Journal: journal})
-	w.peers.members["a"] = w.member
-	w.client = NewClient(clock, w.peers)
-	w.view = &View{Epoch: 1, Seats: []Seat{seatNamed("a")}}
-	return w
+	f.peers = &memberPeers{clock: clock, members: map[string]*Member{}}
+	f.member = NewMember(MemberConfig{ID: "a", Identity: 1, Clock: clock, Peers: f.peers, Journal: journal})
+	f.peers.members["a"] = f.member
+	f.client = NewClient(clock, f.peers)
+	f.view = &View{Epoch: 1, Seats: []Seat{seatNamed("a")}}
+	return f
 }
 
-func (w *grantWorld) grant(claim Claim) {
-	began := w.clock.now
-	w.client.Grant(claim, func(result GrantResult, err error) {
-		w.answers++
-		w.result, w.err, w.took = result, err, w.clock.now.Sub(began)
+func (f *grantFixture) grant(claim Claim) {
+	started := f.clock.now
+	f.client.Grant(claim, func(result GrantResult, err error) {
+		f.results++
+		f.result, f.err, f.took = result, err, f.clock.now.Sub(started)
 	})
 }
 
-// TestGrantOutlastsASlowSync has the only seat's journal take longer for a
-// sync than one message to a member may take.
-func TestGrantOutlastsASlowSync(t *testing.T) {
-	w := newGrantWorld(t)
-	w.member.SetView(w.view)
-	w.client.SetView(w.view)
-	w.clock.run(time.Second)
-	w.log.span = callTimeout + 20*time.Millisecond
-	w.grant(Claim{Key: "key", Attempt: "first"})
-	w.clock.run(time.Minute)
-	if w.answers != 1 || !w.result.Granted {
-		t.Fatalf("%d answers, %+v, %v after %v", w.answers, w.result, w.err, w.took)
+// A journal sync that takes longer than callTimeout must not fail the grant.
+func TestGrantRetriesDuringSlowSync(t *testing.T) {
+	f := newGrantFixture(t)
+	f.member.SetView(f.view)
+	f.client.SetView(f.view)
+	f.clock.run(time.Second)
+	f.log.span = callTimeout + 20*time.Millisecond
+	f.grant(Claim{Key: "key", Attempt: "first"})
+	f.clock.run(time.Minute)
+	if f.results != 1 || !f.result.Granted {
+		t.Fatalf("grant finished %d times with result %+v, error %v after %v", f.results, f.result, f.err, f.took)
 	}
 }
 
-// TestGrantWaitsForAMemberThatBeginsToServe has the view known to the client
-// before the member has made it durable.
-func TestGrantWaitsForAMemberThatBeginsToServe(t *testing.T) {
-	w := newGrantWorld(t)
-	w.log.span = 200 * time.Millisecond
-	w.member.SetView(w.view)
-	w.client.SetView(w.view)
-	w.grant(Claim{Key: "key", Attempt: "first"})
-	w.clock.run(time.Minute)
-	if w.answers != 1 || !w.result.Granted {
-		t.Fatalf("%d answers, %+v, %v after %v", w.answers, w.result, w.err, w.took)
+// The client may know a view before the member has made it durable; the grant
+// must not fail meanwhile.
+func TestGrantRetriesUntilMemberServes(t *testing.T) {
+	f := newGrantFixture(t)
+	f.log.span = 200 * time.Millisecond
+	f.member.SetView(f.view)
+	f.client.SetView(f.view)
+	f.grant(Claim{Key: "key", Attempt: "first"})
+	f.clock.run(time.Minute)
+	if f.results != 1 || !f.result.Granted {
+		t.Fatalf("grant finished %d times with result %+v, error %v after %v", f.results, f.result, f.err, f.took)
 	}
 }
 
-// TestGrantIsRefusedOnceAMajorityStaysSilent bounds how long a caller is held,
-// and checks that the attempt refused is withdrawn.
-func TestGrantIsRefusedOnceAMajorityStaysSilent(t *testing.T) {
-	w := newGrantWorld(t)
-	w.view.Seats = append(w.view.Seats, seatNamed("b"), seatNamed("c"))
-	w.member.SetView(w.view)
-	w.client.SetView(w.view)
-	w.clock.run(time.Second)
-	w.grant(Claim{Key: "key", Attempt: "first"})
-	w.clock.run(time.Minute)
-	const longest = 3 * time.Second
-	if w.answers != 1 || !errors.Is(w.err, ErrNoMajority) || w.took > longest {
-		t.Fatalf("%d answers, %+v, %v after %v", w.answers, w.result, w.err, w.took)
+// Without a majority the grant must fail within bounded time and withdraw the
+// attempt.
+func TestGrantFailsWithoutMajority(t *testing.T) {
+	f := newGrantFixture(t)
+	f.view.Seats = append(f.view.Seats, seatNamed("b"), seatNamed("c"))
+	f.member.SetView(f.view)
+	f.client.SetView(f.view)
+	f.clock.run(time.Second)
+	f.grant(Claim{Key: "key", Attempt: "first"})
+	f.clock.run(time.Minute)
+	const maxWait = 3 * time.Second
+	if f.results != 1 || !errors.Is(f.err, ErrNoMajority) || f.took > maxWait {
+		t.Fatalf("grant finished %d times with result %+v, error %v after %v", f.results, f.result, f.err, f.took)
 	}
-	var answer wire.Message
-	w.member.HandleClaim(&wire.ClaimRequest{Epoch: 1, Key: "key", Attempt: "first"}, func(message wire.Message) { answer = message })
-	w.clock.run(time.Second)
-	if reply, ok := answer.(*wire.ClaimReply); !ok || reply.Status != wire.ClaimWithdrawn {
-		t.Errorf("the attempt refused got %+v", answer)
+	var replyMessage wire.Message
+	f.member.HandleClaim(&wire.ClaimRequest{Epoch: 1, Key: "key", Attempt: "first"}, func(message wire.Message) { replyMessage = message })
+	f.clock.run(time.Second)
+	if reply, ok := replyMessage.(*wire.ClaimReply); !ok || reply.Status != wire.ClaimWithdrawn {
+		t.Errorf("the attempt must be withdrawn, but a grant request got %+v", replyMessage)
 	}
 }
 
-// TestGrantAsksNoLongerThanItsDeadline has a request with less time than a
-// grant would be asked for.
-func TestGrantAsksNoLongerThanItsDeadline(t *testing.T) {
-	const span = 700 * time.Millisecond
-	w := newGrantWorld(t)
-	w.view.Seats = append(w.view.Seats, seatNamed("b"), seatNamed("c"))
-	w.member.SetView(w.view)
-	w.client.SetView(w.view)
-	w.clock.run(time.Second)
-	w.grant(Claim{Key: "key", Attempt: "first", Deadline: w.clock.now.Add(span)})
-	w.clock.run(time.Minute)
-	if w.answers != 1 || !errors.Is(w.err, ErrNoMajority) || w.took > span {
-		t.Fatalf("%d answers, %+v, %v after %v", w.answers, w.result, w.err, w.took)
+// Retries must not outlast a claim's deadline that is shorter than grantTimeout.
+func TestGrantStopsAtDeadline(t *testing.T) {
+	const remaining = 700 * time.Millisecond
+	f := newGrantFixture(t)
+	f.view.Seats = append(f.view.Seats, seatNamed("b"), seatNamed("c"))
+	f.member.SetView(f.view)
+	f.client.SetView(f.view)
+	f.clock.run(time.Second)
+	f.grant(Claim{Key: "key", Attempt: "first", Deadline: f.clock.now.Add(remaining)})
+	f.clock.run(time.Minute)
+	if f.results != 1 || !errors.Is(f.err, ErrNoMajority) || f.took > remaining {
+		t.Fatalf("grant finished %d times with result %+v, error %v after %v", f.results, f.result, f.err, f.took)
 	}
 }
 
-// TestGrantFollowsTheView has the view change after the first round.
-func TestGrantFollowsTheView(t *testing.T) {
-	w := newGrantWorld(t)
-	w.view.Seats = []Seat{seatNamed("gone")}
-	w.client.SetView(w.view)
-	w.grant(Claim{Key: "key", Attempt: "first"})
+// A retry must use the newest view if the view changes after the first round.
+func TestGrantUsesNewView(t *testing.T) {
+	f := newGrantFixture(t)
+	f.view.Seats = []Seat{seatNamed("gone")}
+	f.client.SetView(f.view)
+	f.grant(Claim{Key: "key", Attempt: "first"})
 	next := &View{Epoch: 2, Seats: []Seat{seatNamed("a")}}
-	w.member.SetView(next)
-	w.client.SetView(next)
-	w.clock.run(time.Minute)
-	if w.answers != 1 || !w.result.Granted {
-		t.Fatalf("%d answers, %+v, %v after %v", w.answers, w.result, w.err, w.took)
+	f.member.SetView(next)
+	f.client.SetView(next)
+	f.clock.run(time.Minute)
+	if f.results != 1 || !f.result.Granted {
+		t.Fatalf("grant finished %d times with result %+v, error %v after %v", f.results, f.result, f.err, f.took)
 	}
 }
 
-// TestGrantIsRefusedAtOnceWhileClaimsRest has a view that started over: no
-// claim is granted in it before its time, however often one asks.
-func TestGrantIsRefusedAtOnceWhileClaimsRest(t *testing.T) {
-	w := newGrantWorld(t)
-	w.view.ClaimsFrom = w.clock.now.Add(Retention).UnixMilli()
-	w.member.SetView(w.view)
-	w.client.SetView(w.view)
-	w.clock.run(time.Second)
-	w.grant(Claim{Key: "key", Attempt: "first"})
-	w.clock.run(time.Minute)
-	if w.answers != 1 || !errors.Is(w.err, ErrNoMajority) || w.took > 0 || w.peers.grants != 1 {
-		t.Fatalf("%d answers, %+v, %v after %v and %d askings", w.answers, w.result, w.err, w.took, w.peers.grants)
+// Before the ClaimsFrom of a reset view no retry can succeed, so the grant must
+// fail without one.
+func TestGrantFailsBeforeClaimsFrom(t *testing.T) {
+	f := newGrantFixture(t)
+	f.view.ClaimsFrom = f.clock.now.Add(Retention).UnixMilli()
+	f.member.SetView(f.view)
+	f.client.SetView(f.view)
+	f.clock.run(time.Second)
+	f.grant(Claim{Key: "key", Attempt: "first"})
+	f.clock.run(time.Minute)
+	if f.results != 1 || !errors.Is(f.err, ErrNoMajority) || f.took > 0 || f.peers.grants != 1 {
+		t.Fatalf("grant finished %d times with result %+v, error %v after %v and %d requests", f.results, f.result, f.err, f.took, f.peers.grants)
 	}
 }
 
-// TestGrantAsksSeldom bounds the messages of a grant that a member refuses at
-// once each time.
-func TestGrantAsksSeldom(t *testing.T) {
-	const most = 8
-	w := newGrantWorld(t)
-	w.client.SetView(w.view)
-	w.grant(Claim{Key: "key", Attempt: "first"})
-	w.clock.run(time.Minute)
-	if w.answers != 1 || !errors.Is(w.err, ErrNoMajority) || w.peers.grants > most {
-		t.Fatalf("%d answers, %+v, %v after %v and %d askings", w.answers, w.result, w.err, w.took, w.peers.grants)
+// Backoff must bound the number of requests when the member refuses each one
+// immediately.
+func TestGrantBoundsRequests(t *testing.T) {
+	const maxRequests = 8
+	f := newGrantFixture(t)
+	f.client.SetView(f.view)
+	f.grant(Claim{Key: "key", Attempt: "first"})
+	f.clock.run(time.Minute)
+	if f.results != 1 || !errors.Is(f.err, ErrNoMajority) || f.peers.grants > maxRequests {
+		t.Fatalf("grant finished %d times with result %+v, error %v after %v and %d requests", f.results, f.result, f.err, f.took, f.peers.grants)
 	}
 }
 
-// TestMergedClaimIsNotGrantedAgain asks again for an attempt that has a rival
-// from a copy: the rival may have been dispatched.
-func TestMergedClaimIsNotGrantedAgain(t *testing.T) {
+// An attempt must not be granted again after a copied record shows another
+// attempt, which may have been dispatched.
+func TestMergedClaimIsNotRegranted(t *testing.T) {
 	member := newTestMember("a")
-	ask(member, wire.ClaimRequest{Attempt: "asked"})
+	sendClaim(member, wire.ClaimRequest{Attempt: "first"})
 	member.mergeClaim(wire.ClaimRecord{Key: "key", Attempt: "dispatched"})
-	if answer := ask(member, wire.ClaimRequest{Attempt: "asked"}); answer.Status != wire.ClaimHeld {
-		t.Errorf("asked again, got %+v", answer)
+	if reply := sendClaim(member, wire.ClaimRequest{Attempt: "first"}); reply.Status != wire.ClaimHeld {
+		t.Errorf("second grant request after the merge got %+v, want status held", reply)
 	}
 }
--- a/internal/standalone/quorum/journal.go
+++ b/internal/standalone/quorum/journal.go
@@ -11,11 +11,11 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// journalPrefix is put before the number of a journal's segment.
+// journalPrefix precedes the number of a segment in its name.
 const journalPrefix = "quorum-"
 
-// compactAfter is how many entries a segment may have before it is replaced
-// by a snapshot.
+// compactAfter is the number of entries above which a segment is replaced by a
+// snapshot.
 const compactAfter = 20000
 
 // journalEntry is one durable change of a member.
@@ -28,8 +28,8 @@
 	Register *wire.RegisterRecord `json:"register,omitempty"`
 }
 
-// Journal keeps a member's state in a record log, so that a process that
-// starts again over the same data folder remembers all that it has promised.
+// Journal keeps a member's state in a record log, so that a process restarted
+// with the same data folder recovers all grants and promises.
 type Journal struct {
 	log      recordlog.Log
 	segment  int
@@ -38,7 +38,7 @@
 	restored []journalEntry
 }
 
-// OpenJournal reads the journal of a data folder, or begins one.
+// OpenJournal reads the journal of a data folder or creates one.
 func OpenJournal(log recordlog.Log, random *rand.Rand) (*Journal, error) {
 	records, err := log.Recover()
 	if err != nil {
@@ -72,8 +72,8 @@
 	return journal, nil
 }
 
-// Identity names the data folder's memory; a folder that was lost comes back
-// with another one.
+// Identity returns the storage identity of the data folder. A folder that was
+// lost and created anew has another one.
 func (j *Journal) Identity() uint64 { return j.identity }
 
 func (j *Journal) segmentName() string { return fmt.Sprintf("%s%08d", journalPrefix, j.segment) }
@@ -88,8 +88,8 @@
 	j.log.Append(j.segmentName(), data, done)
 }
 
-// compact begins a new segment with everything that still counts, and removes
-// the old one when that is durable.
+// compact writes the current state to a new segment and removes the old one once
+// the last entry is durable.
 func (j *Journal) compact(state []journalEntry) {
 	old := j.segmentName()
 	j.segment++
--- a/internal/standalone/quorum/member.go
+++ b/internal/standalone/quorum/member.go
@@ -10,44 +10,48 @@
 )
 
 const (
-	// Retention is how long a claim or register is kept. A deadline of a
-	// request must be shorter, or a repeat could run again.
+	// Retention is how long a claim or register is kept. The deadline of a
+	// request must be shorter, or a repeated request could run twice.
 	Retention = 15 * time.Minute
-	// MaxDeadline is the longest deadline of a request unsafe to repeat.
+	// MaxDeadline is the longest deadline of a request that is unsafe to repeat.
 	MaxDeadline = 10 * time.Minute
-	// pageLength bounds the claims in one snapshot message.
-	pageLength = 2000
-	// callTimeout bounds one message to a member.
+	// snapshotPageSize is the maximum number of claims in a snapshot message.
+	snapshotPageSize = 2000
+	// callTimeout is the timeout of one call to a member.
 	callTimeout = 500 * time.Millisecond
-	// installRetry is the wait before a copy is tried again.
-	installRetry = 300 * time.Millisecond
-	// maxWithdrawn bounds the withdrawn attempts remembered for one key.
-	maxWithdrawn = 16
+	// copyRetryDelay is the delay before a failed copy is retried.
+	copyRetryDelay = 300 * time.Millisecond
+	// maxWithdrawnAttempts bounds the withdrawn attempts recorded for one key.
+	maxWithdrawnAttempts = 16
 )
 
-// MemberConfig is what a Member needs.
+// MemberConfig holds the settings and dependencies of a Member.
 type MemberConfig struct {
 	ID string
-	// Identity is that of the process, or of the journal's data folder.
+	// Identity is that of the journal's data folder or, without one, of the
+	// process.
 	Identity uint64
 	Clock    environment.Clock
 	Peers    environment.Peers
-	// Journal keeps the state; nil keeps it in memory only.
+	// Journal stores the state; nil keeps it in memory only.
 	Journal *Journal
 }
 
-// Member holds this process's share of the tables. It belongs to one
-// goroutine.
+// Member holds this process's replica of the tables. It is not safe for
+// concurrent use.
 type Member struct {
-	config    MemberConfig
-	view      *View
-	serving   uint64
+	config MemberConfig
+	view   *View
+	// serving is the epoch served, or 0.
+	serving uint64
+	// sealed is the greatest epoch sealed; nothing is granted in older ones.
 	sealed    uint64
 	claims    map[string]*wire.ClaimRecord
 	registers map[string]*wire.RegisterRecord
 }
 
-// NewMember returns a member that serves the view of its journal, or none.
+// NewMember returns a member that serves the view restored from its journal, or
+// none.
 func NewMember(config MemberConfig) *Member {
 	member := &Member{
 		config:    config,
@@ -63,11 +67,11 @@
 // Serving returns the epoch served, or 0.
 func (m *Member) Serving() uint64 { return m.serving }
 
-// Claims is the number of claims held.
+// Claims returns the number of claims held.
 func (m *Member) Claims() int { return len(m.claims) }
 
-// SetView tells of a newer view. A member with a seat in it copies what the
-// previous view decided and then serves it.
+// SetView installs a newer view. A member with a seat in it copies the tables of
+// the previous view and then serves the new one.
 func (m *Member) SetView(view *View) {
 	if m.view != nil && (view.Epoch < m.view.Epoch || view.Epoch == m.serving) {
 		return
@@ -84,7 +88,7 @@
 	m.copyFrom(view)
 }
 
-// serve begins to serve a view once that is durable.
+// serve starts to serve a view once the state is durable.
 func (m *Member) serve(view *View) {
 	m.persistAll(func() {
 		if m.view != view {
@@ -95,51 +99,51 @@
 	})
 }
 
-// copyFrom seals the previous seats and serves the view once a majority of
-// them has handed over everything, or one member that serves the view already:
-// that one has copied from such a majority.
+// copyFrom seals the previous seats and copies their tables. It serves the view
+// once the copies of a majority of them are complete, or that of one member that
+// serves the view already, since that member has copied from such a majority.
 func (m *Member) copyFrom(view *View) {
-	round := &copyRound{member: m, view: view, waiting: 1}
+	round := &copyRound{member: m, view: view, pending: 1}
 	for _, seat := range sources(view) {
-		if seat.is(m.config.ID, m.config.Identity) {
+		if seat.matches(m.config.ID, m.config.Identity) {
 			if m.serving >= view.Epoch-1 {
 				round.copied++
 			}
 			continue
 		}
-		round.waiting++
-		m.copyPage(view, seat, "", round.answered)
+		round.pending++
+		m.copyPage(view, seat, "", round.seatDone)
 	}
-	// The round itself counts as waiting until every seat has been asked.
-	round.answered(0)
+	// pending starts at 1, so that the round cannot end before every call is sent.
+	round.seatDone(0)
 }
 
-// sources are the seats to copy from: those of the previous view, and those of
-// the view itself that may serve it already.
+// sources returns the seats to copy from: those of the previous view and those
+// of the view itself, which may serve it already.
 func sources(view *View) []Seat {
 	all := slices.Clone(view.Previous)
 	for _, seat := range view.Seats {
-		if !slices.ContainsFunc(all, func(listed Seat) bool { return listed.is(seat.ID, seat.Identity) }) {
+		if !slices.ContainsFunc(all, func(listed Seat) bool { return listed.matches(seat.ID, seat.Identity) }) {
 			all = append(all, seat)
 		}
 	}
 	return all
 }
 
-// copyRound counts the answers to one attempt at copying.
+// copyRound counts the completed copies of one try.
 type copyRound struct {
 	member  *Member
 	view    *View
 	copied  int
-	waiting int
+	pending int
 	served  bool
 }
 
-// answered takes in that a seat has handed over all it has, with the epoch that
-// it serves, or 0 when it did not answer.
-func (r *copyRound) answered(epoch uint64) {
+// seatDone records that the copy from a seat is complete and which epoch the
+// seat serves, or that it failed if epoch is 0.
+func (r *copyRound) seatDone(epoch uint64) {
 	m := r.member
-	r.waiting--
+	r.pending--
 	if epoch >= r.view.Epoch-1 && epoch > 0 {
 		r.copied++
 	}
@@ -151,8 +155,8 @@
 		m.serve(r.view)
 		return
 	}
-	if r.waiting == 0 {
-		m.config.Clock.AfterFunc(installRetry, func() {
+	if r.pending == 0 {
+		m.config.Clock.AfterFunc(copyRetryDelay, func() {
 			if m.view == r.view && m.serving != r.view.Epoch {
 				m.copyFrom(r.view)
 			}
@@ -160,25 +164,28 @@
 	}
 }
 
-func (m *Member) copyPage(view *View, seat Seat, after string, answered func(epoch uint64)) {
+// copyPage copies the claims after a key, page by page, and then calls done with
+// the epoch that the seat serves, or with 0 if a call failed.
+func (m *Member) copyPage(view *View, seat Seat, after string, done func(epoch uint64)) {
 	seal := &wire.ClaimSeal{Epoch: view.Epoch, After: after}
 	m.config.Peers.Call(seat.Address, seal, callTimeout, func(message wire.Message, err error) {
 		snapshot, ok := message.(*wire.ClaimSnapshot)
 		if err != nil || !ok {
-			answered(0)
+			done(0)
 			return
 		}
 		m.mergeSnapshot(snapshot)
 		if snapshot.More && len(snapshot.Records) > 0 {
-			m.copyPage(view, seat, snapshot.Records[len(snapshot.Records)-1].Key, answered)
+			m.copyPage(view, seat, snapshot.Records[len(snapshot.Records)-1].Key, done)
 			return
 		}
-		answered(snapshot.Epoch)
+		done(snapshot.Epoch)
 	})
 }
 
-// HandleSeal stops service of older views and hands over a page of claims. A
-// process that served none of them has nothing to vouch for and refuses.
+// HandleSeal stops granting in older epochs and replies with a page of claims. A
+// member that serves no view replies with a failure, since it has no complete
+// tables.
 func (m *Member) HandleSeal(seal *wire.ClaimSeal, reply func(wire.Message)) {
 	if m.serving == 0 {
 		reply(&wire.Failure{Code: uint16(wire.CodeNotServing), Detail: "no view served"})
@@ -192,13 +199,15 @@
 	m.persist(journalEntry{Sealed: m.sealed}, func() { reply(m.snapshot(seal)) })
 }
 
+// snapshot returns the page of claims that the seal request asks for. The first
+// page also holds all registers.
 func (m *Member) snapshot(seal *wire.ClaimSeal) *wire.ClaimSnapshot {
 	snapshot := &wire.ClaimSnapshot{Epoch: m.serving}
 	for _, key := range slices.Sorted(maps.Keys(m.claims)) {
 		if key <= seal.After {
 			continue
 		}
-		if len(snapshot.Records) == pageLength {
+		if len(snapshot.Records) == snapshotPageSize {
 			snapshot.More = true
 			break
 		}
@@ -221,18 +230,18 @@
 	}
 }
 
-// serves tells whether a request in an epoch may be granted here.
+// serves reports whether this member may grant a request in an epoch.
 func (m *Member) serves(epoch uint64) bool {
 	return epoch != 0 && epoch == m.serving && m.sealed <= epoch
 }
 
-// servesClaims tells whether claims, too, may be granted: not yet where a view
-// has started over without those of the one before.
-func (m *Member) servesClaims(epoch uint64) bool {
+// grantsClaims reports whether this member may grant a claim in an epoch. A view
+// that was reset without the earlier claims grants none before ClaimsFrom.
+func (m *Member) grantsClaims(epoch uint64) bool {
 	return m.serves(epoch) && m.config.Clock.Now().UnixMilli() >= m.view.ClaimsFrom
 }
 
-// Expire forgets claims and registers past their retention.
+// Expire deletes claims and registers past their retention.
 func (m *Member) Expire() {
 	limit := m.config.Clock.Now().Add(-Retention).UnixMilli()
 	for key, record := range m.claims {
--- a/internal/standalone/quorum/propose.go
+++ b/internal/standalone/quorum/propose.go
@@ -6,16 +6,15 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// Read returns the value of a register, or nil when none can have been
-// decided by a smaller ballot. A value found is made certain before it is
-// returned.
+// Read passes the value of a register to done, or nil if no value can have been
+// decided by a smaller ballot. A value found is first accepted by a majority.
 func (c *Client) Read(register string, ballot uint64, done func([]byte, error)) {
 	c.Propose(register, ballot, nil, done)
 }
 
-// Propose decides a register: done gets the value decided, which is an
-// earlier proposer's where there was one. The ballot must be unique to the
-// proposer and value; a lease's fencing token is.
+// Propose decides a register and passes the decided value to done: that of an
+// earlier proposer if there is one, otherwise the given value. A ballot must be
+// unique to a proposer and value, as a lease's fencing token is.
 func (c *Client) Propose(register string, ballot uint64, value []byte, done func([]byte, error)) {
 	if c.view == nil {
 		done(nil, merry.Wrap(ErrNoMajority))
@@ -24,7 +23,7 @@
 	view := c.view
 	var best wire.RegisterReply
 	prepare := &wire.RegisterPrepare{Register: register, Ballot: ballot, Epoch: view.Epoch}
-	c.majority(view, prepare, func(reply *wire.RegisterReply) {
+	c.callMajority(view, prepare, func(reply *wire.RegisterReply) {
 		if reply.AcceptedBallot > best.AcceptedBallot {
 			best = *reply
 		}
@@ -41,24 +40,25 @@
 			return
 		}
 		accept := &wire.RegisterAccept{Register: register, Ballot: ballot, Epoch: view.Epoch, Value: value}
-		c.majority(view, accept, func(*wire.RegisterReply) {}, func(err error) { done(value, err) })
+		c.callMajority(view, accept, func(*wire.RegisterReply) {}, func(err error) { done(value, err) })
 	})
 }
 
-// majority sends a register message to all seats and finishes once a
-// majority has granted it or can no longer do so.
-func (c *Client) majority(view *View, message wire.Message, each func(*wire.RegisterReply), done func(error)) {
-	granted, waiting, finished, superseded := 0, len(view.Seats), false, false
+// callMajority sends a register message to all seats and calls done once a
+// majority has granted it or can no longer do so. It passes each granting reply
+// that arrives before that to onGranted.
+func (c *Client) callMajority(view *View, message wire.Message, onGranted func(*wire.RegisterReply), done func(error)) {
+	granted, pending, finished, superseded := 0, len(view.Seats), false, false
 	for _, seat := range view.Seats {
-		c.peers.Call(seat.Address, message, callTimeout, func(answer wire.Message, err error) {
-			waiting--
-			reply, ok := answer.(*wire.RegisterReply)
+		c.peers.Call(seat.Address, message, callTimeout, func(replyMessage wire.Message, err error) {
+			pending--
+			reply, ok := replyMessage.(*wire.RegisterReply)
 			if finished {
 				return
 			}
 			if err == nil && ok && reply.Granted {
 				granted++
-				each(reply)
+				onGranted(reply)
 			}
 			if err == nil && ok && !reply.Granted && reply.Promised > 0 {
 				superseded = true
@@ -68,7 +68,7 @@
 				done(nil)
 				return
 			}
-			if granted+waiting < view.Majority() {
+			if granted+pending < view.Majority() {
 				finished = true
 				if superseded {
 					done(merry.Wrap(ErrSuperseded))
--- a/internal/standalone/quorum/registers.go
+++ b/internal/standalone/quorum/registers.go
@@ -2,13 +2,13 @@
 
 import "github.com/pathtally/pathtally/internal/wire"
 
-// HandlePrepare promises to accept nothing from an older ballot, and tells
-// what has been accepted.
+// HandlePrepare promises to accept nothing from a smaller ballot and replies with
+// the value accepted so far.
 func (m *Member) HandlePrepare(request *wire.RegisterPrepare, reply func(wire.Message)) {
 	m.vote(request.Epoch, request.Register, request.Ballot, reply, func(*wire.RegisterRecord) {})
 }
 
-// HandleAccept accepts a value unless a newer ballot was promised.
+// HandleAccept accepts a value unless a greater ballot was promised.
 func (m *Member) HandleAccept(request *wire.RegisterAccept, reply func(wire.Message)) {
 	m.vote(request.Epoch, request.Register, request.Ballot, reply, func(register *wire.RegisterRecord) {
 		register.AcceptedBallot = request.Ballot
@@ -16,8 +16,8 @@
 	})
 }
 
-// vote promises a ballot, makes the change that goes with it, and answers once
-// that is durable; an older ballot than the one promised changes nothing.
+// vote promises a ballot, applies the change and replies once both are durable.
+// A ballot smaller than the one promised changes nothing.
 func (m *Member) vote(epoch uint64, name string, ballot uint64, reply func(wire.Message), change func(*wire.RegisterRecord)) {
 	if !m.serves(epoch) {
 		reply(&wire.RegisterReply{})
@@ -29,8 +29,8 @@
 		register.Promised = ballot
 		change(register)
 	}
-	answer := registerReply(granted, register)
-	m.persistRegister(register, func() { reply(answer) })
+	result := registerReply(granted, register)
+	m.persistRegister(register, func() { reply(result) })
 }
 
 func (m *Member) register(name string) *wire.RegisterRecord {
--- a/internal/standalone/quorum/view.go
+++ b/internal/standalone/quorum/view.go
@@ -5,37 +5,38 @@
 	"slices"
 )
 
-// DocumentName is the name of the relayed document and of the object that
-// hold the view in force.
+// DocumentName is the name of the relayed document and of the object that hold
+// the current view.
 const DocumentName = "quorum-view"
 
 // viewEntry is the key of the view within its document.
 const viewEntry = "view"
 
-// Seat is one member of a view.
+// Seat is one member's place in a view.
 type Seat struct {
 	ID string `json:"id"`
-	// Identity is that of the member's memory; see wire.Member.
+	// Identity is the member's storage identity; see wire.Member.
 	Identity uint64 `json:"identity"`
 	Address  string `json:"address"`
 	Zone     string `json:"zone"`
-	// Durable seats keep their tables in a data folder.
+	// Durable means that the member keeps its tables in a data folder.
 	Durable bool `json:"durable"`
 }
 
-// View is the set of members in one epoch.
+// View is the set of seats in one epoch. Previous holds those of the epoch
+// before, from which the tables are copied; it is empty if nothing is copied.
 type View struct {
 	Epoch    uint64 `json:"epoch"`
 	Seats    []Seat `json:"seats"`
 	Previous []Seat `json:"previous,omitempty"`
 	// ClaimsFrom is the Unix time in milliseconds from which claims are
-	// granted. It is set when a view starts over after the loss of a majority:
-	// until every lost claim would have expired, a key may have been used.
+	// granted. It is set when a view is reset after the loss of a majority:
+	// until every lost claim would have expired, its key may have been used.
 	ClaimsFrom int64 `json:"claimsFrom,omitempty"`
 }
 
-// zones counts the different zones of some seats.
-func zones(seats []Seat) int {
+// countZones returns the number of distinct zones of the seats.
+func countZones(seats []Seat) int {
 	seen := map[string]bool{}
 	for _, seat := range seats {
 		seen[seat.Zone] = true
@@ -43,20 +44,20 @@
 	return len(seen)
 }
 
-// Majority is how many seats must agree.
+// Majority returns how many seats must agree.
 func (v *View) Majority() int { return majority(v.Seats) }
 
 func majority(seats []Seat) int { return len(seats)/2 + 1 }
 
-// Has tells whether a member with this memory holds a seat.
+// Has reports whether the member with this identity holds a seat.
 func (v *View) Has(id string, identity uint64) bool {
-	return slices.ContainsFunc(v.Seats, func(seat Seat) bool { return seat.is(id, identity) })
+	return slices.ContainsFunc(v.Seats, func(seat Seat) bool { return seat.matches(id, identity) })
 }
 
-func (s Seat) is(id string, identity uint64) bool { return s.ID == id && s.Identity == identity }
+func (s Seat) matches(id string, identity uint64) bool { return s.ID == id && s.Identity == identity }
 
-// durable counts the seats with a data folder.
-func durable(seats []Seat) int {
+// countDurable returns the number of seats with a data folder.
+func countDurable(seats []Seat) int {
 	count := 0
 	for _, seat := range seats {
 		if seat.Durable {
