--- a/internal/jobs/batch/takeover_test.go
+++ b/internal/jobs/batch/takeover_test.go
@@ -137,7 +137,7 @@
 		if call.Verb == "get" {
 			return metastore.Refused
 		}
-		return metastore.Sound
+		return metastore.NoFault
 	})
 	cluster.setDisconnected("node-0", false)
 	successor.table.Broadcast()
@@ -289,7 +289,8 @@
 	checkResults(t, "job", cluster.readAll(node, "job", 6), 6, 3)
 }
 
-// Guards against losing the known lengths of items that their job ended without.
+// Guards against losing the known lengths of items that had no result at the end of their
+// job.
 func TestLengthsReachOtherNodes(t *testing.T) {
 	engine := newHoldingEngine(t)
 	cluster := newCluster(t, 2, engine)
