--- a/internal/standalone/lease/check.go
+++ b/internal/standalone/lease/check.go
@@ -29,10 +29,10 @@
 // and the first candidate check several times per lease duration; any other
 // candidate checks less often the lower its rank.
 func (m *Manager) scheduleNextCheck(name string) {
-	period := m.config.Term / renewalsPerTerm
+	period := m.config.Duration / renewalsPerDuration
 	state := m.states[name]
 	if rank := m.config.Rank(name); !state.held && rank != 0 {
-		period = time.Duration(float64(m.config.Term) * math.Pow(checkBackoffFactor, float64(min(max(rank, 1)-1, maxBackoffExponent))))
+		period = time.Duration(float64(m.config.Duration) * math.Pow(checkBackoffFactor, float64(min(max(rank, 1)-1, maxBackoffExponent))))
 	}
 	jitter := time.Duration(m.config.Random.Int64N(int64(period)/5 + 1))
 	m.scheduleCheck(name, period+jitter-period/10)
@@ -110,7 +110,7 @@
 	if object.Version != state.version {
 		state.version, state.record, state.observedAt = object.Version, record, now
 	}
-	expired := now.Sub(state.observedAt) >= m.config.Term
+	expired := now.Sub(state.observedAt) >= m.config.Duration
 	ownRecord := record.Holder == m.config.Self
 	if record.Holder == "" || expired || ownRecord {
 		// A record that names this process comes from its own write whose
--- a/internal/standalone/lease/manager.go
+++ b/internal/standalone/lease/manager.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// DefaultTerm is how long a lease is valid without renewal.
-	DefaultTerm = 10 * time.Second
-	// renewalsPerTerm is how many times a holder renews per lease duration.
-	renewalsPerTerm = 3
+	// DefaultDuration is how long a lease is valid without renewal.
+	DefaultDuration = 10 * time.Second
+	// renewalsPerDuration is how many times a holder renews per lease duration.
+	renewalsPerDuration = 3
 	// DefaultYieldRenewals is the usual number of consecutive renewals after
 	// which a holder that is not the first candidate releases the lease.
 	DefaultYieldRenewals = 4
@@ -51,9 +51,9 @@
 	Clock   environment.Clock
 	Random  *rand.Rand
 	Objects environment.Objects
-	// Term is how long a lease is valid without renewal; zero means
-	// DefaultTerm.
-	Term time.Duration
+	// Duration is how long a lease is valid without renewal; zero means
+	// DefaultDuration.
+	Duration time.Duration
 	// Rank returns this node's position among the candidates for a lease: 0
 	// for the first, negative if it is not a candidate.
 	Rank func(name string) int
@@ -94,15 +94,15 @@
 
 // NewManager returns a manager that competes for no lease yet.
 func NewManager(config Config) *Manager {
-	if config.Term == 0 {
-		config.Term = DefaultTerm
+	if config.Duration == 0 {
+		config.Duration = DefaultDuration
 	}
 	return &Manager{config: config, states: map[string]*leaseState{}}
 }
 
-// Want sets the names of the leases to compete for and releases held leases
+// SetNames sets the names of the leases to compete for and releases held leases
 // that are not among them.
-func (m *Manager) Want(names []string) {
+func (m *Manager) SetNames(names []string) {
 	wanted := map[string]bool{}
 	for _, name := range names {
 		wanted[name] = true
@@ -122,9 +122,9 @@
 	}
 }
 
-// Prompt schedules an early check of a lease whose holder appears to be down.
+// CheckSoon schedules an early check of a lease whose holder appears to be down.
 // A takeover still requires that the lease has expired.
-func (m *Manager) Prompt(name string) {
+func (m *Manager) CheckSoon(name string) {
 	state := m.states[name]
 	if m.stopped || state == nil || !state.wanted || state.held || state.inFlight {
 		return
--- a/internal/standalone/lease/manager_test.go
+++ b/internal/standalone/lease/manager_test.go
@@ -9,7 +9,7 @@
 	"github.com/pathtally/pathtally/internal/standalone/sim"
 )
 
-const testTerm = 10 * time.Second
+const testDuration = 10 * time.Second
 
 // candidate is a process that competes for one lease.
 type candidate struct {
@@ -22,12 +22,12 @@
 	host := sim.NewRunningHost(scheduler, name)
 	c := &candidate{}
 	c.manager = lease.NewManager(lease.Config{
-		Self: name, Clock: host, Random: rand.New(rand.NewPCG(uint64(rank), 1)), Objects: platform.Client(host), Term: testTerm,
+		Self: name, Clock: host, Random: rand.New(rand.NewPCG(uint64(rank), 1)), Objects: platform.Client(host), Duration: testDuration,
 		Rank:      func(string) int { return rank },
 		OnAcquire: func(_ string, token uint64) { c.holds, c.token = true, token },
 		OnLose:    func(string) { c.holds = false },
 	})
-	c.manager.Want([]string{"duty"})
+	c.manager.SetNames([]string{"duty"})
 	return c, host
 }
 
@@ -42,12 +42,12 @@
 		t.Fatalf("before the pause: first holds %v, second holds %v, want only the first", holder.holds, other.holds)
 	}
 	host.Pause()
-	scheduler.Run(3 * testTerm)
+	scheduler.Run(3 * testDuration)
 	if !other.holds || other.token <= holder.token {
 		t.Fatalf("after the pause: second holds %v with token %d, want a token above %d", other.holds, other.token, holder.token)
 	}
 	host.Resume()
-	scheduler.Run(testTerm)
+	scheduler.Run(testDuration)
 	if holder.holds {
 		t.Error("the paused holder still holds the lease after it resumed")
 	}
--- a/internal/standalone/membership/probe.go
+++ b/internal/standalone/membership/probe.go
@@ -211,9 +211,9 @@
 	}
 }
 
-// Nudge passes changed records and document versions on at once instead of
+// GossipNow passes changed records and document versions on at once instead of
 // at the next period.
-func (t *Table) Nudge() {
+func (t *Table) GossipNow() {
 	if t.stopped {
 		return
 	}
--- a/internal/standalone/membership/table.go
+++ b/internal/standalone/membership/table.go
@@ -65,11 +65,11 @@
 	}
 }
 
-// Leave declares that this node takes no new work.
-func (t *Table) Leave() {
+// DeclareLeaving declares that this node takes no new work.
+func (t *Table) DeclareLeaving() {
 	t.self.State = wire.MemberLeaving
 	t.mergeMember(t.self)
-	t.Nudge()
+	t.GossipNow()
 }
 
 // Self returns this node's own record.
@@ -122,7 +122,7 @@
 // Announce tells all nodes who holds a lease; only a greater token counts.
 func (t *Table) Announce(note wire.LeaseNote) {
 	if t.mergeLease(note) {
-		t.Nudge()
+		t.GossipNow()
 	}
 }
 
@@ -135,8 +135,8 @@
 // LeaseNames lists the leases of which a holder is known, in order.
 func (t *Table) LeaseNames() []string { return slices.Sorted(maps.Keys(t.leases)) }
 
-// Answered is the number of seeds that have answered since the start.
-func (t *Table) Answered() int { return len(t.answered) }
+// SeedsReplied is the number of seeds that have answered since the start.
+func (t *Table) SeedsReplied() int { return len(t.answered) }
 
 // All returns every member known, dead ones included, by id.
 func (t *Table) All() []wire.Member {
@@ -147,8 +147,8 @@
 	return all
 }
 
-// StoragesKnown counts the members with a data folder, dead ones included.
-func (t *Table) StoragesKnown() int {
+// StorageMemberCount counts the members with a data folder, dead ones included.
+func (t *Table) StorageMemberCount() int {
 	count := 0
 	for _, record := range t.members {
 		if record.Storage {
@@ -158,9 +158,9 @@
 	return count
 }
 
-// Depart tells some members that this node is gone, as the last thing it does.
-func (t *Table) Depart() {
+// DeclareDead tells some members that this node is gone, as the last thing it does.
+func (t *Table) DeclareDead() {
 	t.self.State = wire.MemberDead
 	t.mergeMember(t.self)
-	t.Nudge()
+	t.GossipNow()
 }
--- a/internal/standalone/node/core.go
+++ b/internal/standalone/node/core.go
@@ -145,7 +145,7 @@
 	} else {
 		c.confirm(confirmationWait)
 	}
-	c.leases.Want(c.wantedLeases())
+	c.leases.SetNames(c.wantedLeases())
 	c.upkeep()
 }
 
@@ -195,7 +195,7 @@
 		return false
 	}
 	needed := min(confirmationsNeeded, len(c.config.Seeds))
-	return c.reader.Confirmed() || (needed > 0 && c.table.Answered() >= needed)
+	return c.reader.Confirmed() || (needed > 0 && c.table.SeedsReplied() >= needed)
 }
 
 // enginesKnown tells whether every engine that the node follows has been
@@ -235,7 +235,7 @@
 		c.applyMachines(document)
 	}
 	if c.table != nil {
-		c.table.Nudge()
+		c.table.GossipNow()
 	}
 }
 
@@ -267,7 +267,7 @@
 	}
 	c.set, c.generation = set, document.Version
 	c.rebuild()
-	c.leases.Want(c.wantedLeases())
+	c.leases.SetNames(c.wantedLeases())
 	if c.config.OnConfiguration != nil {
 		c.config.OnConfiguration(c.generation)
 	}
@@ -312,7 +312,7 @@
 	c.refreshViews()
 	c.upkeeps++
 	if c.upkeeps%expiryRounds == 0 {
-		c.member.Expire()
+		c.member.DeleteExpired()
 	}
 	c.config.Clock.AfterFunc(upkeepPeriod, c.upkeep)
 }
--- a/internal/standalone/node/duties.go
+++ b/internal/standalone/node/duties.go
@@ -144,7 +144,7 @@
 		holder, found := c.table.Get(note.Holder)
 		if (!found || holder.State > wire.MemberSuspect) && c.prompted[name] != note.Token && c.leaseRank(name) <= promptRank {
 			c.prompted[name] = note.Token
-			c.leases.Prompt(name)
+			c.leases.CheckSoon(name)
 		}
 	}
 }
--- a/internal/standalone/node/stop.go
+++ b/internal/standalone/node/stop.go
@@ -18,7 +18,7 @@
 // is called; the node still answers peers until Kill.
 func (c *Core) Stop(done func()) {
 	c.stopping = true
-	c.table.Leave()
+	c.table.DeclareLeaving()
 	limit := c.config.Clock.Now().Add(handoverTimeout)
 	c.leases.Stop(func() { c.awaitHandover(limit, done) })
 }
@@ -28,7 +28,7 @@
 
 func (c *Core) awaitHandover(limit time.Time, done func()) {
 	view := c.quorum.View()
-	seated := view != nil && view.Has(c.config.Self.ID, c.config.Self.Identity)
+	seated := view != nil && view.HasSeat(c.config.Self.ID, c.config.Self.Identity)
 	if !seated || !c.othersUsable() || c.config.Clock.Now().After(limit) {
 		c.announceAbsence(done)
 		return
@@ -47,7 +47,7 @@
 
 // announceAbsence declares the node dead, so that nobody probes it in vain.
 func (c *Core) announceAbsence(done func()) {
-	c.table.Depart()
+	c.table.DeclareDead()
 	c.config.Clock.AfterFunc(handoverPollInterval, done)
 }
 
--- a/internal/standalone/node/stores.go
+++ b/internal/standalone/node/stores.go
@@ -19,7 +19,7 @@
 // Copies implements rollout.Stores. Two zones keep each sample as soon as
 // more than one store has ever been seen.
 func (d storeDirectory) Copies() int {
-	if d.table.StoragesKnown() > singleCopy {
+	if d.table.StorageMemberCount() > singleCopy {
 		return replicatedCopies
 	}
 	return singleCopy
--- a/internal/standalone/quorum/member.go
+++ b/internal/standalone/quorum/member.go
@@ -67,8 +67,8 @@
 // Serving returns the epoch served, or 0.
 func (m *Member) Serving() uint64 { return m.serving }
 
-// Claims returns the number of claims held.
-func (m *Member) Claims() int { return len(m.claims) }
+// ClaimCount returns the number of claims held.
+func (m *Member) ClaimCount() int { return len(m.claims) }
 
 // SetView installs a newer view. A member with a seat in it copies the tables of
 // the previous view and then serves the new one.
@@ -78,7 +78,7 @@
 	}
 	m.view = view
 	m.sealed = max(m.sealed, view.Epoch)
-	if !view.Has(m.config.ID, m.config.Identity) {
+	if !view.HasSeat(m.config.ID, m.config.Identity) {
 		return
 	}
 	if len(view.Previous) == 0 {
@@ -241,8 +241,8 @@
 	return m.serves(epoch) && m.config.Clock.Now().UnixMilli() >= m.view.ClaimsFrom
 }
 
-// Expire deletes claims and registers past their retention.
-func (m *Member) Expire() {
+// DeleteExpired deletes claims and registers past their retention.
+func (m *Member) DeleteExpired() {
 	limit := m.config.Clock.Now().Add(-Retention).UnixMilli()
 	for key, record := range m.claims {
 		if record.Created < limit {
--- a/internal/standalone/quorum/view.go
+++ b/internal/standalone/quorum/view.go
@@ -49,8 +49,8 @@
 
 func majority(seats []Seat) int { return len(seats)/2 + 1 }
 
-// Has reports whether the member with this identity holds a seat.
-func (v *View) Has(id string, identity uint64) bool {
+// HasSeat reports whether the member with this identity holds a seat.
+func (v *View) HasSeat(id string, identity uint64) bool {
 	return slices.ContainsFunc(v.Seats, func(seat Seat) bool { return seat.matches(id, identity) })
 }
 
