--- a/internal/standalone/rollout/attempt.go
+++ b/internal/standalone/rollout/attempt.go
@@ -12,52 +12,52 @@
 	"github.com/pathtally/pathtally/internal/standalone/request"
 )
 
-// attempt is one run at filling a slot. Attempts of a slot may race; the
-// first that ends wins.
+// attempt is one run to generate the sample of a slot. Attempts for a slot may
+// run concurrently; the first to finish wins.
 type attempt struct {
 	slot     *slot
 	machine  *request.Machine
 	endpoint *routing.Endpoint
 	id       string
 	cancel   func()
-	// dispatch numbers the streams, so that late events of an older one are
-	// told apart.
-	dispatch int
-	parked   *request.Dispatch
-	started  time.Time
-	moves    int
-	moving   bool
-	ended    bool
+	// stream numbers the attempt's streams; events of earlier ones are ignored.
+	stream  int
+	parked  *request.Dispatch
+	started time.Time
+	moves   int
+	moving  bool
+	ended   bool
 }
 
-// pump dispatches waiting samples while engines have room.
-func (s *Scheduler) pump() {
+// dispatchPending dispatches parked attempts and pending slots while engines
+// have capacity.
+func (s *Scheduler) dispatchPending() {
 	plan := s.plan()
 	if s.stopped || plan == nil {
 		return
 	}
-	s.pumpParked()
+	s.dispatchParked()
 	policy := s.policy()
 	ahead := policy.stepsAhead()
 	defer func() { s.reorder = false }()
-	place := 0
+	position := 0
 	for _, step := range s.openSteps() {
-		if place > ahead {
+		if position > ahead {
 			return
 		}
-		if step.phase == phaseGenerating && !s.pumpStep(step, plan, policy, place) {
+		if step.phase == phaseGenerating && !s.dispatchStep(step, plan, policy, position) {
 			return
 		}
-		place++
+		position++
 	}
 }
 
-// pumpStep dispatches the waiting samples of one step; false means that no
-// engine has room.
-func (s *Scheduler) pumpStep(step *stepState, plan *engineplan.TrainerPlan, policy samplePolicy, place int) bool {
+// dispatchStep dispatches the pending slots of one step. It returns false if
+// no engine has capacity.
+func (s *Scheduler) dispatchStep(step *stepState, plan *engineplan.TrainerPlan, policy samplePolicy, position int) bool {
 	now := s.config.Clock.Now()
 	if s.reorder {
-		s.orderPending(step)
+		s.sortPending(step)
 	}
 	queue := step.pending
 	step.pending = nil
@@ -74,19 +74,19 @@
 			waiting = append(waiting, next)
 			continue
 		}
-		s.start(next, endpoint, policy.priority(place))
+		s.start(next, endpoint, policy.priority(position))
 	}
-	// An attempt that failed at once has put its slot back meanwhile.
+	// An attempt that failed synchronously has already requeued its slot.
 	step.pending = append(waiting, step.pending...)
 	return room
 }
 
 func (s *Scheduler) query(next *slot, avoid string) *routing.Query {
-	// A sample under way is moved within the bound; only its start has to be
-	// as fresh as the policy wants.
-	oldest := s.bound(next.step)
+	// A running sample may move to any engine within the staleness bound; the
+	// policy's stricter limit applies only to its start.
+	oldest := s.minVersion(next.step)
 	if avoid == "" {
-		oldest = max(oldest, s.policy().oldestVersion(next.step.request.TrainVersion))
+		oldest = max(oldest, s.policy().minStartVersion(next.step.request.TrainVersion))
 	}
 	return &routing.Query{
 		Zone:         s.config.Zone,
@@ -105,8 +105,8 @@
 	step := next.step
 	plan := s.plan()
 	id := fmt.Sprintf("%s/%d/%d/%d.%d", s.config.Trainer, step.request.Step, next.index, s.config.Token, next.attempt)
-	begun := &attempt{slot: next, id: id, started: s.config.Clock.Now()}
-	begun.machine = request.New(request.Config{
+	launched := &attempt{slot: next, id: id, started: s.config.Clock.Now()}
+	launched.machine = request.New(request.Config{
 		Attempts: sampleAttempts,
 		Request: engine.Request{
 			ID:          id,
@@ -118,30 +118,30 @@
 			ChunkTokens: chunkTokens,
 		},
 	})
-	next.attempts = append(next.attempts, begun)
-	s.act(begun, begun.machine.Handle(request.Begin{}), endpoint)
+	next.attempts = append(next.attempts, launched)
+	s.execute(launched, launched.machine.Handle(request.Begin{}), endpoint)
 }
 
-// act carries out the machine's next action. The endpoint is used for a
-// dispatch if given; otherwise one is picked.
-func (s *Scheduler) act(running *attempt, action request.Action, endpoint *routing.Endpoint) {
+// execute carries out an action of the attempt's state machine. A dispatch
+// goes to the given endpoint; if that is nil, one is picked.
+func (s *Scheduler) execute(running *attempt, action request.Action, endpoint *routing.Endpoint) {
 	switch typed := action.(type) {
 	case request.Dispatch:
 		s.dispatch(running, typed, endpoint)
 	case request.Forward:
-		s.checkAge(running)
+		s.checkStaleness(running)
 	case request.Finish:
-		s.finished(running, typed.Result)
+		s.handleResult(running, typed.Result)
 	}
 }
 
-// dispatch sends an attempt to an engine, or parks it where none has room.
+// dispatch sends an attempt to an engine, or parks it if none has capacity.
 func (s *Scheduler) dispatch(running *attempt, dispatch request.Dispatch, endpoint *routing.Endpoint) {
 	if endpoint == nil {
 		endpoint = s.pickAnother(running)
 	}
 	if endpoint == nil {
-		// The tokens so far are kept until an engine has room.
+		// The machine keeps the tokens generated so far.
 		running.parked = &dispatch
 		s.parked = append(s.parked, running)
 		return
@@ -149,8 +149,8 @@
 	s.run(running, dispatch, endpoint)
 }
 
-// pickAnother picks an engine for an attempt, not the one that it was at; nil if
-// none has room.
+// pickAnother picks an engine other than the attempt's current one. It returns
+// nil if none has capacity.
 func (s *Scheduler) pickAnother(running *attempt) *routing.Endpoint {
 	avoid := ""
 	if running.endpoint != nil {
@@ -164,14 +164,14 @@
 	return picked
 }
 
-// run starts an attempt's next stream at an engine.
+// run starts the attempt's next stream at an engine.
 func (s *Scheduler) run(running *attempt, dispatch request.Dispatch, endpoint *routing.Endpoint) {
 	running.endpoint = endpoint
-	running.dispatch++
+	running.stream++
 	running.moving = false
 	endpoint.State.InFlight.Add(1)
 	dispatch.Request.Deadline = s.config.Clock.Now().Add(sampleDeadline)
-	number, open := running.dispatch, true
+	number, open := running.stream, true
 	closeStream := func() {
 		if open {
 			open = false
@@ -183,8 +183,8 @@
 			closeStream()
 			s.countFailure(endpoint, event)
 		}
-		if !running.ended && !s.stopped && number == running.dispatch {
-			s.act(running, running.machine.Handle(event), nil)
+		if !running.ended && !s.stopped && number == running.stream {
+			s.execute(running, running.machine.Handle(event), nil)
 		}
 	})
 	running.cancel = func() {
@@ -201,7 +201,7 @@
 	endpoint.State.Failures.Store(0)
 }
 
-func (s *Scheduler) pumpParked() {
+func (s *Scheduler) dispatchParked() {
 	parked := s.parked
 	s.parked = nil
 	for _, waiting := range parked {
--- a/internal/standalone/rollout/ask.go
+++ b/internal/standalone/rollout/calls.go
@@ -6,20 +6,19 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// later makes a call after a while, unless the scheduler has been stopped by
-// then.
-func (s *Scheduler) later(pause time.Duration, call func()) {
-	s.config.Clock.AfterFunc(pause, func() {
+// runAfter runs call after the delay unless the scheduler is stopped by then.
+func (s *Scheduler) runAfter(delay time.Duration, call func()) {
+	s.config.Clock.AfterFunc(delay, func() {
 		if !s.stopped {
 			call()
 		}
 	})
 }
 
-// askStores sends a request to some stores, at least one. It hands on the samples
-// of each that answers, and tells when all have answered or failed, unless the
-// scheduler has been stopped by then.
-func (s *Scheduler) askStores(stores []wire.Member, request wire.Message, take func(store wire.Member, found *wire.Samples), done func()) {
+// callStores sends a request to each store; stores must not be empty. It
+// passes each successful response to take, and calls done after every store
+// has responded or failed, unless the scheduler is stopped by then.
+func (s *Scheduler) callStores(stores []wire.Member, request wire.Message, take func(store wire.Member, found *wire.Samples), done func()) {
 	waiting := len(stores)
 	for _, store := range stores {
 		s.config.Peers.Call(store.Address, request, storeTimeout, func(message wire.Message, err error) {
@@ -34,7 +33,7 @@
 	}
 }
 
-// sampleGet asks a store for samples of a step.
+// sampleGet returns a request for samples of a step.
 func (s *Scheduler) sampleGet(step *stepState, references []wire.SampleReference) *wire.SampleGet {
 	return &wire.SampleGet{Trainer: s.config.Trainer, Step: step.request.Step, References: references}
 }
--- a/internal/standalone/rollout/config.go
+++ b/internal/standalone/rollout/config.go
@@ -11,47 +11,49 @@
 )
 
 const (
-	// pumpPeriod is the time between checks of waiting samples and tails.
-	pumpPeriod = 50 * time.Millisecond
-	// slotRetry is the wait after an attempt that failed.
-	slotRetry = 200 * time.Millisecond
-	// sealRetry is the wait after the quorum could not decide.
-	sealRetry = 500 * time.Millisecond
-	// storeTimeout bounds one message to a sample store.
+	// tickInterval is the time between two ticks of the scheduler.
+	tickInterval = 50 * time.Millisecond
+	// slotRetryDelay is the delay before a failed attempt, scoring or store
+	// write is retried.
+	slotRetryDelay = 200 * time.Millisecond
+	// registerRetryDelay is the delay before a failed register or sample-read
+	// operation is retried.
+	registerRetryDelay = 500 * time.Millisecond
+	// storeTimeout bounds one call to a sample store.
 	storeTimeout = 3 * time.Second
-	// lossTimeout is how long the samples of a manifest are looked for before
-	// those that no store has are generated anew.
-	lossTimeout = 15 * time.Second
+	// missingSampleTimeout is how long the scheduler searches the stores for
+	// samples of a manifest before it regenerates the missing ones.
+	missingSampleTimeout = 15 * time.Second
 	// sampleAttempts bounds the dispatches of one attempt.
 	sampleAttempts = 64
 	// sampleDeadline bounds one dispatch of a sample.
 	sampleDeadline = 8 * time.Minute
-	// keptAcked is how many acknowledged steps stay in memory.
-	keptAcked = 2
-	// chunkTokens is how many tokens of a sample an engine reports together.
+	// maxRetainedAcked is how many acknowledged steps stay in memory.
+	maxRetainedAcked = 2
+	// chunkTokens is the number of tokens per chunk that an engine reports.
 	chunkTokens = 16
 )
 
-// Registers decides the manifests.
+// Registers are the quorum registers that decide manifests.
 type Registers interface {
 	Propose(register string, ballot uint64, value []byte, done func([]byte, error))
 	Read(register string, ballot uint64, done func([]byte, error))
 }
 
-// Scorer judges a sample before it counts as finished.
+// Scorer scores finished samples.
 type Scorer interface {
 	Score(url string, sample []byte, done func(float64, error))
 }
 
-// Stores tells where samples are kept.
+// Stores lists the sample stores.
 type Stores interface {
-	// Usable returns the nodes with a data folder that can be reached.
+	// Usable returns the reachable nodes that have a data folder.
 	Usable() []wire.Member
-	// Copies is how many stores must hold a sample.
+	// Copies returns how many stores must hold each sample.
 	Copies() int
 }
 
-// Config is what a Scheduler needs.
+// Config holds the settings and dependencies of a Scheduler.
 type Config struct {
 	Trainer   string
 	Token     uint64
@@ -64,8 +66,10 @@
 	Registers Registers
 	Scorer    Scorer
 	Stores    Stores
-	// Plan returns the trainer and its engines as they are now, or nil.
+	// Plan returns the trainer and its current engines, or nil if the trainer
+	// is not declared.
 	Plan func() *engineplan.TrainerPlan
-	// OnSuperseded is called when another holder's ballot was seen.
+	// OnSuperseded is called when a holder with a greater fencing token is
+	// detected.
 	OnSuperseded func()
 }
--- a/internal/standalone/rollout/finish.go
+++ b/internal/standalone/rollout/finish.go
@@ -8,17 +8,18 @@
 	"github.com/pathtally/pathtally/internal/standalone/stream"
 )
 
-// checkAge gives up a sample whose first tokens are already too old for the
-// step, instead of generating the rest in vain.
-func (s *Scheduler) checkAge(running *attempt) {
+// checkStaleness abandons an attempt whose oldest token is already too stale
+// for the step, which saves generating the rest.
+func (s *Scheduler) checkStaleness(running *attempt) {
 	oldest := stream.OldestVersion(running.machine.Segments())
-	if oldest >= s.bound(running.slot.step) {
+	if oldest >= s.minVersion(running.slot.step) {
 		return
 	}
 	s.abandon(running)
 }
 
-// abandon ends an attempt without a result and has its slot tried again.
+// abandon ends an attempt without a result and requeues its slot if no other
+// attempt is running.
 func (s *Scheduler) abandon(running *attempt) {
 	s.cancelAttempt(running)
 	if len(running.slot.attempts) == 0 && running.slot.state == slotRunning {
@@ -40,8 +41,9 @@
 	}
 }
 
-// finished takes in the result of an attempt.
-func (s *Scheduler) finished(running *attempt, result request.Result) {
+// handleResult processes the result of an attempt. A complete sample goes to
+// the scorer; otherwise the slot is retried.
+func (s *Scheduler) handleResult(running *attempt, result request.Result) {
 	filled := running.slot
 	if !result.Done() {
 		s.abandon(running)
@@ -55,7 +57,7 @@
 	s.predictor.Observe(filled.prompt, result.Tokens)
 	s.reorder = true
 	filled.step.durations = append(filled.step.durations, s.config.Clock.Now().Sub(running.started))
-	if stream.OldestVersion(result.Segments) < s.bound(filled.step) {
+	if stream.OldestVersion(result.Segments) < s.minVersion(filled.step) {
 		s.requeue(filled)
 		return
 	}
@@ -70,15 +72,15 @@
 		Segments: result.Segments,
 	}
 	s.score(filled, sample)
-	s.pump()
+	s.dispatchPending()
 }
 
-// score has a sample judged, as often as it takes.
+// score has a sample scored, with retries until the scorer succeeds.
 func (s *Scheduler) score(filled *slot, sample Sample) {
 	filled.state = slotScoring
 	data, err := json.Marshal(sample)
 	if err != nil {
-		s.logNotEncoded(err, filled)
+		s.logEncodeFailure(err, filled)
 		s.requeue(filled)
 		return
 	}
@@ -88,7 +90,7 @@
 			return
 		}
 		if err != nil {
-			s.later(slotRetry, func() {
+			s.runAfter(slotRetryDelay, func() {
 				if filled.state == slotScoring {
 					s.score(filled, sample)
 				}
@@ -96,6 +98,6 @@
 			return
 		}
 		sample.Score = score
-		s.keep(filled, sample)
+		s.storeSample(filled, sample)
 	})
 }
--- a/internal/standalone/rollout/policy.go
+++ b/internal/standalone/rollout/policy.go
@@ -7,42 +7,45 @@
 )
 
 const (
-	// basePriority is the engine priority of the samples of a step that is
-	// not urgent. Engines take values of 1 and more.
+	// basePriority is the engine priority of a step that is not urgent. Engine
+	// priorities start at 1.
 	basePriority = 10
 	minPriority  = 1
-	// priorityStep is between two successive open steps.
+	// priorityStep is the priority difference between successive open steps.
 	priorityStep = 5
-	// urgentSteps is how many priority steps above the base the oldest open
-	// step runs.
-	urgentSteps = 2
-	// maxLoadShare is the part of an engine's slots that samples may fill. The
-	// rest is left to live callers, and every sample decodes faster.
+	// urgentPrioritySteps is how many priority steps above basePriority the
+	// oldest open step runs.
+	urgentPrioritySteps = 2
+	// maxLoadShare is the fraction of an engine's slots that samples may
+	// occupy. The rest is reserved for live requests, and lower load speeds up
+	// decoding.
 	maxLoadShare = 0.8
-	// freshLag is how many weight versions behind the one that a step trains
-	// the newest engine can be: the step before is still being trained.
-	freshLag = 1
+	// freshVersionLag is how many weight versions the newest engine may lag
+	// behind the version that a step trains: the previous step is still in
+	// training.
+	freshVersionLag = 1
 )
 
-// samplePolicy decides the order, urgency and look-ahead of a trainer's samples.
+// samplePolicy decides the order, priority and look-ahead of a trainer's
+// samples.
 type samplePolicy struct{ trainer *v1.Trainer }
 
-// stepsAhead returns how many steps beyond the oldest open one may run.
+// stepsAhead returns how many steps after the oldest open one may run.
 func (p samplePolicy) stepsAhead() int { return p.trainer.Spec.StepsAhead }
 
-// oldestVersion returns the least weight version of an engine that may start a
-// sample of a step that trains trainVersion. A trainer that prizes low
-// staleness waits for engines with the newest weights there can be.
-func (p samplePolicy) oldestVersion(trainVersion int64) int64 {
+// minStartVersion returns the lowest weight version of an engine that may
+// start a sample of a step that trains trainVersion. With the staleness
+// objective, samples wait for engines with the newest available weights.
+func (p samplePolicy) minStartVersion(trainVersion int64) int64 {
 	if p.trainer.Spec.Objective == v1.ObjectiveStaleness {
-		return trainVersion - freshLag
+		return trainVersion - freshVersionLag
 	}
 	return trainVersion - p.trainer.Spec.MaxStaleness
 }
 
-// order sorts slots that wait for dispatch, the first to go first: the longest
-// expected, and among equals the first samples of their prompts.
-func (p samplePolicy) order(slots []prediction) {
+// sort sorts pending slots in dispatch order: longest predicted sample first;
+// ties go to the sample with the lower index within its prompt.
+func (p samplePolicy) sort(slots []prediction) {
 	slices.SortStableFunc(slots, func(a, b prediction) int {
 		if a.tokens > b.tokens {
 			return -1
@@ -54,8 +57,8 @@
 	})
 }
 
-// priority returns the engine priority of the samples of an open step; place 0
-// is the oldest open step.
-func (p samplePolicy) priority(place int) int {
-	return max(minPriority, basePriority+(urgentSteps-place)*priorityStep)
+// priority returns the engine priority of the open step at the given position;
+// position 0 is the oldest.
+func (p samplePolicy) priority(position int) int {
+	return max(minPriority, basePriority+(urgentPrioritySteps-position)*priorityStep)
 }
--- a/internal/standalone/rollout/prediction.go
+++ b/internal/standalone/rollout/prediction.go
@@ -1,10 +1,10 @@
 package rollout
 
-// prediction is a waiting slot with the length expected of it in tokens.
+// prediction is a pending slot with its predicted length in tokens.
 type prediction struct {
 	slot   uint32
 	tokens float64
-	// sample is the place among the samples of the slot's prompt. The first
-	// ones show how long the others will be.
+	// sample is the index among the samples of the slot's prompt. The lengths
+	// of the first samples help predict those of the others.
 	sample int
 }
--- a/internal/standalone/rollout/predictor.go
+++ b/internal/standalone/rollout/predictor.go
@@ -3,28 +3,30 @@
 import "github.com/cespare/xxhash/v2"
 
 const (
-	// predictorGain is the weight of the newest length of a prompt.
-	predictorGain = 0.3
-	// maxPredictions bounds the prompts remembered.
+	// lengthWeight is the weight of the newest length in the moving average of
+	// a prompt.
+	lengthWeight = 0.3
+	// maxPredictions bounds the number of prompts tracked.
 	maxPredictions = 1 << 16
 )
 
-// Predictor remembers how long the answers to a prompt were.
+// Predictor predicts the length of a sample from earlier samples of its
+// prompt.
 type Predictor struct {
 	lengths map[uint64]float64
 	mean    float64
 }
 
-// NewPredictor returns a predictor that knows no prompt.
+// NewPredictor returns a predictor without observations.
 func NewPredictor() *Predictor { return &Predictor{lengths: map[uint64]float64{}} }
 
-// Observe takes in the length of one answer.
+// Observe records the length of a sample.
 func (p *Predictor) Observe(prompt string, tokens int) {
 	length := float64(tokens)
 	if p.mean == 0 {
 		p.mean = length
 	}
-	p.mean += predictorGain / 10 * (length - p.mean)
+	p.mean += lengthWeight / 10 * (length - p.mean)
 	hash := xxhash.Sum64String(prompt)
 	known, found := p.lengths[hash]
 	if !found {
@@ -34,10 +36,11 @@
 		p.lengths[hash] = length
 		return
 	}
-	p.lengths[hash] = known + predictorGain*(length-known)
+	p.lengths[hash] = known + lengthWeight*(length-known)
 }
 
-// Predict returns the length expected; prompts never seen get the mean.
+// Predict returns the expected length in tokens. For an unknown prompt it
+// returns the mean over all prompts.
 func (p *Predictor) Predict(prompt string) float64 {
 	if known, found := p.lengths[xxhash.Sum64String(prompt)]; found {
 		return known
--- a/internal/standalone/rollout/recover.go
+++ b/internal/standalone/rollout/recover.go
@@ -13,14 +13,15 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// recover finds out what an earlier holder has done for a step: a manifest
-// that was decided, or samples that are stored.
+// recover restores what an earlier holder left for a step: a decided manifest
+// or stored samples.
 func (s *Scheduler) recover(step *stepState) {
 	step.phase = phaseRecovering
 	s.readManifest(step, 0, nil)
 }
 
-// readManifest looks for the newest decided revision.
+// readManifest searches for the newest decided revision, from the given one
+// upwards.
 func (s *Scheduler) readManifest(step *stepState, revision int, newest []byte) {
 	name := registerName(s.config.Trainer, step.request.Step, revision)
 	s.config.Registers.Read(name, s.config.Token, func(value []byte, err error) {
@@ -29,29 +30,29 @@
 		case errors.Is(err, quorum.ErrSuperseded):
 			s.superseded()
 		case err != nil:
-			s.later(sealRetry, func() { s.readManifest(step, revision, newest) })
+			s.runAfter(registerRetryDelay, func() { s.readManifest(step, revision, newest) })
 		case value != nil:
 			s.readManifest(step, revision+1, value)
 		case newest != nil:
-			s.adopt(step, newest)
+			s.adoptManifest(step, newest)
 		default:
 			s.listSamples(step)
 		}
 	})
 }
 
-// listed are the samples of a step that stores hold, each with the copies of it
-// that they have.
-type listed map[wire.SampleReference]map[string]bool
+// sampleHolders maps each stored sample of a step to the keys of the stores
+// that hold it.
+type sampleHolders map[wire.SampleReference]map[string]bool
 
-// add records what one store holds.
-func (l listed) add(store wire.Member, found *wire.Samples) {
+// add records the samples that one store holds.
+func (h sampleHolders) add(store wire.Member, found *wire.Samples) {
 	for _, sample := range found.Samples {
 		reference := wire.SampleReference{Slot: sample.Slot, Digest: sample.Digest}
-		if l[reference] == nil {
-			l[reference] = map[string]bool{}
+		if h[reference] == nil {
+			h[reference] = map[string]bool{}
 		}
-		l[reference][copyName(store)] = true
+		h[reference][storeKey(store)] = true
 	}
 }
 
@@ -59,26 +60,27 @@
 func (s *Scheduler) listSamples(step *stepState) {
 	stores := s.usableStores()
 	if len(stores) == 0 {
-		s.later(sealRetry, func() { s.listSamples(step) })
+		s.runAfter(registerRetryDelay, func() { s.listSamples(step) })
 		return
 	}
-	answered, holders := 0, listed{}
+	responded, holders := 0, sampleHolders{}
 	request := &wire.SampleList{Trainer: s.config.Trainer, Step: step.request.Step}
-	s.askStores(stores, request, func(store wire.Member, found *wire.Samples) {
-		answered++
+	s.callStores(stores, request, func(store wire.Member, found *wire.Samples) {
+		responded++
 		holders.add(store, found)
 	}, func() {
-		if answered == 0 {
-			s.later(sealRetry, func() { s.listSamples(step) })
+		if responded == 0 {
+			s.runAfter(registerRetryDelay, func() { s.listSamples(step) })
 			return
 		}
-		s.fetchListed(step, holders)
+		s.fetchSamples(step, holders)
 	})
 }
 
-// fetchListed reads the samples found, so that their versions are known, and
-// then generates what is missing.
-func (s *Scheduler) fetchListed(step *stepState, holders listed) {
+// fetchSamples reads the listed samples to learn their weight versions, then
+// generates the missing ones. If a manifest copy is found, it is proposed
+// again instead.
+func (s *Scheduler) fetchSamples(step *stepState, holders sampleHolders) {
 	references := chooseSamples(step, holders)
 	if len(references) == 0 {
 		s.generate(step)
@@ -97,20 +99,21 @@
 		fetched()
 		return
 	}
-	s.askStores(stores, s.sampleGet(step, references), func(_ wire.Member, found *wire.Samples) {
-		takeSamples(step, found)
+	s.callStores(stores, s.sampleGet(step, references), func(_ wire.Member, found *wire.Samples) {
+		acceptSamples(step, found)
 		newest = newestManifest(newest, found)
 	}, fetched)
 }
 
-// chooseSamples takes for each slot the sample with the most copies, and returns
-// what is to be read: these, and the copies of manifests.
-func chooseSamples(step *stepState, holders listed) []wire.SampleReference {
+// chooseSamples selects the sample with the most copies for each slot, and
+// returns the references to fetch: the selected samples and all manifest
+// copies.
+func chooseSamples(step *stepState, holders sampleHolders) []wire.SampleReference {
 	var references []wire.SampleReference
 	for _, reference := range slices.SortedFunc(maps.Keys(holders), wire.SampleReference.Compare) {
 		if reference.Slot == manifestSlot {
-			// The registers know of no manifest, but one was decided before
-			// they were lost.
+			// The registers hold no manifest, but one was decided before their
+			// data was lost.
 			references = append(references, reference)
 			continue
 		}
@@ -131,38 +134,38 @@
 	return references
 }
 
-// newestManifest returns the manifest of the greatest revision among one known
-// and those that a store returned.
+// newestManifest returns the manifest with the greatest revision among the
+// known one and those in a store's response.
 func newestManifest(known []byte, found *wire.Samples) []byte {
 	newest, revision := known, -1
 	if known != nil {
-		revision = revisionOf(known)
+		revision = manifestRevision(known)
 	}
 	for _, sample := range found.Samples {
-		if sample.Slot == manifestSlot && revisionOf(sample.Data) > revision {
-			newest, revision = sample.Data, revisionOf(sample.Data)
+		if sample.Slot == manifestSlot && manifestRevision(sample.Data) > revision {
+			newest, revision = sample.Data, manifestRevision(sample.Data)
 		}
 	}
 	return newest
 }
 
-func revisionOf(value []byte) int {
+func manifestRevision(value []byte) int {
 	var manifest Manifest
 	if err := json.Unmarshal(value, &manifest); err != nil {
-		klog.Background().Error(err, "manifest is not readable and passed over")
+		klog.Background().Error(err, "cannot decode stored manifest; ignoring it")
 		return -1
 	}
 	return manifest.Revision
 }
 
-// repropose puts a manifest that the stores kept back into its register.
+// repropose proposes a manifest copy from the stores to its register again.
 func (s *Scheduler) repropose(step *stepState, value []byte) {
 	step.phase = phaseSealing
-	step.revision = revisionOf(value)
+	step.revision = manifestRevision(value)
 	s.propose(step, value)
 }
 
-// generate queues every slot for which nothing usable was found.
+// generate queues every slot without a usable stored sample.
 func (s *Scheduler) generate(step *stepState) {
 	step.phase = phaseGenerating
 	var found []*slot
@@ -170,53 +173,54 @@
 		var sample Sample
 		if held.data != nil {
 			if err := json.Unmarshal(held.data, &sample); err != nil {
-				klog.Background().Error(err, "stored sample is not readable and generated anew", "trainer", s.config.Trainer, "step", step.request.Step, "slot", held.index)
+				klog.Background().Error(err, "cannot decode stored sample; regenerating it", "trainer", s.config.Trainer, "step", step.request.Step, "slot", held.index)
 			} else {
-				held.oldest = stream.OldestVersion(sample.Segments)
+				held.oldestVersion = stream.OldestVersion(sample.Segments)
 			}
 		}
-		if held.oldest >= s.bound(step) && held.oldest > 0 {
+		if held.oldestVersion >= s.minVersion(step) && held.oldestVersion > 0 {
 			held.state = slotStoring
 			found = append(found, held)
 			continue
 		}
-		held.digest, held.data, held.oldest = 0, nil, 0
+		held.digest, held.data, held.oldestVersion = 0, nil, 0
 		held.copies = map[string]bool{}
 		step.pending = append(step.pending, held)
 	}
-	s.orderPending(step)
+	s.sortPending(step)
 	for _, held := range found {
 		s.replicate(held)
 	}
-	s.pump()
+	s.dispatchPending()
 }
 
-// expected is the length expected of a waiting sample: at least what running
-// samples of the same prompt have reached.
-func (s *Scheduler) expected(waiting *slot) float64 {
+// expectedTokens returns the expected length of a pending sample: the
+// prediction, or the length reached by a running sample of the same prompt if
+// that is greater.
+func (s *Scheduler) expectedTokens(waiting *slot) float64 {
 	tokens := s.predictor.Predict(waiting.prompt)
 	group := waiting.step.request.SamplesPerPrompt
 	first := int(waiting.index) / group * group
-	for _, mate := range waiting.step.slots[first : first+group] {
-		for _, running := range mate.attempts {
+	for _, sibling := range waiting.step.slots[first : first+group] {
+		for _, running := range sibling.attempts {
 			tokens = max(tokens, float64(running.machine.Tokens()))
 		}
 	}
 	return tokens
 }
 
-// orderPending sorts the waiting slots as the policy wants them.
-func (s *Scheduler) orderPending(step *stepState) {
+// sortPending sorts the pending slots by the policy.
+func (s *Scheduler) sortPending(step *stepState) {
 	predictions := make([]prediction, len(step.pending))
 	for i, waiting := range step.pending {
 		predictions[i] = prediction{
 			slot:   waiting.index,
-			tokens: s.expected(waiting),
+			tokens: s.expectedTokens(waiting),
 			sample: int(waiting.index) % step.request.SamplesPerPrompt,
 		}
 	}
-	s.policy().order(predictions)
-	for i, predicted := range predictions {
-		step.pending[i] = step.slots[predicted.slot]
+	s.policy().sort(predictions)
+	for i, entry := range predictions {
+		step.pending[i] = step.slots[entry.slot]
 	}
 }
--- a/internal/standalone/rollout/repair.go
+++ b/internal/standalone/rollout/repair.go
@@ -2,13 +2,13 @@
 
 import "github.com/pathtally/pathtally/internal/wire"
 
-// repair puts the samples of open steps on further stores after a store has
-// gone or has lost its disk, so that a second loss does not lose them.
+// repair writes further copies of the samples of open steps after a store has
+// left or lost its disk, so that another failure does not lose them.
 func (s *Scheduler) repair() {
 	stores := s.usableStores()
 	usable := map[string]bool{}
 	for _, store := range stores {
-		usable[copyName(store)] = true
+		usable[storeKey(store)] = true
 	}
 	if !s.storesChanged(usable) {
 		return
@@ -43,18 +43,18 @@
 		if count >= s.config.Stores.Copies() {
 			return
 		}
-		if held.copies[copyName(store)] {
+		if held.copies[storeKey(store)] {
 			continue
 		}
 		count++
-		s.repairOn(store, held, digest)
+		s.repairCopy(store, held, digest)
 	}
 }
 
-func (s *Scheduler) repairOn(store wire.Member, held *slot, digest uint64) {
+func (s *Scheduler) repairCopy(store wire.Member, held *slot, digest uint64) {
 	s.put(store, held.step.request.Step, held.index, digest, held.data, func(stored bool) {
 		if stored && held.digest == digest {
-			held.copies[copyName(store)] = true
+			held.copies[storeKey(store)] = true
 		}
 	})
 }
--- a/internal/standalone/rollout/scheduler.go
+++ b/internal/standalone/rollout/scheduler.go
@@ -11,18 +11,19 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// Scheduler fills the steps of one trainer under one fencing token. It
-// belongs to one goroutine.
+// Scheduler fills the steps of one trainer under one fencing token. It is not
+// safe for concurrent use: all calls must come from one goroutine.
 type Scheduler struct {
 	config    Config
 	steps     map[uint64]*stepState
 	predictor *Predictor
 	stopped   bool
 	parked    []*attempt
-	// reorder is set when what is known of the waiting samples has changed.
+	// reorder is set when new length observations may change the order of
+	// pending slots.
 	reorder  bool
 	lastPlan *engineplan.TrainerPlan
-	// lastStores are the stores at the last repair, by copyName.
+	// lastStores are the usable stores at the last repair, by storeKey.
 	lastStores map[string]bool
 	timer      environment.Timer
 }
@@ -32,38 +33,38 @@
 	return &Scheduler{config: config, steps: map[uint64]*stepState{}, predictor: NewPredictor()}
 }
 
-// Start begins the periodic work.
+// Start runs one tick and schedules the next.
 func (s *Scheduler) Start() {
 	if s.stopped {
 		return
 	}
-	s.pump()
-	s.watchTails()
+	s.dispatchPending()
+	s.checkTails()
 	s.repair()
-	s.timer = s.config.Clock.AfterFunc(pumpPeriod, s.Start)
+	s.timer = s.config.Clock.AfterFunc(tickInterval, s.Start)
 }
 
-// Stop cancels all attempts and tells waiting trainers to look elsewhere.
+// Stop cancels all attempts and fails waiting fetches with ErrStopped.
 func (s *Scheduler) Stop() {
 	if s.stopped {
 		return
 	}
 	s.stopped = true
-	for _, number := range s.numbers() {
+	for _, number := range s.stepNumbers() {
 		step := s.steps[number]
 		for _, running := range step.slots {
 			s.cancelAttempts(running)
 		}
-		s.answer(step, nil, merry.Wrap(ErrStopped))
+		s.completeFetches(step, nil, merry.Wrap(ErrStopped))
 	}
 }
 
-func (s *Scheduler) numbers() []uint64 { return slices.Sorted(maps.Keys(s.steps)) }
+func (s *Scheduler) stepNumbers() []uint64 { return slices.Sorted(maps.Keys(s.steps)) }
 
-// openSteps returns the steps not acknowledged, oldest first.
+// openSteps returns the unacknowledged steps, oldest first.
 func (s *Scheduler) openSteps() []*stepState {
 	var open []*stepState
-	for _, number := range s.numbers() {
+	for _, number := range s.stepNumbers() {
 		if !s.steps[number].acked {
 			open = append(open, s.steps[number])
 		}
@@ -71,7 +72,7 @@
 	return open
 }
 
-// Submit opens a step. The same submission again changes nothing.
+// Submit opens a step. It is idempotent for the same request.
 func (s *Scheduler) Submit(request StepRequest) error {
 	if s.stopped {
 		return merry.Wrap(ErrStopped)
@@ -95,9 +96,9 @@
 	return nil
 }
 
-// Fetch calls done with the sealed step, once it is there and every sample is
-// within the bound of the version that the trainer will train. The function
-// returned ends the wait.
+// Fetch calls done with the sealed step once every sample is within the
+// staleness bound of trainVersion, or with an error. The returned function
+// cancels the wait.
 func (s *Scheduler) Fetch(number uint64, trainVersion int64, done func([]byte, error)) (cancel func()) {
 	step := s.steps[number]
 	if s.stopped {
@@ -111,14 +112,14 @@
 	added := &waiter{trainVersion: max(trainVersion, step.request.TrainVersion), done: done}
 	step.waiters = append(step.waiters, added)
 	if step.phase == phaseSealed {
-		s.handOver(step)
+		s.deliver(step)
 	}
 	return func() {
 		step.waiters = slices.DeleteFunc(step.waiters, func(held *waiter) bool { return held == added })
 	}
 }
 
-// Acknowledge tells that the trainer has taken a step in.
+// Acknowledge records that the trainer has consumed a step.
 func (s *Scheduler) Acknowledge(number uint64) error {
 	step := s.steps[number]
 	if step == nil || step.phase != phaseSealed {
@@ -126,22 +127,22 @@
 	}
 	step.acked = true
 	acked := 0
-	numbers := s.numbers()
+	numbers := s.stepNumbers()
 	for i := len(numbers) - 1; i >= 0; i-- {
 		if !s.steps[numbers[i]].acked {
 			continue
 		}
 		acked++
-		if acked > keptAcked {
+		if acked > maxRetainedAcked {
 			delete(s.steps, numbers[i])
 		}
 	}
-	s.pump()
+	s.dispatchPending()
 	return nil
 }
 
-// answer ends all waits for a step.
-func (s *Scheduler) answer(step *stepState, body []byte, err error) {
+// completeFetches completes all waiting fetches of a step.
+func (s *Scheduler) completeFetches(step *stepState, body []byte, err error) {
 	waiters := step.waiters
 	step.waiters = nil
 	for _, waiting := range waiters {
@@ -149,8 +150,8 @@
 	}
 }
 
-// plan returns the trainer and its engines; while the trainer is not declared
-// any more, those last known.
+// plan returns the trainer and its engines, or the last known ones if the
+// trainer is no longer declared.
 func (s *Scheduler) plan() *engineplan.TrainerPlan {
 	if current := s.config.Plan(); current != nil {
 		s.lastPlan = current
@@ -158,11 +159,11 @@
 	return s.lastPlan
 }
 
-// policy returns the policy for the trainer as it is declared now.
+// policy returns the policy for the trainer's current specification.
 func (s *Scheduler) policy() samplePolicy { return samplePolicy{trainer: s.plan().Trainer} }
 
-// bound is the least version allowed in a sample of a step.
-func (s *Scheduler) bound(step *stepState) int64 {
+// minVersion returns the lowest weight version allowed in a sample of a step.
+func (s *Scheduler) minVersion(step *stepState) int64 {
 	oldest := step.request.TrainVersion
 	for _, waiting := range step.waiters {
 		oldest = max(oldest, waiting.trainVersion)
@@ -170,17 +171,17 @@
 	return oldest - s.plan().Trainer.Spec.MaxStaleness
 }
 
-// requeue puts a slot back among those that wait for an attempt.
+// requeue discards a slot's sample and makes the slot pending again after a
+// delay.
 func (s *Scheduler) requeue(returned *slot) {
 	if returned.state == slotFilled {
 		returned.step.unfilled++
 	}
 	returned.state = slotPending
-	returned.digest, returned.oldest, returned.data = 0, 0, nil
+	returned.digest, returned.oldestVersion, returned.data = 0, 0, nil
 	returned.copies = map[string]bool{}
-	returned.notBefore = s.config.Clock.Now().Add(slotRetry)
+	returned.notBefore = s.config.Clock.Now().Add(slotRetryDelay)
 	returned.step.pending = append(returned.step.pending, returned)
 }
 
-// usableStores returns the stores for a slot, those of different zones first.
 func (s *Scheduler) usableStores() []wire.Member { return s.config.Stores.Usable() }
--- a/internal/standalone/rollout/seal.go
+++ b/internal/standalone/rollout/seal.go
@@ -14,7 +14,7 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-func asRemote(err error) (*wire.RemoteError, bool) {
+func asRemoteError(err error) (*wire.RemoteError, bool) {
 	var remote *wire.RemoteError
 	found := errors.As(err, &remote)
 	return remote, found
@@ -24,17 +24,18 @@
 	return fmt.Sprintf("manifest/%s/%d/%d", trainer, step, revision)
 }
 
-// seal proposes the manifest of the filled slots. Whatever the register
-// decides stands, be it this proposal or that of an earlier holder.
+// seal proposes the manifest of the filled slots. The manifest that the
+// register decides is binding, whether it is this proposal or that of an
+// earlier holder.
 func (s *Scheduler) seal(step *stepState) {
 	step.phase = phaseSealing
 	manifest := &Manifest{Trainer: s.config.Trainer, Step: step.request.Step, Revision: step.revision, TrainVersion: step.request.TrainVersion}
 	for _, filled := range step.slots {
-		manifest.Samples = append(manifest.Samples, ManifestEntry{Slot: filled.index, Digest: filled.digest, Oldest: filled.oldest})
+		manifest.Samples = append(manifest.Samples, ManifestEntry{Slot: filled.index, Digest: filled.digest, Oldest: filled.oldestVersion})
 	}
 	value, err := json.Marshal(manifest)
 	if err != nil {
-		s.answer(step, nil, merry.Wrap(err))
+		s.completeFetches(step, nil, merry.Wrap(err))
 		return
 	}
 	s.propose(step, value)
@@ -51,29 +52,30 @@
 			return
 		}
 		if err != nil {
-			s.later(sealRetry, func() { s.propose(step, value) })
+			s.runAfter(registerRetryDelay, func() { s.propose(step, value) })
 			return
 		}
-		s.copyManifest(step, decided, func() { s.adopt(step, decided) })
+		s.replicateManifest(step, decided, func() { s.adoptManifest(step, decided) })
 	})
 }
 
-// copyManifest leaves copies with the stores before the step is handed over,
-// so that the same manifest is found again if the quorum is lost as a whole.
-func (s *Scheduler) copyManifest(step *stepState, value []byte, done func()) {
-	copies := &manifestCopies{scheduler: s, step: step.request.Step, value: value, digest: xxhash.Sum64(value), holders: map[string]bool{}, done: done}
-	copies.spread()
+// replicateManifest writes copies of the manifest to the stores before the
+// step is delivered, so that the same manifest can be recovered if the whole
+// quorum is lost.
+func (s *Scheduler) replicateManifest(step *stepState, value []byte, done func()) {
+	replicator := &manifestReplicator{scheduler: s, step: step.request.Step, value: value, digest: xxhash.Sum64(value), holders: map[string]bool{}, done: done}
+	replicator.replicate()
 }
 
-// adopt takes a decided manifest as the step's content and fetches whatever
-// samples of it are not in memory.
-func (s *Scheduler) adopt(step *stepState, value []byte) {
+// adoptManifest makes a decided manifest the content of the step and fetches
+// the samples that are not in memory.
+func (s *Scheduler) adoptManifest(step *stepState, value []byte) {
 	manifest := &Manifest{}
 	err := json.Unmarshal(value, manifest)
 	if err != nil || len(manifest.Samples) != len(step.slots) {
-		klog.Background().Error(err, "decided manifest does not fit the step", "trainer", s.config.Trainer, "step", step.request.Step,
+		klog.Background().Error(err, "decided manifest is invalid or does not match the step", "trainer", s.config.Trainer, "step", step.request.Step,
 			"samples", len(manifest.Samples), "slots", len(step.slots))
-		s.answer(step, nil, merry.Wrap(ErrStepConflict))
+		s.completeFetches(step, nil, merry.Wrap(ErrStepConflict))
 		return
 	}
 	step.manifest = manifest
@@ -88,19 +90,19 @@
 			missing = append(missing, wire.SampleReference{Slot: entry.Slot, Digest: entry.Digest})
 			held.data = nil
 		}
-		held.state, held.digest, held.oldest = slotFilled, entry.Digest, entry.Oldest
+		held.state, held.digest, held.oldestVersion = slotFilled, entry.Digest, entry.Oldest
 	}
 	step.unfilled = 0
 	if len(missing) == 0 {
-		s.sealed(step)
+		s.markSealed(step)
 		return
 	}
-	step.gathering = s.config.Clock.Now()
-	s.gather(step, missing)
+	step.fetchingSince = s.config.Clock.Now()
+	s.fetchMissing(step, missing)
 }
 
-// lostSlots lists the slots of a manifest whose sample no store has returned.
-func lostSlots(step *stepState) []*slot {
+// slotsWithoutData returns the slots whose sample no store has returned.
+func slotsWithoutData(step *stepState) []*slot {
 	var lost []*slot
 	for _, held := range step.slots {
 		if held.data == nil {
@@ -110,52 +112,54 @@
 	return lost
 }
 
-// replace generates some slots of a decided manifest anew, for the next
-// revision of the step.
-func (s *Scheduler) replace(step *stepState, slots []*slot) {
+// regenerate requeues slots of a decided manifest for the next revision of the
+// step.
+func (s *Scheduler) regenerate(step *stepState, slots []*slot) {
 	step.phase = phaseGenerating
 	step.revision++
 	step.manifest = nil
 	for _, replaced := range slots {
 		s.requeue(replaced)
 	}
-	s.pump()
+	s.dispatchPending()
 }
 
-// gather asks every store for samples, and goes on asking while any is
-// missing: a store that is away may come back.
-func (s *Scheduler) gather(step *stepState, missing []wire.SampleReference) {
+// fetchMissing asks every store for the missing samples and retries until all
+// are found or missingSampleTimeout has passed, since an unreachable store may
+// return.
+func (s *Scheduler) fetchMissing(step *stepState, missing []wire.SampleReference) {
 	stores := s.usableStores()
 	if len(stores) == 0 {
-		s.later(sealRetry, func() { s.gather(step, missing) })
+		s.runAfter(registerRetryDelay, func() { s.fetchMissing(step, missing) })
 		return
 	}
-	s.askStores(stores, s.sampleGet(step, missing), func(_ wire.Member, found *wire.Samples) {
-		takeSamples(step, found)
+	s.callStores(stores, s.sampleGet(step, missing), func(_ wire.Member, found *wire.Samples) {
+		acceptSamples(step, found)
 	}, func() {
 		if step.phase == phaseSealing {
-			s.gathered(step, missing)
+			s.afterFetchMissing(step, missing)
 		}
 	})
 }
 
-// gathered goes on when all stores have been asked once.
-func (s *Scheduler) gathered(step *stepState, missing []wire.SampleReference) {
-	lost := lostSlots(step)
+// afterFetchMissing continues after every store has responded or failed.
+func (s *Scheduler) afterFetchMissing(step *stepState, missing []wire.SampleReference) {
+	lost := slotsWithoutData(step)
 	if len(lost) == 0 {
-		s.sealed(step)
+		s.markSealed(step)
 		return
 	}
-	if s.config.Clock.Now().Sub(step.gathering) > lossTimeout {
-		s.replace(step, lost)
+	if s.config.Clock.Now().Sub(step.fetchingSince) > missingSampleTimeout {
+		s.regenerate(step, lost)
 		return
 	}
-	s.answer(step, nil, merry.Wrap(ErrSampleLost))
-	s.later(sealRetry, func() { s.gather(step, missing) })
+	s.completeFetches(step, nil, merry.Wrap(ErrSampleLost))
+	s.runAfter(registerRetryDelay, func() { s.fetchMissing(step, missing) })
 }
 
-// takeSamples puts samples that stores returned into their slots.
-func takeSamples(step *stepState, found *wire.Samples) {
+// acceptSamples copies returned samples with a matching digest into their
+// slots.
+func acceptSamples(step *stepState, found *wire.Samples) {
 	for _, sample := range found.Samples {
 		if int(sample.Slot) >= len(step.slots) {
 			continue
@@ -167,38 +171,38 @@
 	}
 }
 
-func (s *Scheduler) sealed(step *stepState) {
+func (s *Scheduler) markSealed(step *stepState) {
 	step.phase = phaseSealed
-	s.handOver(step)
-	s.pump()
+	s.deliver(step)
+	s.dispatchPending()
 }
 
-// handOver answers the waiting trainer. A sample that has become too old for
-// the version that the trainer will train is not delivered but replaced, in a
-// new revision. That holds for an acknowledged step too: a trainer that asks
-// for one again has not trained it.
-func (s *Scheduler) handOver(step *stepState) {
+// deliver completes the waiting fetches of a sealed step. If a sample is too
+// stale for the version to be trained, it is regenerated in a new revision
+// instead. This applies to an acknowledged step too: a trainer that fetches it
+// again has not trained it.
+func (s *Scheduler) deliver(step *stepState) {
 	if len(step.waiters) == 0 {
 		return
 	}
-	bound := s.bound(step)
+	minVersion := s.minVersion(step)
 	var stale []*slot
 	for _, held := range step.slots {
-		if held.oldest < bound {
+		if held.oldestVersion < minVersion {
 			stale = append(stale, held)
 		}
 	}
 	if len(stale) > 0 {
 		step.acked = false
-		s.replace(step, stale)
+		s.regenerate(step, stale)
 		return
 	}
 	body, err := stepBody(step)
-	s.answer(step, body, err)
+	s.completeFetches(step, body, err)
 }
 
-// stepBody is the manifest and the samples as JSON lines, the same bytes for
-// the same manifest.
+// stepBody encodes the manifest and its samples as JSON lines. The encoding is
+// deterministic.
 func stepBody(step *stepState) ([]byte, error) {
 	header, err := json.Marshal(step.manifest)
 	if err != nil {
--- a/internal/standalone/rollout/step.go
+++ b/internal/standalone/rollout/step.go
@@ -9,10 +9,10 @@
 	"github.com/pathtally/pathtally/internal/standalone/stream"
 )
 
-// StepRequest is what a trainer submits.
+// StepRequest is a trainer's submission of a step.
 type StepRequest struct {
 	Step uint64 `json:"step"`
-	// TrainVersion is the weight version that the step will train.
+	// TrainVersion is the weight version that the step trains.
 	TrainVersion     int64    `json:"train_version"`
 	Prompts          []string `json:"prompts"`
 	SamplesPerPrompt int      `json:"samples_per_prompt"`
@@ -45,7 +45,7 @@
 	Score    float64          `json:"score"`
 }
 
-// Manifest names the samples of one revision of a step.
+// Manifest lists the samples of one revision of a step.
 type Manifest struct {
 	Trainer      string          `json:"trainer"`
 	Step         uint64          `json:"step"`
@@ -54,15 +54,16 @@
 	Samples      []ManifestEntry `json:"samples"`
 }
 
-// ManifestEntry is one slot of a manifest.
+// ManifestEntry identifies the sample of one slot.
 type ManifestEntry struct {
 	Slot   uint32 `json:"slot"`
 	Digest uint64 `json:"digest"`
-	// Oldest is the least weight version that produced a token of the sample.
+	// Oldest is the lowest weight version that generated a token of the
+	// sample.
 	Oldest int64 `json:"oldest"`
 }
 
-// phase is how far a step has come.
+// phase is the processing phase of a step.
 type phase int
 
 const (
@@ -72,7 +73,7 @@
 	phaseSealed
 )
 
-// stepState is an open step.
+// stepState is the state of a step in memory.
 type stepState struct {
 	request  StepRequest
 	digest   uint64
@@ -85,19 +86,21 @@
 	waiters  []*waiter
 	acked    bool
 	opened   time.Time
-	// gathering is since when samples of the manifest are looked for.
-	gathering time.Time
-	// durations are of the finished attempts, for telling the tail.
+	// fetchingSince is when the search for missing samples of the manifest
+	// began.
+	fetchingSince time.Time
+	// durations are those of finished attempts; their median detects late
+	// samples.
 	durations []time.Duration
 }
 
-// waiter is a trainer's fetch that waits for the step.
+// waiter is a fetch that waits for the step.
 type waiter struct {
 	trainVersion int64
 	done         func([]byte, error)
 }
 
-// slotState is how far a slot has come.
+// slotState is the processing state of a slot.
 type slotState int
 
 const (
@@ -108,19 +111,19 @@
 	slotFilled
 )
 
-// slot is one sample of a step: prompt and index, whatever the attempt.
+// slot is the place of one sample in a step, independent of its attempts.
 type slot struct {
-	step     *stepState
-	index    uint32
-	prompt   string
-	state    slotState
-	attempts []*attempt
-	attempt  int
-	digest   uint64
-	oldest   int64
-	data     []byte
-	copies   map[string]bool
-	// notBefore delays the next attempt after a failure.
+	step          *stepState
+	index         uint32
+	prompt        string
+	state         slotState
+	attempts      []*attempt
+	attempt       int
+	digest        uint64
+	oldestVersion int64
+	data          []byte
+	copies        map[string]bool
+	// notBefore is the earliest time of the next attempt.
 	notBefore time.Time
 }
 
@@ -134,8 +137,8 @@
 	return step
 }
 
-// running returns the slots with an attempt under way.
-func (s *stepState) running() []*slot {
+// runningSlots returns the slots in state slotRunning.
+func (s *stepState) runningSlots() []*slot {
 	var running []*slot
 	for _, candidate := range s.slots {
 		if candidate.state == slotRunning {
--- a/internal/standalone/rollout/keep.go
+++ b/internal/standalone/rollout/store.go
@@ -13,36 +13,38 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// manifestSlot is the slot number under which the stores keep a copy of the
+// manifestSlot is the slot number under which stores keep copies of the
 // manifest.
 const manifestSlot = ^uint32(0)
 
-// keep stores a sample; the slot is filled when enough stores have it.
-func (s *Scheduler) keep(filled *slot, sample Sample) {
+// storeSample encodes a scored sample and replicates it. The slot is filled
+// once enough stores hold a copy.
+func (s *Scheduler) storeSample(filled *slot, sample Sample) {
 	data, err := json.Marshal(sample)
 	if err != nil {
-		s.logNotEncoded(err, filled)
+		s.logEncodeFailure(err, filled)
 		s.requeue(filled)
 		return
 	}
 	filled.state = slotStoring
 	filled.data = data
 	filled.digest = xxhash.Sum64(data)
-	filled.oldest = stream.OldestVersion(sample.Segments)
+	filled.oldestVersion = stream.OldestVersion(sample.Segments)
 	s.replicate(filled)
 }
 
-// logNotEncoded tells why a finished sample is generated anew.
-func (s *Scheduler) logNotEncoded(err error, filled *slot) {
-	klog.Background().Error(err, "sample not encoded and generated anew", "trainer", s.config.Trainer, "step", filled.step.request.Step, "slot", filled.index)
+func (s *Scheduler) logEncodeFailure(err error, filled *slot) {
+	klog.Background().Error(err, "cannot encode sample; regenerating it", "trainer", s.config.Trainer, "step", filled.step.request.Step, "slot", filled.index)
 }
 
-// copyName names one store's memory: a store that lost its disk is another.
-func copyName(store wire.Member) string {
+// storeKey identifies a store and its disk: a store that lost its disk gets a
+// different key.
+func storeKey(store wire.Member) string {
 	return store.ID + "@" + strconv.FormatUint(store.Identity, 36)
 }
 
-// storesFor ranks the stores for a slot, alternating zones.
+// storesFor ranks the usable stores for a slot by rendezvous hashing,
+// alternating zones.
 func (s *Scheduler) storesFor(step uint64, slotIndex uint32) []wire.Member {
 	usable := s.usableStores()
 	byID := make(map[string]wire.Member, len(usable))
@@ -59,33 +61,33 @@
 	return ranked
 }
 
-// storesLacking returns the first stores in rank for a slot that lack a copy, as
-// many as copies are missing.
-func (s *Scheduler) storesLacking(step uint64, slotIndex uint32, holders map[string]bool) []wire.Member {
+// storesWithoutCopy returns the highest-ranked stores that lack a copy of a
+// slot, as many as there are missing copies.
+func (s *Scheduler) storesWithoutCopy(step uint64, slotIndex uint32, holders map[string]bool) []wire.Member {
 	missing := s.config.Stores.Copies() - len(holders)
 	var lacking []wire.Member
 	for _, store := range s.storesFor(step, slotIndex) {
 		if len(lacking) == missing {
 			break
 		}
-		if !holders[copyName(store)] {
+		if !holders[storeKey(store)] {
 			lacking = append(lacking, store)
 		}
 	}
 	return lacking
 }
 
-// replicate puts a slot's sample on as many more stores as it needs.
+// replicate writes a slot's sample to as many further stores as it needs.
 func (s *Scheduler) replicate(filled *slot) {
 	if s.stopped || filled.state != slotStoring {
 		return
 	}
 	if len(filled.copies) >= s.config.Stores.Copies() {
-		s.filled(filled)
+		s.markFilled(filled)
 		return
 	}
 	step, digest := filled.step.request.Step, filled.digest
-	lacking := s.storesLacking(step, filled.index, filled.copies)
+	lacking := s.storesWithoutCopy(step, filled.index, filled.copies)
 	waiting := len(lacking)
 	if waiting == 0 {
 		s.replicateLater(filled)
@@ -98,10 +100,10 @@
 				return
 			}
 			if stored {
-				filled.copies[copyName(store)] = true
+				filled.copies[storeKey(store)] = true
 			}
 			if len(filled.copies) >= s.config.Stores.Copies() {
-				s.filled(filled)
+				s.markFilled(filled)
 				return
 			}
 			if waiting == 0 {
@@ -112,13 +114,13 @@
 }
 
 func (s *Scheduler) replicateLater(filled *slot) {
-	s.config.Clock.AfterFunc(slotRetry, func() { s.replicate(filled) })
+	s.config.Clock.AfterFunc(slotRetryDelay, func() { s.replicate(filled) })
 }
 
 func (s *Scheduler) put(store wire.Member, step uint64, index uint32, digest uint64, data []byte, done func(bool)) {
 	put := &wire.SamplePut{Trainer: s.config.Trainer, Step: step, Slot: index, Digest: digest, Data: data, Token: s.config.Token}
 	s.config.Peers.Call(store.Address, put, storeTimeout, func(message wire.Message, err error) {
-		if remote, refused := asRemote(err); refused && remote.Code == wire.CodeStaleToken {
+		if remote, refused := asRemoteError(err); refused && remote.Code == wire.CodeStaleToken {
 			s.superseded()
 			return
 		}
@@ -127,7 +129,7 @@
 	})
 }
 
-func (s *Scheduler) filled(filled *slot) {
+func (s *Scheduler) markFilled(filled *slot) {
 	filled.state = slotFilled
 	filled.step.unfilled--
 	if filled.step.unfilled == 0 && filled.step.phase == phaseGenerating {
@@ -135,7 +137,8 @@
 	}
 }
 
-// superseded ends this scheduler: another holder has a greater token.
+// superseded stops the scheduler after a holder with a greater fencing token
+// was detected.
 func (s *Scheduler) superseded() {
 	if s.stopped {
 		return
--- a/internal/standalone/rollout/tail.go
+++ b/internal/standalone/rollout/tail.go
@@ -7,8 +7,9 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// watchTails moves or races the last samples of the oldest open step.
-func (s *Scheduler) watchTails() {
+// checkTails moves or hedges the last samples of the oldest step that is in
+// its tail.
+func (s *Scheduler) checkTails() {
 	plan := s.plan()
 	if plan == nil {
 		return
@@ -18,35 +19,35 @@
 		if step.phase != phaseGenerating || len(step.pending) > 0 {
 			continue
 		}
-		running := step.running()
+		running := step.runningSlots()
 		if len(running) == 0 || len(running) == len(step.slots) {
 			continue
 		}
-		median := medianOf(step.durations)
+		median := medianDuration(step.durations)
 		for _, late := range running {
-			s.watchTail(late, plan.Plan, policy, len(running), median)
+			s.checkTail(late, plan.Plan, policy, len(running), median)
 		}
 		return
 	}
 }
 
-func (s *Scheduler) watchTail(late *slot, plan *routing.Plan, policy samplePolicy, remaining int, median time.Duration) {
+func (s *Scheduler) checkTail(late *slot, plan *routing.Plan, policy samplePolicy, remaining int, median time.Duration) {
 	first := late.attempts[0]
 	if first.endpoint == nil || first.moving {
 		return
 	}
-	quietest, load := s.quietest(plan, late, first.endpoint)
-	action := decideTail(tailView{
+	target, load := s.leastLoaded(plan, late, first.endpoint)
+	action := decideTail(tailSample{
 		remaining: remaining,
 		total:     len(late.step.slots),
 		elapsed:   s.config.Clock.Now().Sub(first.started),
 		median:    median,
-		load:      shareOf(first.endpoint),
-		quietest:  load,
+		load:      loadShare(first.endpoint),
+		leastLoad: load,
 		attempts:  len(late.attempts),
 		moves:     first.moves,
 	})
-	if quietest == nil {
+	if target == nil {
 		return
 	}
 	switch action {
@@ -54,35 +55,35 @@
 		first.moving = true
 		first.moves++
 		s.config.Engines.Export(first.endpoint.Address, first.machine.DispatchID())
-	case tailRace:
-		s.start(late, quietest, policy.priority(0))
+	case tailHedge:
+		s.start(late, target, policy.priority(0))
 	}
 }
 
-// quietest returns the engine with the least load among those that could take
-// a sample, other than the one that has it.
-func (s *Scheduler) quietest(plan *routing.Plan, late *slot, except *routing.Endpoint) (*routing.Endpoint, float64) {
-	bound := s.bound(late.step)
+// leastLoaded returns the least loaded other engine that may run the sample,
+// and its load as a fraction of its slots.
+func (s *Scheduler) leastLoaded(plan *routing.Plan, late *slot, except *routing.Endpoint) (*routing.Endpoint, float64) {
+	minVersion := s.minVersion(late.step)
 	var best *routing.Endpoint
 	for _, endpoint := range plan.Endpoints() {
-		if endpoint.Name == except.Name || endpoint.Excluded() || !endpoint.TakesRollouts || endpoint.Version() < bound {
+		if endpoint.Name == except.Name || endpoint.Excluded() || !endpoint.TakesRollouts || endpoint.Version() < minVersion {
 			continue
 		}
-		if best == nil || shareOf(endpoint) < shareOf(best) {
+		if best == nil || loadShare(endpoint) < loadShare(best) {
 			best = endpoint
 		}
 	}
 	if best == nil {
 		return nil, 0
 	}
-	return best, shareOf(best)
+	return best, loadShare(best)
 }
 
-func shareOf(endpoint *routing.Endpoint) float64 {
+func loadShare(endpoint *routing.Endpoint) float64 {
 	return float64(endpoint.Load()) / float64(endpoint.Slots)
 }
 
-func medianOf(durations []time.Duration) time.Duration {
+func medianDuration(durations []time.Duration) time.Duration {
 	if len(durations) == 0 {
 		return 0
 	}
--- a/internal/standalone/rollout/taildecision.go
+++ b/internal/standalone/rollout/taildecision.go
@@ -3,64 +3,66 @@
 import "time"
 
 const (
-	// tailShare is the part of a step that counts as its tail.
+	// tailShare is the fraction of a step's samples that counts as its tail.
 	tailShare = 0.15
-	// moveGain is how much less loaded, as a part of its slots, another engine
-	// must be for a move.
-	moveGain = 0.35
+	// minMoveLoadGap is how much lower the load of another engine must be for
+	// a move, as a fraction of its slots.
+	minMoveLoadGap = 0.35
 	// maxMoves bounds the moves of one attempt.
 	maxMoves = 2
-	// raceFactor times the median duration is the age at which a second
-	// attempt may start, and raceShare the part of a step that may be left
-	// then.
-	raceFactor = 6
-	raceShare  = 0.02
-	// overloaded is the load of an engine, as a part of its slots, beyond which
-	// requests wait there.
-	overloaded = 1
+	// hedgeAgeFactor is the age, in median durations, above which an attempt
+	// may be hedged with a second one; hedgeShare is the greatest fraction of
+	// unfinished samples at which that is allowed.
+	hedgeAgeFactor = 6
+	hedgeShare     = 0.02
+	// overloadedShare is the load, as a fraction of an engine's slots, above
+	// which requests queue there.
+	overloadedShare = 1
 )
 
-// tailView is what is known of a running sample late in its step.
-type tailView struct {
-	// remaining and total count the step's samples unfinished and in all.
+// tailSample describes a running sample late in its step.
+type tailSample struct {
+	// remaining is the number of unfinished samples of the step, total that of
+	// all.
 	remaining int
 	total     int
-	// elapsed is the age of the attempt, median the duration of finished ones.
+	// elapsed is the age of the attempt, median the median duration of
+	// finished attempts.
 	elapsed time.Duration
 	median  time.Duration
-	// load is that of the sample's engine as a part of its slots, quietest that
-	// of the least loaded other engine.
-	load     float64
-	quietest float64
-	// attempts is how many attempts of the sample are running, and moves how
-	// often this one has been moved.
+	// load is the load of the sample's engine and leastLoad that of the least
+	// loaded other engine, each as a fraction of its slots.
+	load      float64
+	leastLoad float64
+	// attempts is the number of running attempts of the sample, moves how
+	// often this attempt has been moved.
 	attempts int
 	moves    int
 }
 
-// tailAction is what to do about a sample of the tail.
+// tailAction is the action to take for a sample of the tail.
 type tailAction int
 
-// The actions about a sample of the tail: none, moving it to the quietest
-// engine, or a second attempt there.
+// The actions: none, a move to the least loaded engine, or a second attempt
+// (hedge) there.
 const (
 	tailNone tailAction = iota
 	tailMove
-	tailRace
+	tailHedge
 )
 
-// decideTail returns what to do about a running sample late in its step.
-func decideTail(view tailView) tailAction {
-	share := float64(view.remaining) / float64(view.total)
-	if share > tailShare || view.attempts != 1 {
+// decideTail returns the action for a running sample late in its step.
+func decideTail(sample tailSample) tailAction {
+	share := float64(sample.remaining) / float64(sample.total)
+	if share > tailShare || sample.attempts != 1 {
 		return tailNone
 	}
-	if view.load-view.quietest > moveGain && view.moves < maxMoves {
+	if sample.load-sample.leastLoad > minMoveLoadGap && sample.moves < maxMoves {
 		return tailMove
 	}
-	late := view.median > 0 && view.elapsed > raceFactor*view.median
-	if share <= raceShare && late && view.load > overloaded {
-		return tailRace
+	late := sample.median > 0 && sample.elapsed > hedgeAgeFactor*sample.median
+	if share <= hedgeShare && late && sample.load > overloadedShare {
+		return tailHedge
 	}
 	return tailNone
 }
