--- a/internal/standalone/rollout/attempt.go
+++ b/internal/standalone/rollout/attempt.go
@@ -21,7 +21,8 @@
 	id       string
 	cancel   func()
 	// stream numbers the attempt's streams; events of earlier ones are ignored.
-	stream  int
+	stream int
+	// parked is the dispatch that waits for an engine with capacity, or nil.
 	parked  *request.Dispatch
 	started time.Time
 	moves   int
@@ -62,15 +63,15 @@
 	queue := step.pending
 	step.pending = nil
 	var waiting []*slot
-	room := true
+	hasCapacity := true
 	for _, next := range queue {
-		if !room || next.notBefore.After(now) {
+		if !hasCapacity || next.notBefore.After(now) {
 			waiting = append(waiting, next)
 			continue
 		}
 		endpoint, err := plan.Plan.Pick(s.query(next, ""))
 		if err != nil {
-			room = false
+			hasCapacity = false
 			waiting = append(waiting, next)
 			continue
 		}
@@ -78,20 +79,20 @@
 	}
 	// An attempt that failed synchronously has already requeued its slot.
 	step.pending = append(waiting, step.pending...)
-	return room
+	return hasCapacity
 }
 
 func (s *Scheduler) query(next *slot, avoid string) *routing.Query {
 	// A running sample may move to any engine within the staleness bound; the
 	// policy's stricter limit applies only to its start.
-	oldest := s.minVersion(next.step)
+	minVersion := s.minVersion(next.step)
 	if avoid == "" {
-		oldest = max(oldest, s.policy().minStartVersion(next.step.request.TrainVersion))
+		minVersion = max(minVersion, s.policy().minStartVersion(next.step.request.TrainVersion))
 	}
 	return &routing.Query{
 		Zone:         s.config.Zone,
 		PrefixHash:   xxhash.Sum64String(next.prompt),
-		MinVersion:   oldest,
+		MinVersion:   minVersion,
 		Avoid:        avoid,
 		Random:       s.config.Random.Uint64(),
 		Rollout:      true,
@@ -100,14 +101,14 @@
 }
 
 func (s *Scheduler) start(next *slot, endpoint *routing.Endpoint, priority int) {
-	next.attempt++
+	next.lastAttempt++
 	next.state = slotRunning
 	step := next.step
 	plan := s.plan()
-	id := fmt.Sprintf("%s/%d/%d/%d.%d", s.config.Trainer, step.request.Step, next.index, s.config.Token, next.attempt)
+	id := fmt.Sprintf("%s/%d/%d/%d.%d", s.config.Trainer, step.request.Step, next.index, s.config.Token, next.lastAttempt)
 	launched := &attempt{slot: next, id: id, started: s.config.Clock.Now()}
 	launched.machine = request.New(request.Config{
-		Attempts: sampleAttempts,
+		Attempts: maxDispatches,
 		Request: engine.Request{
 			ID:          id,
 			Model:       plan.Trainer.Spec.Model,
--- a/internal/standalone/rollout/config.go
+++ b/internal/standalone/rollout/config.go
@@ -24,8 +24,8 @@
 	// missingSampleTimeout is how long the scheduler searches the stores for
 	// samples of a manifest before it regenerates the missing ones.
 	missingSampleTimeout = 15 * time.Second
-	// sampleAttempts bounds the dispatches of one attempt.
-	sampleAttempts = 64
+	// maxDispatches bounds the dispatches of one attempt.
+	maxDispatches = 64
 	// sampleDeadline bounds one dispatch of a sample.
 	sampleDeadline = 8 * time.Minute
 	// maxRetainedAcked is how many acknowledged steps stay in memory.
--- a/internal/standalone/rollout/finish.go
+++ b/internal/standalone/rollout/finish.go
@@ -32,11 +32,11 @@
 	if running.cancel != nil {
 		running.cancel()
 	}
-	running.slot.attempts = slices.DeleteFunc(running.slot.attempts, func(held *attempt) bool { return held == running })
+	running.slot.attempts = slices.DeleteFunc(running.slot.attempts, func(other *attempt) bool { return other == running })
 }
 
-func (s *Scheduler) cancelAttempts(ended *slot) {
-	for _, running := range slices.Clone(ended.attempts) {
+func (s *Scheduler) cancelAttempts(target *slot) {
+	for _, running := range slices.Clone(target.attempts) {
 		s.cancelAttempt(running)
 	}
 }
@@ -44,60 +44,60 @@
 // handleResult processes the result of an attempt. A complete sample goes to
 // the scorer; otherwise the slot is retried.
 func (s *Scheduler) handleResult(running *attempt, result request.Result) {
-	filled := running.slot
+	target := running.slot
 	if !result.Done() {
 		s.abandon(running)
 		return
 	}
 	s.cancelAttempt(running)
-	s.cancelAttempts(filled)
-	if filled.state != slotRunning {
+	s.cancelAttempts(target)
+	if target.state != slotRunning {
 		return
 	}
-	s.predictor.Observe(filled.prompt, result.Tokens)
+	s.predictor.Observe(target.prompt, result.Tokens)
 	s.reorder = true
-	filled.step.durations = append(filled.step.durations, s.config.Clock.Now().Sub(running.started))
-	if stream.OldestVersion(result.Segments) < s.minVersion(filled.step) {
-		s.requeue(filled)
+	target.step.durations = append(target.step.durations, s.config.Clock.Now().Sub(running.started))
+	if stream.OldestVersion(result.Segments) < s.minVersion(target.step) {
+		s.requeue(target)
 		return
 	}
 	sample := Sample{
 		Trainer:  s.config.Trainer,
-		Step:     filled.step.request.Step,
-		Slot:     filled.index,
-		Prompt:   filled.prompt,
+		Step:     target.step.request.Step,
+		Slot:     target.index,
+		Prompt:   target.prompt,
 		Text:     result.Text,
 		Tokens:   result.Tokens,
 		Reason:   result.Reason,
 		Segments: result.Segments,
 	}
-	s.score(filled, sample)
+	s.score(target, sample)
 	s.dispatchPending()
 }
 
 // score has a sample scored, with retries until the scorer succeeds.
-func (s *Scheduler) score(filled *slot, sample Sample) {
-	filled.state = slotScoring
+func (s *Scheduler) score(target *slot, sample Sample) {
+	target.state = slotScoring
 	data, err := json.Marshal(sample)
 	if err != nil {
-		s.logEncodeFailure(err, filled)
-		s.requeue(filled)
+		s.logEncodeFailure(err, target)
+		s.requeue(target)
 		return
 	}
 	plan := s.plan()
 	s.config.Scorer.Score(plan.Trainer.Spec.Scorer, data, func(score float64, err error) {
-		if s.stopped || filled.state != slotScoring {
+		if s.stopped || target.state != slotScoring {
 			return
 		}
 		if err != nil {
 			s.runAfter(slotRetryDelay, func() {
-				if filled.state == slotScoring {
-					s.score(filled, sample)
+				if target.state == slotScoring {
+					s.score(target, sample)
 				}
 			})
 			return
 		}
 		sample.Score = score
-		s.storeSample(filled, sample)
+		s.storeSample(target, sample)
 	})
 }
--- a/internal/standalone/rollout/recover.go
+++ b/internal/standalone/rollout/recover.go
@@ -87,7 +87,7 @@
 		return
 	}
 	var newest []byte
-	fetched := func() {
+	onFetched := func() {
 		if newest == nil {
 			s.generate(step)
 			return
@@ -96,13 +96,13 @@
 	}
 	stores := s.usableStores()
 	if len(stores) == 0 {
-		fetched()
+		onFetched()
 		return
 	}
 	s.callStores(stores, s.sampleGet(step, references), func(_ wire.Member, found *wire.Samples) {
 		acceptSamples(step, found)
 		newest = newestManifest(newest, found)
-	}, fetched)
+	}, onFetched)
 }
 
 // chooseSamples selects the sample with the most copies for each slot, and
@@ -120,15 +120,15 @@
 		if int(reference.Slot) >= len(step.slots) {
 			continue
 		}
-		held := step.slots[reference.Slot]
-		if len(holders[reference]) > len(held.copies) {
-			held.digest = reference.Digest
-			held.copies = maps.Clone(holders[reference])
+		current := step.slots[reference.Slot]
+		if len(holders[reference]) > len(current.copies) {
+			current.digest = reference.Digest
+			current.copies = maps.Clone(holders[reference])
 		}
 	}
-	for _, held := range step.slots {
-		if held.digest != 0 {
-			references = append(references, wire.SampleReference{Slot: held.index, Digest: held.digest})
+	for _, current := range step.slots {
+		if current.digest != 0 {
+			references = append(references, wire.SampleReference{Slot: current.index, Digest: current.digest})
 		}
 	}
 	return references
@@ -169,27 +169,27 @@
 func (s *Scheduler) generate(step *stepState) {
 	step.phase = phaseGenerating
 	var found []*slot
-	for _, held := range step.slots {
+	for _, current := range step.slots {
 		var sample Sample
-		if held.data != nil {
-			if err := json.Unmarshal(held.data, &sample); err != nil {
-				klog.Background().Error(err, "cannot decode stored sample; regenerating it", "trainer", s.config.Trainer, "step", step.request.Step, "slot", held.index)
+		if current.data != nil {
+			if err := json.Unmarshal(current.data, &sample); err != nil {
+				klog.Background().Error(err, "cannot decode stored sample; regenerating it", "trainer", s.config.Trainer, "step", step.request.Step, "slot", current.index)
 			} else {
-				held.oldestVersion = stream.OldestVersion(sample.Segments)
+				current.oldestVersion = stream.OldestVersion(sample.Segments)
 			}
 		}
-		if held.oldestVersion >= s.minVersion(step) && held.oldestVersion > 0 {
-			held.state = slotStoring
-			found = append(found, held)
+		if current.oldestVersion >= s.minVersion(step) && current.oldestVersion > 0 {
+			current.state = slotStoring
+			found = append(found, current)
 			continue
 		}
-		held.digest, held.data, held.oldestVersion = 0, nil, 0
-		held.copies = map[string]bool{}
-		step.pending = append(step.pending, held)
+		current.digest, current.data, current.oldestVersion = 0, nil, 0
+		current.copies = map[string]bool{}
+		step.pending = append(step.pending, current)
 	}
 	s.sortPending(step)
-	for _, held := range found {
-		s.replicate(held)
+	for _, current := range found {
+		s.replicate(current)
 	}
 	s.dispatchPending()
 }
@@ -199,9 +199,9 @@
 // that is greater.
 func (s *Scheduler) expectedTokens(waiting *slot) float64 {
 	tokens := s.predictor.Predict(waiting.prompt)
-	group := waiting.step.request.SamplesPerPrompt
-	first := int(waiting.index) / group * group
-	for _, sibling := range waiting.step.slots[first : first+group] {
+	samplesPerPrompt := waiting.step.request.SamplesPerPrompt
+	first := int(waiting.index) / samplesPerPrompt * samplesPerPrompt
+	for _, sibling := range waiting.step.slots[first : first+samplesPerPrompt] {
 		for _, running := range sibling.attempts {
 			tokens = max(tokens, float64(running.machine.Tokens()))
 		}
--- a/internal/standalone/rollout/repair.go
+++ b/internal/standalone/rollout/repair.go
@@ -14,9 +14,9 @@
 		return
 	}
 	for _, step := range s.openSteps() {
-		for _, held := range step.slots {
-			if held.state == slotFilled && held.data != nil {
-				s.repairSlot(held, usable)
+		for _, current := range step.slots {
+			if current.state == slotFilled && current.data != nil {
+				s.repairSlot(current, usable)
 			}
 		}
 	}
@@ -24,37 +24,37 @@
 
 func (s *Scheduler) storesChanged(usable map[string]bool) bool {
 	changed := len(usable) != len(s.lastStores)
-	for name := range usable {
-		changed = changed || !s.lastStores[name]
+	for key := range usable {
+		changed = changed || !s.lastStores[key]
 	}
 	s.lastStores = usable
 	return changed
 }
 
-func (s *Scheduler) repairSlot(held *slot, usable map[string]bool) {
+func (s *Scheduler) repairSlot(current *slot, usable map[string]bool) {
 	count := 0
-	for name := range held.copies {
-		if usable[name] {
+	for key := range current.copies {
+		if usable[key] {
 			count++
 		}
 	}
-	digest, index := held.digest, held.index
-	for _, store := range s.storesFor(held.step.request.Step, index) {
+	digest, index := current.digest, current.index
+	for _, store := range s.storesFor(current.step.request.Step, index) {
 		if count >= s.config.Stores.Copies() {
 			return
 		}
-		if held.copies[storeKey(store)] {
+		if current.copies[storeKey(store)] {
 			continue
 		}
 		count++
-		s.repairCopy(store, held, digest)
+		s.repairCopy(store, current, digest)
 	}
 }
 
-func (s *Scheduler) repairCopy(store wire.Member, held *slot, digest uint64) {
-	s.put(store, held.step.request.Step, held.index, digest, held.data, func(stored bool) {
-		if stored && held.digest == digest {
-			held.copies[storeKey(store)] = true
+func (s *Scheduler) repairCopy(store wire.Member, current *slot, digest uint64) {
+	s.put(store, current.step.request.Step, current.index, digest, current.data, func(stored bool) {
+		if stored && current.digest == digest {
+			current.copies[storeKey(store)] = true
 		}
 	})
 }
--- a/internal/standalone/rollout/scheduler.go
+++ b/internal/standalone/rollout/scheduler.go
@@ -115,7 +115,7 @@
 		s.deliver(step)
 	}
 	return func() {
-		step.waiters = slices.DeleteFunc(step.waiters, func(held *waiter) bool { return held == added })
+		step.waiters = slices.DeleteFunc(step.waiters, func(other *waiter) bool { return other == added })
 	}
 }
 
@@ -164,24 +164,24 @@
 
 // minVersion returns the lowest weight version allowed in a sample of a step.
 func (s *Scheduler) minVersion(step *stepState) int64 {
-	oldest := step.request.TrainVersion
+	trainVersion := step.request.TrainVersion
 	for _, waiting := range step.waiters {
-		oldest = max(oldest, waiting.trainVersion)
+		trainVersion = max(trainVersion, waiting.trainVersion)
 	}
-	return oldest - s.plan().Trainer.Spec.MaxStaleness
+	return trainVersion - s.plan().Trainer.Spec.MaxStaleness
 }
 
 // requeue discards a slot's sample and makes the slot pending again after a
 // delay.
-func (s *Scheduler) requeue(returned *slot) {
-	if returned.state == slotFilled {
-		returned.step.unfilled++
-	}
-	returned.state = slotPending
-	returned.digest, returned.oldestVersion, returned.data = 0, 0, nil
-	returned.copies = map[string]bool{}
-	returned.notBefore = s.config.Clock.Now().Add(slotRetryDelay)
-	returned.step.pending = append(returned.step.pending, returned)
+func (s *Scheduler) requeue(target *slot) {
+	if target.state == slotFilled {
+		target.step.unfilled++
+	}
+	target.state = slotPending
+	target.digest, target.oldestVersion, target.data = 0, 0, nil
+	target.copies = map[string]bool{}
+	target.notBefore = s.config.Clock.Now().Add(slotRetryDelay)
+	target.step.pending = append(target.step.pending, target)
 }
 
 func (s *Scheduler) usableStores() []wire.Member { return s.config.Stores.Usable() }
--- a/internal/standalone/rollout/seal.go
+++ b/internal/standalone/rollout/seal.go
@@ -84,13 +84,13 @@
 	step.pending = nil
 	var missing []wire.SampleReference
 	for i, entry := range manifest.Samples {
-		held := step.slots[i]
-		s.cancelAttempts(held)
-		if held.digest != entry.Digest || held.data == nil {
+		current := step.slots[i]
+		s.cancelAttempts(current)
+		if current.digest != entry.Digest || current.data == nil {
 			missing = append(missing, wire.SampleReference{Slot: entry.Slot, Digest: entry.Digest})
-			held.data = nil
+			current.data = nil
 		}
-		held.state, held.digest, held.oldestVersion = slotFilled, entry.Digest, entry.Oldest
+		current.state, current.digest, current.oldestVersion = slotFilled, entry.Digest, entry.Oldest
 	}
 	step.unfilled = 0
 	if len(missing) == 0 {
@@ -104,9 +104,9 @@
 // slotsWithoutData returns the slots whose sample no store has returned.
 func slotsWithoutData(step *stepState) []*slot {
 	var lost []*slot
-	for _, held := range step.slots {
-		if held.data == nil {
-			lost = append(lost, held)
+	for _, current := range step.slots {
+		if current.data == nil {
+			lost = append(lost, current)
 		}
 	}
 	return lost
@@ -164,9 +164,9 @@
 		if int(sample.Slot) >= len(step.slots) {
 			continue
 		}
-		held := step.slots[sample.Slot]
-		if held.digest == sample.Digest && xxhash.Sum64(sample.Data) == sample.Digest {
-			held.data = sample.Data
+		current := step.slots[sample.Slot]
+		if current.digest == sample.Digest && xxhash.Sum64(sample.Data) == sample.Digest {
+			current.data = sample.Data
 		}
 	}
 }
@@ -187,9 +187,9 @@
 	}
 	minVersion := s.minVersion(step)
 	var stale []*slot
-	for _, held := range step.slots {
-		if held.oldestVersion < minVersion {
-			stale = append(stale, held)
+	for _, current := range step.slots {
+		if current.oldestVersion < minVersion {
+			stale = append(stale, current)
 		}
 	}
 	if len(stale) > 0 {
@@ -211,8 +211,8 @@
 	var body bytes.Buffer
 	body.Write(header)
 	body.WriteByte('\n')
-	for _, held := range step.slots {
-		body.Write(held.data)
+	for _, current := range step.slots {
+		body.Write(current.data)
 		body.WriteByte('\n')
 	}
 	return body.Bytes(), nil
--- a/internal/standalone/rollout/step.go
+++ b/internal/standalone/rollout/step.go
@@ -81,6 +81,7 @@
 	revision int
 	slots    []*slot
 	pending  []*slot
+	// unfilled is the number of slots not yet filled.
 	unfilled int
 	manifest *Manifest
 	waiters  []*waiter
@@ -113,16 +114,18 @@
 
 // slot is the place of one sample in a step, independent of its attempts.
 type slot struct {
-	step          *stepState
-	index         uint32
-	prompt        string
-	state         slotState
-	attempts      []*attempt
-	attempt       int
+	step     *stepState
+	index    uint32
+	prompt   string
+	state    slotState
+	attempts []*attempt
+	// lastAttempt is the number of the latest attempt.
+	lastAttempt   int
 	digest        uint64
 	oldestVersion int64
 	data          []byte
-	copies        map[string]bool
+	// copies are the keys of the stores that hold the sample; see storeKey.
+	copies map[string]bool
 	// notBefore is the earliest time of the next attempt.
 	notBefore time.Time
 }
--- a/internal/standalone/rollout/store.go
+++ b/internal/standalone/rollout/store.go
@@ -19,22 +19,22 @@
 
 // storeSample encodes a scored sample and replicates it. The slot is filled
 // once enough stores hold a copy.
-func (s *Scheduler) storeSample(filled *slot, sample Sample) {
+func (s *Scheduler) storeSample(target *slot, sample Sample) {
 	data, err := json.Marshal(sample)
 	if err != nil {
-		s.logEncodeFailure(err, filled)
-		s.requeue(filled)
+		s.logEncodeFailure(err, target)
+		s.requeue(target)
 		return
 	}
-	filled.state = slotStoring
-	filled.data = data
-	filled.digest = xxhash.Sum64(data)
-	filled.oldestVersion = stream.OldestVersion(sample.Segments)
-	s.replicate(filled)
+	target.state = slotStoring
+	target.data = data
+	target.digest = xxhash.Sum64(data)
+	target.oldestVersion = stream.OldestVersion(sample.Segments)
+	s.replicate(target)
 }
 
-func (s *Scheduler) logEncodeFailure(err error, filled *slot) {
-	klog.Background().Error(err, "cannot encode sample; regenerating it", "trainer", s.config.Trainer, "step", filled.step.request.Step, "slot", filled.index)
+func (s *Scheduler) logEncodeFailure(err error, target *slot) {
+	klog.Background().Error(err, "cannot encode sample; regenerating it", "trainer", s.config.Trainer, "step", target.step.request.Step, "slot", target.index)
 }
 
 // storeKey identifies a store and its disk: a store that lost its disk gets a
@@ -78,43 +78,43 @@
 }
 
 // replicate writes a slot's sample to as many further stores as it needs.
-func (s *Scheduler) replicate(filled *slot) {
-	if s.stopped || filled.state != slotStoring {
+func (s *Scheduler) replicate(target *slot) {
+	if s.stopped || target.state != slotStoring {
 		return
 	}
-	if len(filled.copies) >= s.config.Stores.Copies() {
-		s.markFilled(filled)
+	if len(target.copies) >= s.config.Stores.Copies() {
+		s.markFilled(target)
 		return
 	}
-	step, digest := filled.step.request.Step, filled.digest
-	lacking := s.storesWithoutCopy(step, filled.index, filled.copies)
+	step, digest := target.step.request.Step, target.digest
+	lacking := s.storesWithoutCopy(step, target.index, target.copies)
 	waiting := len(lacking)
 	if waiting == 0 {
-		s.replicateLater(filled)
+		s.replicateLater(target)
 		return
 	}
 	for _, store := range lacking {
-		s.put(store, step, filled.index, digest, filled.data, func(stored bool) {
+		s.put(store, step, target.index, digest, target.data, func(stored bool) {
 			waiting--
-			if s.stopped || filled.digest != digest || filled.state != slotStoring {
+			if s.stopped || target.digest != digest || target.state != slotStoring {
 				return
 			}
 			if stored {
-				filled.copies[storeKey(store)] = true
+				target.copies[storeKey(store)] = true
 			}
-			if len(filled.copies) >= s.config.Stores.Copies() {
-				s.markFilled(filled)
+			if len(target.copies) >= s.config.Stores.Copies() {
+				s.markFilled(target)
 				return
 			}
 			if waiting == 0 {
-				s.replicateLater(filled)
+				s.replicateLater(target)
 			}
 		})
 	}
 }
 
-func (s *Scheduler) replicateLater(filled *slot) {
-	s.config.Clock.AfterFunc(slotRetryDelay, func() { s.replicate(filled) })
+func (s *Scheduler) replicateLater(target *slot) {
+	s.config.Clock.AfterFunc(slotRetryDelay, func() { s.replicate(target) })
 }
 
 func (s *Scheduler) put(store wire.Member, step uint64, index uint32, digest uint64, data []byte, done func(bool)) {
@@ -129,11 +129,11 @@
 	})
 }
 
-func (s *Scheduler) markFilled(filled *slot) {
-	filled.state = slotFilled
-	filled.step.unfilled--
-	if filled.step.unfilled == 0 && filled.step.phase == phaseGenerating {
-		s.seal(filled.step)
+func (s *Scheduler) markFilled(target *slot) {
+	target.state = slotFilled
+	target.step.unfilled--
+	if target.step.unfilled == 0 && target.step.phase == phaseGenerating {
+		s.seal(target.step)
 	}
 }
 
--- a/internal/standalone/rollout/tail.go
+++ b/internal/standalone/rollout/tail.go
@@ -7,8 +7,8 @@
 	"github.com/pathtally/pathtally/internal/replicas/routing"
 )
 
-// checkTails moves or hedges the last samples of the oldest step that is in
-// its tail.
+// checkTails moves or hedges late samples of the oldest step that has no
+// pending slots and is partly finished.
 func (s *Scheduler) checkTails() {
 	plan := s.plan()
 	if plan == nil {
