--- a/internal/standalone/weights/coordinator.go
+++ b/internal/standalone/weights/coordinator.go
@@ -11,64 +11,68 @@
 )
 
 const (
-	// reconcilePeriod is the time between two looks at all engines.
+	// reconcilePeriod is the time between two reconciliations of all engines.
 	reconcilePeriod = 200 * time.Millisecond
-	// followPeriod is the time between questions to a staging engine.
-	followPeriod = 200 * time.Millisecond
-	// orderTimeout is how long an order may stay without effect before it
-	// is given again.
+	// statusPollPeriod is the time between status requests to a staging engine.
+	statusPollPeriod = 200 * time.Millisecond
+	// orderTimeout is how long an order may remain without effect before
+	// it is sent again.
 	orderTimeout = 5 * time.Second
-	// firstBackoff and maxBackoff bound the wait after a failed order.
-	firstBackoff = 250 * time.Millisecond
-	maxBackoff   = 5 * time.Second
-	// DefaultStagings is how many engines stage at the same time.
+	// initialBackoff and maxBackoff bound the backoff after a failed order.
+	initialBackoff = 250 * time.Millisecond
+	maxBackoff     = 5 * time.Second
+	// DefaultStagings is the default of Config.Stagings.
 	DefaultStagings = 64
 )
 
 // Target is one engine as the coordinator sees it.
 type Target struct {
 	Engine *v1.Engine
-	// Version and Staged are as reported; Known is false before a report.
+	// Version is the active version and Staged the staged one, as reported.
+	// Known is false until the engine has reported.
 	Version int64
 	Staged  int64
 	Known   bool
-	// InService is false while the engine gets no work.
+	// InService is false while the engine is excluded from new work.
 	InService bool
 }
 
-// Config is what a Coordinator needs.
+// Config holds the settings and dependencies of a Coordinator.
 type Config struct {
 	Model   string
 	Scope   string
 	Token   uint64
 	Clock   environment.Clock
 	Engines engine.Client
-	// Declared returns the configuration in force.
+	// Declared returns the current configuration, or nil if there is none yet.
 	Declared func() *v1.Set
-	// Targets returns the engines of the model in this region, by name.
+	// Targets returns the engines of the model in this region, sorted by name.
 	Targets func() []Target
-	// Observed is called with the status that an engine gave with an order.
+	// Observed is called with each status that an engine returns for an order
+	// or a status request.
 	Observed func(engine string, status engine.Status)
-	// Stagings bounds the engines that stage together; zero is the default.
+	// Stagings limits how many engines stage at the same time; zero means
+	// DefaultStagings.
 	Stagings int
 }
 
-// Coordinator reconciles the engines of one model in one region. It belongs
-// to one goroutine.
+// Coordinator reconciles the engines of one model in one region. It is not
+// safe for concurrent use.
 type Coordinator struct {
 	config  Config
-	orders  map[string]*openOrder
+	orders  map[string]*orderState
 	stopped bool
 }
 
-// openOrder is what was last asked of an engine.
-type openOrder struct {
-	action  engine.Action
-	version int64
-	busy    bool
-	given   time.Time
-	notTill time.Time
-	backoff time.Duration
+// orderState is the last order sent to an engine. A new order waits until
+// notBefore.
+type orderState struct {
+	action    engine.Action
+	version   int64
+	inFlight  bool
+	sentAt    time.Time
+	notBefore time.Time
+	backoff   time.Duration
 }
 
 // NewCoordinator returns a coordinator that has not started.
@@ -76,10 +80,10 @@
 	if config.Stagings == 0 {
 		config.Stagings = DefaultStagings
 	}
-	return &Coordinator{config: config, orders: map[string]*openOrder{}}
+	return &Coordinator{config: config, orders: map[string]*orderState{}}
 }
 
-// Start begins to reconcile.
+// Start reconciles now and then every reconcilePeriod until Stop.
 func (c *Coordinator) Start() {
 	if c.stopped {
 		return
@@ -88,28 +92,30 @@
 	c.config.Clock.AfterFunc(reconcilePeriod, c.Start)
 }
 
-// Stop ends the work; orders under way are fenced by the next holder's token.
+// Stop ends reconciliation. Orders in flight are not cancelled; the next lease
+// holder's fencing token supersedes them.
 func (c *Coordinator) Stop() { c.stopped = true }
 
-// Reconcile gives the orders that are missing now.
+// Reconcile sends the orders that are missing now.
 func (c *Coordinator) Reconcile() {
 	set := c.config.Declared()
 	if set == nil || c.stopped {
 		return
 	}
-	versions := c.versions(set)
+	versions := c.modelVersions(set)
 	targets := c.config.Targets()
-	c.forgetGone(targets)
+	c.pruneOrders(targets)
 	c.stage(versions, targets)
 	c.activate(set, versions, targets)
 }
 
-func (c *Coordinator) versions(set *v1.Set) []*v1.WeightVersion {
+func (c *Coordinator) modelVersions(set *v1.Set) []*v1.WeightVersion {
 	all := v1.All[*v1.WeightVersion](set)
 	return slices.DeleteFunc(all, func(version *v1.WeightVersion) bool { return version.Spec.Model != c.config.Model })
 }
 
-// desired returns the greatest version to stage and the greatest to activate.
+// desired returns the greatest version to stage and the greatest to activate
+// among those declared for an engine.
 func desired(versions []*v1.WeightVersion, declared *v1.Engine) (stage, active int64) {
 	for _, version := range versions {
 		if version.Spec.Engines != "" && !v1.Matches(version.Spec.Engines, declared) {
@@ -126,7 +132,7 @@
 func (c *Coordinator) stage(versions []*v1.WeightVersion, targets []Target) {
 	staging := 0
 	for _, target := range targets {
-		if order := c.orders[target.Engine.Metadata.Name]; order != nil && order.action == engine.ActionStage && c.isOpen(order, target) {
+		if order := c.orders[target.Engine.Metadata.Name]; order != nil && order.action == engine.ActionStage && c.isPending(order, target) {
 			staging++
 		}
 	}
@@ -135,18 +141,19 @@
 		if !target.Known || stage <= max(target.Staged, target.Version) || staging >= c.config.Stagings {
 			continue
 		}
-		if c.order(target, engine.ActionStage, stage) {
+		if c.sendOrder(target, engine.ActionStage, stage) {
 			staging++
 		}
 	}
 }
 
-// isOpen tells whether an order has been given and has not shown its effect.
-func (c *Coordinator) isOpen(order *openOrder, target Target) bool {
-	if order.busy {
+// isPending reports whether an order is in flight, or was sent within orderTimeout
+// and has not taken effect.
+func (c *Coordinator) isPending(order *orderState, target Target) bool {
+	if order.inFlight {
 		return true
 	}
-	if c.config.Clock.Now().Sub(order.given) > orderTimeout {
+	if c.config.Clock.Now().Sub(order.sentAt) > orderTimeout {
 		return false
 	}
 	if order.action == engine.ActionStage {
@@ -155,13 +162,13 @@
 	return target.Version < order.version
 }
 
-// activate swaps as many engines at once as the floors of the traffic groups
-// allow; engines out of service anyway count as already missing.
+// activate sends activation orders to as many engines at once as the floor
+// shares of the traffic groups allow.
 func (c *Coordinator) activate(set *v1.Set, versions []*v1.WeightVersion, targets []Target) {
-	allowed := allowedSwaps(set, c.config.Model, targets)
+	allowed := maxActivations(set, c.config.Model, targets)
 	for _, target := range targets {
 		order := c.orders[target.Engine.Metadata.Name]
-		if order != nil && order.action == engine.ActionActivate && c.isOpen(order, target) {
+		if order != nil && order.action == engine.ActionActivate && c.isPending(order, target) {
 			allowed--
 		}
 	}
@@ -173,16 +180,17 @@
 		if allowed <= 0 {
 			return
 		}
-		if c.order(target, engine.ActionActivate, active) {
+		if c.sendOrder(target, engine.ActionActivate, active) {
 			allowed--
 		}
 	}
 }
 
-// allowedSwaps is how many engines may be swapping at the same time so that
-// the group with the greatest floor keeps it. At least one may, or a single
-// engine could never be updated.
-func allowedSwaps(set *v1.Set, model string, targets []Target) int {
+// maxActivations returns how many engines may activate a version together
+// while the greatest floor share stays in service. Engines that are already out
+// of service reduce the result. It is at least 1, since otherwise a model with a
+// single engine could never be updated.
+func maxActivations(set *v1.Set, model string, targets []Target) int {
 	floor := 0.0
 	for _, group := range v1.All[*v1.TrafficGroup](set) {
 		if group.Spec.Model == model {
@@ -198,27 +206,29 @@
 	return max(1, inService-int(floor*float64(len(targets))+0.5))
 }
 
-func (c *Coordinator) order(target Target, action engine.Action, version int64) bool {
+// sendOrder sends an order unless one is in flight or its backoff has not
+// elapsed, and reports whether it did.
+func (c *Coordinator) sendOrder(target Target, action engine.Action, version int64) bool {
 	name := target.Engine.Metadata.Name
 	now := c.config.Clock.Now()
 	order := c.orders[name]
 	if order == nil || order.action != action || order.version != version {
-		if order != nil && order.busy {
+		if order != nil && order.inFlight {
 			return false
 		}
-		order = &openOrder{action: action, version: version, backoff: firstBackoff}
+		order = &orderState{action: action, version: version, backoff: initialBackoff}
 		c.orders[name] = order
 	}
-	if order.busy || now.Before(order.notTill) {
+	if order.inFlight || now.Before(order.notBefore) {
 		return false
 	}
-	order.busy, order.given = true, now
-	order.notTill = now.Add(orderTimeout)
-	instruction := engine.Order{Scope: c.config.Scope, Token: c.config.Token, Action: action, Version: version}
-	c.config.Engines.Order(target.Engine.Spec.Address, instruction, func(status engine.Status, err error) {
-		order.busy = false
+	order.inFlight, order.sentAt = true, now
+	order.notBefore = now.Add(orderTimeout)
+	request := engine.Order{Scope: c.config.Scope, Token: c.config.Token, Action: action, Version: version}
+	c.config.Engines.Order(target.Engine.Spec.Address, request, func(status engine.Status, err error) {
+		order.inFlight = false
 		if err != nil {
-			order.notTill = c.config.Clock.Now().Add(order.backoff)
+			order.notBefore = c.config.Clock.Now().Add(order.backoff)
 			order.backoff = min(2*order.backoff, maxBackoff)
 			return
 		}
@@ -228,18 +238,18 @@
 		}
 		c.Reconcile()
 		if action == engine.ActionStage {
-			c.follow(target, order)
+			c.pollStatus(target, order)
 		}
 	})
 	return true
 }
 
-// follow asks an engine that is staging until it has the weights, so that the
-// activation need not wait for the next load report.
-func (c *Coordinator) follow(target Target, order *openOrder) {
+// pollStatus requests the status of a staging engine until it has staged the
+// version, so that activation does not wait for the next load report.
+func (c *Coordinator) pollStatus(target Target, order *orderState) {
 	name := target.Engine.Metadata.Name
-	c.config.Clock.AfterFunc(followPeriod, func() {
-		if c.stopped || c.orders[name] != order || c.config.Clock.Now().Sub(order.given) > orderTimeout {
+	c.config.Clock.AfterFunc(statusPollPeriod, func() {
+		if c.stopped || c.orders[name] != order || c.config.Clock.Now().Sub(order.sentAt) > orderTimeout {
 			return
 		}
 		c.config.Engines.Status(target.Engine.Spec.Address, func(status engine.Status, err error) {
@@ -253,15 +263,16 @@
 					return
 				}
 			}
-			c.follow(target, order)
+			c.pollStatus(target, order)
 		})
 	})
 }
 
-func (c *Coordinator) forgetGone(targets []Target) {
-	targeted := map[string]bool{}
+// pruneOrders removes the order state of engines that are no longer targets.
+func (c *Coordinator) pruneOrders(targets []Target) {
+	present := map[string]bool{}
 	for _, target := range targets {
-		targeted[target.Engine.Metadata.Name] = true
+		present[target.Engine.Metadata.Name] = true
 	}
-	maps.DeleteFunc(c.orders, func(name string, _ *openOrder) bool { return !targeted[name] })
+	maps.DeleteFunc(c.orders, func(name string, _ *orderState) bool { return !present[name] })
 }
--- a/internal/standalone/weights/coordinator_test.go
+++ b/internal/standalone/weights/coordinator_test.go
@@ -10,13 +10,13 @@
 	"github.com/pathtally/pathtally/internal/standalone/engine"
 )
 
-type stillClock struct{}
+type fixedClock struct{}
 
-func (stillClock) Now() time.Time { return time.Unix(0, 0) }
+func (fixedClock) Now() time.Time { return time.Unix(0, 0) }
 
-func (stillClock) AfterFunc(time.Duration, func()) environment.Timer { return nil }
+func (fixedClock) AfterFunc(time.Duration, func()) environment.Timer { return nil }
 
-// recordingEngines keeps the orders and answers none of them.
+// recordingEngines records orders and never responds to them.
 type recordingEngines struct{ orders []engine.Order }
 
 func (e *recordingEngines) Start(string, engine.Request, func(engine.Event)) func() { return nil }
@@ -41,8 +41,8 @@
 	return declared
 }
 
-// TestOrders checks which orders a look at ten engines gives.
-func TestOrders(t *testing.T) {
+// TestReconcileOrders guards against missing, repeated or excess orders to ten engines.
+func TestReconcileOrders(t *testing.T) {
 	cases := []struct {
 		name     string
 		set      *v1.Set
@@ -51,19 +51,19 @@
 		activate int
 	}{
 		{"nothing declared", v1.NewSet(group(0.5)), 1, 0, 0},
-		{"in force already", v1.NewSet(group(0.5), version(1, true)), 1, 0, 0},
+		{"already active", v1.NewSet(group(0.5), version(1, true)), 1, 0, 0},
 		{"staged only", v1.NewSet(group(0.5), version(2, false)), 1, 10, 0},
 		{"active but not staged", v1.NewSet(group(0.5), version(2, true)), 1, 10, 0},
-		{"half may swap", v1.NewSet(group(0.5), version(2, true)), 2, 0, 5},
-		{"one may swap in spite of a floor of all", v1.NewSet(group(1), version(2, true)), 2, 0, 1},
-		{"all may swap without groups", v1.NewSet(version(2, true)), 2, 0, 10},
-		{"the next one is staged meanwhile", v1.NewSet(group(0.5), version(2, true), version(3, false)), 2, 10, 0},
+		{"half may activate", v1.NewSet(group(0.5), version(2, true)), 2, 0, 5},
+		{"one may activate despite a floor of 1", v1.NewSet(group(1), version(2, true)), 2, 0, 1},
+		{"all may activate without groups", v1.NewSet(version(2, true)), 2, 0, 10},
+		{"next version staged before activation", v1.NewSet(group(0.5), version(2, true), version(3, false)), 2, 10, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			engines := &recordingEngines{}
 			coordinator := NewCoordinator(Config{
-				Model: "m", Scope: "s", Token: 7, Clock: stillClock{}, Engines: engines,
+				Model: "m", Scope: "s", Token: 7, Clock: fixedClock{}, Engines: engines,
 				Declared: func() *v1.Set { return test.set }, Observed: func(string, engine.Status) {},
 				Targets: func() []Target {
 					var targets []Target
@@ -80,11 +80,11 @@
 			for _, order := range engines.orders {
 				counts[order.Action]++
 				if order.Token != 7 || order.Scope != "s" {
-					t.Errorf("an order without its fence: %+v", order)
+					t.Errorf("order has the wrong scope or fencing token: %+v", order)
 				}
 			}
 			if counts[engine.ActionStage] != test.stages || counts[engine.ActionActivate] != test.activate {
-				t.Errorf("orders %v", counts)
+				t.Errorf("unexpected number of orders by action: %v", counts)
 			}
 		})
 	}
--- a/internal/standalone/weights/doc.go
+++ b/internal/standalone/weights/doc.go
@@ -1,7 +1,8 @@
-// Package weights brings the declared weight versions onto the engines. For
-// each model and region one lease holder compares what is declared with what
-// the engines report and orders the difference: staging ahead, a few at a
-// time because the weight store is rate-limited, then activation in waves
-// that leave every traffic group its floor. Orders carry the lease's fencing
-// token; an engine refuses older ones.
+// Package weights rolls out declared weight versions to the engines. For each
+// model and region, one lease holder compares the declared versions with those
+// that the engines report and sends the missing orders. Versions are staged
+// ahead, on a limited number of engines at a time because the weight store is
+// rate-limited, and then activated in waves that keep the floor share of every
+// traffic group in service. Orders carry the lease's fencing token; an engine
+// rejects orders with an older token.
 package weights
