--- a/internal/standalone/fleet/doc.go
+++ b/internal/standalone/fleet/doc.go
@@ -1,5 +1,5 @@
-// Package fleet joins every sign about engines into one view: their own
-// reports, the machine list, and silence. The earliest sign that an engine
-// leaves wins, and a late list does not undo it: only another machine id or
-// a later start of the engine does.
+// Package fleet determines which engines may get new work, from their load
+// reports, the machine list and missed reports. Once a machine is leaving, a
+// later list does not undo it: only a live machine with another id at the same
+// address does.
 package fleet
--- a/internal/standalone/fleet/table.go
+++ b/internal/standalone/fleet/table.go
@@ -9,41 +9,42 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// silentPeriods is how many reporting periods an engine may miss before it
-// gets no new work.
-const silentPeriods = 2.5
+// maxMissedPeriods is how many reporting periods may pass without a report before
+// an engine gets no new work.
+const maxMissedPeriods = 2.5
 
-// Table is one node's view of the engines. It belongs to one goroutine.
+// Table is one node's view of the engines. It is not safe for
+// concurrent use.
 type Table struct {
 	clock   environment.Clock
-	engines map[string]*record
-	// leaving holds, by address, the machine id that the list called leaving
-	// or dropped.
+	engines map[string]*engineState
+	// leaving holds, by address, the machine id that the list marked as leaving
+	// or no longer contains.
 	leaving  map[string]string
 	machines map[string]environment.Machine
 }
 
-type record struct {
+type engineState struct {
 	load     wire.EngineLoad
 	received time.Time
 	period   time.Duration
 }
 
-// NewTable returns a table that knows no engine.
+// NewTable returns an empty table.
 func NewTable(clock environment.Clock) *Table {
-	return &Table{clock: clock, engines: map[string]*record{}, leaving: map[string]string{}, machines: map[string]environment.Machine{}}
+	return &Table{clock: clock, engines: map[string]*engineState{}, leaving: map[string]string{}, machines: map[string]environment.Machine{}}
 }
 
-// Report takes in a load that will be followed by another within a period.
-// The last to arrive wins: the clocks of two reporters
-// cannot be compared.
+// Report records the load of an engine; the next is expected within period.
+// The last report to arrive wins, since the clocks of two reporters cannot be
+// compared.
 func (t *Table) Report(load wire.EngineLoad, period time.Duration) {
-	t.engines[load.Engine] = &record{load: load, received: t.clock.Now(), period: period}
+	t.engines[load.Engine] = &engineState{load: load, received: t.clock.Now(), period: period}
 }
 
-// SetMachines takes in a machine list. A machine once seen as leaving, or
-// gone from the list after it was on it, stays so until another id has its
-// address.
+// SetMachines replaces the machine list. A machine that was listed as leaving or
+// was removed from the list counts as leaving until a live machine with another
+// id has its address.
 func (t *Table) SetMachines(machines map[string]environment.Machine) {
 	for address, machine := range machines {
 		if machine.State == environment.MachineLeaving {
@@ -64,28 +65,28 @@
 	t.machines = maps.Clone(machines)
 }
 
-// Load returns the newest report of an engine.
+// Load returns the last load reported for an engine.
 func (t *Table) Load(engine string) (wire.EngineLoad, bool) {
-	held := t.engines[engine]
-	if held == nil {
+	state := t.engines[engine]
+	if state == nil {
 		return wire.EngineLoad{}, false
 	}
-	return held.load, true
+	return state.load, true
 }
 
-// Excluded tells whether an engine shall get no new work.
+// Excluded reports whether an engine must not get new work.
 func (t *Table) Excluded(engine, address string) bool {
 	if _, leaving := t.leaving[address]; leaving {
 		return true
 	}
-	held := t.engines[engine]
-	if held == nil || t.clock.Now().Sub(held.received) > time.Duration(silentPeriods*float64(held.period)) {
+	state := t.engines[engine]
+	if state == nil || t.clock.Now().Sub(state.received) > time.Duration(maxMissedPeriods*float64(state.period)) {
 		return true
 	}
-	return held.load.Flags&wire.EngineHealthy == 0 || held.load.Flags&wire.EngineDraining != 0
+	return state.load.Flags&wire.EngineHealthy == 0 || state.load.Flags&wire.EngineDraining != 0
 }
 
-// Forget drops engines that are no longer declared.
+// Forget removes engines that are not in declared.
 func (t *Table) Forget(declared map[string]bool) {
 	for _, name := range slices.Sorted(maps.Keys(t.engines)) {
 		if !declared[name] {
