--- a/internal/standalone/relay/doc.go
+++ b/internal/standalone/relay/doc.go
@@ -1,5 +1,5 @@
-// Package relay spreads versioned documents, such as the configuration, from
-// the few nodes that read the object API to all others. Probes name the
-// versions held; whoever is behind pulls the changes since its own version
-// from whoever is ahead. A version never goes back.
+// Package relay distributes versioned documents, such as the configuration, from
+// the few nodes that read the object API to all others. Probes carry the
+// versions that a node holds; a node that holds an older version pulls the
+// changes from one that holds a newer version. The version held never decreases.
 package relay
--- a/internal/standalone/relay/document.go
+++ b/internal/standalone/relay/document.go
@@ -31,16 +31,17 @@
 	return hash.Sum64()
 }
 
-// changedKeys lists the keys that differ between two documents.
+// changedKeys returns the sorted keys whose entries differ, including added and
+// removed ones.
 func changedKeys(before, after map[string][]byte) []string {
 	var keys []string
 	for key, data := range after {
-		if old, stood := before[key]; !stood || string(old) != string(data) {
+		if old, existed := before[key]; !existed || string(old) != string(data) {
 			keys = append(keys, key)
 		}
 	}
 	for key := range before {
-		if _, stands := after[key]; !stands {
+		if _, exists := after[key]; !exists {
 			keys = append(keys, key)
 		}
 	}
--- a/internal/standalone/relay/store.go
+++ b/internal/standalone/relay/store.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// historyLength is how many versions back a delta can reach.
+	// historyLength is the number of past versions that a delta can start from.
 	historyLength = 64
 	// pullTimeout bounds one pull from a peer.
 	pullTimeout = 2 * time.Second
 )
 
-// Config is what a Store needs.
+// Config holds the dependencies of a Store.
 type Config struct {
 	Peers environment.Peers
-	// OnChange is called with each document that comes into force here.
+	// OnChange is called with each document that the store accepts.
 	OnChange func(*Document)
 }
 
-// Store holds the newest version of each document that this node knows. It
-// belongs to one goroutine.
+// Store holds the newest version of each document known to this node. It is
+// not safe for concurrent use.
 type Store struct {
 	config  Config
 	states  map[string]*documentState
@@ -36,7 +36,7 @@
 	history []change
 }
 
-// change lists the keys that differ between two successive versions held.
+// change lists the keys that differ between version from and the next one held.
 type change struct {
 	from uint64
 	keys []string
@@ -56,7 +56,8 @@
 	return state.current
 }
 
-// Publish takes a document in if its version is greater than the one held.
+// Publish stores a document if its version is greater than the one held, and
+// reports whether it did.
 func (s *Store) Publish(document *Document) bool {
 	state := s.states[document.Name]
 	if state == nil {
@@ -76,7 +77,7 @@
 	return true
 }
 
-// Versions lists what is held, ordered by name.
+// Versions returns the versions held, sorted by document name.
 func (s *Store) Versions() []wire.DocumentVersion {
 	versions := make([]wire.DocumentVersion, 0, len(s.states))
 	for _, name := range slices.Sorted(maps.Keys(s.states)) {
@@ -85,7 +86,7 @@
 	return versions
 }
 
-// Observe compares a peer's versions with those held and pulls what is newer.
+// Observe pulls from a peer the documents that it holds in a newer version.
 func (s *Store) Observe(address string, versions []wire.DocumentVersion) {
 	for _, version := range versions {
 		have := s.version(version.Name)
@@ -115,14 +116,15 @@
 			return
 		}
 		if !s.accept(reply) && reply.Base != 0 && reply.Version > s.version(name) {
-			// The delta did not give the announced digest: take the whole.
+			// The delta could not be applied: pull the full document.
 			s.pull(address, name, 0)
 		}
 	})
 }
 
-// accept applies a reply; it refuses a delta whose base is not held or whose
-// result differs from the sender's digest.
+// accept applies a reply and reports whether the document was stored. It rejects
+// a delta whose base version is not held, and entries whose digest differs from
+// the sender's.
 func (s *Store) accept(reply *wire.DocumentReply) bool {
 	entries := map[string][]byte{}
 	if reply.Base != 0 {
@@ -145,8 +147,8 @@
 	return s.Publish(document)
 }
 
-// HandlePull answers with the changes since the caller's version, or with the
-// whole where the history does not reach back so far.
+// HandlePull replies with the changes since the caller's version, or with the
+// full document if the history does not contain that version.
 func (s *Store) HandlePull(pull *wire.DocumentPull) wire.Message {
 	state := s.states[pull.Name]
 	if state == nil {
@@ -154,15 +156,15 @@
 	}
 	current := state.current
 	reply := &wire.DocumentReply{Name: pull.Name, Version: current.Version, Digest: current.Digest}
-	keys, reaches := state.keysSince(pull.Have)
-	if reaches {
+	keys, found := state.keysSince(pull.Have)
+	if found {
 		reply.Base = pull.Have
 	} else {
 		keys = slices.Sorted(maps.Keys(current.Entries))
 	}
 	for _, key := range keys {
-		data, stands := current.Entries[key]
-		if !stands {
+		data, exists := current.Entries[key]
+		if !exists {
 			reply.Removed = append(reply.Removed, key)
 			continue
 		}
@@ -171,6 +173,8 @@
 	return reply
 }
 
+// keysSince returns the sorted keys changed since a version, and whether the
+// history contains that version.
 func (s *documentState) keysSince(version uint64) ([]string, bool) {
 	changed := map[string]bool{}
 	for i := len(s.history) - 1; i >= 0; i-- {
--- a/internal/standalone/relay/store_test.go
+++ b/internal/standalone/relay/store_test.go
@@ -11,7 +11,7 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// directPeers answers pulls from one store at once.
+// directPeers replies to pulls from one store immediately.
 type directPeers struct{ from *Store }
 
 func (p directPeers) Send(string, wire.Message) {}
@@ -24,9 +24,8 @@
 
 func ignore(*Document) {}
 
-// TestFollowerConverges has a follower look at random moments while versions
-// are published, so that it pulls deltas of every length and wholes, and
-// checks that it always holds exactly what the leader does.
+// TestFollowerConverges guards against a follower whose entries differ from the
+// leader's after pulls of deltas of any length and of full documents.
 func TestFollowerConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leader := NewStore(Config{OnChange: ignore})
@@ -48,13 +47,13 @@
 			}
 			follower.Observe("leader", leader.Versions())
 			if got := follower.Get("d"); got.Version != version || got.Digest != leader.Get("d").Digest {
-				t.Fatalf("the follower has %+v, the leader %+v", got, leader.Get("d"))
+				t.Fatalf("follower holds %+v, leader holds %+v", got, leader.Get("d"))
 			}
 		}
 	})
 }
 
-func TestOlderVersionIsRefused(t *testing.T) {
+func TestPublishRejectsOlderVersion(t *testing.T) {
 	store := NewStore(Config{OnChange: ignore})
 	store.Publish(NewDocument("d", 5, map[string][]byte{"a": nil}))
 	for _, version := range []uint64{4, 5} {
@@ -64,11 +63,11 @@
 	}
 }
 
-func TestDeltaWithAnotherDigestIsRefused(t *testing.T) {
+func TestAcceptRejectsDigestMismatch(t *testing.T) {
 	store := NewStore(Config{OnChange: ignore})
 	store.Publish(NewDocument("d", 1, map[string][]byte{"a": []byte("x")}))
-	forged := &wire.DocumentReply{Name: "d", Version: 2, Base: 1, Upserts: []wire.Entry{{Key: "b"}}, Digest: 1}
-	if store.accept(forged) || store.Get("d").Version != 1 {
-		t.Error("a delta with a wrong digest was taken")
+	mismatched := &wire.DocumentReply{Name: "d", Version: 2, Base: 1, Upserts: []wire.Entry{{Key: "b"}}, Digest: 1}
+	if store.accept(mismatched) || store.Get("d").Version != 1 {
+		t.Error("delta with a digest mismatch was accepted")
 	}
 }
