--- a/internal/standalone/gateway/badinput_test.go
+++ b/internal/standalone/gateway/badinput_test.go
@@ -14,16 +14,16 @@
 	"github.com/pathtally/pathtally/internal/standalone/enginemodel"
 )
 
-type answer struct {
+type errorResponse struct {
 	Error struct {
 		Code  string `json:"code"`
 		Param string `json:"param"`
 	} `json:"error"`
 }
 
-// TestBadInputGetsATypedError sends what callers get wrong and checks status,
-// code and outcome, and that the node goes on serving.
-func TestBadInputGetsATypedError(t *testing.T) {
+// TestInvalidRequestErrors guards against wrong status, code or outcome for an
+// invalid request, and against a node that stops serving after one.
+func TestInvalidRequestErrors(t *testing.T) {
 	cluster, err := devcluster.Start(devcluster.Config{Folder: "../../../examples/kotuku", Parameters: enginemodel.DefaultParameters(), Lengths: devcluster.DefaultLengths()})
 	if err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 		{"prompt past the context", "/v1/completions", `{"model":"booking-service","prompt":"` + long + `"}`, nil, 400, "context_length_exceeded"},
 		{"max_tokens past the context", "/v1/completions", `{"model":"booking-service","prompt":"p","max_tokens":9999}`, nil, 400, "context_length_exceeded"},
 		{"negative max_tokens", "/v1/completions", `{"model":"booking-service","prompt":"p","max_tokens":-1}`, nil, 400, "invalid_value"},
-		{"several answers", "/v1/completions", `{"model":"booking-service","prompt":"p","n":2}`, nil, 400, "invalid_value"},
+		{"several choices", "/v1/completions", `{"model":"booking-service","prompt":"p","n":2}`, nil, 400, "invalid_value"},
 		{"body over the limit", "/v1/completions", `{"model":"booking-service","prompt":"` + strings.Repeat("x", 140000) + `"}`, nil, 413, "body_too_large"},
 		{"unknown group", "/v1/completions", `{"model":"booking-service","prompt":"p"}`, map[string]string{"Pathtally-Group": "none"}, 404, "group_not_found"},
 		{"group of another model", "/v1/completions", `{"model":"booking-service","prompt":"p"}`, map[string]string{"Pathtally-Group": "rider-drafts"}, 404, "group_not_found"},
@@ -54,29 +54,29 @@
 		{"chat without messages", "/v1/chat/completions", `{"model":"booking-service"}`, nil, 400, "invalid_value"},
 		{"unknown path", "/v1/none", `{}`, nil, 404, "not_found"},
 		{"unknown trainer", "/v1/trainers/none/steps/1", `{}`, nil, 404, "unknown_trainer"},
-		{"step that is no number", "/v1/trainers/drafts/steps/x", `{}`, nil, 400, "invalid_value"},
+		{"step that is not a number", "/v1/trainers/drafts/steps/x", `{}`, nil, 400, "invalid_value"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			status, headers, body := post(t, address, test.path, test.body, test.headers)
-			var got answer
+			var got errorResponse
 			if err := json.Unmarshal(body, &got); err != nil {
-				t.Fatalf("no JSON error: %s", body)
+				t.Fatalf("response is not a JSON error: %s", body)
 			}
 			if status != test.status || got.Error.Code != test.code || headers["Pathtally-Outcome"] != "not-run" {
-				t.Errorf("got %d %s outcome %q", status, got.Error.Code, headers["Pathtally-Outcome"])
+				t.Errorf("unexpected error response: status %d, code %s, outcome %q", status, got.Error.Code, headers["Pathtally-Outcome"])
 			}
 		})
 	}
 	t.Run("deadline too short", func(t *testing.T) {
 		status, headers, _ := post(t, address, "/v1/completions", `{"model":"booking-service","prompt":"p","max_tokens":48}`, map[string]string{"Pathtally-Deadline": "3ms"})
 		if status != 504 && status != 429 || headers["Retry-After"] == "" {
-			t.Errorf("got %d with Retry-After %q", status, headers["Retry-After"])
+			t.Errorf("unexpected response past the deadline: status %d, Retry-After %q", status, headers["Retry-After"])
 		}
 	})
-	t.Run("half-closed connection still gets its answer", func(t *testing.T) { halfClosed(t, address) })
+	t.Run("half-closed connection gets a response", func(t *testing.T) { testHalfClosed(t, address) })
 	if status, _, _ := post(t, address, "/v1/completions", `{"model":"booking-service","prompt":"p","max_tokens":2}`, nil); status != 200 {
-		t.Errorf("the node does not serve any more: %d", status)
+		t.Errorf("valid request after the invalid ones failed with status %d", status)
 	}
 }
 
@@ -99,7 +99,7 @@
 	return response.StatusCode(), found, response.Body()
 }
 
-func halfClosed(t *testing.T, address string) {
+func testHalfClosed(t *testing.T, address string) {
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -116,6 +116,6 @@
 	buffer := make([]byte, 64)
 	count, err := connection.Read(buffer)
 	if err != nil || !strings.HasPrefix(string(buffer[:count]), "HTTP/1.1 200") {
-		t.Errorf("got %q, %v", buffer[:count], err)
+		t.Errorf("half-closed connection: read %q, error %v", buffer[:count], err)
 	}
 }
--- a/internal/standalone/gateway/bodies.go
+++ b/internal/standalone/gateway/bodies.go
@@ -8,7 +8,7 @@
 	"github.com/pathtally/pathtally/internal/standalone/stream"
 )
 
-// promptText is a prompt given as a text or as a list of one text.
+// promptText is a prompt given as a string or as a list of one string.
 type promptText string
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -38,8 +38,8 @@
 	Content string `json:"content"`
 }
 
-// completionRequest is the body of both completion paths. Fields that clients
-// of this API send besides are accepted and ignored.
+// completionRequest is the body of a text or chat completion request. Unknown
+// fields are ignored.
 type completionRequest struct {
 	Model     string        `json:"model"`
 	Prompt    promptText    `json:"prompt"`
@@ -50,7 +50,7 @@
 	N         *int          `json:"n"`
 }
 
-// text returns the prompt, or the messages joined into one.
+// text returns the prompt, or for chat the messages joined into one prompt.
 func (r *completionRequest) text(chat bool) string {
 	if !chat {
 		return string(r.Prompt)
@@ -65,9 +65,9 @@
 	return builder.String()
 }
 
-// completionAnswer is the answer of both completion paths, whole or as an
-// event of a stream.
-type completionAnswer struct {
+// completionResponse is a text or chat completion response, or one event of a
+// streamed response.
+type completionResponse struct {
 	ID        string     `json:"id"`
 	Object    string     `json:"object"`
 	Created   int64      `json:"created"`
@@ -95,14 +95,14 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// extension is what this service adds to the API's own fields.
+// extension holds the fields that this service adds to the completion API.
 type extension struct {
 	Outcome  string           `json:"outcome"`
 	Segments []stream.Segment `json:"segments,omitempty"`
 }
 
-// errorAnswer is an error in the API's own form.
-type errorAnswer struct {
+// errorResponse is an error in the format of the completion API.
+type errorResponse struct {
 	Error     errorBody  `json:"error"`
 	Pathtally *extension `json:"pathtally,omitempty"`
 }
@@ -114,7 +114,7 @@
 	Param   string `json:"param,omitempty"`
 }
 
-// modelList answers GET /v1/models.
+// modelList is the response body of GET /v1/models.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
--- a/internal/standalone/gateway/call.go
+++ b/internal/standalone/gateway/call.go
@@ -14,34 +14,35 @@
 	"github.com/pathtally/pathtally/internal/standalone/request"
 )
 
-// eventBuffer is how many events of an engine may wait for the worker.
+// eventBuffer is the capacity, in events, of the channel from an engine to the
+// worker.
 const eventBuffer = 64
 
-// retryAfterBudget is the advice when the retry budget is spent.
-const retryAfterBudget = 2 * time.Second
+// budgetRetryAfter is the Retry-After sent when the retry budget is exhausted.
+const budgetRetryAfter = 2 * time.Second
 
-// call is one request under way. It belongs to the worker that serves it.
+// call is one request in flight. Only the worker that serves it may use it.
 type call struct {
 	server   *Server
 	id       string
-	checked  *parsed
+	parsed   *parsedRequest
 	state    *groupState
 	machine  *request.Machine
 	endpoint *routing.Endpoint
 	events   chan engine.Event
 	cancel   func()
 	granted  bool
-	// done is closed when the worker reads no more events.
+	// done is closed when the worker stops reading events.
 	done chan struct{}
 }
 
-// grantAnswer is the answer of Claims.Grant.
-type grantAnswer struct {
+// grantReply holds the arguments of the callback of Claims.Grant.
+type grantReply struct {
 	result quorum.GrantResult
 	err    error
 }
 
-// advance carries out an action and returns the next one.
+// advance executes an action and returns the next one.
 func (c *call) advance(action request.Action) request.Action {
 	switch typed := action.(type) {
 	case request.Claim:
@@ -49,71 +50,73 @@
 	case request.Dispatch:
 		return c.machine.Handle(c.dispatch(typed))
 	default:
-		return c.machine.Handle(c.next())
+		return c.machine.Handle(c.nextEvent())
 	}
 }
 
 func (c *call) claim(claim quorum.Claim) request.Event {
-	answers := make(chan grantAnswer, 1)
+	replies := make(chan grantReply, 1)
 	c.server.config.Claims.Grant(claim, func(result quorum.GrantResult, err error) {
-		answers <- grantAnswer{result: result, err: err}
+		replies <- grantReply{result: result, err: err}
 	})
-	answer := <-answers
-	c.granted = answer.result.Granted
-	return request.ClaimAnswered{Result: answer.result, Err: answer.err}
+	reply := <-replies
+	c.granted = reply.result.Granted
+	return request.ClaimAnswered{Result: reply.result, Err: reply.err}
 }
 
 // dispatch picks an engine and sends the request to it.
 func (c *call) dispatch(dispatch request.Dispatch) request.Event {
-	c.closeStream()
-	if time.Now().After(c.checked.deadline) {
-		// Nothing has been sent, whatever a pause of this process has done.
+	c.releaseEngine()
+	if time.Now().After(c.parsed.deadline) {
+		// This dispatch has not been sent. The check covers a pause of this
+		// process that outlasted the deadline.
 		return request.NoEngine{Err: merry.Wrap(request.ErrDeadline)}
 	}
 	avoid := ""
 	if c.endpoint != nil {
 		avoid = c.endpoint.Name
 	}
-	endpoint, err := c.pick(avoid)
+	endpoint, err := c.pickEngine(avoid)
 	if err != nil {
 		return request.NoEngine{Err: err}
 	}
-	if dispatch.Retry && !c.payRetry(endpoint) {
-		return request.NoEngine{Err: &admission.RefusedError{Reason: admission.ReasonRetries, RetryAfter: retryAfterBudget}}
+	if dispatch.Retry && !c.spendRetry(endpoint) {
+		return request.NoEngine{Err: &admission.RefusedError{Reason: admission.ReasonRetries, RetryAfter: budgetRetryAfter}}
 	}
 	if dispatch.Request.KVHandle != "" {
 		c.server.config.Metrics.moved.Inc()
 	}
 	c.endpoint = endpoint
-	c.open(endpoint, dispatch.Request)
-	return c.next()
+	c.startDispatch(endpoint, dispatch.Request)
+	return c.nextEvent()
 }
 
-// pick avoids the engine that has just failed, unless it is the only one.
-func (c *call) pick(avoid string) (*routing.Endpoint, error) {
+// pickEngine avoids the engine of the previous dispatch unless no other engine
+// is available.
+func (c *call) pickEngine(avoid string) (*routing.Endpoint, error) {
 	query := routing.Query{
 		Zone:       c.server.config.Zone,
-		PrefixHash: xxhash.Sum64String(c.checked.prompt[:min(prefixBytes, len(c.checked.prompt))]),
+		PrefixHash: xxhash.Sum64String(c.parsed.prompt[:min(prefixBytes, len(c.parsed.prompt))]),
 		Avoid:      avoid,
 		Random:     rand.Uint64(),
 	}
-	endpoint, err := c.checked.group.Plan.Pick(&query)
+	endpoint, err := c.parsed.group.Plan.Pick(&query)
 	if err != nil && avoid != "" {
 		query.Avoid = ""
-		return c.checked.group.Plan.Pick(&query)
+		return c.parsed.group.Plan.Pick(&query)
 	}
 	return endpoint, err
 }
 
-func (c *call) payRetry(endpoint *routing.Endpoint) bool {
+func (c *call) spendRetry(endpoint *routing.Endpoint) bool {
 	if !c.state.retries.Spend() || !endpoint.State.Retries.Spend() {
 		return false
 	}
-	c.server.config.Metrics.retries.WithLabelValues(c.checked.group.Group.Metadata.Name).Inc()
+	c.server.config.Metrics.retries.WithLabelValues(c.parsed.group.Group.Metadata.Name).Inc()
 	return true
 }
 
-func (c *call) open(endpoint *routing.Endpoint, dispatch engine.Request) {
+func (c *call) startDispatch(endpoint *routing.Endpoint, dispatch engine.Request) {
 	events := make(chan engine.Event, eventBuffer)
 	c.events = events
 	endpoint.State.InFlight.Add(1)
@@ -125,21 +128,22 @@
 	})
 }
 
-// next waits for the engine's next event or the deadline.
-func (c *call) next() request.Event {
-	timer := time.NewTimer(time.Until(c.checked.deadline))
+// nextEvent waits for the engine's next event or the deadline.
+func (c *call) nextEvent() request.Event {
+	timer := time.NewTimer(time.Until(c.parsed.deadline))
 	defer timer.Stop()
 	select {
 	case event := <-c.events:
-		c.count(event)
+		c.recordEvent(event)
 		return event
 	case <-timer.C:
 		return request.DeadlinePassed{}
 	}
 }
 
-// count keeps the engine's counters and budgets.
-func (c *call) count(event engine.Event) {
+// recordEvent updates the failure count and retry budgets, and releases the
+// engine at the end of a dispatch.
+func (c *call) recordEvent(event engine.Event) {
 	switch event.(type) {
 	case engine.Chunk:
 		return
@@ -150,11 +154,11 @@
 	case *engine.Error:
 		c.endpoint.State.Failures.Add(1)
 	}
-	c.closeStream()
+	c.releaseEngine()
 }
 
-// closeStream takes the open dispatch out of the engine's count.
-func (c *call) closeStream() {
+// releaseEngine removes the open dispatch from the engine's in-flight count.
+func (c *call) releaseEngine() {
 	if c.events == nil {
 		return
 	}
@@ -162,11 +166,11 @@
 	c.endpoint.State.InFlight.Add(-1)
 }
 
-// finish ends the call's side effects: the engine's work is cancelled if
-// nobody waits for it, and the claim gets its outcome.
-func (c *call) finish(result request.Result, answer []byte) {
+// finish cancels a dispatch that may still be running and completes or withdraws
+// the claim. It must be called exactly once.
+func (c *call) finish(result request.Result, response []byte) {
 	close(c.done)
-	c.closeStream()
+	c.releaseEngine()
 	if result.Cancel && c.cancel != nil {
 		c.cancel()
 	}
@@ -178,8 +182,8 @@
 		c.server.config.Claims.Withdraw(claim)
 		return
 	}
-	if len(answer) > maxStoredAnswer {
-		answer = nil
+	if len(response) > maxStoredResponse {
+		response = nil
 	}
-	c.server.config.Claims.Complete(claim, result.Outcome, answer)
+	c.server.config.Claims.Complete(claim, result.Outcome, response)
 }
--- a/internal/standalone/gateway/doc.go
+++ b/internal/standalone/gateway/doc.go
@@ -1,5 +1,6 @@
-// Package gateway is a node's HTTP interface: the completion API towards
-// callers, the steps of trainers, and what operators read. The worker that
-// serves a connection owns the request's machine; it reads shared state only
-// through the routing snapshot and waits on channels for what others do.
+// Package gateway is a node's HTTP server: the completion API for callers, the
+// step API for trainers, and the health, metrics and status endpoints for
+// operators. The worker that serves a connection owns the request's state
+// machine. It reads the configuration from an immutable snapshot and receives
+// results of other goroutines over channels.
 package gateway
--- a/internal/standalone/gateway/errors.go
+++ b/internal/standalone/gateway/errors.go
@@ -18,7 +18,7 @@
 
 var errPromptList = merry.Sentinel("a list of prompts must have exactly one entry")
 
-// InputError is a request that cannot be served as it is written.
+// InputError reports an invalid request.
 type InputError struct {
 	Status  int
 	Code    string
@@ -26,40 +26,40 @@
 	Message string
 }
 
-// Error gives the message.
+// Error returns the code and the message.
 func (e *InputError) Error() string { return fmt.Sprintf("%s: %s", e.Code, e.Message) }
 
-// Codes of errors in the API's form.
+// Codes and types of error responses, and default Retry-After durations.
 const (
-	codeInvalidJSON     = "invalid_json"
-	codeInvalidValue    = "invalid_value"
-	codeModelNotFound   = "model_not_found"
-	codeGroupNotFound   = "group_not_found"
-	codeBodyTooLarge    = "body_too_large"
-	codeContextLength   = "context_length_exceeded"
-	codeNotFound        = "not_found"
-	codeOverloaded      = "overloaded"
-	codeNoEngine        = "no_engine_available"
-	codeNoMajority      = "no_quorum"
-	codeDeadline        = "deadline_exceeded"
-	codeStillRunning    = "still_running"
-	codeKeyReused       = "idempotency_key_reused"
-	codeEngineFailed    = "engine_failed"
-	codeNotReady        = "not_ready"
-	codeUnknownStep     = "unknown_step"
-	codeStepConflict    = "step_conflict"
-	codeTooManySteps    = "too_many_steps"
-	codeNoScheduler     = "no_scheduler"
-	codeUnknownTrainer  = "unknown_trainer"
-	typeInvalidRequest  = "invalid_request_error"
-	typeServer          = "server_error"
-	typeRateLimit       = "rate_limit_error"
-	defaultComeBack     = time.Second
-	noEngineComeBack    = 500 * time.Millisecond
-	noSchedulerComeBack = 500 * time.Millisecond
+	codeInvalidJSON       = "invalid_json"
+	codeInvalidValue      = "invalid_value"
+	codeModelNotFound     = "model_not_found"
+	codeGroupNotFound     = "group_not_found"
+	codeBodyTooLarge      = "body_too_large"
+	codeContextLength     = "context_length_exceeded"
+	codeNotFound          = "not_found"
+	codeOverloaded        = "overloaded"
+	codeNoEngine          = "no_engine_available"
+	codeNoMajority        = "no_quorum"
+	codeDeadline          = "deadline_exceeded"
+	codeStillRunning      = "still_running"
+	codeKeyReused         = "idempotency_key_reused"
+	codeEngineFailed      = "engine_failed"
+	codeNotReady          = "not_ready"
+	codeUnknownStep       = "unknown_step"
+	codeStepConflict      = "step_conflict"
+	codeTooManySteps      = "too_many_steps"
+	codeNoScheduler       = "no_scheduler"
+	codeUnknownTrainer    = "unknown_trainer"
+	typeInvalidRequest    = "invalid_request_error"
+	typeServer            = "server_error"
+	typeRateLimit         = "rate_limit_error"
+	defaultRetryAfter     = time.Second
+	noEngineRetryAfter    = 500 * time.Millisecond
+	noSchedulerRetryAfter = 500 * time.Millisecond
 )
 
-// failure is an error as it is written to a caller.
+// failure describes an error response to a caller.
 type failure struct {
 	status     int
 	kind       string
@@ -69,29 +69,29 @@
 	retryAfter time.Duration
 }
 
-// table maps sentinel errors to answers; the first that matches counts.
-var table = []struct {
+// failureTable maps sentinel errors to error responses. The first match applies.
+var failureTable = []struct {
 	err     error
 	failure failure
 }{
 	{request.ErrKeyReused, failure{status: fasthttp.StatusUnprocessableEntity, kind: typeInvalidRequest, code: codeKeyReused}},
-	{request.ErrStillRunning, failure{status: fasthttp.StatusConflict, kind: typeInvalidRequest, code: codeStillRunning, retryAfter: defaultComeBack}},
-	{request.ErrDeadline, failure{status: fasthttp.StatusGatewayTimeout, kind: typeServer, code: codeDeadline, retryAfter: defaultComeBack}},
-	{routing.ErrNoEngineAvailable, failure{status: fasthttp.StatusServiceUnavailable, kind: typeServer, code: codeNoEngine, retryAfter: noEngineComeBack}},
-	{routing.ErrNoEngineDeclared, failure{status: fasthttp.StatusServiceUnavailable, kind: typeServer, code: codeNoEngine, retryAfter: noEngineComeBack}},
-	{quorum.ErrNoMajority, failure{status: fasthttp.StatusServiceUnavailable, kind: typeServer, code: codeNoMajority, retryAfter: defaultComeBack}},
-	{request.ErrAttemptsExhausted, failure{status: fasthttp.StatusBadGateway, kind: typeServer, code: codeEngineFailed, retryAfter: defaultComeBack}},
-	{node.ErrNotReady, failure{status: fasthttp.StatusServiceUnavailable, kind: typeServer, code: codeNotReady, retryAfter: defaultComeBack}},
-	{node.ErrNoScheduler, failure{status: fasthttp.StatusServiceUnavailable, kind: typeServer, code: codeNoScheduler, retryAfter: noSchedulerComeBack}},
+	{request.ErrStillRunning, failure{status: fasthttp.StatusConflict, kind: typeInvalidRequest, code: codeStillRunning, retryAfter: defaultRetryAfter}},
+	{request.ErrDeadline, failure{status: fasthttp.StatusGatewayTimeout, kind: typeServer, code: codeDeadline, retryAfter: defaultRetryAfter}},
+	{routing.ErrNoEngineAvailable, failure{status: fasthttp.StatusServiceUnavailable, kind: typeServer, code: codeNoEngine, retryAfter: noEngineRetryAfter}},
+	{routing.ErrNoEngineDeclared, failure{status: fasthttp.StatusServiceUnavailable, kind: typeServer, code: codeNoEngine, retryAfter: noEngineRetryAfter}},
+	{quorum.ErrNoMajority, failure{status: fasthttp.StatusServiceUnavailable, kind: typeServer, code: codeNoMajority, retryAfter: defaultRetryAfter}},
+	{request.ErrAttemptsExhausted, failure{status: fasthttp.StatusBadGateway, kind: typeServer, code: codeEngineFailed, retryAfter: defaultRetryAfter}},
+	{node.ErrNotReady, failure{status: fasthttp.StatusServiceUnavailable, kind: typeServer, code: codeNotReady, retryAfter: defaultRetryAfter}},
+	{node.ErrNoScheduler, failure{status: fasthttp.StatusServiceUnavailable, kind: typeServer, code: codeNoScheduler, retryAfter: noSchedulerRetryAfter}},
 	{node.ErrUnknownTrainer, failure{status: fasthttp.StatusNotFound, kind: typeInvalidRequest, code: codeUnknownTrainer}},
-	{rollout.ErrStopped, failure{status: fasthttp.StatusServiceUnavailable, kind: typeServer, code: codeNoScheduler, retryAfter: noSchedulerComeBack}},
+	{rollout.ErrStopped, failure{status: fasthttp.StatusServiceUnavailable, kind: typeServer, code: codeNoScheduler, retryAfter: noSchedulerRetryAfter}},
 	{rollout.ErrUnknownStep, failure{status: fasthttp.StatusNotFound, kind: typeInvalidRequest, code: codeUnknownStep}},
 	{rollout.ErrStepConflict, failure{status: fasthttp.StatusConflict, kind: typeInvalidRequest, code: codeStepConflict}},
-	{rollout.ErrTooManySteps, failure{status: fasthttp.StatusTooManyRequests, kind: typeRateLimit, code: codeTooManySteps, retryAfter: defaultComeBack}},
+	{rollout.ErrTooManySteps, failure{status: fasthttp.StatusTooManyRequests, kind: typeRateLimit, code: codeTooManySteps, retryAfter: defaultRetryAfter}},
 	{rollout.ErrInvalidStep, failure{status: fasthttp.StatusBadRequest, kind: typeInvalidRequest, code: codeInvalidValue}},
 }
 
-// failureOf turns any error into an answer.
+// failureOf returns the error response for any error.
 func failureOf(err error) failure {
 	var input *InputError
 	if errors.As(err, &input) {
@@ -101,12 +101,12 @@
 	if errors.As(err, &refused) {
 		return failure{status: fasthttp.StatusTooManyRequests, kind: typeRateLimit, code: codeOverloaded, message: refused.Error(), retryAfter: refused.RetryAfter}
 	}
-	for _, row := range table {
+	for _, row := range failureTable {
 		if errors.Is(err, row.err) {
 			found := row.failure
 			found.message = err.Error()
 			return found
 		}
 	}
-	return failure{status: fasthttp.StatusBadGateway, kind: typeServer, code: codeEngineFailed, message: err.Error(), retryAfter: defaultComeBack}
+	return failure{status: fasthttp.StatusBadGateway, kind: typeServer, code: codeEngineFailed, message: err.Error(), retryAfter: defaultRetryAfter}
 }
--- a/internal/standalone/gateway/groups.go
+++ b/internal/standalone/gateway/groups.go
@@ -8,15 +8,15 @@
 	"github.com/pathtally/pathtally/internal/standalone/engineplan"
 )
 
-// groupState is what this node counts for one traffic group. It outlives
-// snapshots.
+// groupState holds this node's admission gate and retry budget of one traffic
+// group. It is kept across snapshots.
 type groupState struct {
 	gate    *admission.Gate
 	retries *admission.RetryBudget
 }
 
-// groupStates finds the state of a group without locks; a new snapshot's
-// limits are applied once, when it is first seen.
+// groupStates maps traffic groups to their state. Lookups take no lock, except
+// that the first one with a new snapshot applies its limits under mutex.
 type groupStates struct {
 	current  atomic.Pointer[map[string]*groupState]
 	applied  atomic.Pointer[engineplan.Snapshot]
@@ -60,7 +60,7 @@
 	g.applied.Store(snapshot)
 }
 
-// stop refuses all new requests from now on.
+// stop makes the gates of all groups, current and future, refuse requests.
 func (g *groupStates) stop() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/standalone/gateway/headers.go
+++ b/internal/standalone/gateway/headers.go
@@ -1,6 +1,6 @@
 package gateway
 
-// Header names of the caller's interface.
+// HTTP headers of the completion API.
 const (
 	HeaderIdempotencyKey = "Idempotency-Key"
 	HeaderDeadline       = "Pathtally-Deadline"
--- a/internal/standalone/gateway/listener.go
+++ b/internal/standalone/gateway/listener.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// deadlineListener gives each write of its connections its own time limit, so
-// that a caller that stops reading cannot hold a worker for ever, however
-// long a stream is.
+// deadlineListener sets a write deadline for each write of its connections, so
+// that a caller that stops reading cannot block a worker indefinitely. The
+// duration of a stream as a whole is not limited.
 type deadlineListener struct{ net.Listener }
 
 // Accept implements net.Listener.
--- a/internal/standalone/gateway/metrics.go
+++ b/internal/standalone/gateway/metrics.go
@@ -4,8 +4,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics are the counters of the request path; docs/OPERATIONS.md says what
-// each is for.
+// Metrics are the metrics of the request path, described in docs/OPERATIONS.md.
 type Metrics struct {
 	Registry *prometheus.Registry
 	requests *prometheus.CounterVec
@@ -15,7 +14,7 @@
 	moved    prometheus.Counter
 }
 
-// NewMetrics returns metrics in a registry of their own.
+// NewMetrics returns metrics registered in a new registry.
 func NewMetrics() *Metrics {
 	metrics := &Metrics{
 		Registry: prometheus.NewRegistry(),
@@ -29,7 +28,7 @@
 	return metrics
 }
 
-// Gauge registers a gauge that is read from a function at each scrape.
+// Gauge registers a gauge whose value is read from a function at each scrape.
 func (m *Metrics) Gauge(name, help string, read func() float64) {
 	m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, read))
 }
--- a/internal/standalone/gateway/answer.go
+++ b/internal/standalone/gateway/response.go
@@ -15,17 +15,17 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// maxStoredAnswer bounds the answer that a claim keeps for repeats.
-const maxStoredAnswer = 64 << 10
+// maxStoredResponse bounds, in bytes, the response that a claim stores for repeated requests.
+const maxStoredResponse = 64 << 10
 
 const (
 	objectText      = "text_completion"
 	objectChat      = "chat.completion"
 	objectChatChunk = "chat.completion.chunk"
 	roleAssistant   = "assistant"
-	// streamEnd is the line after the last event of a whole stream.
-	streamEnd = "data: [DONE]\n\n"
-	// codeStored marks repeats in the log.
+	// doneEvent follows the last event of a complete stream.
+	doneEvent = "data: [DONE]\n\n"
+	// codeStored is logged for a repeated request that gets the stored response.
 	codeStored = "stored"
 )
 
@@ -39,20 +39,20 @@
 	return OutcomeUnknown
 }
 
-// whole serves a request whose answer is sent in one piece.
-func (s *Server) whole(ctx *fasthttp.RequestCtx, running *call) {
+// serveUnary serves a request whose response is sent as a single JSON body.
+func (s *Server) serveUnary(ctx *fasthttp.RequestCtx, running *call) {
 	action := running.machine.Handle(request.Begin{})
 	for {
 		finish, ended := action.(request.Finish)
 		if ended {
-			s.writeWhole(ctx, running, finish.Result)
+			s.writeResult(ctx, running, finish.Result)
 			return
 		}
 		action = running.advance(action)
 	}
 }
 
-func (s *Server) writeWhole(ctx *fasthttp.RequestCtx, running *call, result request.Result) {
+func (s *Server) writeResult(ctx *fasthttp.RequestCtx, running *call, result request.Result) {
 	if result.Stored != nil {
 		running.finish(result, nil)
 		s.writeStored(ctx, running, result.Stored)
@@ -63,7 +63,7 @@
 		s.writeResultFailure(ctx, running, result)
 		return
 	}
-	data, err := json.Marshal(running.answer(result))
+	data, err := json.Marshal(running.response(result))
 	if err != nil {
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
 		return
@@ -73,18 +73,19 @@
 	ctx.Response.Header.Set(HeaderOutcome, OutcomeDone)
 	ctx.SetContentType("application/json")
 	ctx.SetBody(data)
-	s.ended(running.checked, running.id, OutcomeDone, "", result.Tokens)
+	s.recordEnd(running.parsed, running.id, OutcomeDone, "", result.Tokens)
 }
 
-// writeStored repeats the answer of the first request with the same key.
+// writeStored sends the stored response of the first request with the same
+// idempotency key.
 func (s *Server) writeStored(ctx *fasthttp.RequestCtx, running *call, stored []byte) {
-	var answer completionAnswer
-	if json.Unmarshal(stored, &answer) == nil && answer.Pathtally != nil {
-		setVersion(&ctx.Response.Header, answer.Pathtally.Segments)
+	var response completionResponse
+	if json.Unmarshal(stored, &response) == nil && response.Pathtally != nil {
+		setVersion(&ctx.Response.Header, response.Pathtally.Segments)
 	}
 	ctx.Response.Header.Set(HeaderOutcome, OutcomeDone)
-	s.ended(running.checked, running.id, OutcomeDone, codeStored, 0)
-	if !running.checked.body.Stream {
+	s.recordEnd(running.parsed, running.id, OutcomeDone, codeStored, 0)
+	if !running.parsed.body.Stream {
 		ctx.SetContentType("application/json")
 		ctx.SetBody(stored)
 		return
@@ -92,17 +93,17 @@
 	ctx.SetContentType("text/event-stream")
 	var body bytes.Buffer
 	writer := bufio.NewWriter(&body)
-	for _, only := range answer.Choices {
-		event := running.event(only.content(), only.FinishReason)
-		event.Usage, event.Pathtally = answer.Usage, answer.Pathtally
+	for _, single := range response.Choices {
+		event := running.event(single.content(), single.FinishReason)
+		event.Usage, event.Pathtally = response.Usage, response.Pathtally
 		writeEvent(writer, event)
 	}
-	writer.WriteString(streamEnd)
+	writer.WriteString(doneEvent)
 	writer.Flush()
 	ctx.SetBody(body.Bytes())
 }
 
-// content is the text of a choice of either completion path.
+// content returns the text of a text or chat choice.
 func (c choice) content() string {
 	if c.Message != nil {
 		return c.Message.Content
@@ -119,7 +120,7 @@
 		found.retryAfter = result.RetryAfter
 	}
 	s.writeFailure(ctx, found, outcomeName(result.Outcome))
-	s.ended(running.checked, running.id, outcomeName(result.Outcome), found.code, result.Tokens)
+	s.recordEnd(running.parsed, running.id, outcomeName(result.Outcome), found.code, result.Tokens)
 }
 
 func setVersion(header *fasthttp.ResponseHeader, segments []stream.Segment) {
@@ -128,64 +129,64 @@
 	}
 }
 
-// answer is the whole answer of a finished request.
-func (c *call) answer(result request.Result) completionAnswer {
-	prompt := enginemodel.PromptTokens(c.checked.prompt)
-	answer := c.frame(objectText)
-	answer.Usage = &usage{PromptTokens: prompt, CompletionTokens: result.Tokens, TotalTokens: prompt + result.Tokens}
-	answer.Pathtally = &extension{Outcome: OutcomeDone, Segments: result.Segments}
+// response builds the complete response of a successful request.
+func (c *call) response(result request.Result) completionResponse {
+	prompt := enginemodel.PromptTokens(c.parsed.prompt)
+	response := c.newResponse(objectText)
+	response.Usage = &usage{PromptTokens: prompt, CompletionTokens: result.Tokens, TotalTokens: prompt + result.Tokens}
+	response.Pathtally = &extension{Outcome: OutcomeDone, Segments: result.Segments}
 	reason := result.Reason
-	only := choice{FinishReason: &reason}
-	if c.checked.chat {
-		answer.Object = objectChat
-		only.Message = &chatMessage{Role: roleAssistant, Content: result.Text}
+	single := choice{FinishReason: &reason}
+	if c.parsed.chat {
+		response.Object = objectChat
+		single.Message = &chatMessage{Role: roleAssistant, Content: result.Text}
 	} else {
-		only.Text = &result.Text
+		single.Text = &result.Text
 	}
-	answer.Choices = []choice{only}
-	return answer
+	response.Choices = []choice{single}
+	return response
 }
 
-// stored is the answer as a claim keeps it, or nil where nobody can repeat the
-// request.
-func (c *call) stored(answer completionAnswer) []byte {
+// storedResponse encodes the response that the claim stores for repeated
+// requests. It returns nil if the request has no claim.
+func (c *call) storedResponse(response completionResponse) []byte {
 	if !c.granted {
 		return nil
 	}
-	data, err := json.Marshal(answer)
+	data, err := json.Marshal(response)
 	if err != nil {
 		return nil
 	}
 	return data
 }
 
-func (c *call) frame(object string) completionAnswer {
-	return completionAnswer{ID: c.id, Object: object, Created: c.checked.arrived.Unix(), Model: c.checked.body.Model}
+func (c *call) newResponse(object string) completionResponse {
+	return completionResponse{ID: c.id, Object: object, Created: c.parsed.arrived.Unix(), Model: c.parsed.body.Model}
 }
 
-// event is one event of a streamed answer.
-func (c *call) event(text string, reason *string) completionAnswer {
-	answer := c.frame(objectText)
-	only := choice{FinishReason: reason}
-	if c.checked.chat {
-		answer.Object = objectChatChunk
-		only.Delta = &chatDelta{Content: text}
+// event builds one event of a streamed response.
+func (c *call) event(text string, reason *string) completionResponse {
+	response := c.newResponse(objectText)
+	single := choice{FinishReason: reason}
+	if c.parsed.chat {
+		response.Object = objectChatChunk
+		single.Delta = &chatDelta{Content: text}
 	} else {
-		only.Text = &text
+		single.Text = &text
 	}
-	answer.Choices = []choice{only}
-	return answer
+	response.Choices = []choice{single}
+	return response
 }
 
-// streamed serves a request as server-sent events. Until the first token the
-// answer can still be a plain error; true means that streaming goes on after
-// the handler has returned.
-func (s *Server) streamed(ctx *fasthttp.RequestCtx, running *call) bool {
+// serveStream serves a request as server-sent events. An error before the first
+// token is sent as a plain error response. It returns true if streaming
+// continues after the handler has returned.
+func (s *Server) serveStream(ctx *fasthttp.RequestCtx, running *call) bool {
 	action := running.machine.Handle(request.Begin{})
 	for {
 		switch typed := action.(type) {
 		case request.Finish:
-			s.writeWhole(ctx, running, typed.Result)
+			s.writeResult(ctx, running, typed.Result)
 			running.state.gate.Leave()
 			return false
 		case request.Forward:
@@ -200,10 +201,10 @@
 	ctx.SetContentType("text/event-stream")
 	ctx.Response.Header.Set("Cache-Control", "no-cache")
 	ctx.Response.Header.Set(HeaderVersion, strconv.FormatInt(first.Chunk.Version, 10))
-	// The outcome of a stream is in its last event; at its start none is known.
+	// The outcome is not known yet; the last event of the stream carries it.
 	ctx.Response.Header.Set(HeaderOutcome, OutcomeUnknown)
 	ctx.SetBodyStreamWriter(func(writer *bufio.Writer) {
-		defer s.open.Add(-1)
+		defer s.inFlight.Add(-1)
 		defer running.state.gate.Leave()
 		s.runStream(writer, running, first)
 	})
@@ -219,7 +220,7 @@
 				continue
 			}
 		case request.Finish:
-			s.endStream(writer, running, typed.Result)
+			s.finishStream(writer, running, typed.Result)
 			return
 		}
 		action = running.advance(action)
@@ -230,32 +231,33 @@
 	return writeEvent(writer, c.event(chunk.Text, nil))
 }
 
-// endStream writes the last event: the finish reason with the outcome and the
-// versions, or an error, which is never followed by [DONE].
-func (s *Server) endStream(writer *bufio.Writer, running *call, result request.Result) {
+// finishStream writes the last event: the finish reason with the outcome and the
+// weight versions, or an error, which is never followed by [DONE].
+func (s *Server) finishStream(writer *bufio.Writer, running *call, result request.Result) {
 	outcome := outcomeName(result.Outcome)
 	if !result.Done() {
 		running.finish(result, nil)
 		found := failureOf(result.Err)
-		writeEvent(writer, errorAnswer{
+		writeEvent(writer, errorResponse{
 			Error:     errorBody{Message: found.message, Type: found.kind, Code: found.code},
 			Pathtally: &extension{Outcome: outcome, Segments: result.Segments},
 		})
-		s.ended(running.checked, running.id, outcome, found.code, result.Tokens)
+		s.recordEnd(running.parsed, running.id, outcome, found.code, result.Tokens)
 		return
 	}
-	answer := running.answer(result)
-	running.finish(result, running.stored(answer))
+	response := running.response(result)
+	running.finish(result, running.storedResponse(response))
 	reason := result.Reason
 	last := running.event("", &reason)
-	last.Usage, last.Pathtally = answer.Usage, answer.Pathtally
+	last.Usage, last.Pathtally = response.Usage, response.Pathtally
 	writeEvent(writer, last)
-	writer.WriteString(streamEnd)
+	writer.WriteString(doneEvent)
 	writer.Flush()
-	s.ended(running.checked, running.id, outcome, "", result.Tokens)
+	s.recordEnd(running.parsed, running.id, outcome, "", result.Tokens)
 }
 
-// writeEvent writes one server-sent event and tells whether it was taken.
+// writeEvent writes one server-sent event. It returns false if encoding or
+// writing failed.
 func writeEvent(writer *bufio.Writer, body any) bool {
 	data, err := json.Marshal(body)
 	if err != nil {
--- a/internal/standalone/gateway/server.go
+++ b/internal/standalone/gateway/server.go
@@ -20,34 +20,36 @@
 )
 
 const (
-	// hardBodyLimit bounds any body before a model's own limit is known.
+	// hardBodyLimit is the maximum request body in bytes. Each model has a
+	// lower limit of its own that is checked after the body has been read.
 	hardBodyLimit = 64 << 20
-	// readTimeout ends connections that send a request too slowly, and
-	// idleTimeout those that send none.
+	// readTimeout limits reading a request, and idleTimeout the time between
+	// requests on a connection.
 	readTimeout = 15 * time.Second
 	idleTimeout = 60 * time.Second
-	// writeTimeout ends answers that the caller does not read.
+	// writeTimeout limits each write to a connection.
 	writeTimeout = 15 * time.Second
 	// lingerPollInterval is the time between checks of the open connections.
 	lingerPollInterval = 20 * time.Millisecond
 )
 
-// Claims records the dispatch of requests that are unsafe to repeat. Its
-// callbacks may run on any goroutine.
+// Claims grants and records claims of requests that must run at most once.
+// Callbacks may run on any goroutine.
 type Claims interface {
 	Grant(claim quorum.Claim, done func(quorum.GrantResult, error))
-	Complete(claim quorum.Claim, outcome uint8, answer []byte)
+	Complete(claim quorum.Claim, outcome uint8, response []byte)
 	Withdraw(claim quorum.Claim)
 }
 
-// Trainers are the steps of trainers. Its callbacks may run on any goroutine.
+// Trainers submits, fetches and acknowledges training steps. Callbacks may run
+// on any goroutine.
 type Trainers interface {
 	Submit(trainer string, request rollout.StepRequest, done func(error))
 	Fetch(trainer string, step uint64, trainVersion int64, done func([]byte, error)) (cancel func())
 	Acknowledge(trainer string, step uint64, done func(error))
 }
 
-// Config is what a Server needs.
+// Config holds the dependencies and settings of a Server.
 type Config struct {
 	Node        string
 	Zone        string
@@ -59,14 +61,14 @@
 	Ready       func() bool
 	// Status returns the body of GET /status.
 	Status func() any
-	// Drain begins a planned stop of the node.
+	// Drain starts a graceful shutdown of the node.
 	Drain   func()
 	Metrics *Metrics
 	// Log is called at the end of each request.
 	Log func(entry RequestLog)
 }
 
-// RequestLog is what is logged of a request.
+// RequestLog is the log entry of a finished request.
 type RequestLog struct {
 	ID         string
 	Group      string
@@ -84,12 +86,12 @@
 	groups   *groupStates
 	server   *fasthttp.Server
 	sequence atomic.Uint64
-	open     atomic.Int64
+	inFlight atomic.Int64
 	stopping atomic.Bool
 	listener net.Listener
 }
 
-// NewServer returns a server that does not listen yet.
+// NewServer returns a server. Serve starts it.
 func NewServer(config Config) *Server {
 	server := &Server{config: config, groups: newGroupStates()}
 	server.server = &fasthttp.Server{
@@ -106,7 +108,8 @@
 	return server
 }
 
-// silentLogger drops the library's own lines; requests are logged as JSON.
+// silentLogger discards the log lines of fasthttp; requests are logged through
+// Config.Log.
 type silentLogger struct{}
 
 // Printf implements fasthttp.Logger.
@@ -118,17 +121,17 @@
 	return s.server.Serve(s.listener)
 }
 
-// Stop refuses new completions from now on; those under way go on. Callers are
-// told to close their connections.
+// Stop refuses new completions; those in flight continue. Responses from now on
+// ask callers to close their connections.
 func (s *Server) Stop() {
 	s.stopping.Store(true)
 	s.groups.stop()
 }
 
-// Linger accepts no more connections and goes on refusing on those that are
-// open until their callers have closed them or the limit has passed. Closing
-// them at once would cut whoever is just sending a request on one, who could
-// not tell whether it ran.
+// Linger closes the listener and keeps open connections until their callers
+// close them or the limit has passed, so that requests on them are still
+// refused with a response. Closing them at once would break requests being
+// sent, and their callers could not tell whether they ran.
 func (s *Server) Linger(limit time.Duration) {
 	_ = s.listener.Close()
 	for end := time.Now().Add(limit); s.server.GetOpenConnectionsCount() > 0 && time.Now().Before(end); {
@@ -136,8 +139,8 @@
 	}
 }
 
-// InFlight is the number of requests under way.
-func (s *Server) InFlight() int { return int(s.open.Load()) }
+// InFlight returns the number of requests in flight.
+func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
 
 // Shutdown closes the listener and idle connections.
 func (s *Server) Shutdown() error { return s.server.Shutdown() }
@@ -151,14 +154,14 @@
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	s.open.Add(1)
+	s.inFlight.Add(1)
 	if s.stopping.Load() {
 		ctx.SetConnectionClose()
 	}
 	streaming := false
 	defer func() {
 		if !streaming {
-			s.open.Add(-1)
+			s.inFlight.Add(-1)
 		}
 	}()
 	path := string(ctx.Path())
@@ -238,10 +241,11 @@
 	s.config.Metrics.refused.WithLabelValues(found.code).Inc()
 	ctx.Response.Header.Set(HeaderOutcome, outcome)
 	setRetryAfter(&ctx.Response.Header, found.retryAfter)
-	s.writeJSON(ctx, found.status, errorAnswer{Error: errorBody{Message: found.message, Type: found.kind, Code: found.code, Param: found.param}})
+	s.writeJSON(ctx, found.status, errorResponse{Error: errorBody{Message: found.message, Type: found.kind, Code: found.code, Param: found.param}})
 }
 
-// setRetryAfter writes whole seconds, rounded up, and milliseconds.
+// setRetryAfter sets Retry-After in seconds, rounded up, and
+// HeaderRetryAfterMs in milliseconds.
 func setRetryAfter(header *fasthttp.ResponseHeader, after time.Duration) {
 	if after <= 0 {
 		return
@@ -250,7 +254,7 @@
 	header.Set(HeaderRetryAfterMs, strconv.FormatInt(max(1, after.Milliseconds()), 10))
 }
 
-// nextID names a request uniquely over nodes and restarts.
+// nextID returns a request ID that is unique across nodes and restarts.
 func (s *Server) nextID() string {
 	return fmt.Sprintf("%s-%s-%d", s.config.Node, strconv.FormatUint(s.config.Incarnation, 36), s.sequence.Add(1))
 }
--- a/internal/standalone/gateway/trainers.go
+++ b/internal/standalone/gateway/trainers.go
@@ -22,7 +22,7 @@
 	actionAck        = "ack"
 	stepPathParts    = 3
 	ackPathParts     = 4
-	fetchComeBack    = 100 * time.Millisecond
+	fetchRetryAfter  = 100 * time.Millisecond
 	codeStepNotReady = "step_not_ready"
 )
 
@@ -57,19 +57,19 @@
 		return
 	}
 	body.Step = step
-	answers := make(chan error, 1)
-	s.config.Trainers.Submit(trainer, body, func(err error) { answers <- err })
-	s.writeTrainerError(ctx, <-answers)
+	results := make(chan error, 1)
+	s.config.Trainers.Submit(trainer, body, func(err error) { results <- err })
+	s.writeTrainerError(ctx, <-results)
 }
 
 func (s *Server) acknowledge(ctx *fasthttp.RequestCtx, trainer string, step uint64) {
-	answers := make(chan error, 1)
-	s.config.Trainers.Acknowledge(trainer, step, func(err error) { answers <- err })
-	s.writeTrainerError(ctx, <-answers)
+	results := make(chan error, 1)
+	s.config.Trainers.Acknowledge(trainer, step, func(err error) { results <- err })
+	s.writeTrainerError(ctx, <-results)
 }
 
-// writeTrainerError answers an empty success, a redirect to the node that has
-// the duty, or the error.
+// writeTrainerError writes an empty object if err is nil, a redirect for a
+// node.RedirectError, and an error response otherwise.
 func (s *Server) writeTrainerError(ctx *fasthttp.RequestCtx, err error) {
 	if err == nil {
 		s.writeJSON(ctx, fasthttp.StatusOK, struct{}{})
@@ -84,13 +84,13 @@
 	s.writeFailure(ctx, failureOf(err), OutcomeNotRun)
 }
 
-type fetchAnswer struct {
+type fetchResult struct {
 	body []byte
 	err  error
 }
 
-// fetch is a long poll: it answers as soon as the step is sealed, or says at
-// the end of the wait when to ask again.
+// fetch is a long poll: it responds as soon as the step is sealed, or after the
+// wait with a Retry-After.
 func (s *Server) fetch(ctx *fasthttp.RequestCtx, trainer string, step uint64) {
 	wait, err := time.ParseDuration(string(ctx.QueryArgs().Peek(paramWait)))
 	if err != nil || wait <= 0 || wait > maxFetchWait {
@@ -100,20 +100,20 @@
 	if err != nil {
 		version = 0
 	}
-	answers := make(chan fetchAnswer, 1)
-	cancel := s.config.Trainers.Fetch(trainer, step, version, func(body []byte, err error) { answers <- fetchAnswer{body: body, err: err} })
+	results := make(chan fetchResult, 1)
+	cancel := s.config.Trainers.Fetch(trainer, step, version, func(body []byte, err error) { results <- fetchResult{body: body, err: err} })
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
-	case answer := <-answers:
-		if answer.err != nil {
-			s.writeTrainerError(ctx, answer.err)
+	case result := <-results:
+		if result.err != nil {
+			s.writeTrainerError(ctx, result.err)
 			return
 		}
 		ctx.SetContentType("application/x-ndjson")
-		ctx.SetBody(answer.body)
+		ctx.SetBody(result.body)
 	case <-timer.C:
 		cancel()
-		s.writeFailure(ctx, failure{status: fasthttp.StatusAccepted, kind: typeServer, code: codeStepNotReady, message: "the step is not complete yet", retryAfter: fetchComeBack}, OutcomeNotRun)
+		s.writeFailure(ctx, failure{status: fasthttp.StatusAccepted, kind: typeServer, code: codeStepNotReady, message: "the step is not complete yet", retryAfter: fetchRetryAfter}, OutcomeNotRun)
 	}
 }
--- a/internal/standalone/request/actions.go
+++ b/internal/standalone/request/actions.go
@@ -9,27 +9,28 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// Action is what the driver has to do next.
+// Action is the next step for the driver of a Machine.
 type Action interface{ action() }
 
-// Claim asks the quorum for leave to dispatch; answer with ClaimAnswered.
+// Claim requests a claim from the quorum before the first dispatch. The driver
+// reports the result as ClaimAnswered.
 type Claim struct{ Claim quorum.Claim }
 
-// Dispatch asks for an engine to be picked and the request to be sent; answer
-// with the engine's events, or with NoEngine.
+// Dispatch asks the driver to pick an engine and send the request to it. The
+// driver reports the engine's events, or NoEngine.
 type Dispatch struct {
 	Request engine.Request
-	// Retry is true when the dispatch must be paid from the retry budget.
+	// Retry is true if the dispatch counts against the retry budget.
 	Retry bool
 }
 
-// Forward hands tokens to the caller; the driver goes on reading.
+// Forward sends tokens to the caller. The driver then waits for the next event.
 type Forward struct{ Chunk engine.Chunk }
 
-// Wait means that nothing is to be done.
+// Wait requires nothing but to wait for the next event.
 type Wait struct{}
 
-// Finish ends the request. It comes exactly once.
+// Finish ends the request. A Machine returns it exactly once.
 type Finish struct{ Result Result }
 
 func (Claim) action()    {}
@@ -38,7 +39,7 @@
 func (Wait) action()     {}
 func (Finish) action()   {}
 
-// Result is how a request ended.
+// Result is the outcome of a request.
 type Result struct {
 	// Outcome is wire.OutcomeDone, OutcomeNotRun or OutcomeUnknown.
 	Outcome  uint8
@@ -47,13 +48,14 @@
 	Tokens   int
 	Reason   string
 	Segments []stream.Segment
-	// Stored is the answer of an earlier attempt with the same key.
+	// Stored is the stored response of an earlier request with the same
+	// idempotency key.
 	Stored []byte
-	// RetryAfter says when to come back; zero when there is no use.
+	// RetryAfter is the suggested delay before a retry; zero means none.
 	RetryAfter time.Duration
-	// Cancel means that an engine may still be at work on the request.
+	// Cancel is true if an engine may still be running the request.
 	Cancel bool
 }
 
-// Done tells whether the answer is whole.
+// Done reports whether the response is complete.
 func (r Result) Done() bool { return r.Outcome == wire.OutcomeDone }
--- a/internal/standalone/request/doc.go
+++ b/internal/standalone/request/doc.go
@@ -1,10 +1,10 @@
-// Package request is the state machine of one request or sample attempt:
-// claimed if it is unsafe to repeat, dispatched, streamed, moved or resumed,
-// and ended with exactly one of three outcomes. The machine does no I/O; each
-// event gives the one action that comes next. Gateways, the rollout scheduler
-// and the simulator all drive the same machine.
+// Package request is the state machine of one request or sample attempt. A
+// request that must run at most once is claimed first. A request is dispatched,
+// streamed, possibly moved to another engine or resumed, and ends with exactly
+// one of three outcomes. The machine does no I/O: each event returns the next
+// action. The gateway, the rollout scheduler and the simulator drive it.
 //
-// Invariants: an unsafe request is dispatched again only after an engine said
-// that it did not run it, or handed the stream over; "not run" is said only
-// when no dispatch may have run.
+// Invariants: an unsafe request is dispatched again only after an engine reported
+// that it did not run it, or handed the stream over. The outcome is "not run"
+// only if no dispatch can have run.
 package request
--- a/internal/standalone/request/events.go
+++ b/internal/standalone/request/events.go
@@ -2,14 +2,14 @@
 
 import "github.com/pathtally/pathtally/internal/standalone/quorum"
 
-// Event is what the driver tells the machine; besides the types here it is an
+// Event is an input of the machine: one of the types in this file, or an
 // engine.Chunk, engine.End, engine.Moved or *engine.Error.
 type Event any
 
 // Begin starts the machine.
 type Begin struct{}
 
-// ClaimAnswered is the answer to a Claim.
+// ClaimAnswered is the result of a Claim.
 type ClaimAnswered struct {
 	Result quorum.GrantResult
 	Err    error
@@ -18,8 +18,8 @@
 // NoEngine means that no engine could be picked.
 type NoEngine struct{ Err error }
 
-// DeadlinePassed means that the request's time is up.
+// DeadlinePassed means that the deadline of the request passed.
 type DeadlinePassed struct{}
 
-// CallerGone means that nobody waits for the answer any more.
+// CallerGone means that the caller no longer waits for the response.
 type CallerGone struct{}
--- a/internal/standalone/request/machine.go
+++ b/internal/standalone/request/machine.go
@@ -13,33 +13,36 @@
 )
 
 const (
-	// DefaultAttempts is how many dispatches a request may have.
+	// DefaultAttempts is the default of Config.Attempts.
 	DefaultAttempts = 3
-	// defaultRetryAfter is the advice when no engine gave any.
+	// defaultRetryAfter is used if no engine gave a retry delay.
 	defaultRetryAfter = time.Second
 )
 
 // Config describes one request.
 type Config struct {
-	// Request is the first dispatch; its ID gets a suffix for each dispatch.
+	// Request is sent by each dispatch, with the dispatch number appended to
+	// its ID and the resume fields set.
 	Request engine.Request
-	// Unsafe marks a request that must run at most once; Claim names it.
+	// Unsafe marks a request that must run at most once. Claim is its claim.
 	Unsafe bool
 	Claim  quorum.Claim
-	// Attempts bounds the dispatches; zero means DefaultAttempts.
+	// Attempts is the number of dispatches after which a failed dispatch is not
+	// retried; zero means DefaultAttempts. Moves are not limited, but count.
 	Attempts int
 }
 
-// Machine is the state of one request. It belongs to one goroutine.
+// Machine is the state machine of one request. It is not safe for concurrent
+// use.
 type Machine struct {
-	config     Config
-	assembler  stream.Assembler
-	dispatches int
-	open       bool
-	mayHaveRun bool
-	ended      bool
-	moved      engine.Moved
-	lastError  *engine.Error
+	config       Config
+	assembler    stream.Assembler
+	dispatches   int
+	dispatchOpen bool
+	mayHaveRun   bool
+	ended        bool
+	moved        engine.Moved
+	lastError    *engine.Error
 }
 
 // New returns a machine that waits for Begin.
@@ -62,22 +65,22 @@
 		}
 		return m.dispatch(false)
 	case ClaimAnswered:
-		return m.claimed(typed)
+		return m.handleClaim(typed)
 	case engine.Chunk:
-		return m.chunk(typed)
+		return m.handleChunk(typed)
 	case engine.End:
-		return m.end(typed)
+		return m.handleEnd(typed)
 	case engine.Moved:
-		return m.move(typed)
+		return m.handleMoved(typed)
 	case *engine.Error:
-		return m.failed(typed)
+		return m.handleError(typed)
 	case NoEngine:
-		m.open = false
-		return m.giveUp(typed.Err)
+		m.dispatchOpen = false
+		return m.abort(typed.Err)
 	case DeadlinePassed:
-		return m.giveUp(merry.Wrap(ErrDeadline))
+		return m.abort(merry.Wrap(ErrDeadline))
 	case CallerGone:
-		return m.giveUp(merry.Wrap(ErrCallerGone))
+		return m.abort(merry.Wrap(ErrCallerGone))
 	}
 	return Wait{}
 }
@@ -85,25 +88,25 @@
 // Claim returns the claim of an unsafe request.
 func (m *Machine) Claim() quorum.Claim { return m.config.Claim }
 
-// Segments returns the versions of the tokens so far.
+// Segments returns the weight versions of the tokens received so far.
 func (m *Machine) Segments() []stream.Segment { return m.assembler.Segments() }
 
-// DispatchID is the id of the newest dispatch.
+// DispatchID returns the ID of the latest dispatch.
 func (m *Machine) DispatchID() string {
 	return fmt.Sprintf("%s.%d", m.config.Request.ID, m.dispatches)
 }
 
-// Tokens returns how many tokens have arrived.
+// Tokens returns the number of tokens received so far.
 func (m *Machine) Tokens() int { return m.assembler.Tokens() }
 
-func (m *Machine) claimed(answer ClaimAnswered) Action {
-	if answer.Err != nil {
-		return m.finish(Result{Outcome: wire.OutcomeNotRun, Err: answer.Err, RetryAfter: defaultRetryAfter})
+func (m *Machine) handleClaim(reply ClaimAnswered) Action {
+	if reply.Err != nil {
+		return m.finish(Result{Outcome: wire.OutcomeNotRun, Err: reply.Err, RetryAfter: defaultRetryAfter})
 	}
-	if answer.Result.Granted {
+	if reply.Result.Granted {
 		return m.dispatch(false)
 	}
-	holder := answer.Result.Holder
+	holder := reply.Result.Holder
 	switch {
 	case holder.Fingerprint != m.config.Claim.Fingerprint:
 		return m.finish(Result{Outcome: wire.OutcomeNotRun, Err: merry.Wrap(ErrKeyReused)})
@@ -113,10 +116,10 @@
 	return m.finish(Result{Outcome: wire.OutcomeUnknown, Err: merry.Wrap(ErrStillRunning), RetryAfter: defaultRetryAfter})
 }
 
-// dispatch sends the request, from where the last stream stopped.
+// dispatch sends the request, resuming after the tokens received so far.
 func (m *Machine) dispatch(retry bool) Action {
 	m.dispatches++
-	m.open = true
+	m.dispatchOpen = true
 	next := m.config.Request
 	next.ID = m.DispatchID()
 	next.Resume = m.assembler.Text()
@@ -126,54 +129,55 @@
 	return Dispatch{Request: next, Retry: retry}
 }
 
-func (m *Machine) chunk(chunk engine.Chunk) Action {
+func (m *Machine) handleChunk(chunk engine.Chunk) Action {
 	m.mayHaveRun = true
 	if err := m.assembler.Add(chunk); err != nil {
-		return m.failed(&engine.Error{Kind: engine.Invalid, Detail: "chunk", Cause: err})
+		return m.handleError(&engine.Error{Kind: engine.Invalid, Detail: "chunk", Cause: err})
 	}
 	return Forward{Chunk: chunk}
 }
 
-func (m *Machine) end(end engine.End) Action {
+func (m *Machine) handleEnd(end engine.End) Action {
 	m.mayHaveRun = true
 	if err := m.assembler.Finish(end); err != nil {
-		return m.failed(&engine.Error{Kind: engine.Invalid, Detail: "end", Cause: err})
+		return m.handleError(&engine.Error{Kind: engine.Invalid, Detail: "end", Cause: err})
 	}
-	m.open = false
+	m.dispatchOpen = false
 	return m.finish(Result{Outcome: wire.OutcomeDone, Reason: end.Reason})
 }
 
-// move goes on elsewhere. The engine has stopped and handed the stream over,
-// so this is safe for every request and is not a retry.
-func (m *Machine) move(moved engine.Moved) Action {
+// handleMoved continues at another engine. The previous engine has stopped and
+// handed the stream over, so this is safe for unsafe requests and not a retry.
+func (m *Machine) handleMoved(moved engine.Moved) Action {
 	m.mayHaveRun = true
-	m.open = false
+	m.dispatchOpen = false
 	m.moved = moved
 	return m.dispatch(false)
 }
 
-func (m *Machine) failed(failure *engine.Error) Action {
-	m.open = false
+func (m *Machine) handleError(failure *engine.Error) Action {
+	m.dispatchOpen = false
 	m.lastError = failure
 	if failure.MayHaveRun() {
 		m.mayHaveRun = true
 	}
 	if failure.Kind == engine.Invalid {
-		return m.giveUp(failure)
+		return m.abort(failure)
 	}
 	if m.config.Unsafe && m.mayHaveRun {
-		return m.giveUp(failure)
+		return m.abort(failure)
 	}
 	if m.dispatches >= m.config.Attempts {
-		return m.giveUp(merry.Wrap(ErrAttemptsExhausted, merry.WithCause(failure)))
+		return m.abort(merry.Wrap(ErrAttemptsExhausted, merry.WithCause(failure)))
 	}
 	return m.dispatch(true)
 }
 
-// giveUp ends the request at once with what is known.
-func (m *Machine) giveUp(err error) Action {
-	result := Result{Outcome: wire.OutcomeNotRun, Err: err, RetryAfter: m.retryAfter(), Cancel: m.open}
-	if m.mayHaveRun || m.open {
+// abort ends the request without success. The outcome is unknown if a dispatch
+// may have run.
+func (m *Machine) abort(err error) Action {
+	result := Result{Outcome: wire.OutcomeNotRun, Err: err, RetryAfter: m.retryAfter(), Cancel: m.dispatchOpen}
+	if m.mayHaveRun || m.dispatchOpen {
 		result.Outcome = wire.OutcomeUnknown
 	}
 	return m.finish(result)
--- a/internal/standalone/request/machine_test.go
+++ b/internal/standalone/request/machine_test.go
@@ -12,7 +12,7 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-var errNone = errors.New("none")
+var errTest = errors.New("none")
 
 func chunk(first int, text string) engine.Chunk {
 	return engine.Chunk{First: first, Count: 1, Text: text, Version: 7}
@@ -28,13 +28,13 @@
 
 func granted() ClaimAnswered { return ClaimAnswered{Result: quorum.GrantResult{Granted: true}} }
 
-func held(outcome uint8, fingerprint uint64, answer string) ClaimAnswered {
-	return ClaimAnswered{Result: quorum.GrantResult{Holder: &wire.ClaimReply{Outcome: outcome, Fingerprint: fingerprint, Answer: []byte(answer)}}}
+func alreadyClaimed(outcome uint8, fingerprint uint64, response string) ClaimAnswered {
+	return ClaimAnswered{Result: quorum.GrantResult{Holder: &wire.ClaimReply{Outcome: outcome, Fingerprint: fingerprint, Answer: []byte(response)}}}
 }
 
-// TestOutcomes feeds sequences of events and checks how often the request was
-// dispatched and how it ended.
-func TestOutcomes(t *testing.T) {
+// TestMachineOutcomes guards against a wrong outcome and against dispatching a
+// request that may have run and must not run twice.
+func TestMachineOutcomes(t *testing.T) {
 	cases := []struct {
 		name       string
 		unsafe     bool
@@ -43,24 +43,24 @@
 		outcome    uint8
 		text       string
 	}{
-		{"whole answer", false, []Event{chunk(0, "a"), chunk(1, "b"), end(2, "ab")}, 1, wire.OutcomeDone, "ab"},
-		{"refused thrice was not run", false, []Event{refused(), refused(), refused()}, 3, wire.OutcomeNotRun, ""},
+		{"complete response", false, []Event{chunk(0, "a"), chunk(1, "b"), end(2, "ab")}, 1, wire.OutcomeDone, "ab"},
+		{"three refusals are not run", false, []Event{refused(), refused(), refused()}, 3, wire.OutcomeNotRun, ""},
 		{"broken may have run", false, []Event{broken(), refused(), refused()}, 3, wire.OutcomeUnknown, ""},
 		{"resumed after a break", false, []Event{chunk(0, "a"), broken(), chunk(1, "b"), end(2, "ab")}, 2, wire.OutcomeDone, "ab"},
-		{"moved is no retry", true, []Event{granted(), chunk(0, "a"), engine.Moved{KVHandle: "h"}, chunk(1, "b"), end(2, "ab")}, 2, wire.OutcomeDone, "ab"},
+		{"move is not a retry", true, []Event{granted(), chunk(0, "a"), engine.Moved{KVHandle: "h"}, chunk(1, "b"), end(2, "ab")}, 2, wire.OutcomeDone, "ab"},
 		{"unsafe is not sent again after a break", true, []Event{granted(), broken()}, 1, wire.OutcomeUnknown, ""},
 		{"unsafe is sent again after a refusal", true, []Event{granted(), refused(), chunk(0, "a"), end(1, "a")}, 2, wire.OutcomeDone, "a"},
-		{"unsafe without a majority is not run", true, []Event{ClaimAnswered{Err: errNone}}, 0, wire.OutcomeNotRun, ""},
-		{"repeat of a running one is unknown", true, []Event{held(wire.OutcomePending, 0, "")}, 0, wire.OutcomeUnknown, ""},
-		{"repeat of a done one is done", true, []Event{held(wire.OutcomeDone, 0, "stored")}, 0, wire.OutcomeDone, ""},
-		{"key with another body is not run", true, []Event{held(wire.OutcomeDone, 9, "stored")}, 0, wire.OutcomeNotRun, ""},
+		{"unsafe without a majority is not run", true, []Event{ClaimAnswered{Err: errTest}}, 0, wire.OutcomeNotRun, ""},
+		{"repeat of a pending request is unknown", true, []Event{alreadyClaimed(wire.OutcomePending, 0, "")}, 0, wire.OutcomeUnknown, ""},
+		{"repeat of a done request is done", true, []Event{alreadyClaimed(wire.OutcomeDone, 0, "stored")}, 0, wire.OutcomeDone, ""},
+		{"key with another body is not run", true, []Event{alreadyClaimed(wire.OutcomeDone, 9, "stored")}, 0, wire.OutcomeNotRun, ""},
 		{"gap in the chunks", false, []Event{chunk(1, "b")}, 1, wire.OutcomeUnknown, ""},
 		{"end with another count", false, []Event{chunk(0, "a"), end(2, "a")}, 1, wire.OutcomeUnknown, "a"},
 		{"end with another digest", false, []Event{chunk(0, "a"), end(1, "b")}, 1, wire.OutcomeUnknown, "a"},
 		{"chunk without a version", false, []Event{engine.Chunk{Count: 1, Text: "a"}}, 1, wire.OutcomeUnknown, ""},
-		{"deadline while an engine is at it", false, []Event{DeadlinePassed{}}, 1, wire.OutcomeUnknown, ""},
-		{"no engine", false, []Event{NoEngine{Err: errNone}}, 1, wire.OutcomeNotRun, ""},
-		{"no engine after a break", false, []Event{broken(), NoEngine{Err: errNone}}, 2, wire.OutcomeUnknown, ""},
+		{"deadline during a dispatch", false, []Event{DeadlinePassed{}}, 1, wire.OutcomeUnknown, ""},
+		{"no engine", false, []Event{NoEngine{Err: errTest}}, 1, wire.OutcomeNotRun, ""},
+		{"no engine after a break", false, []Event{broken(), NoEngine{Err: errTest}}, 2, wire.OutcomeUnknown, ""},
 		{"caller gone", false, []Event{chunk(0, "a"), CallerGone{}}, 1, wire.OutcomeUnknown, "a"},
 	}
 	for _, test := range cases {
@@ -77,21 +77,21 @@
 				}
 			}
 			if finish == nil || finish.Result.Outcome != test.outcome || finish.Result.Text != test.text || dispatches != test.dispatches {
-				t.Fatalf("%d dispatches, ended with %+v", dispatches, finish)
+				t.Fatalf("unexpected end: %d dispatches, finish %+v", dispatches, finish)
 			}
 			if late := machine.Handle(chunk(0, "z")); !reflect.DeepEqual(late, Wait{}) {
-				t.Errorf("an event after the end gave %+v", late)
+				t.Errorf("event after the end: got action %+v, want Wait", late)
 			}
 		})
 	}
 }
 
-func TestResumedDispatchCarriesWhatArrived(t *testing.T) {
+func TestRetryResumesReceivedText(t *testing.T) {
 	machine := New(Config{Request: engine.Request{ID: "r"}})
 	machine.Handle(Begin{})
 	machine.Handle(chunk(0, "a"))
 	next, resumed := machine.Handle(broken()).(Dispatch)
 	if !resumed || next.Request.Resume != "a" || next.Request.ResumeTokens != 1 || !next.Retry || next.Request.ID != "r.2" {
-		t.Errorf("the second dispatch is %+v", next)
+		t.Errorf("unexpected second dispatch: %+v", next)
 	}
 }
--- a/internal/standalone/stream/assembler.go
+++ b/internal/standalone/stream/assembler.go
@@ -8,21 +8,21 @@
 	"github.com/pathtally/pathtally/internal/standalone/engine"
 )
 
-// Segment is a run of tokens that one weight version produced.
+// Segment is a range of consecutive tokens produced by one weight version.
 type Segment struct {
 	First   int   `json:"first"`
 	Count   int   `json:"count"`
 	Version int64 `json:"version"`
 }
 
-// ChunkError is a chunk or an end that does not fit the stream.
+// ChunkError reports a chunk or an end that is inconsistent with the stream.
 type ChunkError struct {
 	Reason   string
 	Expected int
 	Found    int
 }
 
-// Error gives the reason and both numbers.
+// Error returns the reason with the expected and the found number.
 func (e *ChunkError) Error() string {
 	return fmt.Sprintf("%s: expected %d, found %d", e.Reason, e.Expected, e.Found)
 }
@@ -36,14 +36,14 @@
 	ReasonDigest      = "end names another digest"
 )
 
-// Assembler holds the answer so far. It belongs to one goroutine.
+// Assembler assembles a response from chunks. It is not safe for concurrent use.
 type Assembler struct {
 	text     []byte
 	tokens   int
 	segments []Segment
 }
 
-// Add takes the next chunk.
+// Add appends the next chunk. A chunk that is refused changes nothing.
 func (a *Assembler) Add(chunk engine.Chunk) error {
 	switch {
 	case chunk.Version <= 0:
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// Finish checks the end of the stream against what arrived.
+// Finish checks the token count and digest of the end against the chunks.
 func (a *Assembler) Finish(end engine.End) error {
 	if end.Tokens != a.tokens {
 		return &ChunkError{Reason: ReasonCount, Expected: a.tokens, Found: end.Tokens}
@@ -75,19 +75,20 @@
 	return nil
 }
 
-// Text returns the answer so far.
+// Text returns the text so far.
 func (a *Assembler) Text() string { return string(a.text) }
 
 // Tokens returns the token count so far.
 func (a *Assembler) Tokens() int { return a.tokens }
 
-// Segments returns which version produced which tokens.
+// Segments returns the weight versions of the tokens so far, in order.
 func (a *Assembler) Segments() []Segment { return a.segments }
 
 // Digest returns the hash of the text so far.
 func (a *Assembler) Digest() uint64 { return xxhash.Sum64(a.text) }
 
-// OldestVersion returns the least version of any segment, or 0 for none.
+// OldestVersion returns the lowest version of all segments, or 0 if there are
+// none.
 func OldestVersion(segments []Segment) int64 {
 	var oldest int64
 	for _, segment := range segments {
--- a/internal/standalone/stream/doc.go
+++ b/internal/standalone/stream/doc.go
@@ -1,8 +1,7 @@
-// Package stream puts the chunks of an answer together and refuses whatever
-// would make it wrong: a gap, a repeat that differs, a chunk that names no
-// weight version, an end whose count or digest does not fit. It does no I/O; an
-// Assembler belongs to the goroutine of its request.
+// Package stream assembles the chunks of a response. It refuses a gap, a repeated
+// chunk, a chunk without tokens or without a weight version, and an end whose
+// token count or digest differs from the chunks. It does no I/O.
 //
-// Guarantee: what an Assembler has accepted is a prefix of the one right answer,
-// with the weight version of each run of tokens as a Segment.
+// Invariant: the accepted chunks are contiguous from the first token, and each
+// token belongs to the Segment of the weight version that produced it.
 package stream
