--- a/internal/standalone/membership/config.go
+++ b/internal/standalone/membership/config.go
@@ -9,43 +9,45 @@
 )
 
 const (
-	// DefaultPeriod is the time between two probes by a node.
+	// DefaultPeriod is the interval between the probes of a node.
 	DefaultPeriod = time.Second
-	// probeTimeoutShare is the part of a period that a direct probe may take.
-	probeTimeoutShare = 3
-	// suspectPeriods is how long a suspect may defend itself.
-	suspectPeriods = 4
-	// indirectProbes is how many members are asked to probe a silent one.
+	// probeTimeoutDivisor divides the period into the timeout of a direct probe.
+	probeTimeoutDivisor = 3
+	// suspectTimeoutPeriods is how many periods a suspect has to refute the
+	// suspicion before it is declared dead.
+	suspectTimeoutPeriods = 4
+	// indirectProbes is how many members are asked to probe an unresponsive one.
 	indirectProbes = 2
-	// delegatesPerZone is how many members of a zone talk to other zones.
+	// delegatesPerZone is how many members of a zone probe other zones.
 	delegatesPerZone = 2
-	// recordsPerProbe bounds the records on a probe inside a zone, and
-	// recordsPerCrossProbe those between zones.
-	recordsPerProbe      = 32
-	recordsPerCrossProbe = 64
-	// transmissionFactor times the logarithm of the zone's size is how often
-	// a record is passed on.
+	// recordsPerProbe bounds the records in a probe inside a zone, and
+	// recordsPerCrossZoneProbe those in a probe of another zone.
+	recordsPerProbe          = 32
+	recordsPerCrossZoneProbe = 64
+	// transmissionFactor times the logarithm of the zone's size is how many
+	// times a changed record is sent.
 	transmissionFactor = 3
-	// syncPeriods is the least number of periods between two exchanges of
-	// record versions started by one node.
+	// syncPeriods is the minimum number of periods between two exchanges of
+	// record versions started by a node.
 	syncPeriods = 5
 	// deadRetention is how long the record of a dead member is kept.
 	deadRetention = 12 * time.Hour
 )
 
-// Config is what a Table needs.
+// Config holds the settings and dependencies of a Table.
 type Config struct {
-	Self   wire.Member
+	Self wire.Member
+	// Seeds are the addresses of the nodes through which this node joins.
 	Seeds  []string
 	Clock  environment.Clock
 	Random *rand.Rand
 	Peers  environment.Peers
 	// Period is the time between probes; zero means DefaultPeriod.
 	Period time.Duration
-	// Documents returns the versions to put on each probe.
+	// Documents returns the document versions to include in each probe.
 	Documents func() []wire.DocumentVersion
-	// OnDocuments is called with the versions that a peer holds.
+	// OnDocuments is called with the document versions that a peer holds.
 	OnDocuments func(address string, versions []wire.DocumentVersion)
-	// OnChange is called when the table has changed.
+	// OnChange is called after each change of the table; nil means no call.
 	OnChange func()
 }
--- a/internal/standalone/membership/merge.go
+++ b/internal/standalone/membership/merge.go
@@ -12,52 +12,57 @@
 const (
 	memberKeyPrefix = "m/"
 	leaseKeyPrefix  = "l/"
-	// statesPerSequence leaves room for the state below the sequence.
+	// statesPerSequence multiplies the sequence in a member's version, which
+	// leaves room for the state.
 	statesPerSequence = 4
 )
 
-// rank orders records of one incarnation: a later sequence wins, and within
-// a sequence the worse state.
-func rank(member wire.Member) uint64 {
+// memberVersion orders the records of one incarnation: a greater sequence
+// supersedes a smaller one, and within a sequence a worse state a better one.
+func memberVersion(member wire.Member) uint64 {
 	return member.Sequence*statesPerSequence + uint64(member.State)
 }
 
-func newer(a, b wire.Member) bool {
+// isNewer reports whether record a supersedes record b.
+func isNewer(a, b wire.Member) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
 	}
-	return rank(a) > rank(b)
+	return memberVersion(a) > memberVersion(b)
 }
 
-// mergeMember takes a record in if it is newer than the one held.
+// mergeMember stores a member's record if it is newer than the one in the table,
+// and reports whether it did. A record about this node may be refuted.
 func (t *Table) mergeMember(member wire.Member) bool {
-	if member.ID == t.self.ID && t.defend(&member) {
+	if member.ID == t.self.ID && t.refute(&member) {
 		t.self = member
 	}
 	held, known := t.members[member.ID]
-	if known && !newer(member, held.Member) {
+	if known && !isNewer(member, held.Member) {
 		return false
 	}
 	if known {
 		t.summary ^= memberHash(held.Member)
 	}
 	t.summary ^= memberHash(member)
-	t.members[member.ID] = &memberRecord{Member: member, changed: t.config.Clock.Now()}
-	t.passOn(memberKeyPrefix+member.ID, member.Zone)
+	t.members[member.ID] = &memberRecord{Member: member, changedAt: t.config.Clock.Now()}
+	t.enqueueUpdate(memberKeyPrefix+member.ID, member.Zone)
 	if member.State == wire.MemberSuspect {
-		t.watchSuspect(member)
+		t.startSuspectTimeout(member)
 	}
-	t.changed()
+	t.notifyChanged()
 	return true
 }
 
-// defend answers a rumour that this node is suspect or dead with a later
-// sequence. Only a record of this incarnation or an older one is refuted.
-func (t *Table) defend(member *wire.Member) bool {
+// refute replaces a received record about this node with this node's own record
+// and reports whether it did. If the received record is newer, as a suspicion
+// is, the sequence is increased above it. A record of a later incarnation is not
+// refuted.
+func (t *Table) refute(member *wire.Member) bool {
 	if member.Incarnation > t.self.Incarnation {
 		return false
 	}
-	if member.Incarnation < t.self.Incarnation || !newer(*member, t.self) {
+	if member.Incarnation < t.self.Incarnation || !isNewer(*member, t.self) {
 		*member = t.self
 		return true
 	}
@@ -67,7 +72,8 @@
 	return true
 }
 
-// mergeLease takes a note in if its token is greater than the one held.
+// mergeLease stores a lease note if its token is greater than that in the table,
+// and reports whether it did.
 func (t *Table) mergeLease(note wire.LeaseNote) bool {
 	held, known := t.leases[note.Name]
 	if known && held.Token >= note.Token {
@@ -82,8 +88,8 @@
 	if holder, found := t.members[note.Holder]; found {
 		zone = holder.Zone
 	}
-	t.passOn(leaseKeyPrefix+note.Name, zone)
-	t.changed()
+	t.enqueueUpdate(leaseKeyPrefix+note.Name, zone)
+	t.notifyChanged()
 	return true
 }
 
@@ -96,35 +102,37 @@
 	}
 }
 
-// passOn queues a record for this zone and, where it is about this zone, for
-// all others.
-func (t *Table) passOn(key, zone string) {
-	t.local.add(key, t.transmissions())
+// enqueueUpdate queues a record to be sent within this zone and, if the record is
+// about this zone, to all other zones.
+func (t *Table) enqueueUpdate(key, zone string) {
+	t.zoneQueue.add(key, t.transmissions())
 	if zone != t.self.Zone {
 		return
 	}
 	for _, other := range t.otherZones() {
-		if t.remote[other] == nil {
-			t.remote[other] = map[string]bool{}
+		if t.crossZone[other] == nil {
+			t.crossZone[other] = map[string]bool{}
 		}
-		t.remote[other][key] = true
+		t.crossZone[other][key] = true
 	}
 }
 
-func (t *Table) changed() {
+func (t *Table) notifyChanged() {
 	if t.config.OnChange != nil {
 		t.config.OnChange()
 	}
 }
 
 func memberHash(member wire.Member) uint64 {
-	return versionHash(memberKeyPrefix+member.ID, member.Incarnation, rank(member))
+	return versionHash(memberKeyPrefix+member.ID, member.Incarnation, memberVersion(member))
 }
 
 func leaseHash(note wire.LeaseNote) uint64 {
 	return versionHash(leaseKeyPrefix+note.Name, 0, note.Token)
 }
 
+// versionHash hashes a record's key and version. The summary is the XOR of these
+// hashes over all records.
 func versionHash(key string, incarnation, sequence uint64) uint64 {
 	var bytes [16]byte
 	binary.LittleEndian.PutUint64(bytes[:8], incarnation)
--- a/internal/standalone/membership/probe.go
+++ b/internal/standalone/membership/probe.go
@@ -10,59 +10,63 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// schedule plans the next period with jitter, so that nodes do not beat
-// together.
-func (t *Table) schedule() {
+// scheduleProbe schedules the next period with jitter, so that the nodes do not
+// send their probes at the same time.
+func (t *Table) scheduleProbe() {
 	jitter := time.Duration(t.config.Random.Int64N(int64(t.config.Period) / 5))
 	t.timer = t.config.Clock.AfterFunc(t.config.Period-t.config.Period/10+jitter, func() {
 		if t.stopped {
 			return
 		}
-		t.period()
-		t.schedule()
+		t.runPeriod()
+		t.scheduleProbe()
 	})
 }
 
-func (t *Table) period() {
-	t.forgetDead()
+// runPeriod does the periodic work: one probe in this zone, the probes of other
+// zones, and joining again while no other member is known.
+func (t *Table) runPeriod() {
+	t.removeExpiredDead()
 	if target, found := t.nextTarget(); found {
 		t.probe(target)
 	}
-	if len(t.answered) < len(t.config.Seeds) && len(t.members) == 1 {
+	if len(t.seedsReplied) < len(t.config.Seeds) && len(t.members) == 1 {
 		t.join()
 	}
 	t.probeOtherZones()
 }
 
-// nextTarget walks the zone's members in a random order, each once a round.
+// nextTarget returns the zone's members in random order, each once per round.
 func (t *Table) nextTarget() (wire.Member, bool) {
 	for range 2 {
-		for len(t.order) > 0 {
-			id := t.order[0]
-			t.order = t.order[1:]
+		for len(t.probeOrder) > 0 {
+			id := t.probeOrder[0]
+			t.probeOrder = t.probeOrder[1:]
 			if record, known := t.members[id]; known && record.State != wire.MemberDead {
 				return record.Member, true
 			}
 		}
-		t.order = t.zoneMates()
-		t.config.Random.Shuffle(len(t.order), func(i, j int) { t.order[i], t.order[j] = t.order[j], t.order[i] })
+		t.probeOrder = t.zonePeers()
+		t.config.Random.Shuffle(len(t.probeOrder), func(i, j int) { t.probeOrder[i], t.probeOrder[j] = t.probeOrder[j], t.probeOrder[i] })
 	}
 	return wire.Member{}, false
 }
 
-func (t *Table) zoneMates() []string {
-	var mates []string
+// zonePeers returns the ids of the other members of this zone that are not dead.
+func (t *Table) zonePeers() []string {
+	var peers []string
 	for id, record := range t.members {
 		if id != t.self.ID && record.Zone == t.self.Zone && record.State != wire.MemberDead {
-			mates = append(mates, id)
+			peers = append(peers, id)
 		}
 	}
-	slices.Sort(mates)
-	return mates
+	slices.Sort(peers)
+	return peers
 }
 
+// probe sends a direct probe and, if there is no reply, indirect ones.
 func (t *Table) probe(target wire.Member) {
-	timeout := t.config.Period / probeTimeoutShare
+	timeout := t.config.Period / probeTimeoutDivisor
 	t.config.Peers.Call(target.Address, t.ping(""), timeout, func(message wire.Message, err error) {
 		if ack, ok := message.(*wire.Ack); err == nil && ok {
 			t.handleAck(target.Address, ack)
@@ -72,31 +76,33 @@
 	})
 }
 
-// probeIndirectly asks other members to reach a silent one, so that one bad
-// link does not make a suspect.
+// probeIndirectly asks other members to probe an unresponsive one, so that a
+// failure of a single link does not cause a suspicion.
 func (t *Table) probeIndirectly(target wire.Member) {
-	mates := slices.DeleteFunc(t.zoneMates(), func(id string) bool { return id == target.ID })
-	t.config.Random.Shuffle(len(mates), func(i, j int) { mates[i], mates[j] = mates[j], mates[i] })
-	mates = mates[:min(indirectProbes, len(mates))]
-	waiting := len(mates)
-	if waiting == 0 {
+	peers := slices.DeleteFunc(t.zonePeers(), func(id string) bool { return id == target.ID })
+	t.config.Random.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
+	peers = peers[:min(indirectProbes, len(peers))]
+	pending := len(peers)
+	if pending == 0 {
 		t.suspect(target)
 		return
 	}
 	reached := false
-	for _, id := range mates {
+	for _, id := range peers {
 		t.config.Peers.Call(t.members[id].Address, t.ping(target.Address), t.config.Period, func(message wire.Message, err error) {
-			waiting--
+			pending--
 			if _, ok := message.(*wire.Ack); err == nil && ok {
 				reached = true
 			}
-			if waiting == 0 && !reached {
+			if pending == 0 && !reached {
 				t.suspect(target)
 			}
 		})
 	}
 }
 
+// suspect marks a member as suspect unless its record has changed since the
+// probe.
 func (t *Table) suspect(target wire.Member) {
 	held, known := t.members[target.ID]
 	if t.stopped || !known || held.Incarnation != target.Incarnation || held.Sequence != target.Sequence || held.State != wire.MemberAlive {
@@ -107,9 +113,10 @@
 	t.mergeMember(suspected)
 }
 
-// watchSuspect declares a suspect dead when nothing newer was received in time.
-func (t *Table) watchSuspect(suspected wire.Member) {
-	t.config.Clock.AfterFunc(suspectPeriods*t.config.Period, func() {
+// startSuspectTimeout declares a suspect of this zone dead if no newer record of
+// it arrives in time.
+func (t *Table) startSuspectTimeout(suspected wire.Member) {
+	t.config.Clock.AfterFunc(suspectTimeoutPeriods*t.config.Period, func() {
 		held, known := t.members[suspected.ID]
 		if t.stopped || !known || held.Member != suspected || suspected.Zone != t.self.Zone {
 			return
@@ -119,9 +126,8 @@
 	})
 }
 
-// probeOtherZones is the work of a zone's delegates: one probe a period to
-// one member of each other zone. A silent delegate of the other zone is
-// passed over by choosing among all of its members now and then.
+// probeOtherZones sends one probe to a member of each other zone if this node is
+// a delegate of its own zone. Records of a probe without a reply are queued again.
 func (t *Table) probeOtherZones() {
 	if !t.isDelegate() {
 		return
@@ -131,8 +137,8 @@
 		if len(members) == 0 {
 			continue
 		}
-		target := t.crossTarget(zone, members)
-		keys := t.takeRemote(zone)
+		target := t.crossZoneTarget(zone, members)
+		keys := t.takeCrossZone(zone)
 		ping := t.ping("")
 		ping.Records = t.recordsOf(keys)
 		t.config.Peers.Call(target.Address, ping, t.config.Period, func(message wire.Message, err error) {
@@ -140,12 +146,14 @@
 				t.handleAck(target.Address, ack)
 				return
 			}
-			t.putBackRemote(zone, keys)
+			t.requeueCrossZone(zone, keys)
 		})
 	}
 }
 
-func (t *Table) crossTarget(zone string, members []wire.Member) wire.Member {
+// crossZoneTarget chooses a delegate of another zone or, occasionally, any of its
+// members, so that unresponsive delegates do not isolate the zone.
+func (t *Table) crossZoneTarget(zone string, members []wire.Member) wire.Member {
 	if t.config.Random.IntN(4) == 0 {
 		return members[t.config.Random.IntN(len(members))]
 	}
@@ -162,6 +170,7 @@
 	return false
 }
 
+// delegatesOf returns the delegates of a zone, chosen by rendezvous hashing.
 func delegatesOf(zone string, members []wire.Member) []wire.Member {
 	key := rendezvous.Hash("delegate/" + zone)
 	sorted := slices.Clone(members)
@@ -175,6 +184,7 @@
 	return sorted[:min(delegatesPerZone, len(sorted))]
 }
 
+// otherZones returns the sorted names of the other zones with a known member.
 func (t *Table) otherZones() []string {
 	seen := map[string]bool{}
 	var zones []string
@@ -189,37 +199,39 @@
 	return zones
 }
 
-func (t *Table) takeRemote(zone string) []string {
-	keys := make([]string, 0, len(t.remote[zone]))
-	for key := range t.remote[zone] {
+// takeCrossZone removes and returns the keys of the records for the next probe of
+// another zone.
+func (t *Table) takeCrossZone(zone string) []string {
+	keys := make([]string, 0, len(t.crossZone[zone]))
+	for key := range t.crossZone[zone] {
 		keys = append(keys, key)
 	}
 	slices.Sort(keys)
-	keys = keys[:min(recordsPerCrossProbe, len(keys))]
+	keys = keys[:min(recordsPerCrossZoneProbe, len(keys))]
 	for _, key := range keys {
-		delete(t.remote[zone], key)
+		delete(t.crossZone[zone], key)
 	}
 	return keys
 }
 
-func (t *Table) putBackRemote(zone string, keys []string) {
-	if t.remote[zone] == nil {
-		t.remote[zone] = map[string]bool{}
+func (t *Table) requeueCrossZone(zone string, keys []string) {
+	if t.crossZone[zone] == nil {
+		t.crossZone[zone] = map[string]bool{}
 	}
 	for _, key := range keys {
-		t.remote[zone][key] = true
+		t.crossZone[zone][key] = true
 	}
 }
 
-// GossipNow passes changed records and document versions on at once instead of
-// at the next period.
+// GossipNow sends changed records and document versions to some members
+// immediately instead of in the next period.
 func (t *Table) GossipNow() {
 	if t.stopped {
 		return
 	}
-	mates := t.zoneMates()
-	t.config.Random.Shuffle(len(mates), func(i, j int) { mates[i], mates[j] = mates[j], mates[i] })
-	for _, id := range mates[:min(indirectProbes+1, len(mates))] {
+	peers := t.zonePeers()
+	t.config.Random.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
+	for _, id := range peers[:min(indirectProbes+1, len(peers))] {
 		address := t.members[id].Address
 		t.config.Peers.Call(address, t.ping(""), t.config.Period, func(message wire.Message, err error) {
 			if ack, ok := message.(*wire.Ack); err == nil && ok {
@@ -230,21 +242,23 @@
 	t.probeOtherZones()
 }
 
-func (t *Table) forgetDead() {
+// removeExpiredDead removes the records of dead members after their retention.
+func (t *Table) removeExpiredDead() {
 	limit := t.config.Clock.Now().Add(-deadRetention)
 	for id, record := range t.members {
-		if record.State == wire.MemberDead && record.changed.Before(limit) {
+		if record.State == wire.MemberDead && record.changedAt.Before(limit) {
 			t.summary ^= memberHash(record.Member)
 			delete(t.members, id)
 		}
 	}
 }
 
-// transmissions is how often a changed record is passed on inside the zone.
+// transmissions returns how many times a changed record is sent inside the zone.
 func (t *Table) transmissions() int {
-	return transmissionFactor * bits.Len(uint(len(t.zoneMates())+1))
+	return transmissionFactor * bits.Len(uint(len(t.zonePeers())+1))
 }
 
+// recordsOf returns the records with the given keys that are still in the table.
 func (t *Table) recordsOf(keys []string) wire.Records {
 	var records wire.Records
 	for _, key := range keys {
--- a/internal/standalone/membership/queue.go
+++ b/internal/standalone/membership/queue.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// queue holds the keys of changed records with how often each is still to be
-// passed on.
+// queue maps the keys of changed records to the number of times that each is
+// still to be sent.
 type queue map[string]int
 
 func (q queue) add(key string, transmissions int) { q[key] = transmissions }
 
-// take returns up to limit keys, those passed on least first, and counts them
-// as passed on once.
+// take returns up to limit keys, those with the most sends left first, and counts
+// each as sent once.
 func (q queue) take(limit int) []string {
 	keys := make([]string, 0, len(q))
 	for key := range q {
@@ -34,9 +34,9 @@
 	return keys
 }
 
-// known counts every key as passed on once, after a peer has shown that it
-// holds all that is held here.
-func (q queue) known() {
+// acknowledge counts every key as sent once. It is called when a peer's summary
+// shows that the peer has the same records as this node.
+func (q queue) acknowledge() {
 	for key := range q {
 		q[key]--
 		if q[key] <= 0 {
--- a/internal/standalone/membership/table.go
+++ b/internal/standalone/membership/table.go
@@ -11,53 +11,60 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// Table is one node's view of all nodes. It belongs to one goroutine.
+// Table is one node's view of all nodes and lease holders. It is not safe for
+// concurrent use: all calls and callbacks run on one goroutine.
 type Table struct {
-	config   Config
-	self     wire.Member
-	members  map[string]*memberRecord
-	leases   map[string]wire.LeaseNote
-	local    queue
-	remote   map[string]map[string]bool
-	summary  uint64
-	answered map[string]bool
+	config  Config
+	self    wire.Member
+	members map[string]*memberRecord
+	leases  map[string]wire.LeaseNote
+	// zoneQueue holds the records to be sent inside this zone.
+	zoneQueue queue
+	// crossZone holds, by zone, the keys of the records to be sent there.
+	crossZone map[string]map[string]bool
+	// summary is a hash over the versions of all records.
+	summary uint64
+	// seedsReplied holds the addresses of the seeds that have replied.
+	seedsReplied map[string]bool
+	// nextSync is the earliest time of the next exchange of record versions.
 	nextSync time.Time
-	order    []string
-	stopped  bool
-	timer    environment.Timer
+	// probeOrder holds the ids still to be probed in this round.
+	probeOrder []string
+	stopped    bool
+	timer      environment.Timer
 }
 
-// memberRecord is a member and when its record last changed here.
+// memberRecord is a member's record and the time of its last change at this node.
 type memberRecord struct {
 	wire.Member
-	changed time.Time
+	changedAt time.Time
 }
 
-// New returns a table that knows only its own node.
+// New returns a table that contains only this node.
 func New(config Config) *Table {
 	if config.Period == 0 {
 		config.Period = DefaultPeriod
 	}
 	table := &Table{
-		config:   config,
-		self:     config.Self,
-		members:  map[string]*memberRecord{},
-		leases:   map[string]wire.LeaseNote{},
-		local:    queue{},
-		remote:   map[string]map[string]bool{},
-		answered: map[string]bool{},
+		config:       config,
+		self:         config.Self,
+		members:      map[string]*memberRecord{},
+		leases:       map[string]wire.LeaseNote{},
+		zoneQueue:    queue{},
+		crossZone:    map[string]map[string]bool{},
+		seedsReplied: map[string]bool{},
 	}
 	table.mergeMember(config.Self)
 	return table
 }
 
-// Start joins through the seeds and starts probing.
+// Start joins through the seeds and starts the periodic probes.
 func (t *Table) Start() {
 	t.join()
-	t.schedule()
+	t.scheduleProbe()
 }
 
-// Stop ends probing; the table answers nothing more by itself.
+// Stop stops the periodic probes.
 func (t *Table) Stop() {
 	t.stopped = true
 	if t.timer != nil {
@@ -65,7 +72,8 @@
 	}
 }
 
-// DeclareLeaving declares that this node takes no new work.
+// DeclareLeaving marks this node as leaving, so that it gets no new work, and
+// sends the record to some members immediately.
 func (t *Table) DeclareLeaving() {
 	t.self.State = wire.MemberLeaving
 	t.mergeMember(t.self)
@@ -84,7 +92,7 @@
 	return record.Member, true
 }
 
-// Usable returns all members that are neither leaving nor dead, by id.
+// Usable returns all members that are neither leaving nor dead, sorted by id.
 func (t *Table) Usable() []wire.Member {
 	var usable []wire.Member
 	for _, record := range t.members {
@@ -96,20 +104,20 @@
 	return usable
 }
 
-// InZone returns the usable members of a zone, by id.
+// InZone returns the usable members of a zone, sorted by id.
 func (t *Table) InZone(zone string) []wire.Member {
 	return slices.DeleteFunc(t.Usable(), func(member wire.Member) bool { return member.Zone != zone })
 }
 
-// reachableIn returns the members of a zone that still answer, by id: those
-// that are leaving go on talking until they are gone.
+// reachableIn returns the members of a zone that are not dead, sorted by id.
+// Leaving members are included, since they reply until they stop.
 func (t *Table) reachableIn(zone string) []wire.Member {
 	return slices.DeleteFunc(t.All(), func(member wire.Member) bool {
 		return member.Zone != zone || member.State == wire.MemberDead
 	})
 }
 
-// Candidates returns the usable members in the form that rendezvous ranks.
+// Candidates returns the usable members as candidates for rendezvous hashing.
 func (t *Table) Candidates() []rendezvous.Candidate {
 	usable := t.Usable()
 	candidates := make([]rendezvous.Candidate, len(usable))
@@ -119,26 +127,27 @@
 	return candidates
 }
 
-// Announce tells all nodes who holds a lease; only a greater token counts.
+// Announce stores a lease note and starts sending it to all nodes. A note whose
+// token is not greater than the known one is ignored.
 func (t *Table) Announce(note wire.LeaseNote) {
 	if t.mergeLease(note) {
 		t.GossipNow()
 	}
 }
 
-// Lease returns the newest holder known of a lease.
+// Lease returns the note with the greatest known token of a lease.
 func (t *Table) Lease(name string) (wire.LeaseNote, bool) {
 	note, known := t.leases[name]
 	return note, known
 }
 
-// LeaseNames lists the leases of which a holder is known, in order.
+// LeaseNames returns the sorted names of the leases with a known holder.
 func (t *Table) LeaseNames() []string { return slices.Sorted(maps.Keys(t.leases)) }
 
-// SeedsReplied is the number of seeds that have answered since the start.
-func (t *Table) SeedsReplied() int { return len(t.answered) }
+// SeedsReplied returns the number of seeds that have replied since the start.
+func (t *Table) SeedsReplied() int { return len(t.seedsReplied) }
 
-// All returns every member known, dead ones included, by id.
+// All returns every known member, including dead ones, sorted by id.
 func (t *Table) All() []wire.Member {
 	all := make([]wire.Member, 0, len(t.members))
 	for _, id := range slices.Sorted(maps.Keys(t.members)) {
@@ -147,7 +156,8 @@
 	return all
 }
 
-// StorageMemberCount counts the members with a data folder, dead ones included.
+// StorageMemberCount returns the number of known members with a data folder,
+// including dead ones.
 func (t *Table) StorageMemberCount() int {
 	count := 0
 	for _, record := range t.members {
@@ -158,7 +168,8 @@
 	return count
 }
 
-// DeclareDead tells some members that this node is gone, as the last thing it does.
+// DeclareDead marks this node as dead and sends the record to some members. It is
+// called last when a node stops.
 func (t *Table) DeclareDead() {
 	t.self.State = wire.MemberDead
 	t.mergeMember(t.self)
--- a/internal/standalone/quorum/choose.go
+++ b/internal/standalone/quorum/choose.go
@@ -63,7 +63,8 @@
 }
 
 // improves reports whether the seats justify a change of view: there are more
-// of them, or as many in more zones, or as many with more data folders.
+// of them, or equally many in more zones, or equally many in equally many zones
+// with more data folders.
 func improves(seats, current []Seat) bool {
 	if len(seats) != len(current) {
 		return len(seats) > len(current)
--- a/internal/standalone/quorum/claims.go
+++ b/internal/standalone/quorum/claims.go
@@ -117,8 +117,9 @@
 }
 
 // mergeClaim merges a copied claim into the local one. If the two have different
-// attempts, either may have had the majority, so both are kept: the key is not
-// granted to any attempt until the others are withdrawn or one is complete.
+// attempts, either may have had the majority, so both are kept: neither is
+// granted again before the other is withdrawn, and the key is free only once
+// both are. If one attempt is complete, its outcome is kept.
 func (m *Member) mergeClaim(copied wire.ClaimRecord) {
 	held := m.claims[copied.Key]
 	if held == nil {
