--- a/internal/standalone/lease/manager_test.go
+++ b/internal/standalone/lease/manager_test.go
@@ -34,21 +34,21 @@
 func TestTakeoverIncreasesToken(t *testing.T) {
 	scheduler := sim.NewScheduler(1)
 	platform := sim.NewPlatform(scheduler)
-	holder, host := startCandidate(platform, scheduler, "first", 0)
+	first, host := startCandidate(platform, scheduler, "first", 0)
 	scheduler.Run(time.Second)
-	other, _ := startCandidate(platform, scheduler, "second", 1)
+	second, _ := startCandidate(platform, scheduler, "second", 1)
 	scheduler.Run(30 * time.Second)
-	if !holder.holds || other.holds {
-		t.Fatalf("before the pause: first holds %v, second holds %v, want only the first", holder.holds, other.holds)
+	if !first.holds || second.holds {
+		t.Fatalf("before the pause: first holds %v, second holds %v, want only the first", first.holds, second.holds)
 	}
 	host.Pause()
 	scheduler.Run(3 * testDuration)
-	if !other.holds || other.token <= holder.token {
-		t.Fatalf("after the pause: second holds %v with token %d, want a token above %d", other.holds, other.token, holder.token)
+	if !second.holds || second.token <= first.token {
+		t.Fatalf("after the pause: second holds %v with token %d, want a token above %d", second.holds, second.token, first.token)
 	}
 	host.Resume()
 	scheduler.Run(testDuration)
-	if holder.holds {
+	if first.holds {
 		t.Error("the paused holder still holds the lease after it resumed")
 	}
 }
--- a/internal/standalone/quorum/choose.go
+++ b/internal/standalone/quorum/choose.go
@@ -48,6 +48,7 @@
 	return seats
 }
 
+// seatOf returns the seat that a member would hold.
 func seatOf(member wire.Member) Seat {
 	return Seat{ID: member.ID, Identity: member.Identity, Address: member.Address, Zone: member.Zone, Durable: member.Storage}
 }
--- a/internal/standalone/quorum/claims.go
+++ b/internal/standalone/quorum/claims.go
@@ -81,6 +81,7 @@
 	return m.reply(wire.ClaimWithdrawn, record)
 }
 
+// claim returns the record of a key and creates it if there is none.
 func (m *Member) claim(key string) *wire.ClaimRecord {
 	record := m.claims[key]
 	if record == nil {
@@ -90,6 +91,7 @@
 	return record
 }
 
+// reply returns a reply with the current state of a claim.
 func (m *Member) reply(status uint8, record *wire.ClaimRecord) *wire.ClaimReply {
 	return &wire.ClaimReply{
 		Status:      status,
--- a/internal/standalone/quorum/client.go
+++ b/internal/standalone/quorum/client.go
@@ -171,6 +171,8 @@
 	finished  bool
 }
 
+// handleReply counts one reply or failed call. It ends the operation or starts a
+// retry as soon as the result of the round is certain.
 func (r *grantRound) handleReply(message wire.Message, err error) {
 	r.pending--
 	if reply, ok := message.(*wire.ClaimReply); err == nil && ok {
@@ -191,6 +193,8 @@
 	}
 }
 
+// count records a reply. A holder that has completed takes precedence over a
+// pending one.
 func (r *grantRound) count(reply *wire.ClaimReply) {
 	switch reply.Status {
 	case wire.ClaimGranted:
--- a/internal/standalone/quorum/coordinator.go
+++ b/internal/standalone/quorum/coordinator.go
@@ -118,6 +118,7 @@
 // of the current view serves it; before that there are no members to copy the
 // claims from. If the current view can never be served, because a majority of
 // the previous one was replaced before it was copied, it writes a reset view.
+// A next view that copies nothing is written at once.
 func (c *Coordinator) writeIfServed(current, next *View, version uint64) {
 	if next != nil && len(next.Previous) == 0 {
 		c.write(next, version)
@@ -165,6 +166,7 @@
 	})
 }
 
+// firstView returns the view for a cluster that has none.
 func (c *Coordinator) firstView() *View {
 	return &View{Epoch: 1, Seats: c.choose(nil)}
 }
--- a/internal/standalone/quorum/copy_test.go
+++ b/internal/standalone/quorum/copy_test.go
@@ -32,7 +32,7 @@
 // a, b and c, before it has a complete copy of the tables.
 func TestServeAfterCopy(t *testing.T) {
 	claim := wire.ClaimRecord{Key: "key", Attempt: "held"}
-	at := func(epoch uint64) *wire.ClaimSnapshot {
+	snapshotAt := func(epoch uint64) *wire.ClaimSnapshot {
 		return &wire.ClaimSnapshot{Epoch: epoch, Records: []wire.ClaimRecord{claim}}
 	}
 	cases := []struct {
@@ -41,13 +41,13 @@
 		serves  bool
 	}{
 		{"no seat replies", nil, false},
-		{"one seat of the previous view", map[string]*wire.ClaimSnapshot{"b": at(2)}, false},
-		{"a majority of the previous view", map[string]*wire.ClaimSnapshot{"b": at(2), "c": at(2)}, true},
-		{"a majority that never served the previous view", map[string]*wire.ClaimSnapshot{"b": at(1), "c": at(1)}, false},
+		{"one seat of the previous view", map[string]*wire.ClaimSnapshot{"b": snapshotAt(2)}, false},
+		{"a majority of the previous view", map[string]*wire.ClaimSnapshot{"b": snapshotAt(2), "c": snapshotAt(2)}, true},
+		{"a majority that never served the previous view", map[string]*wire.ClaimSnapshot{"b": snapshotAt(1), "c": snapshotAt(1)}, false},
 		// The previous view has lost its majority, but another seat copied its
 		// tables before.
-		{"a new seat that serves the view", map[string]*wire.ClaimSnapshot{"d": at(3)}, true},
-		{"a new seat that does not serve the view", map[string]*wire.ClaimSnapshot{"d": at(1)}, false},
+		{"a new seat that serves the view", map[string]*wire.ClaimSnapshot{"d": snapshotAt(3)}, true},
+		{"a new seat that does not serve the view", map[string]*wire.ClaimSnapshot{"d": snapshotAt(1)}, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/standalone/quorum/doc.go
+++ b/internal/standalone/quorum/doc.go
@@ -1,8 +1,8 @@
 // Package quorum keeps two small replicated tables on a few member nodes in
 // different zones. Claims let a request that is marked unsafe to repeat be
-// dispatched at most once. Registers decide one value, which never changes
-// afterwards. Both need a majority of the members of a view. Views are numbered
-// by epochs and decided by a conditional write to the object API.
+// dispatched at most once. Registers decide one value each. Both are kept for
+// Retention and need a majority of the members of a view. Views are numbered by
+// epochs and decided by a conditional write to the object API.
 //
 // Invariant: a member serves epoch e+1 only after it has sealed a majority of
 // the members of epoch e and copied their tables. A sealed member grants nothing
--- a/internal/standalone/quorum/grant_test.go
+++ b/internal/standalone/quorum/grant_test.go
@@ -87,19 +87,19 @@
 	}
 }
 
-// slowLog makes one record durable at a time and takes span for each.
+// slowLog makes one record durable at a time and takes syncTime for each.
 type slowLog struct {
-	clock *stepClock
-	span  time.Duration
-	free  time.Time
+	clock    *stepClock
+	syncTime time.Duration
+	freeAt   time.Time
 }
 
 func (l *slowLog) Append(_ string, _ []byte, done func(error)) {
-	if l.free.Before(l.clock.now) {
-		l.free = l.clock.now
+	if l.freeAt.Before(l.clock.now) {
+		l.freeAt = l.clock.now
 	}
-	l.free = l.free.Add(l.span)
-	l.clock.AfterFunc(l.free.Sub(l.clock.now), func() { done(nil) })
+	l.freeAt = l.freeAt.Add(l.syncTime)
+	l.clock.AfterFunc(l.freeAt.Sub(l.clock.now), func() { done(nil) })
 }
 
 func (l *slowLog) Remove(string) {}
@@ -152,7 +152,7 @@
 	f.member.SetView(f.view)
 	f.client.SetView(f.view)
 	f.clock.run(time.Second)
-	f.log.span = callTimeout + 20*time.Millisecond
+	f.log.syncTime = callTimeout + 20*time.Millisecond
 	f.grant(Claim{Key: "key", Attempt: "first"})
 	f.clock.run(time.Minute)
 	if f.results != 1 || !f.result.Granted {
@@ -164,7 +164,7 @@
 // must not fail meanwhile.
 func TestGrantRetriesUntilMemberServes(t *testing.T) {
 	f := newGrantFixture(t)
-	f.log.span = 200 * time.Millisecond
+	f.log.syncTime = 200 * time.Millisecond
 	f.member.SetView(f.view)
 	f.client.SetView(f.view)
 	f.grant(Claim{Key: "key", Attempt: "first"})
--- a/internal/standalone/quorum/journal.go
+++ b/internal/standalone/quorum/journal.go
@@ -18,7 +18,8 @@
 // snapshot.
 const compactAfter = 20000
 
-// journalEntry is one durable change of a member.
+// journalEntry is one durable change of a member's state. Only the fields that
+// changed are set.
 type journalEntry struct {
 	Identity uint64               `json:"identity,omitempty"`
 	View     *View                `json:"view,omitempty"`
@@ -31,10 +32,12 @@
 // Journal keeps a member's state in a record log, so that a process restarted
 // with the same data folder recovers all grants and promises.
 type Journal struct {
-	log      recordlog.Log
+	log recordlog.Log
+	// segment is the number of the current segment, entries its length.
 	segment  int
 	entries  int
 	identity uint64
+	// restored holds the recovered entries until the member has replayed them.
 	restored []journalEntry
 }
 
--- a/internal/standalone/quorum/member.go
+++ b/internal/standalone/quorum/member.go
@@ -70,8 +70,9 @@
 // ClaimCount returns the number of claims held.
 func (m *Member) ClaimCount() int { return len(m.claims) }
 
-// SetView installs a newer view. A member with a seat in it copies the tables of
-// the previous view and then serves the new one.
+// SetView installs a newer view and stops granting in older epochs. A member with
+// a seat in the view copies the tables of the previous one, if it names any
+// seats, and then serves it.
 func (m *Member) SetView(view *View) {
 	if m.view != nil && (view.Epoch < m.view.Epoch || view.Epoch == m.serving) {
 		return
@@ -104,7 +105,7 @@
 // serves the view already, since that member has copied from such a majority.
 func (m *Member) copyFrom(view *View) {
 	round := &copyRound{member: m, view: view, pending: 1}
-	for _, seat := range sources(view) {
+	for _, seat := range copySources(view) {
 		if seat.matches(m.config.ID, m.config.Identity) {
 			if m.serving >= view.Epoch-1 {
 				round.copied++
@@ -118,9 +119,9 @@
 	round.seatDone(0)
 }
 
-// sources returns the seats to copy from: those of the previous view and those
+// copySources returns the seats to copy from: those of the previous view and those
 // of the view itself, which may serve it already.
-func sources(view *View) []Seat {
+func copySources(view *View) []Seat {
 	all := slices.Clone(view.Previous)
 	for _, seat := range view.Seats {
 		if !slices.ContainsFunc(all, func(listed Seat) bool { return listed.matches(seat.ID, seat.Identity) }) {
@@ -130,7 +131,7 @@
 	return all
 }
 
-// copyRound counts the completed copies of one try.
+// copyRound counts the complete copies of one call of copyFrom.
 type copyRound struct {
 	member  *Member
 	view    *View
@@ -140,7 +141,8 @@
 }
 
 // seatDone records that the copy from a seat is complete and which epoch the
-// seat serves, or that it failed if epoch is 0.
+// seat serves, or that it failed if epoch is 0. Only a seat that serves at least
+// the previous epoch counts.
 func (r *copyRound) seatDone(epoch uint64) {
 	m := r.member
 	r.pending--
--- a/internal/standalone/quorum/registers.go
+++ b/internal/standalone/quorum/registers.go
@@ -33,6 +33,8 @@
 	m.persistRegister(register, func() { reply(result) })
 }
 
+// register returns the record of a register and creates it if there is none. Each
+// use restarts its retention.
 func (m *Member) register(name string) *wire.RegisterRecord {
 	register := m.registers[name]
 	if register == nil {
@@ -52,6 +54,8 @@
 	}
 }
 
+// mergeRegister merges a copied register into the local one. The value accepted
+// with the greatest ballot is kept.
 func (m *Member) mergeRegister(copied wire.RegisterRecord) {
 	held := m.registers[copied.Register]
 	if held == nil {
--- a/internal/standalone/quorum/view.go
+++ b/internal/standalone/quorum/view.go
@@ -47,13 +47,17 @@
 // Majority returns how many seats must agree.
 func (v *View) Majority() int { return majority(v.Seats) }
 
+// majority returns the smallest number of seats that is more than half.
 func majority(seats []Seat) int { return len(seats)/2 + 1 }
 
-// HasSeat reports whether the member with this identity holds a seat.
+// HasSeat reports whether the member with this id and storage identity holds a
+// seat.
 func (v *View) HasSeat(id string, identity uint64) bool {
 	return slices.ContainsFunc(v.Seats, func(seat Seat) bool { return seat.matches(id, identity) })
 }
 
+// matches reports whether the seat belongs to the member with this id and storage
+// identity.
 func (s Seat) matches(id string, identity uint64) bool { return s.ID == id && s.Identity == identity }
 
 // countDurable returns the number of seats with a data folder.
