--- a/internal/standalone/gateway/call.go
+++ b/internal/standalone/gateway/call.go
@@ -61,7 +61,7 @@
 	})
 	reply := <-replies
 	c.granted = reply.result.Granted
-	return request.ClaimAnswered{Result: reply.result, Err: reply.err}
+	return request.ClaimResult{Result: reply.result, Err: reply.err}
 }
 
 // dispatch picks an engine and sends the request to it.
--- a/internal/standalone/gateway/response.go
+++ b/internal/standalone/gateway/response.go
@@ -53,12 +53,12 @@
 }
 
 func (s *Server) writeResult(ctx *fasthttp.RequestCtx, running *call, result request.Result) {
-	if result.Stored != nil {
+	if result.StoredResponse != nil {
 		running.finish(result, nil)
-		s.writeStored(ctx, running, result.Stored)
+		s.writeStored(ctx, running, result.StoredResponse)
 		return
 	}
-	if !result.Done() {
+	if !result.Succeeded() {
 		running.finish(result, nil)
 		s.writeResultFailure(ctx, running, result)
 		return
@@ -235,7 +235,7 @@
 // weight versions, or an error, which is never followed by [DONE].
 func (s *Server) finishStream(writer *bufio.Writer, running *call, result request.Result) {
 	outcome := outcomeName(result.Outcome)
-	if !result.Done() {
+	if !result.Succeeded() {
 		running.finish(result, nil)
 		found := failureOf(result.Err)
 		writeEvent(writer, errorResponse{
--- a/internal/standalone/request/actions.go
+++ b/internal/standalone/request/actions.go
@@ -13,7 +13,7 @@
 type Action interface{ action() }
 
 // Claim requests a claim from the quorum before the first dispatch. The driver
-// reports the result as ClaimAnswered.
+// reports the result as ClaimResult.
 type Claim struct{ Claim quorum.Claim }
 
 // Dispatch asks the driver to pick an engine and send the request to it. The
@@ -48,14 +48,14 @@
 	Tokens   int
 	Reason   string
 	Segments []stream.Segment
-	// Stored is the stored response of an earlier request with the same
+	// StoredResponse is the stored response of an earlier request with the same
 	// idempotency key.
-	Stored []byte
+	StoredResponse []byte
 	// RetryAfter is the suggested delay before a retry; zero means none.
 	RetryAfter time.Duration
 	// Cancel is true if an engine may still be running the request.
 	Cancel bool
 }
 
-// Done reports whether the response is complete.
-func (r Result) Done() bool { return r.Outcome == wire.OutcomeDone }
+// Succeeded reports whether the response is complete.
+func (r Result) Succeeded() bool { return r.Outcome == wire.OutcomeDone }
--- a/internal/standalone/request/events.go
+++ b/internal/standalone/request/events.go
@@ -9,8 +9,8 @@
 // Begin starts the machine.
 type Begin struct{}
 
-// ClaimAnswered is the result of a Claim.
-type ClaimAnswered struct {
+// ClaimResult is the result of a Claim.
+type ClaimResult struct {
 	Result quorum.GrantResult
 	Err    error
 }
--- a/internal/standalone/request/machine.go
+++ b/internal/standalone/request/machine.go
@@ -64,7 +64,7 @@
 			return Claim{Claim: m.config.Claim}
 		}
 		return m.dispatch(false)
-	case ClaimAnswered:
+	case ClaimResult:
 		return m.handleClaim(typed)
 	case engine.Chunk:
 		return m.handleChunk(typed)
@@ -99,7 +99,7 @@
 // Tokens returns the number of tokens received so far.
 func (m *Machine) Tokens() int { return m.assembler.Tokens() }
 
-func (m *Machine) handleClaim(reply ClaimAnswered) Action {
+func (m *Machine) handleClaim(reply ClaimResult) Action {
 	if reply.Err != nil {
 		return m.finish(Result{Outcome: wire.OutcomeNotRun, Err: reply.Err, RetryAfter: defaultRetryAfter})
 	}
@@ -111,7 +111,7 @@
 	case holder.Fingerprint != m.config.Claim.Fingerprint:
 		return m.finish(Result{Outcome: wire.OutcomeNotRun, Err: merry.Wrap(ErrKeyReused)})
 	case holder.Outcome == wire.OutcomeDone && len(holder.Answer) > 0:
-		return m.finish(Result{Outcome: wire.OutcomeDone, Stored: holder.Answer})
+		return m.finish(Result{Outcome: wire.OutcomeDone, StoredResponse: holder.Answer})
 	}
 	return m.finish(Result{Outcome: wire.OutcomeUnknown, Err: merry.Wrap(ErrStillRunning), RetryAfter: defaultRetryAfter})
 }
--- a/internal/standalone/request/machine_test.go
+++ b/internal/standalone/request/machine_test.go
@@ -26,10 +26,10 @@
 
 func refused() *engine.Error { return &engine.Error{Kind: engine.Refused} }
 
-func granted() ClaimAnswered { return ClaimAnswered{Result: quorum.GrantResult{Granted: true}} }
+func granted() ClaimResult { return ClaimResult{Result: quorum.GrantResult{Granted: true}} }
 
-func alreadyClaimed(outcome uint8, fingerprint uint64, response string) ClaimAnswered {
-	return ClaimAnswered{Result: quorum.GrantResult{Holder: &wire.ClaimReply{Outcome: outcome, Fingerprint: fingerprint, Answer: []byte(response)}}}
+func alreadyClaimed(outcome uint8, fingerprint uint64, response string) ClaimResult {
+	return ClaimResult{Result: quorum.GrantResult{Holder: &wire.ClaimReply{Outcome: outcome, Fingerprint: fingerprint, Answer: []byte(response)}}}
 }
 
 // TestMachineOutcomes guards against a wrong outcome and against dispatching a
@@ -50,7 +50,7 @@
 		{"move is not a retry", true, []Event{granted(), chunk(0, "a"), engine.Moved{KVHandle: "h"}, chunk(1, "b"), end(2, "ab")}, 2, wire.OutcomeDone, "ab"},
 		{"unsafe is not sent again after a break", true, []Event{granted(), broken()}, 1, wire.OutcomeUnknown, ""},
 		{"unsafe is sent again after a refusal", true, []Event{granted(), refused(), chunk(0, "a"), end(1, "a")}, 2, wire.OutcomeDone, "a"},
-		{"unsafe without a majority is not run", true, []Event{ClaimAnswered{Err: errTest}}, 0, wire.OutcomeNotRun, ""},
+		{"unsafe without a majority is not run", true, []Event{ClaimResult{Err: errTest}}, 0, wire.OutcomeNotRun, ""},
 		{"repeat of a pending request is unknown", true, []Event{alreadyClaimed(wire.OutcomePending, 0, "")}, 0, wire.OutcomeUnknown, ""},
 		{"repeat of a done request is done", true, []Event{alreadyClaimed(wire.OutcomeDone, 0, "stored")}, 0, wire.OutcomeDone, ""},
 		{"key with another body is not run", true, []Event{alreadyClaimed(wire.OutcomeDone, 9, "stored")}, 0, wire.OutcomeNotRun, ""},
--- a/internal/standalone/rollout/finish.go
+++ b/internal/standalone/rollout/finish.go
@@ -11,7 +11,7 @@
 // checkAge gives up a sample whose first tokens are already too old for the
 // step, instead of generating the rest in vain.
 func (s *Scheduler) checkAge(running *attempt) {
-	oldest := stream.OldestVersion(running.machine.Segments())
+	oldest := stream.LowestVersion(running.machine.Segments())
 	if oldest >= s.bound(running.slot.step) {
 		return
 	}
@@ -43,7 +43,7 @@
 // finished takes in the result of an attempt.
 func (s *Scheduler) finished(running *attempt, result request.Result) {
 	filled := running.slot
-	if !result.Done() {
+	if !result.Succeeded() {
 		s.abandon(running)
 		return
 	}
@@ -55,7 +55,7 @@
 	s.predictor.Observe(filled.prompt, result.Tokens)
 	s.reorder = true
 	filled.step.durations = append(filled.step.durations, s.config.Clock.Now().Sub(running.started))
-	if stream.OldestVersion(result.Segments) < s.bound(filled.step) {
+	if stream.LowestVersion(result.Segments) < s.bound(filled.step) {
 		s.requeue(filled)
 		return
 	}
--- a/internal/standalone/rollout/keep.go
+++ b/internal/standalone/rollout/keep.go
@@ -28,7 +28,7 @@
 	filled.state = slotStoring
 	filled.data = data
 	filled.digest = xxhash.Sum64(data)
-	filled.oldest = stream.OldestVersion(sample.Segments)
+	filled.oldest = stream.LowestVersion(sample.Segments)
 	s.replicate(filled)
 }
 
--- a/internal/standalone/rollout/recover.go
+++ b/internal/standalone/rollout/recover.go
@@ -172,7 +172,7 @@
 			if err := json.Unmarshal(held.data, &sample); err != nil {
 				klog.Background().Error(err, "stored sample is not readable and generated anew", "trainer", s.config.Trainer, "step", step.request.Step, "slot", held.index)
 			} else {
-				held.oldest = stream.OldestVersion(sample.Segments)
+				held.oldest = stream.LowestVersion(sample.Segments)
 			}
 		}
 		if held.oldest >= s.bound(step) && held.oldest > 0 {
--- a/internal/standalone/sim/check.go
+++ b/internal/standalone/sim/check.go
@@ -114,7 +114,7 @@
 	var found []Violation
 	for _, delivery := range h.deliveries {
 		for _, sample := range delivery.Samples {
-			staleness := int64(delivery.Step) - stream.OldestVersion(sample.Segments)
+			staleness := int64(delivery.Step) - stream.LowestVersion(sample.Segments)
 			if staleness > delivery.Bound {
 				found = append(found, violation(PromiseStaleness, "step %d slot %d is %d versions old, bound %d", delivery.Step, sample.Slot, staleness, delivery.Bound))
 			}
--- a/internal/standalone/sim/gateway.go
+++ b/internal/standalone/sim/gateway.go
@@ -104,7 +104,7 @@
 	case request.Claim:
 		c.gateway.node.core.Quorum().Grant(typed.Claim, func(result quorum.GrantResult, err error) {
 			c.granted = result.Granted
-			c.event(request.ClaimAnswered{Result: result, Err: err})
+			c.event(request.ClaimResult{Result: result, Err: err})
 		})
 	case request.Dispatch:
 		c.send(typed)
@@ -161,8 +161,8 @@
 	answer := CallerAnswer{RequestID: c.id, Outcome: result.Outcome, Err: result.Err, Text: result.Text, Tokens: result.Tokens, RetryAfter: result.RetryAfter}
 	client := c.gateway.node.core.Quorum()
 	switch {
-	case result.Stored != nil:
-		answer.Text = string(result.Stored)
+	case result.StoredResponse != nil:
+		answer.Text = string(result.StoredResponse)
 	case c.granted && result.Outcome == wire.OutcomeNotRun:
 		client.Withdraw(c.machine.Claim())
 	case c.granted:
--- a/internal/standalone/standin/trainer/trainer.go
+++ b/internal/standalone/standin/trainer/trainer.go
@@ -262,7 +262,7 @@
 		t.counts.Unversioned++
 		return
 	}
-	staleness := expected.TrainVersion - stream.OldestVersion(sample.Segments)
+	staleness := expected.TrainVersion - stream.LowestVersion(sample.Segments)
 	t.counts.Staleness = append(t.counts.Staleness, max(0, staleness))
 	if staleness > t.config.Bound {
 		t.counts.Stale++
--- a/internal/standalone/stream/assembler.go
+++ b/internal/standalone/stream/assembler.go
@@ -87,9 +87,9 @@
 // Digest returns the hash of the text so far.
 func (a *Assembler) Digest() uint64 { return xxhash.Sum64(a.text) }
 
-// OldestVersion returns the lowest version of all segments, or 0 if there are
+// LowestVersion returns the lowest version of all segments, or 0 if there are
 // none.
-func OldestVersion(segments []Segment) int64 {
+func LowestVersion(segments []Segment) int64 {
 	var oldest int64
 	for _, segment := range segments {
 		if oldest == 0 || segment.Version < oldest {
