--- a/internal/standalone/quorum/claims.go
+++ b/internal/standalone/quorum/claims.go
@@ -81,6 +81,7 @@
 	return m.reply(wire.ClaimWithdrawn, record)
 }
 
+// claim returns the record of a key and creates it if there is none.
 func (m *Member) claim(key string) *wire.ClaimRecord {
 	record := m.claims[key]
 	if record == nil {
@@ -90,6 +91,7 @@
 	return record
 }
 
+// reply returns a reply with the current state of a claim.
 func (m *Member) reply(status uint8, record *wire.ClaimRecord) *wire.ClaimReply {
 	return &wire.ClaimReply{
 		Status:      status,
@@ -117,8 +119,9 @@
 }
 
 // mergeClaim merges a copied claim into the local one. If the two have different
-// attempts, either may have had the majority, so both are kept: the key is not
-// granted to any attempt until the others are withdrawn or one is complete.
+// attempts, either may have had the majority, so both are kept: neither is
+// granted again before the other is withdrawn, and the key is free only once
+// both are. If one attempt is complete, its outcome is kept.
 func (m *Member) mergeClaim(copied wire.ClaimRecord) {
 	held := m.claims[copied.Key]
 	if held == nil {
