--- a/internal/standalone/fleet/table.go
+++ b/internal/standalone/fleet/table.go
@@ -35,10 +35,10 @@
 	return &Table{clock: clock, engines: map[string]*engineState{}, leaving: map[string]string{}, machines: map[string]environment.Machine{}}
 }
 
-// Report records the load of an engine; the next is expected within period.
+// RecordLoad records the load of an engine; the next is expected within period.
 // The last report to arrive wins, since the clocks of two reporters cannot be
 // compared.
-func (t *Table) Report(load wire.EngineLoad, period time.Duration) {
+func (t *Table) RecordLoad(load wire.EngineLoad, period time.Duration) {
 	t.engines[load.Engine] = &engineState{load: load, received: t.clock.Now(), period: period}
 }
 
@@ -86,8 +86,8 @@
 	return state.load.Flags&wire.EngineHealthy == 0 || state.load.Flags&wire.EngineDraining != 0
 }
 
-// Forget removes engines that are not in declared.
-func (t *Table) Forget(declared map[string]bool) {
+// Retain removes engines that are not in declared.
+func (t *Table) Retain(declared map[string]bool) {
 	for _, name := range slices.Sorted(maps.Keys(t.engines)) {
 		if !declared[name] {
 			delete(t.engines, name)
--- a/internal/standalone/fleet/table_test.go
+++ b/internal/standalone/fleet/table_test.go
@@ -25,7 +25,7 @@
 	}
 	report := func(flags uint8) func(*Table, *fakeClock) {
 		return func(table *Table, _ *fakeClock) {
-			table.Report(wire.EngineLoad{Engine: "e", Flags: flags}, time.Second)
+			table.RecordLoad(wire.EngineLoad{Engine: "e", Flags: flags}, time.Second)
 		}
 	}
 	unlisted := func(table *Table, _ *fakeClock) { table.SetMachines(nil) }
--- a/internal/standalone/node/core.go
+++ b/internal/standalone/node/core.go
@@ -100,7 +100,7 @@
 	c.table = membership.New(membership.Config{
 		Self: c.config.Self, Seeds: c.config.Seeds, Clock: c.config.Clock, Random: c.config.Random, Peers: c.config.Peers,
 		Documents:   c.relay.Versions,
-		OnDocuments: c.relay.Observe,
+		OnDocuments: c.relay.PullNewer,
 		OnChange:    c.membersChanged,
 	})
 }
--- a/internal/standalone/node/duties.go
+++ b/internal/standalone/node/duties.go
@@ -226,14 +226,14 @@
 func (c *Core) startWeights(name string, token uint64) {
 	model, region, _ := strings.Cut(strings.TrimPrefix(name, weightsPrefix), "/")
 	coordinator := weights.NewCoordinator(weights.Config{
-		Model:    model,
-		Scope:    name,
-		Token:    token,
-		Clock:    c.config.Clock,
-		Engines:  c.config.Engines,
-		Declared: func() *v1.Set { return c.set },
-		Targets:  func() []weights.Target { return c.weightTargets(model, region) },
-		Observed: c.observeStatus,
+		Model:       model,
+		Scope:       name,
+		Token:       token,
+		Clock:       c.config.Clock,
+		Engines:     c.config.Engines,
+		DeclaredSet: func() *v1.Set { return c.set },
+		Targets:     func() []weights.Target { return c.weightTargets(model, region) },
+		OnStatus:    c.observeStatus,
 	})
 	c.weights[name] = coordinator
 	c.rebuild()
--- a/internal/standalone/node/engines.go
+++ b/internal/standalone/node/engines.go
@@ -29,7 +29,7 @@
 	zone := poller.Followed(c.config.Self.Zone, targets)
 	duty := c.dutyTargets(engines)
 	c.poller.SetTargets(zone, duty)
-	c.fleet.Forget(declared)
+	c.fleet.Retain(declared)
 	c.followed = map[string]time.Duration{}
 	for _, target := range duty {
 		c.followed[target.Name] = poller.SlowPeriod
@@ -96,7 +96,7 @@
 
 // observeLoad takes in a load from this node's polls or from a peer's.
 func (c *Core) observeLoad(load wire.EngineLoad, period time.Duration) {
-	c.fleet.Report(load, period)
+	c.fleet.RecordLoad(load, period)
 	snapshot := c.snapshot.Load()
 	if snapshot == nil {
 		return
--- a/internal/standalone/relay/store.go
+++ b/internal/standalone/relay/store.go
@@ -86,8 +86,8 @@
 	return versions
 }
 
-// Observe pulls from a peer the documents that it holds in a newer version.
-func (s *Store) Observe(address string, versions []wire.DocumentVersion) {
+// PullNewer pulls from a peer the documents that it holds in a newer version.
+func (s *Store) PullNewer(address string, versions []wire.DocumentVersion) {
 	for _, version := range versions {
 		have := s.version(version.Name)
 		if version.Version > have {
--- a/internal/standalone/relay/store_test.go
+++ b/internal/standalone/relay/store_test.go
@@ -45,7 +45,7 @@
 			if !rapid.Bool().Draw(t, "look") {
 				continue
 			}
-			follower.Observe("leader", leader.Versions())
+			follower.PullNewer("leader", leader.Versions())
 			if got := follower.Get("d"); got.Version != version || got.Digest != leader.Get("d").Digest {
 				t.Fatalf("follower holds %+v, leader holds %+v", got, leader.Get("d"))
 			}
--- a/internal/standalone/weights/coordinator.go
+++ b/internal/standalone/weights/coordinator.go
@@ -21,15 +21,16 @@
 	// initialBackoff and maxBackoff bound the backoff after a failed order.
 	initialBackoff = 250 * time.Millisecond
 	maxBackoff     = 5 * time.Second
-	// DefaultStagings is the default of Config.Stagings.
-	DefaultStagings = 64
+	// DefaultMaxStaging is the default of Config.MaxStaging.
+	DefaultMaxStaging = 64
 )
 
 // Target is one engine as the coordinator sees it.
 type Target struct {
 	Engine *v1.Engine
 	// Version is the active version and Staged the staged one, as reported.
-	// Known is false until the engine has reported.
+	// Known is true if the last load report says that the engine is healthy.
+	// Other engines get no orders.
 	Version int64
 	Staged  int64
 	Known   bool
@@ -44,16 +45,16 @@
 	Token   uint64
 	Clock   environment.Clock
 	Engines engine.Client
-	// Declared returns the current configuration, or nil if there is none yet.
-	Declared func() *v1.Set
+	// DeclaredSet returns the current configuration, or nil if there is none yet.
+	DeclaredSet func() *v1.Set
 	// Targets returns the engines of the model in this region, sorted by name.
 	Targets func() []Target
-	// Observed is called with each status that an engine returns for an order
+	// OnStatus is called with each status that an engine returns for an order
 	// or a status request.
-	Observed func(engine string, status engine.Status)
-	// Stagings limits how many engines stage at the same time; zero means
-	// DefaultStagings.
-	Stagings int
+	OnStatus func(engine string, status engine.Status)
+	// MaxStaging limits how many engines stage at the same time; zero means
+	// DefaultMaxStaging.
+	MaxStaging int
 }
 
 // Coordinator reconciles the engines of one model in one region. It is not
@@ -77,8 +78,8 @@
 
 // NewCoordinator returns a coordinator that has not started.
 func NewCoordinator(config Config) *Coordinator {
-	if config.Stagings == 0 {
-		config.Stagings = DefaultStagings
+	if config.MaxStaging == 0 {
+		config.MaxStaging = DefaultMaxStaging
 	}
 	return &Coordinator{config: config, orders: map[string]*orderState{}}
 }
@@ -98,7 +99,7 @@
 
 // Reconcile sends the orders that are missing now.
 func (c *Coordinator) Reconcile() {
-	set := c.config.Declared()
+	set := c.config.DeclaredSet()
 	if set == nil || c.stopped {
 		return
 	}
@@ -138,7 +139,7 @@
 	}
 	for _, target := range targets {
 		stage, _ := desired(versions, target.Engine)
-		if !target.Known || stage <= max(target.Staged, target.Version) || staging >= c.config.Stagings {
+		if !target.Known || stage <= max(target.Staged, target.Version) || staging >= c.config.MaxStaging {
 			continue
 		}
 		if c.sendOrder(target, engine.ActionStage, stage) {
@@ -232,7 +233,7 @@
 			order.backoff = min(2*order.backoff, maxBackoff)
 			return
 		}
-		c.config.Observed(name, status)
+		c.config.OnStatus(name, status)
 		if c.stopped {
 			return
 		}
@@ -257,7 +258,7 @@
 				return
 			}
 			if err == nil {
-				c.config.Observed(name, status)
+				c.config.OnStatus(name, status)
 				if status.Staged >= order.version {
 					c.Reconcile()
 					return
--- a/internal/standalone/weights/coordinator_test.go
+++ b/internal/standalone/weights/coordinator_test.go
@@ -64,7 +64,7 @@
 			engines := &recordingEngines{}
 			coordinator := NewCoordinator(Config{
 				Model: "m", Scope: "s", Token: 7, Clock: fixedClock{}, Engines: engines,
-				Declared: func() *v1.Set { return test.set }, Observed: func(string, engine.Status) {},
+				DeclaredSet: func() *v1.Set { return test.set }, OnStatus: func(string, engine.Status) {},
 				Targets: func() []Target {
 					var targets []Target
 					for i := range 10 {
