--- a/internal/standalone/gateway/call.go
+++ b/internal/standalone/gateway/call.go
@@ -167,7 +167,7 @@
 }
 
 // finish cancels a dispatch that may still be running and completes or withdraws
-// the claim. It must be called exactly once.
+// the claim. It must be called at most once.
 func (c *call) finish(result request.Result, response []byte) {
 	close(c.done)
 	c.releaseEngine()
--- a/internal/standalone/gateway/completion.go
+++ b/internal/standalone/gateway/completion.go
@@ -25,7 +25,7 @@
 	// prefixBytes is the length of the prompt prefix whose hash selects the
 	// prompt cache home.
 	prefixBytes = 256
-	// maxKeyBytes bounds an idempotency key.
+	// maxKeyBytes is the maximum length of an idempotency key.
 	maxKeyBytes = 256
 )
 
--- a/internal/standalone/gateway/response.go
+++ b/internal/standalone/gateway/response.go
@@ -15,7 +15,8 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// maxStoredResponse bounds, in bytes, the response that a claim stores for repeated requests.
+// maxStoredResponse is the maximum size, in bytes, of a response that a claim
+// stores for repeated requests.
 const maxStoredResponse = 64 << 10
 
 const (
--- a/internal/standalone/gateway/server.go
+++ b/internal/standalone/gateway/server.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// hardBodyLimit is the maximum request body in bytes. Each model has a
-	// lower limit of its own that is checked after the body has been read.
+	// hardBodyLimit is the maximum request body in bytes. The limit of
+	// the model is checked after the body has been read.
 	hardBodyLimit = 64 << 20
 	// readTimeout limits reading a request, and idleTimeout the time between
 	// requests on a connection.
@@ -121,8 +121,8 @@
 	return s.server.Serve(s.listener)
 }
 
-// Stop refuses new completions; those in flight continue. Responses from now on
-// ask callers to close their connections.
+// Stop refuses new completions; those in flight continue. Responses to later
+// requests ask callers to close their connections.
 func (s *Server) Stop() {
 	s.stopping.Store(true)
 	s.groups.stop()
