--- a/internal/callers/eventstream/reader.go
+++ b/internal/callers/eventstream/reader.go
@@ -26,7 +26,7 @@
 }
 
 // NewReader returns a reader of a stream that resumes after the event with the id after; 0
-// means that it starts from the beginning. VersionField is the name of the field that gives
+// means that it starts from the beginning. versionField is the name of the field that gives
 // the weight version.
 func NewReader(source io.Reader, versionField string, after int) *Reader {
 	return &Reader{source: bufio.NewReaderSize(source, readBufferBytes), versionField: versionField, lastID: after}
--- a/internal/callers/ingress/authenticate.go
+++ b/internal/callers/ingress/authenticate.go
@@ -49,10 +49,10 @@
 	if maxAge := h.config.MaxConfigurationAge(); maxAge > 0 && age > maxAge {
 		return "", &unauthenticatedError{errStaleConfiguration}
 	}
-	holder := configuration.Tenants.Lookup(key)
+	found := configuration.Tenants.Lookup(key)
 	switch {
-	case holder != nil:
-		return holder.Name, nil
+	case found != nil:
+		return found.Name, nil
 	case age > maxAgeForUnknownKey:
 		return "", &unauthenticatedError{errStaleConfiguration}
 	}
--- a/internal/callers/ingress/refusal.go
+++ b/internal/callers/ingress/refusal.go
@@ -80,7 +80,7 @@
 }
 
 // handleBodyError ends a request whose body could not be read. If the caller did not send the
-// whole body, it aborts the connection, since no caller waits for a response.
+// whole body, it aborts the connection, since the caller no longer waits for a response.
 func (h *Handler) handleBodyError(writer http.ResponseWriter, id, route string, err error) {
 	if errors.Is(err, ErrBodyIncomplete) {
 		h.config.Logger.Info("failed to read request body", "request", id, "route", route, "error", err.Error())
--- a/internal/callers/tenancy/table.go
+++ b/internal/callers/tenancy/table.go
@@ -53,7 +53,7 @@
 			continue
 		}
 		keyDigest := digestOf(key)
-		if holder := t.byKey[keyDigest]; holder != nil && holder != tenant {
+		if other := t.byKey[keyDigest]; other != nil && other != tenant {
 			shared[keyDigest] = true
 			errs = append(errs, &DeclarationError{Tenant: tenant.Name, Problem: problemSharedKey})
 			continue
--- a/internal/instance/assemble.go
+++ b/internal/instance/assemble.go
@@ -25,7 +25,8 @@
 	"github.com/pathtally/pathtally/internal/wire"
 )
 
-// incarnationBase is the number base in which the lease object names a node's incarnation.
+// incarnationBase is the base in which the lease object writes the number of a node's
+// incarnation.
 const incarnationBase = 36
 
 // assemble creates the components of the node. Each step depends on the previous ones.
--- a/internal/instance/evacuations.go
+++ b/internal/instance/evacuations.go
@@ -17,8 +17,8 @@
 	evacuationPollInterval = 100 * time.Millisecond
 	evacuationIdleInterval = time.Second
 	// evacuationMargin is the fraction of the evacuation bound that is left for requests in
-	// transit. If the list of evacuations is older than the rest of the bound, a request
-	// may reach an evacuated zone too late.
+	// transit. The rest of the bound is the maximum age of the list of evacuations: with an
+	// older list, a request may reach a zone after the bound for its evacuation.
 	evacuationMargin = 0.1
 )
 
@@ -62,7 +62,7 @@
 	age     func() time.Duration
 	maxAge  time.Duration
 	isStale bool
-	// empty is the set of evacuated zones in which this node has no requests left.
+	// empty contains the evacuated zones in which this node has no requests left.
 	empty map[string]bool
 }
 
@@ -79,7 +79,7 @@
 	for zone, since := range view.Evacuated {
 		if !l.empty[zone] && view.InFlightIn(zone) == 0 {
 			l.empty[zone] = true
-			l.logger.Info("evacuated zone empty", "evacuated", zone, "afterMs", time.Since(since).Milliseconds())
+			l.logger.Info("no requests left in evacuated zone", "evacuated", zone, "afterMs", time.Since(since).Milliseconds())
 		}
 	}
 	if len(l.empty) < len(view.Evacuated) {
--- a/internal/instance/live_settings.go
+++ b/internal/instance/live_settings.go
@@ -45,7 +45,7 @@
 	return durationOr(l.current.Load().CatchUp.Std(), defaultCatchUp)
 }
 
-// keyBound is the maximum age of the configuration whose keys identify callers, 0 for no
+// keyBound is the maximum age of the configuration at which API keys are accepted, 0 for no
 // bound.
 func (l *liveSettings) keyBound() time.Duration { return l.current.Load().KeyBound.Std() }
 
--- a/internal/instance/memory.go
+++ b/internal/instance/memory.go
@@ -7,8 +7,8 @@
 	// bodyMemoryDivisor divides the memory of the settings; the result bounds the bodies of
 	// all requests in progress.
 	bodyMemoryDivisor = 4
-	// memoryLimitFraction is the fraction of the memory of the settings that is the memory
-	// limit of the Go runtime.
+	// memoryLimitFraction is the memory limit of the Go runtime as a fraction of the memory
+	// of the settings.
 	memoryLimitFraction = 0.7
 )
 
--- a/internal/instance/retirements.go
+++ b/internal/instance/retirements.go
@@ -127,7 +127,8 @@
 	return r.pending[machine]
 }
 
-// rank returns this node's rank for a machine among the known nodes, 0 for the first.
+// rank returns this node's rank for a machine among the known nodes: 0 for the first, -1 if
+// this node is not among them.
 func (r *retirements) rank(machine string) int {
 	return slices.Index(rendezvous.RankNames(machine, r.nodes()), r.node)
 }
--- a/internal/instance/servers.go
+++ b/internal/instance/servers.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// headerTimeout and idleTimeout exceed any limits that operators set: the handler
+	// headerTimeout and idleTimeout limit the time for receiving headers and the time
+	// between two requests. They exceed any timeout that operators set; the handler
 	// enforces those.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
@@ -35,7 +36,7 @@
 // serveOn serves one listener until the server is closed.
 func serveOn(server *http.Server, listener net.Listener, logger klog.Logger) {
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		logger.Error(err, "address is no longer served", "address", listener.Addr().String())
+		logger.Error(err, "HTTP server failed", "address", listener.Addr().String())
 	}
 }
 
--- a/internal/instance/slowstart.go
+++ b/internal/instance/slowstart.go
@@ -40,9 +40,9 @@
 	elector   *lease.Elector
 	client    *slowstart.Client
 	allotter  *slowstart.Allotter
-	// failures counts the requests that failed, and those to other than the first
-	// candidate that were granted nothing: the next request goes to the next candidate. It
-	// belongs to the client's goroutine.
+	// failures counts the requests for permits that failed, and those that a candidate other
+	// than the first granted nothing. After each, the next request goes to the next
+	// candidate. Only the client's goroutine uses it.
 	failures int
 }
 
--- a/internal/instance/stop.go
+++ b/internal/instance/stop.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// minDrainTime is how long a stopping node continues to take requests: after that
-	// callers know that it is not ready (docs/OPERATIONS.md).
+	// minDrainTime is the minimum time for which a stopping node accepts requests. By its
+	// end, callers have noticed that the node is not ready (docs/OPERATIONS.md).
 	minDrainTime = 3 * time.Second
 	// minIdleTime is how long a stopping node must have received no request before it stops
 	// early.
@@ -52,7 +52,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), deadline.Add(closeTimeout))
 	defer cancel()
 	if err := c.server.Shutdown(ctx); err != nil {
-		c.logger.Info("requests cut by the planned stop", "error", err.Error())
+		c.logger.Info("planned stop aborted requests in progress", "error", err.Error())
 	}
 	if c.usage != nil {
 		// Pushes what was counted while the node drained.
--- a/internal/instance/store_helpers.go
+++ b/internal/instance/store_helpers.go
@@ -12,8 +12,9 @@
 const maxStoreHelpers = 6
 
 // storeHelpers returns the addresses of nodes that may make large store calls for this
-// node: those of its own zone first, then those of its own region. The order within each
-// group depends on the node, so that nodes rejected by the store use different helpers.
+// node: those of its own zone first, then those of its own region, then all others. The
+// order within each group depends on the node, so that nodes rejected by the store use
+// different helpers.
 func (l *peerLookup) storeHelpers() []string {
 	peers := l.peers.Peers()
 	self := rendezvous.Hash(l.settings.Node)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -54,8 +54,8 @@
 	// the whole deployment, such as an order to a replica, before another node may act.
 	// Zero means the default.
 	DutyLease v1.Duration `json:"dutyLease"`
-	// Drain is how long a replica may still get requests after it announced that it is
-	// leaving; zero means the default.
+	// Drain is how long a replica may still get requests after it has announced its
+	// shutdown; zero means the default.
 	Drain v1.Duration `json:"drain"`
 	// CatchUp is how long after its start the node may lack state before it logs what is
 	// missing; zero means the default.
--- a/internal/wire/heartbeat.go
+++ b/internal/wire/heartbeat.go
@@ -43,7 +43,7 @@
 	// Lease is the revision of the duty lease if the sender holds it, else 0.
 	Lease uint64
 	Peers []PeerAddress
-	// Leaving is set if the sender stops soon and hands over its jobs.
+	// Leaving is set if the sender is about to stop and hands over its jobs.
 	Leaving bool
 	// Ended are batch jobs that callers have ended.
 	Ended      []string
--- a/internal/wire/watch.go
+++ b/internal/wire/watch.go
@@ -12,8 +12,8 @@
 	// WaitMs is how long the receiver may delay its reply until there are changes.
 	WaitMs uint32
 	// Direct means that only a node to which the store itself responds may reply that it
-	// is current. Otherwise two nodes without the store could each take the other for
-	// current.
+	// is current. Otherwise two nodes without access to the store could each regard the
+	// other as current.
 	Direct bool
 	// Relay means that the sender regards the receiver as a follower of another node, so
 	// that the receiver need not read the store.
@@ -38,7 +38,7 @@
 	Kind     string
 	Revision uint64
 	Whole    bool
-	// AfterOutage means that objects may have vanished because of an outage of the store.
+	// AfterOutage means that objects may have disappeared because of an outage of the store.
 	AfterOutage bool
 	Changes     []ObjectChange
 	// Compressed replaces Changes in large updates. It holds a compressed Listing
