--- a/internal/callers/admission/adaptive.go
+++ b/internal/callers/admission/adaptive.go
@@ -57,8 +57,8 @@
 	return a.gate.Enter(ctx, 0)
 }
 
-// Leave ends a call. overloaded reports whether the call showed that the
-// service is overloaded.
+// Leave ends a call. overloaded reports whether the call showed that the service is
+// overloaded.
 func (a *Adaptive) Leave(overloaded bool) {
 	a.mutex.Lock()
 	switch {
--- a/internal/instance/connections.go
+++ b/internal/instance/connections.go
@@ -16,8 +16,8 @@
 	// know.
 	connectionFraction = 0.8
 	// minConnectionsPerSlot is the number of connections per slot of a replica that a node
-	// may open even if its share is smaller. The few nodes that use a replica at the
-	// same time would otherwise open new connections continually.
+	// may open even if its share is smaller. The few nodes that use a replica at the same
+	// time would otherwise open new connections continually.
 	minConnectionsPerSlot = 3
 	// minLimitsInterval is the minimum time between two updates of the limits.
 	minLimitsInterval = time.Second
@@ -35,8 +35,9 @@
 	pool      *exchange.Pool
 }
 
-// run updates the limits until the context ends. A change takes effect at once, or minLimitsInterval
-// after the previous one. Until then connections to a new replica are not kept idle.
+// run updates the limits until the context ends. A change takes effect at once, or
+// minLimitsInterval after the previous one. Until then connections to a new replica are not
+// kept idle.
 func (l *connectionLimiter) run(ctx context.Context) {
 	for {
 		changed := l.directory.Changed()
--- a/internal/instance/retirements.go
+++ b/internal/instance/retirements.go
@@ -127,8 +127,7 @@
 	return r.pending[machine]
 }
 
-// rank returns this node's rank for a machine among the known nodes: 0 for the first, -1 if
-// this node is not among them.
+// rank returns this node's rank for a machine among the known nodes, 0 for the first.
 func (r *retirements) rank(machine string) int {
 	return slices.Index(rendezvous.RankNames(machine, r.nodes()), r.node)
 }
--- a/internal/instance/servers.go
+++ b/internal/instance/servers.go
@@ -11,13 +11,12 @@
 )
 
 const (
-	// headerTimeout and idleTimeout limit the time for receiving headers and the time
-	// between two requests. They exceed any timeout that operators set; the handler
-	// enforces those.
+	// headerTimeout limits the time for receiving the headers of a request, idleTimeout the
+	// time between two requests on a connection. The limits of the configuration are not
+	// applied to them.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// maxHeaderBytes bounds the headers of a request before the limits of the configuration
-	// apply.
+	// maxHeaderBytes limits the size of the headers of a request.
 	maxHeaderBytes = 64 << 10
 )
 
