--- a/internal/store/watchcache/handle_poll.go
+++ b/internal/store/watchcache/handle_poll.go
@@ -98,7 +98,7 @@
 
 // readerStatus returns the status of a node that reads the store. A reader that follows a
 // helper also reports current and names the helper, except in reply to a direct poll:
-// otherwise two nodes without the store could each take the other for current.
+// otherwise two nodes without store access could regard each other as current.
 func (s *Source) readerStatus(direct bool) cacheStatus {
 	helper, helped := s.accessPeer.helper()
 	switch {
