--- a/internal/instance/servers.go
+++ b/internal/instance/servers.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// headerTimeout and idleTimeout exceed any limits that operators set: the handler
-	// enforces those.
+	// headerTimeout limits the time for receiving the headers of a request, idleTimeout the
+	// time between two requests on a connection. The limits of the configuration are not
+	// applied to them.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// maxHeaderBytes bounds the headers of a request before the limits of the configuration
-	// apply.
+	// maxHeaderBytes limits the size of the headers of a request.
 	maxHeaderBytes = 64 << 10
 )
 
@@ -35,7 +35,7 @@
 // serveOn serves one listener until the server is closed.
 func serveOn(server *http.Server, listener net.Listener, logger klog.Logger) {
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		logger.Error(err, "address is no longer served", "address", listener.Addr().String())
+		logger.Error(err, "HTTP server failed", "address", listener.Addr().String())
 	}
 }
 
