--- a/internal/standalone/rollout/finish.go
+++ b/internal/standalone/rollout/finish.go
@@ -11,7 +11,7 @@
 // checkStaleness abandons an attempt whose oldest token is already too stale
 // for the step, which saves generating the rest.
 func (s *Scheduler) checkStaleness(running *attempt) {
-	oldest := stream.OldestVersion(running.machine.Segments())
+	oldest := stream.LowestVersion(running.machine.Segments())
 	if oldest >= s.minVersion(running.slot.step) {
 		return
 	}
@@ -45,7 +45,7 @@
 // the scorer; otherwise the slot is retried.
 func (s *Scheduler) handleResult(running *attempt, result request.Result) {
 	target := running.slot
-	if !result.Done() {
+	if !result.Succeeded() {
 		s.abandon(running)
 		return
 	}
@@ -57,7 +57,7 @@
 	s.predictor.Observe(target.prompt, result.Tokens)
 	s.reorder = true
 	target.step.durations = append(target.step.durations, s.config.Clock.Now().Sub(running.started))
-	if stream.OldestVersion(result.Segments) < s.minVersion(target.step) {
+	if stream.LowestVersion(result.Segments) < s.minVersion(target.step) {
 		s.requeue(target)
 		return
 	}
--- a/internal/standalone/rollout/recover.go
+++ b/internal/standalone/rollout/recover.go
@@ -175,7 +175,7 @@
 			if err := json.Unmarshal(current.data, &sample); err != nil {
 				klog.Background().Error(err, "cannot decode stored sample; regenerating it", "trainer", s.config.Trainer, "step", step.request.Step, "slot", current.index)
 			} else {
-				current.oldestVersion = stream.OldestVersion(sample.Segments)
+				current.oldestVersion = stream.LowestVersion(sample.Segments)
 			}
 		}
 		if current.oldestVersion >= s.minVersion(step) && current.oldestVersion > 0 {
--- a/internal/standalone/rollout/store.go
+++ b/internal/standalone/rollout/store.go
@@ -29,7 +29,7 @@
 	target.state = slotStoring
 	target.data = data
 	target.digest = xxhash.Sum64(data)
-	target.oldestVersion = stream.OldestVersion(sample.Segments)
+	target.oldestVersion = stream.LowestVersion(sample.Segments)
 	s.replicate(target)
 }
 
