--- a/internal/standalone/rollout/config.go
+++ b/internal/standalone/rollout/config.go
@@ -49,8 +49,8 @@
 type Stores interface {
 	// Usable returns the reachable nodes that have a data folder.
 	Usable() []wire.Member
-	// Copies returns how many stores must hold each sample.
-	Copies() int
+	// ReplicationFactor returns how many stores must hold each sample.
+	ReplicationFactor() int
 }
 
 // Config holds the settings and dependencies of a Scheduler.
--- a/internal/standalone/rollout/finish.go
+++ b/internal/standalone/rollout/finish.go
@@ -62,14 +62,14 @@
 		return
 	}
 	sample := Sample{
-		Trainer:  s.config.Trainer,
-		Step:     target.step.request.Step,
-		Slot:     target.index,
-		Prompt:   target.prompt,
-		Text:     result.Text,
-		Tokens:   result.Tokens,
-		Reason:   result.Reason,
-		Segments: result.Segments,
+		Trainer:      s.config.Trainer,
+		Step:         target.step.request.Step,
+		Slot:         target.index,
+		Prompt:       target.prompt,
+		Text:         result.Text,
+		Tokens:       result.Tokens,
+		FinishReason: result.Reason,
+		Segments:     result.Segments,
 	}
 	s.score(target, sample)
 	s.dispatchPending()
--- a/internal/standalone/rollout/manifestreplicator.go
+++ b/internal/standalone/rollout/manifestreplicator.go
@@ -35,7 +35,7 @@
 // checkCopies calls done if enough stores hold the manifest, and retries
 // otherwise.
 func (r *manifestReplicator) checkCopies() {
-	if len(r.holders) >= r.scheduler.config.Stores.Copies() {
+	if len(r.holders) >= r.scheduler.config.Stores.ReplicationFactor() {
 		r.done()
 		return
 	}
--- a/internal/standalone/rollout/predictor.go
+++ b/internal/standalone/rollout/predictor.go
@@ -10,18 +10,18 @@
 	maxPredictions = 1 << 16
 )
 
-// Predictor predicts the length of a sample from earlier samples of its
+// LengthPredictor predicts the length of a sample from earlier samples of its
 // prompt.
-type Predictor struct {
+type LengthPredictor struct {
 	lengths map[uint64]float64
 	mean    float64
 }
 
-// NewPredictor returns a predictor without observations.
-func NewPredictor() *Predictor { return &Predictor{lengths: map[uint64]float64{}} }
+// NewLengthPredictor returns a predictor without observations.
+func NewLengthPredictor() *LengthPredictor { return &LengthPredictor{lengths: map[uint64]float64{}} }
 
 // Observe records the length of a sample.
-func (p *Predictor) Observe(prompt string, tokens int) {
+func (p *LengthPredictor) Observe(prompt string, tokens int) {
 	length := float64(tokens)
 	if p.mean == 0 {
 		p.mean = length
@@ -41,7 +41,7 @@
 
 // Predict returns the expected length in tokens. For an unknown prompt it
 // returns the mean over all prompts.
-func (p *Predictor) Predict(prompt string) float64 {
+func (p *LengthPredictor) Predict(prompt string) float64 {
 	if known, found := p.lengths[xxhash.Sum64String(prompt)]; found {
 		return known
 	}
--- a/internal/standalone/rollout/repair.go
+++ b/internal/standalone/rollout/repair.go
@@ -40,7 +40,7 @@
 	}
 	digest, index := current.digest, current.index
 	for _, store := range s.storesFor(current.step.request.Step, index) {
-		if count >= s.config.Stores.Copies() {
+		if count >= s.config.Stores.ReplicationFactor() {
 			return
 		}
 		if current.copies[storeKey(store)] {
--- a/internal/standalone/rollout/scheduler.go
+++ b/internal/standalone/rollout/scheduler.go
@@ -16,7 +16,7 @@
 type Scheduler struct {
 	config    Config
 	steps     map[uint64]*stepState
-	predictor *Predictor
+	predictor *LengthPredictor
 	stopped   bool
 	parked    []*attempt
 	// reorder is set when new length observations may change the order of
@@ -30,7 +30,7 @@
 
 // NewScheduler returns a scheduler without steps.
 func NewScheduler(config Config) *Scheduler {
-	return &Scheduler{config: config, steps: map[uint64]*stepState{}, predictor: NewPredictor()}
+	return &Scheduler{config: config, steps: map[uint64]*stepState{}, predictor: NewLengthPredictor()}
 }
 
 // Start runs one tick and schedules the next.
--- a/internal/standalone/rollout/seal.go
+++ b/internal/standalone/rollout/seal.go
@@ -31,7 +31,7 @@
 	step.phase = phaseSealing
 	manifest := &Manifest{Trainer: s.config.Trainer, Step: step.request.Step, Revision: step.revision, TrainVersion: step.request.TrainVersion}
 	for _, filled := range step.slots {
-		manifest.Samples = append(manifest.Samples, ManifestEntry{Slot: filled.index, Digest: filled.digest, Oldest: filled.oldestVersion})
+		manifest.Samples = append(manifest.Samples, ManifestEntry{Slot: filled.index, Digest: filled.digest, OldestVersion: filled.oldestVersion})
 	}
 	value, err := json.Marshal(manifest)
 	if err != nil {
@@ -90,7 +90,7 @@
 			missing = append(missing, wire.SampleReference{Slot: entry.Slot, Digest: entry.Digest})
 			current.data = nil
 		}
-		current.state, current.digest, current.oldestVersion = slotFilled, entry.Digest, entry.Oldest
+		current.state, current.digest, current.oldestVersion = slotFilled, entry.Digest, entry.OldestVersion
 	}
 	step.unfilled = 0
 	if len(missing) == 0 {
--- a/internal/standalone/rollout/step.go
+++ b/internal/standalone/rollout/step.go
@@ -34,15 +34,15 @@
 
 // Sample is a finished sample as it is stored and delivered.
 type Sample struct {
-	Trainer  string           `json:"trainer"`
-	Step     uint64           `json:"step"`
-	Slot     uint32           `json:"slot"`
-	Prompt   string           `json:"prompt"`
-	Text     string           `json:"text"`
-	Tokens   int              `json:"tokens"`
-	Reason   string           `json:"finish_reason"`
-	Segments []stream.Segment `json:"segments"`
-	Score    float64          `json:"score"`
+	Trainer      string           `json:"trainer"`
+	Step         uint64           `json:"step"`
+	Slot         uint32           `json:"slot"`
+	Prompt       string           `json:"prompt"`
+	Text         string           `json:"text"`
+	Tokens       int              `json:"tokens"`
+	FinishReason string           `json:"finish_reason"`
+	Segments     []stream.Segment `json:"segments"`
+	Score        float64          `json:"score"`
 }
 
 // Manifest lists the samples of one revision of a step.
@@ -58,9 +58,9 @@
 type ManifestEntry struct {
 	Slot   uint32 `json:"slot"`
 	Digest uint64 `json:"digest"`
-	// Oldest is the lowest weight version that generated a token of the
+	// OldestVersion is the lowest weight version that generated a token of the
 	// sample.
-	Oldest int64 `json:"oldest"`
+	OldestVersion int64 `json:"oldest"`
 }
 
 // phase is the processing phase of a step.
--- a/internal/standalone/rollout/store.go
+++ b/internal/standalone/rollout/store.go
@@ -64,7 +64,7 @@
 // storesWithoutCopy returns the highest-ranked stores that lack a copy of a
 // slot, as many as there are missing copies.
 func (s *Scheduler) storesWithoutCopy(step uint64, slotIndex uint32, holders map[string]bool) []wire.Member {
-	missing := s.config.Stores.Copies() - len(holders)
+	missing := s.config.Stores.ReplicationFactor() - len(holders)
 	var lacking []wire.Member
 	for _, store := range s.storesFor(step, slotIndex) {
 		if len(lacking) == missing {
@@ -82,7 +82,7 @@
 	if s.stopped || target.state != slotStoring {
 		return
 	}
-	if len(target.copies) >= s.config.Stores.Copies() {
+	if len(target.copies) >= s.config.Stores.ReplicationFactor() {
 		s.markFilled(target)
 		return
 	}
@@ -102,7 +102,7 @@
 			if stored {
 				target.copies[storeKey(store)] = true
 			}
-			if len(target.copies) >= s.config.Stores.Copies() {
+			if len(target.copies) >= s.config.Stores.ReplicationFactor() {
 				s.markFilled(target)
 				return
 			}
