--- a/internal/standalone/weights/coordinator.go
+++ b/internal/standalone/weights/coordinator.go
@@ -65,8 +65,8 @@
 	stopped bool
 }
 
-// orderState is the last order sent to an engine. A new order waits until
-// notBefore.
+// orderState is the last order sent to an engine. The same order is not repeated
+// before notBefore.
 type orderState struct {
 	action    engine.Action
 	version   int64
@@ -207,8 +207,8 @@
 	return max(1, inService-int(floor*float64(len(targets))+0.5))
 }
 
-// sendOrder sends an order unless one is in flight or its backoff has not
-// elapsed, and reports whether it did.
+// sendOrder sends an order and reports whether it did. It does not while another
+// order to the engine is in flight, nor repeats an order before its notBefore.
 func (c *Coordinator) sendOrder(target Target, action engine.Action, version int64) bool {
 	name := target.Engine.Metadata.Name
 	now := c.config.Clock.Now()
