--- a/internal/standalone/node/stores.go
+++ b/internal/standalone/node/stores.go
@@ -16,8 +16,8 @@
 	return slices.DeleteFunc(d.table.Usable(), func(member wire.Member) bool { return !member.Storage })
 }
 
-// ReplicationFactor implements rollout.Stores. Two zones keep each sample as soon as
-// more than one store has ever been seen.
+// ReplicationFactor implements rollout.Stores. Two zones keep each sample as
+// soon as more than one store has ever been seen.
 func (d storeDirectory) ReplicationFactor() int {
 	if d.table.StorageMemberCount() > singleCopy {
 		return replicatedCopies
--- a/internal/standalone/rollout/predictor.go
+++ b/internal/standalone/rollout/predictor.go
@@ -10,8 +10,8 @@
 	maxPredictions = 1 << 16
 )
 
-// LengthPredictor predicts the length of a sample from earlier samples of its
-// prompt.
+// LengthPredictor predicts the length of a sample from earlier samples of
+// its prompt.
 type LengthPredictor struct {
 	lengths map[uint64]float64
 	mean    float64
--- a/internal/standalone/rollout/step.go
+++ b/internal/standalone/rollout/step.go
@@ -58,8 +58,8 @@
 type ManifestEntry struct {
 	Slot   uint32 `json:"slot"`
 	Digest uint64 `json:"digest"`
-	// OldestVersion is the lowest weight version that generated a token of the
-	// sample.
+	// OldestVersion is the lowest weight version that generated a token of
+	// the sample.
 	OldestVersion int64 `json:"oldest"`
 }
 
