--- a/internal/standalone/rollout/finish.go
+++ b/internal/standalone/rollout/finish.go
@@ -8,17 +8,18 @@
 	"github.com/pathtally/pathtally/internal/standalone/stream"
 )
 
-// checkAge gives up a sample whose first tokens are already too old for the
-// step, instead of generating the rest in vain.
-func (s *Scheduler) checkAge(running *attempt) {
+// checkStaleness abandons an attempt whose oldest token is already too stale
+// for the step, which saves generating the rest.
+func (s *Scheduler) checkStaleness(running *attempt) {
 	oldest := stream.LowestVersion(running.machine.Segments())
-	if oldest >= s.bound(running.slot.step) {
+	if oldest >= s.minVersion(running.slot.step) {
 		return
 	}
 	s.abandon(running)
 }
 
-// abandon ends an attempt without a result and has its slot tried again.
+// abandon ends an attempt without a result and requeues its slot if no other
+// attempt is running.
 func (s *Scheduler) abandon(running *attempt) {
 	s.cancelAttempt(running)
 	if len(running.slot.attempts) == 0 && running.slot.state == slotRunning {
@@ -31,71 +32,72 @@
 	if running.cancel != nil {
 		running.cancel()
 	}
-	running.slot.attempts = slices.DeleteFunc(running.slot.attempts, func(held *attempt) bool { return held == running })
+	running.slot.attempts = slices.DeleteFunc(running.slot.attempts, func(other *attempt) bool { return other == running })
 }
 
-func (s *Scheduler) cancelAttempts(ended *slot) {
-	for _, running := range slices.Clone(ended.attempts) {
+func (s *Scheduler) cancelAttempts(target *slot) {
+	for _, running := range slices.Clone(target.attempts) {
 		s.cancelAttempt(running)
 	}
 }
 
-// finished takes in the result of an attempt.
-func (s *Scheduler) finished(running *attempt, result request.Result) {
-	filled := running.slot
+// handleResult processes the result of an attempt. A complete sample goes to
+// the scorer; otherwise the slot is retried.
+func (s *Scheduler) handleResult(running *attempt, result request.Result) {
+	target := running.slot
 	if !result.Succeeded() {
 		s.abandon(running)
 		return
 	}
 	s.cancelAttempt(running)
-	s.cancelAttempts(filled)
-	if filled.state != slotRunning {
+	s.cancelAttempts(target)
+	if target.state != slotRunning {
 		return
 	}
-	s.predictor.Observe(filled.prompt, result.Tokens)
+	s.predictor.Observe(target.prompt, result.Tokens)
 	s.reorder = true
-	filled.step.durations = append(filled.step.durations, s.config.Clock.Now().Sub(running.started))
-	if stream.LowestVersion(result.Segments) < s.bound(filled.step) {
-		s.requeue(filled)
+	target.step.durations = append(target.step.durations, s.config.Clock.Now().Sub(running.started))
+	if stream.LowestVersion(result.Segments) < s.minVersion(target.step) {
+		s.requeue(target)
 		return
 	}
 	sample := Sample{
-		Trainer:  s.config.Trainer,
-		Step:     filled.step.request.Step,
-		Slot:     filled.index,
-		Prompt:   filled.prompt,
-		Text:     result.Text,
-		Tokens:   result.Tokens,
-		Reason:   result.Reason,
-		Segments: result.Segments,
+		Trainer:      s.config.Trainer,
+		Step:         target.step.request.Step,
+		Slot:         target.index,
+		Prompt:       target.prompt,
+		Text:         result.Text,
+		Tokens:       result.Tokens,
+		FinishReason: result.Reason,
+		Segments:     result.Segments,
 	}
-	s.score(filled, sample)
-	s.pump()
+	s.score(target, sample)
+	s.dispatchPending()
 }
 
-// score has a sample judged, as often as it takes.
-func (s *Scheduler) score(filled *slot, sample Sample) {
-	filled.state = slotScoring
+// score has a sample scored, with retries until the scorer succeeds.
+func (s *Scheduler) score(target *slot, sample Sample) {
+	target.state = slotScoring
 	data, err := json.Marshal(sample)
 	if err != nil {
-		s.logNotEncoded(err, filled)
-		s.requeue(filled)
+		s.logEncodeFailure(err, target)
+		s.requeue(target)
 		return
 	}
 	plan := s.plan()
 	s.config.Scorer.Score(plan.Trainer.Spec.Scorer, data, func(score float64, err error) {
-		if s.stopped || filled.state != slotScoring {
+		if s.stopped || target.state != slotScoring {
 			return
 		}
 		if err != nil {
-			s.later(slotRetry, func() {
-				if filled.state == slotScoring {
-					s.score(filled, sample)
+			s.runAfter(slotRetryDelay, func() {
+				if target.state == slotScoring {
+					s.score(target, sample)
 				}
 			})
 			return
 		}
 		sample.Score = score
-		s.keep(filled, sample)
+		s.storeSample(target, sample)
 	})
 }
