--- a/internal/duties/usage/report.go
+++ b/internal/duties/usage/report.go
@@ -85,8 +85,9 @@
 	completed := s.completed.Load()
 	number, known := s.collector.firstAfter(completed)
 	if completed > 0 && (!known || number > completed+1) && s.ranDuring(completed+1) {
-		// The next window has no requests: this node was running and would have received
-		// their counts.
+		// No counts have arrived for the window after the last completed one. This node was
+		// running during that window and would have received them, so the window had no
+		// requests.
 		number, known = completed+1, true
 	}
 	return number, known && s.counter.sinceEnd(number, time.Now()) >= s.settleDelay()
--- a/internal/jobs/batch/job.go
+++ b/internal/jobs/batch/job.go
@@ -47,7 +47,7 @@
 
 	ended   bool
 	endedAt time.Time
-	// endStored reports that the store has the end.
+	// endStored is set once this node knows that the job is marked as ended in the store.
 	endStored bool
 	// superseded is set once another node owns the job. unconfirmed is set while that is
 	// possible: the results here may then lack some that readers have seen.
@@ -74,8 +74,8 @@
 // group counts the items of a group that have no result yet.
 type group struct {
 	open int
-	// inherited is set if an earlier job ended before the group was complete: the trainer
-	// waits for such a group in any case.
+	// inherited is set if the group is left over from an earlier job, which ran some of its
+	// items but ended before the group was complete. The trainer waits for every such group.
 	inherited bool
 }
 
--- a/internal/jobs/placement/group.go
+++ b/internal/jobs/placement/group.go
@@ -7,14 +7,16 @@
 	position int
 	// length is the largest ExpectedTokens of its items.
 	length float64
-	// inherited is set if an earlier job ended without results for the group.
+	// inherited is set if the group is left over from an earlier job, which ran some of its
+	// items but ended before the group was complete. The trainer waits for every such group.
 	inherited bool
 	// reserve is set if the trainer does not need to wait for the group.
 	reserve bool
 }
 
-// groupsOf returns the groups of a submission in the order of their first items. A group
-// with an item of known length is inherited from an earlier job.
+// groupsOf returns the groups of a submission in the order of their first items. It
+// marks a group as inherited if lengths has one of its items: lengths holds items of
+// groups that were incomplete when an earlier job ended.
 func groupsOf(items []SubmittedItem, lengths map[string]Length) []*group {
 	var groups []*group
 	byName := map[string]*group{}
--- a/internal/store/watchcache/tree.go
+++ b/internal/store/watchcache/tree.go
@@ -12,8 +12,9 @@
 	// fanOut is the most nodes that follow one node directly in a tree. It bounds the time
 	// to send a full listing to all of them over one node's link.
 	fanOut = 32
-	// standbyReaders is how many nodes after the first in rank may read the store in a
-	// tree, so that one of them is left when the store rejects many nodes.
+	// standbyReaders is how many nodes of a tree may read the store besides the node with
+	// rank 0: those with ranks 1 to standbyReaders, if they find no parent in time. There are
+	// several so that one of them can still read it if the store rejects many nodes.
 	standbyReaders = 8
 )
 
@@ -79,9 +80,10 @@
 	return ranked
 }
 
-// parentRank returns the rank of the parent of the node with the given rank. The first
-// level of the tree is a single node, and each level is fanOut times as long as the one
-// above, whose nodes share its followers evenly.
+// parentRank returns the rank of the parent of the node with the given rank. The top
+// level of the tree is the node with rank 0. Every other level has room for fanOut times as
+// many nodes as the level above it. Its nodes are assigned in turn to the
+// nodes of the level above, so that none of those has more than fanOut followers.
 func parentRank(rank int) int {
 	parentStart, levelStart, levelLength := 0, 1, fanOut
 	for rank >= levelStart+levelLength {
--- a/test/soak_random_test.go
+++ b/test/soak_random_test.go
@@ -21,7 +21,8 @@
 	streamCrashes
 )
 
-// jobStreamsPerTrainer separates the streams of the trainers' jobs.
+// jobStreamsPerTrainer is how many random streams are set aside for the jobs of one trainer.
+// Each job has a stream of its own, numbered by the trainer and the step.
 const jobStreamsPerTrainer = 1 << 16
 
 // randomStream is one random stream of a seed. It is safe for concurrent use.
@@ -134,7 +135,9 @@
 var endTriggers = []endTrigger{endAfterResults, endAfterDelay, endAfterRestart, endDuringAppend, endDuringAppend, endDuringPayloadRead, endDuringPayloadRead}
 
 const (
-	// maxEndDelay bounds the delay of an end; jobs of medium size run about as long.
+	// maxEndDelay is the longest delay from the acceptance of a job, or from the end of a
+	// node process, until the trainer ends the job. Jobs of medium size run for about this
+	// long, so that they may be ended at any stage.
 	maxEndDelay = 3 * time.Second
 	// firstTrainer ends its jobs after their results, so that each run has complete steps.
 	firstTrainer = 0
