--- a/internal/jobs/batch/takeover_test.go
+++ b/internal/jobs/batch/takeover_test.go
@@ -70,8 +70,23 @@
 	checkResults(t, "job", cluster.readAll(fresh, "job", 6), 6, 3)
 }
 
+// setConfirmedAt sets when the node last read that it owns a job, if it holds the job, and
+// reports whether it does. The next periodic read of the record is due recordCheckInterval
+// after that time.
+func (n *testNode) setConfirmedAt(id string, confirmedAt time.Time) bool {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	held := n.jobs[id]
+	if held != nil {
+		held.confirmedAt = confirmedAt
+	}
+	return held != nil
+}
+
 // newSupersededOwner returns a cluster in which the successor has taken the job over and
-// the former owner is disconnected from its peer.
+// the former owner, disconnected from its peer, still holds the job. The former owner's
+// periodic reads of the record are held back until then: the first is due
+// recordCheckInterval after the return.
 func newSupersededOwner(t *testing.T, engine *testEngine) (deployment *cluster, former, successor *testNode) {
 	t.Helper()
 	deployment = newCluster(t, 2, engine)
@@ -81,10 +96,14 @@
 	}
 	deployment.setDisconnected("node-0", true)
 	eventually(t, "the job is taken over", func() bool {
-		successor.mutex.Lock()
-		defer successor.mutex.Unlock()
-		return successor.jobs["job"] != nil
+		// A read that is already in progress, or one after a pause of the process, resets
+		// the time.
+		former.setConfirmedAt("job", time.Now().Add(time.Hour))
+		return successor.holds("job")
 	})
+	if !former.setConfirmedAt("job", time.Now()) {
+		t.Fatal("the former owner knows of its successor already")
+	}
 	return deployment, former, successor
 }
 
@@ -96,6 +115,10 @@
 	// The former owner is connected to the store alone and finishes an item first.
 	former.mutex.Lock()
 	held := former.jobs["job"]
+	if held == nil {
+		former.mutex.Unlock()
+		t.Fatal("the former owner knows of its successor already")
+	}
 	former.scheduler.finish(held.items["job.0"], jobstore.Result{ID: "job.0", State: jobstore.Abandoned})
 	former.mutex.Unlock()
 	eventually(t, "the former owner learns of its successor", func() bool {
@@ -125,7 +148,12 @@
 	cluster, former, successor := newSupersededOwner(t, engine)
 	// The former owner's runs must not finish.
 	former.mutex.Lock()
-	former.jobs["job"].cancel()
+	held := former.jobs["job"]
+	if held == nil {
+		former.mutex.Unlock()
+		t.Fatal("the former owner knows of its successor already")
+	}
+	held.cancel()
 	former.mutex.Unlock()
 	engine.release()
 	listed := cluster.readAll(successor, "job", 6)
